--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -2,7 +2,7 @@
 
 A connection is chosen by the balancer, which asks every entry each second whether callers may
 connect, and stays with its entry until that closes it.  Each call goes into the history with how it
-ended: a status, :data:`CUT` or :data:`NO_ANSWER`.
+ended: a status, :data:`CONNECTION_CUT` or :data:`NO_RESPONSE`.
 """
 
 import asyncio
@@ -17,16 +17,16 @@
 from bench.platform_site import FRONT_PORT, READY_PORT, Node, Site
 from sapphirelead.clock import now
 
-CUT: Final = 0
-NO_ANSWER: Final = -1
-DEADLINE_S: Final = 3.0
-PATIENCE_S: Final = DEADLINE_S + 1.5
-HURRY_S: Final = 0.02
+CONNECTION_CUT: Final = 0
+NO_RESPONSE: Final = -1
+CALL_DEADLINE_S: Final = 3.0
+CALL_TIMEOUT_S: Final = CALL_DEADLINE_S + 1.5
+SHORT_CALL_TIMEOUT_S: Final = 0.02
 """Patience of a caller that leaves early."""
 
-TRIES: Final = 5
-LOOK_S: Final = 1.0
-MISSES: Final = 2
+MAX_SUBMIT_ATTEMPTS: Final = 5
+HEALTH_CHECK_INTERVAL_S: Final = 1.0
+UNHEALTHY_THRESHOLD: Final = 2
 HOST_NAME: Final = "queues.example"
 
 
@@ -35,27 +35,31 @@
 
     def __init__(self, entries: list[Node]) -> None:
         self._entries = entries
-        self._misses = {entry.name: 0 for entry in entries}
+        self._failed_checks = {entry.name: 0 for entry in entries}
 
     async def run(self) -> None:
         """Look at every entry each second, until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=LOOK_S)
+        timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                looks = (self._look(session, entry) for entry in self._entries)
-                await asyncio.gather(asyncio.sleep(LOOK_S), *looks)
+                checks = (self._check_health(session, entry) for entry in self._entries)
+                await asyncio.gather(asyncio.sleep(HEALTH_CHECK_INTERVAL_S), *checks)
 
-    async def _look(self, session: aiohttp.ClientSession, entry: Node) -> None:
-        good = False
+    async def _check_health(self, session: aiohttp.ClientSession, entry: Node) -> None:
+        healthy = False
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             url = f"http://{entry.host}:{READY_PORT}/readiness"
-            async with session.get(url, headers={"Connection": "close"}) as answer:
-                good = answer.status == 200
-        self._misses[entry.name] = 0 if good else self._misses[entry.name] + 1
+            async with session.get(url, headers={"Connection": "close"}) as response:
+                healthy = response.status == 200
+        self._failed_checks[entry.name] = 0 if healthy else self._failed_checks[entry.name] + 1
 
     def choose(self, rng: random.Random) -> Node:
         """Choose an entry for a new connection."""
-        usable = [entry for entry in self._entries if self._misses[entry.name] < MISSES]
+        usable = [
+            entry
+            for entry in self._entries
+            if self._failed_checks[entry.name] < UNHEALTHY_THRESHOLD
+        ]
         return rng.choice(usable if 2 * len(usable) >= len(self._entries) else self._entries)
 
 
@@ -75,7 +79,7 @@
         """Connect; ``None`` where nobody listens."""
         with contextlib.suppress(OSError, TimeoutError):
             # Not wait_for, which drops a cancellation that comes together with the connection.
-            async with asyncio.timeout(DEADLINE_S):
+            async with asyncio.timeout(CALL_DEADLINE_S):
                 return cls(entry, *await asyncio.open_connection(entry.host, FRONT_PORT))
         return None
 
@@ -89,28 +93,28 @@
         self._writer.close()
 
     async def call(
-        self, method: str, path: str, body: bytes = b"", patience_s: float = PATIENCE_S
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = CALL_TIMEOUT_S
     ) -> tuple[int, bytes]:
         """Make a call and return its status and the answer's body.
 
-        :param patience_s: how long the caller waits for the answer.
+        :param timeout_s: how long the caller waits for the answer.
         """
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {HOST_NAME}\r\nContent-Length: {len(body)}\r\n"
-            f"X-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\n\r\n"
+            f"X-Deadline-Ms: {int(CALL_DEADLINE_S * 1000)}\r\n\r\n"
         )
         try:
             self._writer.write(head.encode() + body)
-            async with asyncio.timeout(patience_s):
-                return await self._answer()
+            async with asyncio.timeout(timeout_s):
+                return await self._read_response()
         except TimeoutError:
             self.close()
-            return NO_ANSWER, b""
+            return NO_RESPONSE, b""
         except (OSError, asyncio.IncompleteReadError):
             self.close()
-            return CUT, b""
+            return CONNECTION_CUT, b""
 
-    async def _answer(self) -> tuple[int, bytes]:
+    async def _read_response(self) -> tuple[int, bytes]:
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().lower().split("\r\n")
         fields = dict(line.split(": ", 1) for line in head[1:] if line)
         body = await self._reader.readexactly(int(fields.get("content-length", "0")))
@@ -192,13 +196,13 @@
         method: str,
         path: str,
         body: bytes = b"",
-        patience_s: float = PATIENCE_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
         """Make a call and write it down."""
         sent = now()
-        status, answer = NO_ANSWER, b""
+        status, response = NO_RESPONSE, b""
         try:
-            status, answer = await conn.call(method, path, body, patience_s)
+            status, response = await conn.call(method, path, body, timeout_s)
         finally:
             # Also where the run ends meanwhile: the entry may yet do what was asked.
             self.site.history.record(
@@ -210,33 +214,33 @@
                 method=method,
                 path=path,
                 status=status,
-                answer=answer.decode(errors="replace")[:200],
+                response=response.decode(errors="replace")[:200],
             )
-        return status, answer
+        return status, response
 
-    async def caller(self, seed: int, pause_s: float) -> None:
+    async def caller(self, seed: int, mean_interval_s: float) -> None:
         """Hand in jobs over a connection that is kept open, until cancelled."""
         rng = random.Random(seed)
         conn: Connection | None = None
         lasting: Job | None = None
         while True:
-            conn = await self._connected(conn, rng)
+            conn = await self._ensure_connected(conn, rng)
             job = make_job(rng)
             self.jobs[job.key] = job
             self.site.history.record("job", key=job.key, spec=job.spec, steps=job.steps)
             conn = await self._submit(job, conn, rng)
             if rng.random() < 0.1:
-                conn = await self._connected(conn, rng)
+                conn = await self._ensure_connected(conn, rng)
                 await self._cancel(job, conn)
             elif job.lasting:
                 # One for each caller, or they fill the workers for good.
                 if lasting is not None:
-                    conn = await self._connected(conn, rng)
+                    conn = await self._ensure_connected(conn, rng)
                     await self._cancel(lasting, conn)
                 lasting = job
-            await asyncio.sleep(rng.expovariate(1 / pause_s))
+            await asyncio.sleep(rng.expovariate(1 / mean_interval_s))
 
-    async def _connected(self, conn: Connection | None, rng: random.Random) -> Connection:
+    async def _ensure_connected(self, conn: Connection | None, rng: random.Random) -> Connection:
         while conn is None or not conn.usable:
             conn = await Connection.open(self.balancer.choose(rng))
             if conn is None:
@@ -245,10 +249,10 @@
 
     async def _submit(self, job: Job, conn: Connection, rng: random.Random) -> Connection:
         body = msgspec.json.encode({"spec": job.spec, "steps": job.steps})
-        for _ in range(TRIES):
-            conn = await self._connected(conn, rng)
-            patience_s = HURRY_S if rng.random() < 0.03 else PATIENCE_S
-            status, _ = await self.call(conn, "POST", f"/q/{job.key}", body, patience_s)
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
+            conn = await self._ensure_connected(conn, rng)
+            timeout_s = SHORT_CALL_TIMEOUT_S if rng.random() < 0.03 else CALL_TIMEOUT_S
+            status, _ = await self.call(conn, "POST", f"/q/{job.key}", body, timeout_s)
             if status == 200:
                 job.accepted = job.accepted or now()
                 if rng.random() > 0.1:
@@ -267,29 +271,29 @@
         rng = random.Random(seed)
         conn: Connection | None = None
         while True:
-            conn = await self._connected(conn, rng)
-            asked = self.open_jobs() or list(self.jobs.values())[-1:]
-            for job in rng.sample(asked, min(5, len(asked))):
+            conn = await self._ensure_connected(conn, rng)
+            polled = self.open_jobs() or list(self.jobs.values())[-1:]
+            for job in rng.sample(polled, min(5, len(polled))):
                 if conn.usable:
-                    await self.ask(job, conn)
+                    await self.poll_state(job, conn)
             await asyncio.sleep(0.1)
 
-    async def ask(self, job: Job, conn: Connection) -> None:
+    async def poll_state(self, job: Job, conn: Connection) -> None:
         """Ask for a job's state."""
-        status, answer = await self.call(conn, "GET", f"/q/{job.key}")
+        status, response = await self.call(conn, "GET", f"/q/{job.key}")
         if status == 200:
-            job.state = msgspec.json.decode(answer)["state"]
+            job.state = msgspec.json.decode(response)["state"]
 
-    async def first_job(self, rng: random.Random) -> None:
+    async def submit_one_job(self, rng: random.Random) -> None:
         """Try once to hand in a job."""
         job = make_job(rng)
         self.jobs[job.key] = job
         self.site.history.record("job", key=job.key, spec=job.spec, steps=job.steps)
-        conn = await self._connected(None, rng)
+        conn = await self._ensure_connected(None, rng)
         await self._submit(job, conn, rng)
         conn.close()
 
-    def expected(self) -> list[Job]:
+    def incomplete_jobs(self) -> list[Job]:
         """Return the accepted jobs that are still to complete."""
         jobs = self.jobs.values()
         return [j for j in jobs if j.accepted and not j.cancelled and j.state != "completed"]
--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from bench.checker import Event, Violation
-from bench.platform_callers import CUT, DEADLINE_S, NO_ANSWER
+from bench.platform_callers import CONNECTION_CUT, CALL_DEADLINE_S, NO_RESPONSE
 from bench.platform_site import EVERYTHING, GRACE_S
 
 CONTACT_S: Final = 3.0
@@ -186,9 +186,9 @@
         if not record.no_accident(call["clock"], call["until"], call["entry"]):
             continue
         what = f"{call['method']} {call['path']} at {call['entry']} {call['clock']:.3f}"
-        if call["status"] == CUT and LOSS_SLACK_S < took < DEADLINE_S:
+        if call["status"] == CONNECTION_CUT and LOSS_SLACK_S < took < CALL_DEADLINE_S:
             yield Violation("call_cut", f"{what}, after {took:.3f} s")
-        if call["status"] == NO_ANSWER and took > DEADLINE_S:
+        if call["status"] == NO_RESPONSE and took > CALL_DEADLINE_S:
             yield Violation("no_answer", f"{what}, waited {took:.3f} s")
 
 
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -133,7 +133,7 @@
     deadline = now() + 30
     while not any(job.accepted for job in callers.jobs.values()):
         assert now() < deadline, "the site does not come up"
-        await callers.first_job(rng)
+        await callers.submit_one_job(rng)
 
 
 async def _inject(site: Site, callers: Callers, rng: random.Random, plan: Plan) -> Counter[str]:
@@ -154,10 +154,10 @@
     """Wait for the accepted jobs, and write down those that do not end."""
     watching = asyncio.create_task(callers.watcher(0))
     until = now() + FINISH_S
-    while now() < until and any(not job.lasting for job in callers.expected()):
+    while now() < until and any(not job.lasting for job in callers.incomplete_jobs()):
         await asyncio.sleep(0.2)
     await _end([watching])
-    for job in callers.expected():
+    for job in callers.incomplete_jobs():
         if not job.lasting or job.state != "running":
             callers.site.history.record("unfinished", key=job.key, state=job.state)
 
