--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -134,7 +134,7 @@
     key: str
     spec: str
     steps: list[dict[str, Any]]
-    lasting: bool = False
+    long_running: bool = False
     accepted: float = 0.0
     state: str = ""
     cancelled: bool = False
@@ -222,7 +222,7 @@
         """Hand in jobs over a connection that is kept open, until cancelled."""
         rng = random.Random(seed)
         conn: Connection | None = None
-        lasting: Job | None = None
+        long_running: Job | None = None
         while True:
             conn = await self._ensure_connected(conn, rng)
             job = make_job(rng)
@@ -232,12 +232,12 @@
             if rng.random() < 0.1:
                 conn = await self._ensure_connected(conn, rng)
                 await self._cancel(job, conn)
-            elif job.lasting:
+            elif job.long_running:
                 # One for each caller, or they fill the workers for good.
-                if lasting is not None:
+                if long_running is not None:
                     conn = await self._ensure_connected(conn, rng)
-                    await self._cancel(lasting, conn)
-                lasting = job
+                    await self._cancel(long_running, conn)
+                long_running = job
             await asyncio.sleep(rng.expovariate(1 / mean_interval_s))
 
     async def _ensure_connected(self, conn: Connection | None, rng: random.Random) -> Connection:
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -154,11 +154,11 @@
     """Wait for the accepted jobs, and write down those that do not end."""
     watching = asyncio.create_task(callers.watcher(0))
     until = now() + FINISH_S
-    while now() < until and any(not job.lasting for job in callers.incomplete_jobs()):
+    while now() < until and any(not job.long_running for job in callers.incomplete_jobs()):
         await asyncio.sleep(0.2)
     await _end([watching])
     for job in callers.incomplete_jobs():
-        if not job.lasting or job.state != "running":
+        if not job.long_running or job.state != "running":
             callers.site.history.record("unfinished", key=job.key, state=job.state)
 
 
