--- a/bench/platform_faults.py
+++ b/bench/platform_faults.py
@@ -17,8 +17,8 @@
 
 Fault = Callable[[Site, Callers, random.Random], Coroutine[Any, Any, None]]
 
-OUTAGES_S: Final = (0.5, 2.0, 5.0)
-FOREIGN_HEARTBEATS: Final = (
+OUTAGE_DURATIONS_S: Final = (0.5, 2.0, 5.0)
+MALFORMED_HEARTBEATS: Final = (
     b"\xff\xfe\x00",
     b"{}",
     b'{"service": 7, "addr": "127.0.0.1:1"}',
@@ -73,7 +73,7 @@
 
 async def foreign_writer(site: Site, _: Callers, rng: random.Random) -> None:
     """Send an agent heartbeats, and write rows, that nobody can use."""
-    for body in FOREIGN_HEARTBEATS:
+    for body in MALFORMED_HEARTBEATS:
         await site.heartbeat(rng.choice(site.agents), body)
     await site.write_row("op", "unheard-of", b"\xff\xfe")
     await site.write_row("servers", "i-foreign", b'{"state": 7}')
@@ -122,7 +122,7 @@
     path, body = rng.choice(kinds)
     with site.fault(f"worker {path} {body}", worker.name):
         await site.switch(worker, path, body)
-        await asyncio.sleep(rng.choice(OUTAGES_S))
+        await asyncio.sleep(rng.choice(OUTAGE_DURATIONS_S))
         await site.switch(worker, "/behave", Behaviour())
         await site.switch(worker, "/faults", {})
 
@@ -139,7 +139,7 @@
     faults = rng.choice(kinds)
     with site.fault(f"store {faults}"):
         await site.store_fault(**faults)
-        await asyncio.sleep(rng.choice(OUTAGES_S))
+        await asyncio.sleep(rng.choice(OUTAGE_DURATIONS_S))
         await site.store_fault()
 
 
@@ -148,7 +148,7 @@
     chosen = rng.sample([*site.entries, *site.agents], rng.choice([1, 2, 4]))
     with site.fault(f"store refuses {[node.name for node in chosen]}"):
         await site.refuse(chosen, rng.choice([503, 429, 0]))
-        await asyncio.sleep(rng.choice(OUTAGES_S))
+        await asyncio.sleep(rng.choice(OUTAGE_DURATIONS_S))
         await site.refuse([])
 
 
@@ -160,22 +160,22 @@
 
 async def bad_connections(site: Site, _: Callers, rng: random.Random) -> None:
     """Delay, cut, silence or hold back one way of connections to the store and to workers."""
-    places: list[tuple[str, Proxy]] = [
+    links: list[tuple[str, Proxy]] = [
         *((node.name, node.store_proxy) for node in (*site.entries, *site.agents)),
         *((worker.name, worker.proxy) for worker in site.workers),
     ]
-    chosen = rng.sample(places, rng.choice([1, 3]))
+    chosen = rng.sample(links, rng.choice([1, 3]))
     kind = rng.choice(["delay", "cut", "silence", "up", "down"])
     with site.fault(f"connections {kind} {[name for name, _ in chosen]}"):
         for _name, proxy in chosen:
-            _harm(proxy, kind)
-        await asyncio.sleep(rng.choice(OUTAGES_S))
+            _disrupt(proxy, kind)
+        await asyncio.sleep(rng.choice(OUTAGE_DURATIONS_S))
         for _name, proxy in chosen:
             proxy.delay_s = 0.0
             proxy.thaw()
 
 
-def _harm(proxy: Proxy, kind: str) -> None:
+def _disrupt(proxy: Proxy, kind: str) -> None:
     match kind:
         case "delay":
             proxy.delay_s = 0.15
@@ -187,7 +187,7 @@
             proxy.freeze(kind)
 
 
-PLANNED: Final[tuple[Fault, ...]] = (
+PLANNED_FAULTS: Final[tuple[Fault, ...]] = (
     rolling_entries,
     rolling_agents,
     stop_entry,
@@ -200,7 +200,7 @@
 FAULTS: Final[dict[str, Fault]] = {
     fault.__name__: fault
     for fault in (
-        *PLANNED,
+        *PLANNED_FAULTS,
         kill_entry,
         kill_agent,
         pause_node,
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -34,7 +34,7 @@
 from bench.checker import Event, Violation, read_histories
 from bench.platform_callers import Balancer, Callers
 from bench.platform_checker import check
-from bench.platform_faults import FAULTS, PLANNED, Fault
+from bench.platform_faults import FAULTS, PLANNED_FAULTS, Fault
 from bench.platform_site import Site
 from sapphirelead.clock import now
 
@@ -198,7 +198,7 @@
 def _faults_of(seed: int, only: str) -> tuple[Fault, ...]:
     if only:
         return tuple(FAULTS[name] for name in only.split(","))
-    return PLANNED if seed % PLANNED_EACH == 0 else tuple(FAULTS.values())
+    return PLANNED_FAULTS if seed % PLANNED_EACH == 0 else tuple(FAULTS.values())
 
 
 def main() -> int:
--- a/tests/process/test_platform_soak.py
+++ b/tests/process/test_platform_soak.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from bench.platform_faults import FAULTS, PLANNED
+from bench.platform_faults import FAULTS, PLANNED_FAULTS
 from bench.platform_soak import Plan, run_seed
 
 SEED = 2
@@ -15,7 +15,7 @@
     Every call is answered, the leaving entries' ones too, and every accepted job is done once.
     """
     restarts = FAULTS["rolling_entries"]
-    plan = Plan(12, entries=3, agents=3, faults=(*PLANNED, restarts, restarts))
+    plan = Plan(12, entries=3, agents=3, faults=(*PLANNED_FAULTS, restarts, restarts))
     verdict = await run_seed(SEED, plan, tmp_path / "run")
     assert not verdict.violations, verdict.report()
 
