--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -14,7 +14,7 @@
 
 from bench.checker import Event, Violation
 from bench.platform_callers import CONNECTION_CUT, CALL_DEADLINE_S, NO_RESPONSE
-from bench.platform_site import EVERYTHING, GRACE_S
+from bench.platform_site import ALL_NODES, STOP_GRACE_S
 
 SETTLE_S: Final = 3.0
 CUT_TOLERANCE_S: Final = 0.2
@@ -115,7 +115,7 @@
         :param planned: planned work counts as a disturbance too.
         """
         return not any(
-            (planned or not fault["planned"]) and (not who or fault["who"] in (who, EVERYTHING))
+            (planned or not fault["planned"]) and (not who or fault["who"] in (who, ALL_NODES))
             for fault in self._faults(begin, end)
         )
 
@@ -351,7 +351,7 @@
     for event in history.by_kind["stopped"]:
         at = event["clock"]
         if event["code"] == SIGKILL_EXIT_CODE and history.undisturbed(
-            at - GRACE_S, at, event["node"]
+            at - STOP_GRACE_S, at, event["node"]
         ):
             yield Violation("stop_overdue", f"{event['node']} at {at:.3f}")
 
--- a/bench/platform_faults.py
+++ b/bench/platform_faults.py
@@ -74,7 +74,7 @@
 async def foreign_writer(site: Site, _: Callers, rng: random.Random) -> None:
     """Send an agent heartbeats, and write rows, that nobody can use."""
     for body in MALFORMED_HEARTBEATS:
-        await site.heartbeat(rng.choice(site.agents), body)
+        await site.send_heartbeat(rng.choice(site.agents), body)
     await site.write_row("op", "unheard-of", b"\xff\xfe")
     await site.write_row("servers", "i-foreign", b'{"state": 7}')
 
@@ -121,10 +121,10 @@
     ]
     path, body = rng.choice(kinds)
     with site.fault(f"worker {path} {body}", worker.name):
-        await site.switch(worker, path, body)
+        await site.post_to_worker(worker, path, body)
         await asyncio.sleep(rng.choice(OUTAGE_DURATIONS_S))
-        await site.switch(worker, "/behave", Behaviour())
-        await site.switch(worker, "/faults", {})
+        await site.post_to_worker(worker, "/behave", Behaviour())
+        await site.post_to_worker(worker, "/faults", {})
 
 
 async def bad_store(site: Site, _: Callers, rng: random.Random) -> None:
--- a/bench/platform_site.py
+++ b/bench/platform_site.py
@@ -25,19 +25,19 @@
 from sapphirelead.clock import now
 from sapphirelead.standin_history import History
 
-EVERYTHING: Final = "*"
+ALL_NODES: Final = "*"
 FRONT_PORT: Final = 8161
 READY_PORT: Final = 8167
 CONTROL_PORT: Final = 8166
 LINK_PORT: Final = 7720
 WORKER_PORT: Final = 8080
-GRACE_S: Final = 6.0
-RESTART_S: Final = 0.3
-CPU: Final = 4_000
-THIS: Final = "soak"
-STORE: Final = "store"
-LOOK_S: Final = 0.25
-STARVED_S: Final = 0.2
+STOP_GRACE_S: Final = 6.0
+RESTART_DELAY_S: Final = 0.3
+WORKER_CPU: Final = 4_000
+SOAK_NAME: Final = "soak"
+STORE_NAME: Final = "store"
+WATCH_INTERVAL_S: Final = 0.25
+STARVATION_THRESHOLD_S: Final = 0.2
 """A process that waits so long for a processor within one look counts as disturbed.  The kernel's
 own account tells it, not the time that something took."""
 
@@ -45,7 +45,7 @@
     "hold_max_ms": 10_000,
     "kill_grace_ms": 900,
     "drain_ms": 2_000,
-    "grace_s": int(GRACE_S),
+    "grace_s": int(STOP_GRACE_S),
     "status_s": 120,
     "config_apply_ms": 2_000,
 }
@@ -55,7 +55,7 @@
 class Node:
     """An entry or an agent.
 
-    :ivar busy: held by whoever signals it, so that a paused process is not killed meanwhile.
+    :ivar signal_lock: held by whoever signals it, so that a paused process is not killed meanwhile.
     :ivar starts: times it was started.
     """
 
@@ -64,7 +64,7 @@
     entry: bool
     proc: Proc
     store_proxy: Proxy
-    busy: asyncio.Lock = field(default_factory=asyncio.Lock)
+    signal_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     starts: int = 1
 
 
@@ -76,7 +76,7 @@
     settings: WorkerSettings
     proc: Proc
     proxy: Proxy
-    busy: asyncio.Lock = field(default_factory=asyncio.Lock)
+    signal_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class Site:
@@ -123,7 +123,7 @@
         hosts = [f"{self._base}.{number + 10}" for number in range(entries + agents)]
         settings = msgspec.json.encode({"hosts": hosts}).decode()
         self._store = await self._spawn(
-            STORE, "platform_standin_store", settings, "--port", str(self._store_port)
+            STORE_NAME, "platform_standin_store", settings, "--port", str(self._store_port)
         )
         await wait_until("the store listens", self._store_listens)
         await self.publish({"version": 1, "routes": []})
@@ -153,27 +153,27 @@
 
     async def _watch(self) -> None:
         """Write down which processes wait for a processor, and which end by themselves."""
-        waited: dict[int, float] = {}
-        looked = now()
+        cpu_waits: dict[int, float] = {}
+        checked_at = now()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             for who, pid in self._pids():
-                before, waited[pid] = waited.get(pid, 0.0), _waited_s(pid)
-                if waited[pid] - before > STARVED_S:
-                    shared = who in (THIS, STORE)
-                    self._disturbed(f"starved {who}", looked, EVERYTHING if shared else who)
+                before, cpu_waits[pid] = cpu_waits.get(pid, 0.0), _cpu_wait_s(pid)
+                if cpu_waits[pid] - before > STARVATION_THRESHOLD_S:
+                    shared = who in (SOAK_NAME, STORE_NAME)
+                    self._record_fault(f"starved {who}", checked_at, ALL_NODES if shared else who)
             # Also where it waited for a process that it had started: nothing is seen meanwhile.
-            if now() - looked > LOOK_S + STARVED_S:
-                self._disturbed(f"starved {THIS}", looked, EVERYTHING)
+            if now() - checked_at > WATCH_INTERVAL_S + STARVATION_THRESHOLD_S:
+                self._record_fault(f"starved {SOAK_NAME}", checked_at, ALL_NODES)
             for node in (*self.entries, *self.agents):
-                if not node.proc.running and not node.busy.locked():
+                if not node.proc.running and not node.signal_lock.locked():
                     self.history.record("died", node=node.name, code=node.proc.code)
-            looked = now()
+            checked_at = now()
 
     def _pids(self) -> list[tuple[str, int]]:
         others = [(node.name, node.proc.pid) for node in (*self.entries, *self.agents)]
         workers = [(worker.name, worker.proc.pid) for worker in self.workers]
-        return [(THIS, os.getpid()), (STORE, self._store.pid), *others, *workers]
+        return [(SOAK_NAME, os.getpid()), (STORE_NAME, self._store.pid), *others, *workers]
 
     # Nodes.
 
@@ -209,21 +209,21 @@
     async def restart(self, node: Node, by: signal.Signals) -> None:
         """End a node by SIGTERM, or by SIGKILL as an accident, and start it again."""
         planned = by is signal.SIGTERM
-        async with node.busy:
+        async with node.signal_lock:
             with self.fault(f"{by.name} {node.name}", node.name, planned):
                 if planned:
-                    code = await node.proc.stop(GRACE_S)
+                    code = await node.proc.stop(STOP_GRACE_S)
                     self.history.record("stopped", node=node.name, code=code)
                 else:
                     await node.proc.kill()
-                await asyncio.sleep(RESTART_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 node.proc = await self._spawn_node(node.name)
                 node.starts += 1
                 await asyncio.sleep(1)
 
     async def pause(self, node: Node | Worker, seconds: float) -> None:
         """Freeze a process for a while."""
-        async with node.busy:
+        async with node.signal_lock:
             with self.fault(f"pause {node.name}", node.name):
                 node.proc.pause()
                 await asyncio.sleep(seconds)
@@ -235,9 +235,9 @@
         The signal ends an interpreter that has not come to the program's first line yet, which no
         program can help; it is sent once it is taken or ignored.
         """
-        async with node.busy:
-            while node.proc.running and not _takes(node.proc.pid, signal.SIGHUP):
-                await asyncio.sleep(LOOK_S)
+        async with node.signal_lock:
+            while node.proc.running and not _has_disposition(node.proc.pid, signal.SIGHUP):
+                await asyncio.sleep(WATCH_INTERVAL_S)
             path = self.folder / f"{node.name}.toml"
             path.write_text(f"# changed at {now()}\n{path.read_text()}")
             with self.fault(f"reload {node.name}", node.name, planned=True):
@@ -254,7 +254,7 @@
             WORKER_PORT,
             told=f"{agent.host}:{proxy.port}",
             agent=f"{agent.host}:{CONTROL_PORT}",
-            cpu=CPU,
+            cpu=WORKER_CPU,
             labels=("a", f"r{number % 2}"),
             clock_rate=0.98 + 0.01 * (number % 3),
         )
@@ -267,17 +267,17 @@
     async def replace(self, worker: Worker, by: signal.Signals) -> None:
         """Drain a worker by SIGTERM, or crash it by SIGKILL; another life follows."""
         planned = by is signal.SIGTERM
-        async with worker.busy:
+        async with worker.signal_lock:
             with self.fault(f"{by.name} {worker.name}", worker.name, planned):
                 if planned:
                     await worker.proc.stop(20)
                 else:
                     await worker.proc.kill()
                 self.history.record("worker_gone", name=worker.name)
-                await asyncio.sleep(RESTART_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 worker.proc = await self._spawn_worker(worker.name, worker.settings)
 
-    async def switch(self, worker: Worker, path: str, body: Any) -> None:
+    async def post_to_worker(self, worker: Worker, path: str, body: Any) -> None:
         """Set a worker's faults or its behaviour."""
         url = f"http://{worker.settings.host}:{WORKER_PORT}{path}"
         timeout = aiohttp.ClientTimeout(total=2)
@@ -285,7 +285,7 @@
             async with self._http.post(url, data=msgspec.json.encode(body), timeout=timeout):
                 pass
 
-    async def heartbeat(self, agent: Node, body: bytes) -> None:
+    async def send_heartbeat(self, agent: Node, body: bytes) -> None:
         """Send an agent a heartbeat of a foreign writer."""
         url = f"http://{agent.host}:{CONTROL_PORT}/instances/i-foreign/heartbeat"
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
@@ -296,8 +296,8 @@
 
     async def _post_store(self, path: str, body: Any) -> None:
         url = f"http://127.0.0.1:{self._store_port}{path}"
-        async with self._http.post(url, data=msgspec.json.encode(body)) as answer:
-            assert answer.status == 200, await answer.text()
+        async with self._http.post(url, data=msgspec.json.encode(body)) as response:
+            assert response.status == 200, await response.text()
 
     async def store_fault(self, **faults: Any) -> None:
         """Let the store misbehave towards nodes; nothing given mends it."""
@@ -321,22 +321,22 @@
         await self.write_row("op", "config", msgspec.json.encode(config))
 
     @contextlib.contextmanager
-    def fault(self, what: str, who: str = EVERYTHING, planned: bool = False) -> Iterator[None]:
+    def fault(self, what: str, who: str = ALL_NODES, planned: bool = False) -> Iterator[None]:
         """Write down a disturbance that lasts as long as the block.
 
-        :param who: the node or worker disturbed, or :data:`EVERYTHING`.
+        :param who: the node or worker disturbed, or :data:`ALL_NODES`.
         """
         begin = now()
         try:
             yield
         finally:
-            self._disturbed(what, begin, who, planned)
+            self._record_fault(what, begin, who, planned)
 
-    def _disturbed(self, what: str, begin: float, who: str, planned: bool = False) -> None:
+    def _record_fault(self, what: str, begin: float, who: str, planned: bool = False) -> None:
         self.history.record("fault", begin, what=what, who=who, planned=planned, until=now())
 
 
-def _takes(pid: int, signum: signal.Signals) -> bool:
+def _has_disposition(pid: int, signum: signal.Signals) -> bool:
     """Whether a process handles or ignores a signal."""
     with contextlib.suppress(OSError):
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -347,7 +347,7 @@
     return False
 
 
-def _waited_s(pid: int) -> float:
+def _cpu_wait_s(pid: int) -> float:
     """Return how long a process has been ready to run and had no processor, its main thread."""
     with contextlib.suppress(OSError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
