--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -38,24 +38,24 @@
 from bench.platform_site import Site
 from sapphirelead.clock import now
 
-CALLERS: Final = 6
-WATCHERS: Final = 2
-PAUSE_S: Final = 1.0
+CALLER_COUNT: Final = 6
+WATCHER_COUNT: Final = 2
+MEAN_SUBMIT_INTERVAL_S: Final = 1.0
 """Mean pause of a caller between two jobs: six callers bring up to six jobs a second, about half of
 what five workers can do."""
 
-FINISH_S: Final = 45.0
+COMPLETION_TIMEOUT_S: Final = 45.0
 """Once all is mended: the longest lease, the failover, and the work that is left, twice over."""
 
-PLANNED_EACH: Final = 3
+PLANNED_SEED_INTERVAL: Final = 3
 """Each so-manyth seed has planned work only."""
 
-LINES: Final = 12
+MAX_HISTORY_LINES: Final = 12
 """Lines of the history shown for each problem, half of them the first ones."""
 
-KEPT_SEEDS: Final = Path(__file__).with_name("platform_soak_seeds.txt")
+REGRESSION_SEEDS_PATH: Final = Path(__file__).with_name("platform_soak_seeds.txt")
 
-EXAMPLES: Final = 3
+MAX_EXAMPLES_PER_RULE: Final = 3
 """Problems shown of those that break the same rule; the folder keeps the history of all."""
 
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class SoakResult:
     """What a run came to."""
 
     seed: int
@@ -81,52 +81,55 @@
     def report(self) -> str:
         """Describe the run, each broken promise with its lines of the history."""
         parts = [f"seed={self.seed} {'FAILED' if self.violations else 'ok'} {self.summary}"]
-        shown: Counter[str] = Counter()
+        printed: Counter[str] = Counter()
         for violation in self.violations:
-            shown[violation.rule] += 1
-            if shown[violation.rule] <= EXAMPLES:
+            printed[violation.rule] += 1
+            if printed[violation.rule] <= MAX_EXAMPLES_PER_RULE:
                 parts.append(f"  {violation.rule}: {violation.detail}")
-                parts += [f"    {line}" for line in self._story(violation)]
-        parts += [f"  {rule}: {count} in all" for rule, count in shown.items()]
+                parts += [f"    {line}" for line in self._related_events(violation)]
+        parts += [f"  {rule}: {count} in all" for rule, count in printed.items()]
         return "\n".join(parts)
 
-    def _story(self, violation: Violation) -> list[str]:
+    def _related_events(self, violation: Violation) -> list[str]:
         words = [
             word.strip("/,;:").split("/")[-1].split(".")[0] for word in violation.detail.split()
         ]
         keys = {word for word in words if len(word) == 16}
         lines = [str(event) for event in self.events]
         found = [line[:300] for line in lines if any(key in line for key in keys)]
-        half = LINES // 2
-        return found if len(found) <= LINES else [*found[:half], "...", *found[-half:]]
+        half = MAX_HISTORY_LINES // 2
+        return found if len(found) <= MAX_HISTORY_LINES else [*found[:half], "...", *found[-half:]]
 
 
-async def run_seed(seed: int, plan: Plan, folder: Path) -> Verdict:
+async def run_seed(seed: int, plan: Plan, folder: Path) -> SoakResult:
     """Run one seed and judge it."""
     rng = random.Random(seed)
     folder.mkdir(parents=True)
     async with Site.running(folder, plan.entries, plan.agents) as site:
         callers = Callers(site, random.Random(seed), Balancer(site.entries))
-        looking = asyncio.create_task(callers.balancer.run())
-        await _until_served(callers)
+        balancing = asyncio.create_task(callers.balancer.run())
+        await _wait_until_served(callers)
         load = [
             asyncio.create_task(task)
             for task in (
-                *(callers.caller(seed * 100 + n, PAUSE_S) for n in range(CALLERS)),
-                *(callers.watcher(seed * 100 + n) for n in range(WATCHERS)),
+                *(
+                    callers.caller(seed * 100 + n, MEAN_SUBMIT_INTERVAL_S)
+                    for n in range(CALLER_COUNT)
+                ),
+                *(callers.watcher(seed * 100 + n) for n in range(WATCHER_COUNT)),
                 *(callers.prober(entry) for entry in site.entries),
             )
         ]
         injected = await _inject(site, callers, rng, plan)
-        await _end(load)
-        await _finish(callers)
-        await _end([looking])
+        await _cancel_tasks(load)
+        await _wait_for_jobs(callers)
+        await _cancel_tasks([balancing])
     events = read_histories(sorted(folder.glob("*.jsonl")))
     violations = check(events)
-    return Verdict(seed, violations, events, _summary(events, injected))
+    return SoakResult(seed, violations, events, _summary(events, injected))
 
 
-async def _until_served(callers: Callers) -> None:
+async def _wait_until_served(callers: Callers) -> None:
     """Wait until an entry accepts jobs; faults begin only then."""
     await callers.configure()
     rng = random.Random(0)
@@ -139,30 +142,30 @@
 async def _inject(site: Site, callers: Callers, rng: random.Random, plan: Plan) -> Counter[str]:
     """Begin a fault every now and then, whatever goes on still; wait for all to be over."""
     injected: Counter[str] = Counter()
-    going: set[asyncio.Task[None]] = set()
+    active: set[asyncio.Task[None]] = set()
     until = now() + plan.seconds
     while now() < until:
         await asyncio.sleep(rng.choice([0.2, 1.0, 3.0, 5.0]))
         fault = rng.choice(plan.faults)
         injected[fault.__name__] += 1
-        going.add(asyncio.create_task(fault(site, callers, random.Random(rng.random()))))
-    await asyncio.gather(*going)
+        active.add(asyncio.create_task(fault(site, callers, random.Random(rng.random()))))
+    await asyncio.gather(*active)
     return injected
 
 
-async def _finish(callers: Callers) -> None:
+async def _wait_for_jobs(callers: Callers) -> None:
     """Wait for the accepted jobs, and write down those that do not end."""
     watching = asyncio.create_task(callers.watcher(0))
-    until = now() + FINISH_S
+    until = now() + COMPLETION_TIMEOUT_S
     while now() < until and any(not job.long_running for job in callers.incomplete_jobs()):
         await asyncio.sleep(0.2)
-    await _end([watching])
+    await _cancel_tasks([watching])
     for job in callers.incomplete_jobs():
         if not job.long_running or job.state != "running":
             callers.site.history.record("unfinished", key=job.key, state=job.state)
 
 
-async def _end(tasks: list[asyncio.Task[None]]) -> None:
+async def _cancel_tasks(tasks: list[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
@@ -180,13 +183,13 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Read a list of seeds; ``kept`` stands for those of :data:`KEPT_SEEDS`.
+    """Read a list of seeds; ``kept`` stands for those of :data:`REGRESSION_SEEDS_PATH`.
 
     >>> parse_seeds("1,4-6")
     [1, 4, 5, 6]
     """
     if text == "kept":
-        lines = KEPT_SEEDS.read_text().splitlines()
+        lines = REGRESSION_SEEDS_PATH.read_text().splitlines()
         text = ",".join(line.split()[0] for line in lines if line and not line.startswith("#"))
     seeds: list[int] = []
     for part in text.split(","):
@@ -198,7 +201,7 @@
 def _faults_of(seed: int, only: str) -> tuple[Fault, ...]:
     if only:
         return tuple(FAULTS[name] for name in only.split(","))
-    return PLANNED_FAULTS if seed % PLANNED_EACH == 0 else tuple(FAULTS.values())
+    return PLANNED_FAULTS if seed % PLANNED_SEED_INTERVAL == 0 else tuple(FAULTS.values())
 
 
 def main() -> int:
@@ -208,9 +211,9 @@
     bad = []
     for seed in parse_seeds(args["--seeds"]):
         plan = Plan(float(args["--seconds"]), *sizes, _faults_of(seed, args["--only"] or ""))
-        verdict = asyncio.run(run_seed(seed, plan, Path(args["--folder"]) / str(seed)))
-        print(verdict.report(), flush=True)
-        if verdict.violations:
+        result = asyncio.run(run_seed(seed, plan, Path(args["--folder"]) / str(seed)))
+        print(result.report(), flush=True)
+        if result.violations:
             bad.append(seed)
     print(f"failed seeds: {bad or 'none'}")
     return 1 if bad else 0
--- a/tests/process/test_platform_soak.py
+++ b/tests/process/test_platform_soak.py
@@ -16,10 +16,10 @@
     """
     restarts = FAULTS["rolling_entries"]
     plan = Plan(12, entries=3, agents=3, faults=(*PLANNED_FAULTS, restarts, restarts))
-    verdict = await run_seed(SEED, plan, tmp_path / "run")
-    assert not verdict.violations, verdict.report()
+    result = await run_seed(SEED, plan, tmp_path / "run")
+    assert not result.violations, result.report()
 
 
 async def test_faults_of_all_kinds_together_break_no_promise(tmp_path: Path) -> None:
-    verdict = await run_seed(SEED, Plan(14, entries=3, agents=4), tmp_path / "run")
-    assert not verdict.violations, verdict.report()
+    result = await run_seed(SEED, Plan(14, entries=3, agents=4), tmp_path / "run")
+    assert not result.violations, result.report()
