--- a/bench/platform_standin_run.py
+++ b/bench/platform_standin_run.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-STOP_SHARE: Final = 0.5
+STOP_DURATION_SHARE: Final = 0.5
 """Part of the longest time of a stop that a stop takes."""
 
 
@@ -38,7 +38,7 @@
 class Run:
     """A run; ``at`` is the loop time up to which its progress is worked out.
 
-    :ivar ends_at: when its stop is over, once it is being stopped.
+    :ivar stops_at: when its stop is over, once it is being stopped.
     """
 
     task: str
@@ -48,7 +48,7 @@
     done_ms: float = 0.0
     saved: str = ""
     percent: int = 100
-    ends_at: float = float("inf")
+    stops_at: float = float("inf")
 
     @property
     def progress(self) -> int:
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class End:
+class EndedRun:
     """An end, at its loop time."""
 
     number: int
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Life:
+class WorkerState:
     """Everything that one life of the worker holds.
 
     :ivar lease_until: loop time at which everything is killed.
@@ -86,9 +86,9 @@
     frozen: bool = False
     failing: bool = False
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
-    ended: list[End] = field(default_factory=list)
-    sealed: dict[str, int] = field(default_factory=dict)
-    numbers: int = 0
+    ended: list[EndedRun] = field(default_factory=list)
+    closed_attempts: dict[str, int] = field(default_factory=dict)
+    last_number: int = 0
 
     def start(self, run: Run) -> None:
         """Take a run up, from its saved progress."""
@@ -99,53 +99,53 @@
 
     def stop(self, task: str, attempt: int, at: float) -> None:
         """Stop a run, or see to it that it never starts."""
-        self.sealed[task] = max(self.sealed.get(task, 0), attempt)
+        self.closed_attempts[task] = max(self.closed_attempts.get(task, 0), attempt)
         run = self.runs.get((task, attempt))
         if run is not None:
-            run.ends_at = min(run.ends_at, at + self.stop_s * STOP_SHARE)
+            run.stops_at = min(run.stops_at, at + self.stop_s * STOP_DURATION_SHARE)
 
-    def advance(self, at: float) -> list[End]:
+    def advance(self, at: float) -> list[EndedRun]:
         """End what came due up to a loop time; return the new ends in their order."""
-        due = sorted((self._due(run), key) for key, run in self.runs.items())
+        due = sorted((self._due_at(run), key) for key, run in self.runs.items())
         ends = [self._end(self.runs[key], when) for when, key in due if when <= at]
         for run in self.runs.values():
-            self._gain(run, at)
+            self._accrue_progress(run, at)
         return ends
 
-    def _due(self, run: Run) -> float:
+    def _due_at(self, run: Run) -> float:
         if self.failing:
             return run.at
         finished = float("inf")
         if run.script.work_ms and not self.frozen and run.percent:
             left_ms = max(0.0, run.script.work_ms - run.done_ms)
             finished = run.at + left_ms / 10 / run.percent
-        return min(finished, run.ends_at, self.lease_until)
+        return min(finished, run.stops_at, self.lease_until)
 
-    def _end(self, run: Run, at: float) -> End:
-        self._gain(run, at)
-        how = self._how(run, at)
+    def _end(self, run: Run, at: float) -> EndedRun:
+        self._accrue_progress(run, at)
+        how = self._outcome(run, at)
         del self.runs[run.task, run.attempt]
-        self.sealed[run.task] = max(self.sealed.get(run.task, 0), run.attempt)
-        self.numbers += 1
+        self.closed_attempts[run.task] = max(self.closed_attempts.get(run.task, 0), run.attempt)
+        self.last_number += 1
         if how == "stopped" and run.script.saves:
             run.saved = f"{int(run.done_ms)}:{run.task}"
-        end = End(self.numbers, at, run.task, run.attempt, how, run.saved)
+        end = EndedRun(self.last_number, at, run.task, run.attempt, how, run.saved)
         self.ended.append(end)
         return end
 
-    def _how(self, run: Run, at: float) -> str:
+    def _outcome(self, run: Run, at: float) -> str:
         if at >= self.lease_until:
             return "lapsed"
-        if at >= run.ends_at:
+        if at >= run.stops_at:
             return "stopped"
         if self.failing or run.attempt <= run.script.fail_runs:
             return "failed"
         return "done"
 
-    def _gain(self, run: Run, at: float) -> None:
-        gained_ms = 0.0 if self.frozen else max(0.0, at - run.at) * 10 * run.percent
+    def _accrue_progress(self, run: Run, at: float) -> None:
+        accrued_ms = 0.0 if self.frozen else max(0.0, at - run.at) * 10 * run.percent
         run.at = max(run.at, at)
-        run.done_ms += gained_ms
+        run.done_ms += accrued_ms
         saved_ms = run.done_ms // self.save_every_ms * self.save_every_ms
         if run.script.saves and saved_ms:
             run.saved = f"{int(saved_ms)}:{run.task}"
--- a/bench/platform_standin_worker.py
+++ b/bench/platform_standin_worker.py
@@ -24,7 +24,7 @@
 from aiohttp import web
 from docopt import docopt
 
-from bench.platform_standin_run import End, Life, Run, decode_script
+from bench.platform_standin_run import EndedRun, WorkerState, Run, decode_script
 from sapphirelead.clock import now
 from sapphirelead.standin_history import History
 from sapphirelead.standin_server import StandIn
@@ -96,7 +96,7 @@
     """One life of the worker."""
 
     life_id: str
-    life: Life
+    state: WorkerState
     behaviour: Behaviour
     draining: bool
     _cfg: WorkerSettings
@@ -109,7 +109,7 @@
         super().__init__(history)
         self.life_id = f"i-{secrets.token_hex(4)}"
         history.source = self.life_id
-        self.life = Life(settings.kill_grace_ms / 1000)
+        self.state = WorkerState(settings.kill_grace_ms / 1000)
         self.behaviour = Behaviour()
         self.draining = False
         self._cfg = settings
@@ -144,14 +144,14 @@
             await asyncio.sleep(TICK_S)
 
     def _advance(self) -> None:
-        for end in self.life.advance(now()):
+        for end in self.state.advance(now()):
             self._record_end(end)
-        until = self.life.lease_until
+        until = self.state.lease_until
         if self._lapsed_at < until <= now():
             self._lapsed_at = until
             self.history.record("lapse", until)
 
-    def _record_end(self, end: End) -> None:
+    def _record_end(self, end: EndedRun) -> None:
         self.history.record(
             "run_end",
             end.at,
@@ -181,15 +181,15 @@
 
     def _carry_out(self, path: str, order: _Order, late: bool = False) -> web.Response:
         self._advance()
-        if order.fence_token < self.life.token:
+        if order.fence_token < self.state.token:
             return self._answer(409, reason="fence")
-        self.life.token = order.fence_token
+        self.state.token = order.fence_token
         if path == "/run-start":
             return self._start(order, late)
         if path == "/run-stop":
             self.history.record("run_stop", task=order.task, attempt=order.attempt)
-            self.life.stop(order.task, order.attempt, now())
-        elif run := self.life.runs.get((order.task, order.attempt)):
+            self.state.stop(order.task, order.attempt, now())
+        elif run := self.state.runs.get((order.task, order.attempt)):
             run.percent = order.percent
         return self._answer()
 
@@ -197,12 +197,12 @@
         if order.deadline_ms < self.clock_ms:
             return self._answer(409, reason="late")
         self._extend(order.deadline_ms)
-        if (order.task, order.attempt) in self.life.runs:
+        if (order.task, order.attempt) in self.state.runs:
             return self._answer()
-        if order.attempt <= self.life.sealed.get(order.task, 0):
+        if order.attempt <= self.state.closed_attempts.get(order.task, 0):
             return self._answer(409, reason="old")
         script = decode_script(order.spec)
-        self.life.start(Run(order.task, order.attempt, script, now(), saved=order.saved))
+        self.state.start(Run(order.task, order.attempt, script, now(), saved=order.saved))
         self.history.record(
             "run_start",
             task=order.task,
@@ -216,21 +216,21 @@
     def _extend(self, deadline_ms: int) -> None:
         granted_ms = min(deadline_ms, self.clock_ms + self._cfg.hold_max_ms)
         until = granted_ms / 1000 / self._cfg.clock_rate
-        self.life.lease_until = max(self.life.lease_until, until)
+        self.state.lease_until = max(self.state.lease_until, until)
 
     async def _hold_call(self, request: web.Request) -> web.Response:
         if request.headers.get(LIFE_HEADER) != self.life_id:
             return web.Response(status=421)
         hold = msgspec.json.decode(await request.read(), type=_Hold)
         self._advance()
-        if hold.fence_token < self.life.token:
+        if hold.fence_token < self.state.token:
             return self._answer(409, reason="fence")
-        self.life.token = hold.fence_token
+        self.state.token = hold.fence_token
         if hold.deadline_ms:
             self._extend(hold.deadline_ms)
         self._note(hold.seen_upto)
         until = now() + min(hold.wait_ms, 2_000) / 1000
-        while not self.life.ended and now() < until:
+        while not self.state.ended and now() < until:
             await asyncio.sleep(TICK_S)
             self._advance()
         return self._lists()
@@ -239,15 +239,16 @@
         if upto > self._noted:
             self._noted = upto
             self.history.record("noted", upto=upto)
-        self.life.ended = [end for end in self.life.ended if end.number > upto]
+        self.state.ended = [end for end in self.state.ended if end.number > upto]
 
     def _lists(self) -> web.Response:
         running = [
-            [run.task, run.attempt, run.saved, run.progress, 100] for run in self.life.runs.values()
+            [run.task, run.attempt, run.saved, run.progress, 100]
+            for run in self.state.runs.values()
         ]
         ended = [
             [end.number, end.task, end.attempt, end.how, end.saved]
-            for end in self.life.ended[:MOST_ENDS]
+            for end in self.state.ended[:MOST_ENDS]
         ]
         return self._answer(running=running, ended=ended)
 
@@ -257,7 +258,7 @@
     async def _behave(self, request: web.Request) -> web.Response:
         self._advance()
         self.behaviour = msgspec.json.decode(await request.read(), type=Behaviour)
-        self.life.frozen, self.life.failing = self.behaviour.frozen, self.behaviour.failing
+        self.state.frozen, self.state.failing = self.behaviour.frozen, self.behaviour.failing
         return web.Response()
 
     # What the worker says of itself.
--- a/tests/unit/test_platform_standin_worker.py
+++ b/tests/unit/test_platform_standin_worker.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from bench.platform_standin_run import Life, Run, Script
+from bench.platform_standin_run import WorkerState, Run, Script
 from bench.platform_standin_worker import Behaviour, StandInWorker, WorkerSettings
 from sapphirelead.node_ports import CallFailure, StartAnswer, StartCall
 from sapphirelead.platform.worker import PlatformWorker
@@ -73,7 +73,7 @@
 
 
 def test_what_came_due_during_a_pause_ends_in_its_order_and_at_its_time() -> None:
-    life = Life(stop_s=1.0, lease_until=13.0)
+    life = WorkerState(stop_s=1.0, lease_until=13.0)
     for task, work_ms in (("a", 5_000), ("b", 1_000), ("c", 2_000)):
         life.start(Run(task, 1, Script(work_ms), 10.0))
     ends = life.advance(100.0)
@@ -85,7 +85,7 @@
 
 
 def test_a_run_resumes_from_its_own_saved_progress_only() -> None:
-    life = Life(stop_s=1.0, lease_until=99.0)
+    life = WorkerState(stop_s=1.0, lease_until=99.0)
     life.start(Run("a", 2, Script(5_000, saves=True), 10.0, saved="3000:a"))
     life.start(Run("b", 2, Script(5_000, saves=True), 10.0, saved="3000:a"))
     assert [(end.task, end.at) for end in life.advance(50.0)] == [("a", 12.0), ("b", 15.0)]
