--- a/bench/platform_standin_worker.py
+++ b/bench/platform_standin_worker.py
@@ -29,11 +29,11 @@
 from sapphirelead.standin_history import History
 from sapphirelead.standin_server import StandIn
 
-TICK_S: Final = 0.02
-HEARTBEAT_S: Final = 0.5
-ACK_S: Final = 1.0
-MOST_ENDS: Final = 500
-LIFE_HEADER: Final = "X-Target-Instance"
+TICK_INTERVAL_S: Final = 0.02
+HEARTBEAT_INTERVAL_S: Final = 0.5
+ACK_TIMEOUT_S: Final = 1.0
+MAX_ENDED_RUNS: Final = 500
+INSTANCE_HEADER: Final = "X-Target-Instance"
 
 
 class WorkerSettings(msgspec.Struct, forbid_unknown_fields=True):
@@ -95,28 +95,28 @@
 class StandInWorker(StandIn):
     """One life of the worker."""
 
-    life_id: str
+    instance_id: str
     state: WorkerState
     behaviour: Behaviour
     draining: bool
     _cfg: WorkerSettings
-    _late: set["asyncio.Task[None]"]
+    _late_tasks: set["asyncio.Task[None]"]
     _seq: int
-    _noted: int
-    _lapsed_at: float
+    _acknowledged_number: int
+    _lease_expired_at: float
 
     def __init__(self, history: History, settings: WorkerSettings) -> None:
         super().__init__(history)
-        self.life_id = f"i-{secrets.token_hex(4)}"
-        history.source = self.life_id
+        self.instance_id = f"i-{secrets.token_hex(4)}"
+        history.source = self.instance_id
         self.state = WorkerState(settings.kill_grace_ms / 1000)
         self.behaviour = Behaviour()
         self.draining = False
         self._cfg = settings
-        self._late = set()
+        self._late_tasks = set()
         self._seq = 0
-        self._noted = 0
-        self._lapsed_at = 0.0
+        self._acknowledged_number = 0
+        self._lease_expired_at = 0.0
 
     def routes(self) -> list[web.RouteDef]:
         """Return the agent's calls and the switch of the behaviour."""
@@ -128,7 +128,7 @@
             web.post("/behave", self._behave),
         ]
 
-    def announce(self, name: str) -> None:
+    def record_start(self, name: str) -> None:
         """Write the beginning of this life into the history."""
         self.history.record("life", name=name, cpu=self._cfg.cpu, mem_mb=self._cfg.mem_mb)
 
@@ -141,14 +141,14 @@
         """End what comes due, until cancelled."""
         while True:
             self._advance()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _advance(self) -> None:
         for end in self.state.advance(now()):
             self._record_end(end)
         until = self.state.lease_until
-        if self._lapsed_at < until <= now():
-            self._lapsed_at = until
+        if self._lease_expired_at < until <= now():
+            self._lease_expired_at = until
             self.history.record("lapse", until)
 
     def _record_end(self, end: EndedRun) -> None:
@@ -163,26 +163,26 @@
         )
 
     async def _order(self, request: web.Request) -> web.Response:
-        if request.headers.get(LIFE_HEADER) != self.life_id:
+        if request.headers.get(INSTANCE_HEADER) != self.instance_id:
             return web.Response(status=421)
         order = msgspec.json.decode(await request.read(), type=_Order)
         path = request.path
         if self.behaviour.late_orders and path != "/pace":
             self.behaviour.late_orders -= 1
-            late = asyncio.create_task(self._carry_out_late(path, order))
-            self._late.add(late)
+            late = asyncio.create_task(self._execute_late(path, order))
+            self._late_tasks.add(late)
             await late
             raise ConnectionResetError
-        return self._carry_out(path, order)
+        return self._execute(path, order)
 
-    async def _carry_out_late(self, path: str, order: _Order) -> None:
+    async def _execute_late(self, path: str, order: _Order) -> None:
         await asyncio.sleep(self.behaviour.late_s)
-        self._carry_out(path, order, late=True)
+        self._execute(path, order, late=True)
 
-    def _carry_out(self, path: str, order: _Order, late: bool = False) -> web.Response:
+    def _execute(self, path: str, order: _Order, late: bool = False) -> web.Response:
         self._advance()
         if order.fence_token < self.state.token:
-            return self._answer(409, reason="fence")
+            return self._response(409, reason="fence")
         self.state.token = order.fence_token
         if path == "/run-start":
             return self._start(order, late)
@@ -191,16 +191,16 @@
             self.state.stop(order.task, order.attempt, now())
         elif run := self.state.runs.get((order.task, order.attempt)):
             run.percent = order.percent
-        return self._answer()
+        return self._response()
 
     def _start(self, order: _Order, late: bool) -> web.Response:
         if order.deadline_ms < self.clock_ms:
-            return self._answer(409, reason="late")
+            return self._response(409, reason="late")
         self._extend(order.deadline_ms)
         if (order.task, order.attempt) in self.state.runs:
-            return self._answer()
+            return self._response()
         if order.attempt <= self.state.closed_attempts.get(order.task, 0):
-            return self._answer(409, reason="old")
+            return self._response(409, reason="old")
         script = decode_script(order.spec)
         self.state.start(Run(order.task, order.attempt, script, now(), saved=order.saved))
         self.history.record(
@@ -211,7 +211,7 @@
             saved=order.saved,
             late=late,
         )
-        return self._answer()
+        return self._response()
 
     def _extend(self, deadline_ms: int) -> None:
         granted_ms = min(deadline_ms, self.clock_ms + self._cfg.hold_max_ms)
@@ -219,40 +219,40 @@
         self.state.lease_until = max(self.state.lease_until, until)
 
     async def _hold_call(self, request: web.Request) -> web.Response:
-        if request.headers.get(LIFE_HEADER) != self.life_id:
+        if request.headers.get(INSTANCE_HEADER) != self.instance_id:
             return web.Response(status=421)
         hold = msgspec.json.decode(await request.read(), type=_Hold)
         self._advance()
         if hold.fence_token < self.state.token:
-            return self._answer(409, reason="fence")
+            return self._response(409, reason="fence")
         self.state.token = hold.fence_token
         if hold.deadline_ms:
             self._extend(hold.deadline_ms)
-        self._note(hold.seen_upto)
+        self._acknowledge(hold.seen_upto)
         until = now() + min(hold.wait_ms, 2_000) / 1000
         while not self.state.ended and now() < until:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self._advance()
-        return self._lists()
+        return self._hold_response()
 
-    def _note(self, upto: int) -> None:
-        if upto > self._noted:
-            self._noted = upto
+    def _acknowledge(self, upto: int) -> None:
+        if upto > self._acknowledged_number:
+            self._acknowledged_number = upto
             self.history.record("noted", upto=upto)
         self.state.ended = [end for end in self.state.ended if end.number > upto]
 
-    def _lists(self) -> web.Response:
+    def _hold_response(self) -> web.Response:
         running = [
             [run.task, run.attempt, run.saved, run.progress, 100]
             for run in self.state.runs.values()
         ]
         ended = [
             [end.number, end.task, end.attempt, end.how, end.saved]
-            for end in self.state.ended[:MOST_ENDS]
+            for end in self.state.ended[:MAX_ENDED_RUNS]
         ]
-        return self._answer(running=running, ended=ended)
+        return self._response(running=running, ended=ended)
 
-    def _answer(self, status: int = 200, **fields: Any) -> web.Response:
+    def _response(self, status: int = 200, **fields: Any) -> web.Response:
         return web.json_response({"clock_ms": self.clock_ms, **fields}, status=status)
 
     async def _behave(self, request: web.Request) -> web.Response:
@@ -263,7 +263,7 @@
 
     # What the worker says of itself.
 
-    async def beat(self, session: aiohttp.ClientSession) -> bool:
+    async def send_heartbeat(self, session: aiohttp.ClientSession) -> bool:
         """Send a heartbeat and say whether it was acknowledged."""
         self._seq += 1
         cfg = self._cfg
@@ -282,18 +282,18 @@
         }
         if self.draining:
             body["remaining_ms"] = int(cfg.drain_s * 1000)
-        return await self._say(session, "heartbeat", body)
+        return await self._post_to_agent(session, "heartbeat", body)
 
     async def leave(self, session: aiohttp.ClientSession) -> None:
         """Say that this life ends now."""
-        await self._say(session, "leave", {})
+        await self._post_to_agent(session, "leave", {})
 
-    async def _say(self, session: aiohttp.ClientSession, what: str, body: Any) -> bool:
-        url = f"http://{self._cfg.agent}/instances/{self.life_id}/{what}"
-        timeout = aiohttp.ClientTimeout(total=ACK_S)
+    async def _post_to_agent(self, session: aiohttp.ClientSession, what: str, body: Any) -> bool:
+        url = f"http://{self._cfg.agent}/instances/{self.instance_id}/{what}"
+        timeout = aiohttp.ClientTimeout(total=ACK_TIMEOUT_S)
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with session.post(url, json=body, timeout=timeout) as answer:
-                return answer.status == 200
+            async with session.post(url, json=body, timeout=timeout) as response:
+                return response.status == 200
         return False
 
 
@@ -303,13 +303,13 @@
     stopping = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
     await worker.start(settings.host, settings.port)
-    worker.announce(name)
+    worker.record_start(name)
     ticking = asyncio.create_task(worker.tick())
     async with aiohttp.ClientSession() as session:
         while not stopping.is_set():
-            await worker.beat(session)
+            await worker.send_heartbeat(session)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stopping.wait(), HEARTBEAT_S)
+                await asyncio.wait_for(stopping.wait(), HEARTBEAT_INTERVAL_S)
         await _drain(worker, session, settings.drain_s)
     ticking.cancel()
     history.record("life_over")
@@ -319,13 +319,13 @@
 async def _drain(worker: StandInWorker, session: aiohttp.ClientSession, drain_s: float) -> None:
     worker.draining = True
     for _ in range(4):
-        if await worker.beat(session):
+        if await worker.send_heartbeat(session):
             worker.history.record("draining_known")
             break
     until = now() + drain_s
     while now() < until:
-        await worker.beat(session)
-        await asyncio.sleep(HEARTBEAT_S)
+        await worker.send_heartbeat(session)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     await worker.leave(session)
 
 
--- a/tests/unit/test_platform_standin_worker.py
+++ b/tests/unit/test_platform_standin_worker.py
@@ -23,7 +23,7 @@
         settings = WorkerSettings("127.0.0.1", 0, "", "")
         self.standin = StandInWorker(History.open("w"), settings)
         self.port = await self.standin.start("127.0.0.1", 0)
-        self.client = PlatformWorker.connect(self.standin.life_id, f"127.0.0.1:{self.port}")
+        self.client = PlatformWorker.connect(self.standin.instance_id, f"127.0.0.1:{self.port}")
 
     def call(
         self, task: str, spec: str = WORK, attempt: int = 1, within_ms: int = 900
