--- a/bench/platform_standin_store.py
+++ b/bench/platform_standin_store.py
@@ -29,11 +29,11 @@
 from sapphirelead.standin_server import StandIn
 from sapphirelead.standin_table import RateLimit
 
-OPERATORS_TABLES: Final = frozenset({"op", "servers"})
-MOST_ENTRIES: Final = 100
-MOST_ROWS: Final = 500
-MOST_PARTS: Final = 1_000
-FEED_POLL_S: Final = 0.02
+OPERATOR_TABLES: Final = frozenset({"op", "servers"})
+MAX_TRANSACTION_ROWS: Final = 100
+MAX_ROWS: Final = 500
+MAX_PARTS: Final = 1_000
+FEED_POLL_INTERVAL_S: Final = 0.02
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
@@ -100,13 +100,13 @@
 
 
 @dataclass
-class PartRows:
+class RowTable:
     """The rows of all tables, and their latest changes."""
 
     rows: dict[Place, WireRow] = field(default_factory=dict)
     version: int = 0
     changes: deque[tuple[float, WireRow]] = field(default_factory=deque)
-    forgotten: int = 0
+    trimmed_version: int = 0
 
     def conflicts(self, txn: WireTransaction) -> bool:
         """Whether a row is not at the version that the transaction names."""
@@ -136,10 +136,10 @@
     def _version_of(self, place: Place) -> int:
         return self.rows[place].ver if place in self.rows else 0
 
-    def forget(self, before: float) -> None:
+    def trim_changes(self, before: float) -> None:
         """Drop the changes made before a loop time."""
         while self.changes and self.changes[0][0] < before:
-            self.forgotten = self.changes.popleft()[1].ver
+            self.trimmed_version = self.changes.popleft()[1].ver
 
     def select(self, table: str, part: str, start: str, end: str) -> list[WireRow]:
         """Return a range of rows by key; an empty ``end`` is no limit."""
@@ -160,7 +160,7 @@
 class StandInStore(StandIn):
     """The store's server."""
 
-    rows: PartRows
+    rows: RowTable
     _cfg: StoreSettings
     _refusals: dict[str, int]
     _reads: RateLimit
@@ -169,7 +169,7 @@
 
     def __init__(self, history: History, settings: StoreSettings) -> None:
         super().__init__(history)
-        self.rows = PartRows()
+        self.rows = RowTable()
         self._cfg = settings
         self._refusals = {}
         self._reads = RateLimit(settings.reads_per_second)
@@ -188,9 +188,9 @@
             web.get("/rows-get", self._get),
             web.get("/rows-parts", self._parts),
             web.get("/rows-feed", self._feed),
-            web.post("/operator", self._operate),
+            web.post("/operator", self._operator_write),
             web.post("/refuse", self._refuse),
-            web.post("/forget", self._forget),
+            web.post("/forget", self._forget_changes),
         ]
 
     async def start(self, host: str, port: int) -> int:
@@ -201,7 +201,7 @@
             await web.TCPSite(self._runner, other, real_port).start()
         return real_port
 
-    async def _turned_away(self, request: web.Request) -> web.Response | None:
+    async def _refusal_response(self, request: web.Request) -> web.Response | None:
         if request.transport is None:
             # Taken earlier, and performed late: its caller has hung up since.
             return None
@@ -213,7 +213,7 @@
         return web.Response(status=status or 503)
 
     async def _transact(self, request: web.Request) -> web.Response:
-        if refusal := await self._turned_away(request):
+        if refusal := await self._refusal_response(request):
             return refusal
         try:
             txn = msgspec.json.decode(await request.read(), type=WireTransaction)
@@ -227,19 +227,19 @@
         async with self._lock:
             await asyncio.sleep(self._cfg.transaction_ms / 1000 * max(1, len(txn.parts)))
             if self.rows.conflicts(txn):
-                return self._answer(self.rows.current(txn), status=412)
+                return self._rows_response(self.rows.current(txn), status=412)
             self.rows.apply(txn)
         written = [f"{row.table}/{row.key}" for row in txn.writes]
         self.history.record("transaction", version=self.rows.version, writes=written)
-        return self._answer([])
+        return self._rows_response([])
 
-    async def _operate(self, request: web.Request) -> web.Response:
+    async def _operator_write(self, request: web.Request) -> web.Response:
         txn = msgspec.json.decode(await request.read(), type=WireTransaction)
         self.rows.apply(txn)
-        return self._answer([])
+        return self._rows_response([])
 
     async def _get(self, request: web.Request) -> web.Response:
-        if refusal := await self._turned_away(request):
+        if refusal := await self._refusal_response(request):
             return refusal
         if not self._reads.admit(now()):
             return web.Response(status=429)
@@ -247,43 +247,43 @@
         found = self.rows.select(
             query["table"], query.get("part", ""), query.get("from", ""), query.get("to", "")
         )
-        limit = min(int(query.get("limit", MOST_ROWS)), MOST_ROWS)
-        return self._answer(found[:limit], has_more=len(found) > limit)
+        limit = min(int(query.get("limit", MAX_ROWS)), MAX_ROWS)
+        return self._rows_response(found[:limit], has_more=len(found) > limit)
 
     async def _parts(self, request: web.Request) -> web.Response:
-        if refusal := await self._turned_away(request):
+        if refusal := await self._refusal_response(request):
             return refusal
         table, after = request.query["table"], request.query.get("after")
         parts = sorted({place.part for place in self.rows.rows if place.table == table})
         found = [part for part in parts if after is None or part > after]
-        return web.json_response({"parts": found[:MOST_PARTS], "ver": self.rows.version})
+        return web.json_response({"parts": found[:MAX_PARTS], "ver": self.rows.version})
 
     async def _feed(self, request: web.Request) -> web.Response:
-        if refusal := await self._turned_away(request):
+        if refusal := await self._refusal_response(request):
             return refusal
         if not self._reads.admit(now()):
             return web.Response(status=429)
         table, after = request.query["table"], int(request.query["after"])
         until = now() + min(int(request.query.get("wait_ms", "0")), 30_000) / 1000
         while True:
-            self.rows.forget(now() - self._cfg.history_s)
-            if after < self.rows.forgotten:
+            self.rows.trim_changes(now() - self._cfg.history_s)
+            if after < self.rows.trimmed_version:
                 return web.Response(status=410)
             found = self.rows.after(table, after)
             if found or now() >= until:
-                return self._answer(found)
-            await asyncio.sleep(FEED_POLL_S)
+                return self._rows_response(found)
+            await asyncio.sleep(FEED_POLL_INTERVAL_S)
 
     async def _refuse(self, request: web.Request) -> web.Response:
         refusals = msgspec.json.decode(await request.read(), type=list[Refusal])
         self._refusals = {refusal.host: refusal.status for refusal in refusals}
         return web.Response()
 
-    async def _forget(self, _request: web.Request) -> web.Response:
-        self.rows.forget(now())
+    async def _forget_changes(self, _request: web.Request) -> web.Response:
+        self.rows.trim_changes(now())
         return web.Response()
 
-    def _answer(
+    def _rows_response(
         self, rows: list[WireRow], has_more: bool = False, status: int = 200
     ) -> web.Response:
         body = {
@@ -298,12 +298,12 @@
 
 def _check(txn: WireTransaction) -> int:
     """Return the status with which a transaction is refused, or 0."""
-    if len(txn.expected_rev) + len(txn.writes) + len(txn.remove) > MOST_ENTRIES:
+    if len(txn.expected_rev) + len(txn.writes) + len(txn.remove) > MAX_TRANSACTION_ROWS:
         return 413
     if len(txn.parts) > 1 and not txn.across:
         return 400
     changed = {row.table for row in (*txn.writes, *txn.remove)}
-    return 403 if changed & OPERATORS_TABLES else 0
+    return 403 if changed & OPERATOR_TABLES else 0
 
 
 async def run_store(history: History, settings: str, port: int) -> None:
