--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -214,7 +214,7 @@
                 method=method,
                 path=path,
                 status=status,
-                response=response.decode(errors="replace")[:200],
+                answer=response.decode(errors="replace")[:200],
             )
         return status, response
 
--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -63,7 +63,7 @@
     submissions: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))
 
     @classmethod
-    def from_events(cls, events: Iterable[Event]) -> "Record":
+    def from_events(cls, events: Iterable[Event]) -> "RunHistory":
         """Sort and index the events."""
         history = cls(sorted(events, key=lambda event: float(event["clock"])))
         for event in history.events:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -31,7 +31,7 @@
 from bench.harness import Cluster
 
 Failure = Callable[[Cluster, random.Random], Coroutine[Any, Any, None]]
-RECOVERY_S: Final = 40.0
+RECOVERY_TIMEOUT_S: Final = 40.0
 
 
 async def kill_agent(cluster: Cluster, rng: random.Random) -> None:
@@ -119,7 +119,7 @@
 ]
 
 
-async def offer_work(cluster: Cluster, rng: random.Random, accepted: set[str]) -> None:
+async def submit_jobs(cluster: Cluster, rng: random.Random, accepted: set[str]) -> None:
     """Submit jobs until cancelled, repeating each under its key until it is accepted."""
     for number in itertools.count():
         key = f"k{number}"
@@ -127,8 +127,8 @@
         idempotent, cpu = rng.random() < 0.5, rng.choice([500, 1000, 2500])
         for _ in range(5):
             entry = rng.choice(cluster.entries)
-            answer = await cluster.submit(key, entry, idempotent=idempotent, cpu=cpu, input=script)
-            if answer.ok:
+            response = await cluster.submit(key, entry, idempotent=idempotent, cpu=cpu, input=script)
+            if response.ok:
                 accepted.add(key)
                 break
             await asyncio.sleep(0.3)
@@ -137,7 +137,7 @@
         await asyncio.sleep(rng.uniform(0.0, 0.3))
 
 
-async def offer_requests(cluster: Cluster, rng: random.Random) -> None:
+async def send_requests(cluster: Cluster, rng: random.Random) -> None:
     """Make service requests until cancelled."""
     for number in itertools.count():
         entry = rng.choice(cluster.entries)
@@ -153,8 +153,8 @@
     with contextlib.redirect_stdout(sys.stderr):
         async with Cluster.running(folder, entries=2, instances=3) as cluster:
             load = [
-                asyncio.create_task(offer_work(cluster, random.Random(seed), accepted)),
-                asyncio.create_task(offer_requests(cluster, random.Random(seed))),
+                asyncio.create_task(submit_jobs(cluster, random.Random(seed), accepted)),
+                asyncio.create_task(send_requests(cluster, random.Random(seed))),
             ]
             until = monotonic() + seconds
             injected: Counter[str] = Counter()
@@ -163,14 +163,14 @@
                 injected.update(failure.__name__ for failure in chosen)
                 await asyncio.gather(*(failure(cluster, rng) for failure in chosen))
                 await asyncio.sleep(rng.uniform(0.0, 1.5))
-            await _end(load)
-            mended = monotonic()
+            await _cancel_tasks(load)
+            repaired_at = monotonic()
             await cluster.wait_live(len(cluster.instances))
-            live_s = monotonic() - mended
+            live_s = monotonic() - repaired_at
             states = [
-                (await cluster.wait_job(key, timeout_s=RECOVERY_S))["state"] for key in accepted
+                (await cluster.wait_job(key, timeout_s=RECOVERY_TIMEOUT_S))["state"] for key in accepted
             ]
-            ended_s = monotonic() - mended
+            ended_s = monotonic() - repaired_at
             told = Counter(e["outcome"] for e in cluster.told if e["event"] == "answer")
     faults = " ".join(f"{name}={count}" for name, count in sorted(injected.items()))
     ends = " ".join(f"{state}={count}" for state, count in sorted(Counter(states).items()))
@@ -181,7 +181,7 @@
     return True
 
 
-async def _end(load: list[asyncio.Task[None]]) -> None:
+async def _cancel_tasks(load: list[asyncio.Task[None]]) -> None:
     for task in load:
         task.cancel()
     await asyncio.gather(*load, return_exceptions=True)
