--- a/bench/harness.py
+++ b/bench/harness.py
@@ -28,10 +28,10 @@
     "beat_interval_seconds": 0.2,
     "silence_seconds": 1.0,
 }
-SIZE: Final = {"cpu_millicores": 4000, "memory_mb": 4000, "accelerators": 0}
+CAPACITY: Final = {"cpu_millicores": 4000, "memory_mb": 4000, "accelerators": 0}
 SERVICE: Final = "checks"
-LANES: Final = ("control_port", "data_port", "bulk_port")
-ENDED: Final = ("done", "failed", "unknown", "cancelled", "set_aside")
+CHANNEL_PORTS: Final = ("control_port", "data_port", "bulk_port")
+TERMINAL_STATES: Final = ("done", "failed", "unknown", "cancelled", "set_aside")
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,8 +52,8 @@
         """``outcome`` of the answer, ``unknown`` where the connection broke."""
         if self.status == 0:
             return "unknown"
-        told = self.body.get("outcome") if isinstance(self.body, dict) else None
-        return str(told or ("done" if self.status < 300 else "unknown"))
+        caller_events = self.body.get("outcome") if isinstance(self.body, dict) else None
+        return str(caller_events or ("done" if self.status < 300 else "unknown"))
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
     instances: list[Instance]
     table: Proc
     table_url: str
-    told: list[Event]
+    caller_events: list[Event]
     lease: dict[str, float]
     limits: dict[str, Any]
     _http: aiohttp.ClientSession
@@ -110,7 +110,7 @@
         self.limits = {}
         self.entries = []
         self.instances = []
-        self.told = []
+        self.caller_events = []
         self.proxies = []
         self._procs = []
 
@@ -189,7 +189,7 @@
 
     async def _make_entry(self, name: str) -> Entry:
         table_proxy = await self._proxy(_port_of(self.table_url))
-        ports = {port: free_port() for port in ("http_port", *LANES)}
+        ports = {port: free_port() for port in ("http_port", *CHANNEL_PORTS)}
         url = f"http://127.0.0.1:{table_proxy.port}"
         settings = {
             "id": name,
@@ -224,19 +224,20 @@
     async def _make_instance(
         self, name: str, worker: dict[str, Any], target: dict[str, Any]
     ) -> Instance:
-        worker_settings = {**SIZE, "objects_url": self.table_url, "usage_lag_s": 0.3, **worker}
+        worker_settings = {**CAPACITY, "objects_url": self.table_url, "usage_lag_s": 0.3, **worker}
         self._worker_settings = worker_settings
         worker_proc, worker_url = await self._standin("worker", f"worker-{name}", worker_settings)
         target_settings = {"worker_url": worker_url, **target}
         target_proc, target_url = await self._standin("target", f"target-{name}", target_settings)
         worker_proxy = await self._proxy(_port_of(worker_url))
         target_proxy = await self._proxy(_port_of(target_url))
-        lanes = [[await self._proxy(e.ports[lane]) for lane in LANES] for e in self.entries]
+        lanes = [[await self._proxy(e.ports[lane]) for lane in CHANNEL_PORTS] for e in self.entries]
         addresses = [
-            {"host": "127.0.0.1"} | {lane: p.port for lane, p in zip(LANES, three, strict=True)}
+            {"host": "127.0.0.1"}
+            | {lane: p.port for lane, p in zip(CHANNEL_PORTS, three, strict=True)}
             for three in lanes
         ]
-        size = {key: worker_settings[key] for key in SIZE}
+        size = {key: worker_settings[key] for key in CAPACITY}
         settings = {
             "id": name,
             "zone": self._zone_of(name),
@@ -260,7 +261,7 @@
     async def kill_worker(self, instance: Instance) -> None:
         """Kill a worker; its tasks die with it."""
         await instance.worker.kill()
-        self._note("worker_killed", instance.worker.name)
+        self._record_event("worker_killed", instance.worker.name)
 
     async def replace_worker(self, instance: Instance) -> None:
         """Kill a worker and start another in its place."""
@@ -307,16 +308,16 @@
         answer = await self.request("POST", path, entry, json=body, headers=extra)
         done = answer.outcome == "done"
         whole = not done or (answer.body["marker"], len(answer.body["fill"])) == (marker, size)
-        self._note("answer", key=marker, outcome=answer.outcome, whole=whole)
+        self._record_event("answer", key=marker, outcome=answer.outcome, whole=whole)
         return answer
 
-    async def once(self, key: str, entry: Entry | None = None) -> Answer:
+    async def serve_once(self, key: str, entry: Entry | None = None) -> Answer:
         """Make one non-idempotent service request under a key."""
-        self._note("submitted", key=key, idempotent=False)
+        self._record_event("submitted", key=key, idempotent=False)
         headers = {"X-Request-Idempotent": "false", "Idempotency-Key": key}
         path = f"/v1/services/{SERVICE}"
         answer = await self.request("POST", path, entry, data=b"estimate", headers=headers)
-        self._note("answer", key=key, outcome=answer.outcome)
+        self._record_event("answer", key=key, outcome=answer.outcome)
         return answer
 
     async def submit(
@@ -340,10 +341,10 @@
             "idempotent": idempotent,
             **more,
         }
-        self._note("submitted", key=key, idempotent=idempotent)
+        self._record_event("submitted", key=key, idempotent=idempotent)
         answer = await self.request("POST", "/v1/jobs", entry, json=spec)
         outcome = "accepted" if answer.status == 202 else answer.outcome
-        self._note("answer", key=key, outcome=outcome)
+        self._record_event("answer", key=key, outcome=outcome)
         return answer
 
     async def job(self, key: str, entry: Entry | None = None) -> Any:
@@ -355,7 +356,7 @@
         """Cancel a job and note where the caller was told that it did not run."""
         answer = await self.request("DELETE", f"/v1/jobs/{quote(key, safe='')}", entry)
         if answer.ok and answer.outcome == "not_run":
-            self._note("cancelled_unrun", key=key)
+            self._record_event("cancelled_unrun", key=key)
         return answer
 
     async def wait_job(
@@ -367,7 +368,7 @@
         async def reached() -> Any:
             for entry in asked:
                 job = await self.job(key, entry) if entry.proc.running else None
-                if job and job["state"] in (states or ENDED):
+                if job and job["state"] in (states or TERMINAL_STATES):
                     return job
             return None
 
@@ -392,10 +393,10 @@
         async with asyncio.timeout(10), self._http.get(url, headers=headers) as response:
             assert response.status == 200, await response.text()
             async for line in response.content:
-                told = json.loads(line) if line.strip() else {}
-                if told.get("event") == "event":
-                    found.append(told["data"] | {"id": told["id"]})
-                if len(found) >= count or told.get("event") in ("end", "moved"):
+                caller_events = json.loads(line) if line.strip() else {}
+                if caller_events.get("event") == "event":
+                    found.append(caller_events["data"] | {"id": caller_events["id"]})
+                if len(found) >= count or caller_events.get("event") in ("end", "moved"):
                     break
         return found
 
@@ -403,7 +404,7 @@
         """Wait until service requests are answered (again)."""
 
         async def served() -> bool:
-            marker = f"served{len(self.told)}"
+            marker = f"served{len(self.caller_events)}"
             return (await self.serve(marker)).outcome == "done"
 
         await wait_until("a request is served", served)
@@ -421,7 +422,9 @@
             for member in status.body["processes"] if status.ok else []:
                 name, version = member["process"], member["version"]
                 found[name] = max(version, found.get(name, 0))
-                self._note("config_seen", process=f"{name} at {entry.name}", version=version)
+                self._record_event(
+                    "config_seen", process=f"{name} at {entry.name}", version=version
+                )
         return found
 
     async def wait_ready(self, entry: Entry) -> None:
@@ -469,17 +472,19 @@
 
     # Histories.
 
-    def _note(self, event: str, source: str = "test", **fields: Any) -> None:
-        self.told.append({"event": event, "source": source, "clock": monotonic(), **fields})
+    def _record_event(self, event: str, source: str = "test", **fields: Any) -> None:
+        self.caller_events.append(
+            {"event": event, "source": source, "clock": monotonic(), **fields}
+        )
 
     def leaving(self, instance: Instance) -> None:
         """Note that an instance was told to leave."""
         for proc in (instance.worker, instance.target):
-            self._note("leaving", proc.name)
+            self._record_event("leaving", proc.name)
 
     def history(self) -> list[Event]:
         """Return what the stand-ins and the callers saw so far."""
-        return read_histories(sorted(self.folder.glob("*.jsonl"))) + self.told
+        return read_histories(sorted(self.folder.glob("*.jsonl"))) + self.caller_events
 
     def seen(self, event: str, key: str = "") -> list[Event]:
         """Return the events of one kind, about one task or marker if given."""
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -127,7 +127,9 @@
         idempotent, cpu = rng.random() < 0.5, rng.choice([500, 1000, 2500])
         for _ in range(5):
             entry = rng.choice(cluster.entries)
-            response = await cluster.submit(key, entry, idempotent=idempotent, cpu=cpu, input=script)
+            response = await cluster.submit(
+                key, entry, idempotent=idempotent, cpu=cpu, input=script
+            )
             if response.ok:
                 accepted.add(key)
                 break
@@ -168,13 +170,16 @@
             await cluster.wait_live(len(cluster.instances))
             live_s = monotonic() - repaired_at
             states = [
-                (await cluster.wait_job(key, timeout_s=RECOVERY_TIMEOUT_S))["state"] for key in accepted
+                (await cluster.wait_job(key, timeout_s=RECOVERY_TIMEOUT_S))["state"]
+                for key in accepted
             ]
             ended_s = monotonic() - repaired_at
-            told = Counter(e["outcome"] for e in cluster.told if e["event"] == "answer")
+            caller_events = Counter(
+                e["outcome"] for e in cluster.caller_events if e["event"] == "answer"
+            )
     faults = " ".join(f"{name}={count}" for name, count in sorted(injected.items()))
     ends = " ".join(f"{state}={count}" for state, count in sorted(Counter(states).items()))
-    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(told.items()))
+    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(caller_events.items()))
     print(
         f"seed={seed} ok live_s={live_s:.1f} ended_s={ended_s:.1f} | {ends} | {answers} | {faults}"
     )
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -28,11 +28,11 @@
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         proxy, entry = await cluster.behind_proxy(cluster.entries[0])
         proxy.freeze("down")
-        first = asyncio.create_task(cluster.once("estimate", entry))
+        first = asyncio.create_task(cluster.serve_once("estimate", entry))
         await cluster.wait_seen(seen, "estimate")
         proxy.cut()
         assert (await first).status == 0
-        again = await cluster.once("estimate", cluster.entries[1])
+        again = await cluster.serve_once("estimate", cluster.entries[1])
         assert (again.status, again.outcome) == (200, "done")
         assert len(cluster.seen("task_start", "estimate")) == 1
 
--- a/tests/process/test_connections.py
+++ b/tests/process/test_connections.py
@@ -131,11 +131,11 @@
     and learns its end, without a second run.
     """
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
-        asked = [cluster.once("estimate", entry) for entry in cluster.entries * 3]
+        asked = [cluster.serve_once("estimate", entry) for entry in cluster.entries * 3]
         answers = await asyncio.gather(*asked)
         assert {answer.outcome for answer in answers} == {"done"}
         assert len(cluster.seen("task_start", "estimate")) == 1
         holder = await cluster.holder_of("estimate")
         await cluster.kill_instance(holder)
-        assert (await cluster.once("estimate", cluster.entries[1])).outcome == "done"
+        assert (await cluster.serve_once("estimate", cluster.entries[1])).outcome == "done"
         assert len(cluster.seen("task_start", "estimate")) == 1
