--- a/bench/checker.py
+++ b/bench/checker.py
@@ -22,7 +22,7 @@
 
 Event = dict[str, Any]
 LEAVING_GRACE_S: Final = 3.0
-SIZES: Final = ("cpu_millicores", "memory_mb", "accelerators")
+RESOURCE_NAMES: Final = ("cpu_millicores", "memory_mb", "accelerators")
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,11 +94,11 @@
 def rerun(events: list[Event]) -> Iterator[Violation]:
     """A non-idempotent job starts again only where its last run stopped exactly."""
     last: dict[str, Run] = {}
-    careful = _keys(events, "submitted", lambda event: not event["idempotent"])
+    non_idempotent = _keys(events, "submitted", lambda event: not event["idempotent"])
     for run in runs_of(events):
         before = last.get(run.task)
         last[run.task] = run
-        if before is None or run.task not in careful:
+        if before is None or run.task not in non_idempotent:
             continue
         exact = run.start["checkpoint"] and run.start["done_ms"] == before.done_ms
         if not exact:
@@ -107,10 +107,10 @@
 
 def repeated_effect(events: list[Event]) -> Iterator[Violation]:
     """A non-idempotent job has its effect once."""
-    careful = _keys(events, "submitted", lambda event: not event["idempotent"])
+    non_idempotent = _keys(events, "submitted", lambda event: not event["idempotent"])
     seen: set[str] = set()
     for event in events:
-        if event["event"] == "effect" and event["task"] in careful:
+        if event["event"] == "effect" and event["task"] in non_idempotent:
             if event["task"] in seen:
                 yield Violation("repeated_effect", event["task"])
             seen.add(event["task"])
@@ -122,9 +122,11 @@
     runs = runs_of(events)
     for run in runs:
         at = run.start["clock"]
-        beside = [r for r in runs if r.worker == run.worker and r.start["clock"] <= at < r.until]
-        for size in SIZES:
-            used = sum(r.start["resources"][size] for r in beside)
+        concurrent = [
+            r for r in runs if r.worker == run.worker and r.start["clock"] <= at < r.until
+        ]
+        for size in RESOURCE_NAMES:
+            used = sum(r.start["resources"][size] for r in concurrent)
             if used > sizes[run.worker][size]:
                 yield Violation("over_size", f"{run.worker}: {size} {used} with {run.task}")
 
@@ -189,13 +191,13 @@
 
 
 def _keys(
-    events: list[Event], kind: str, wanted: Callable[[Event], bool] = lambda _: True
+    events: list[Event], kind: str, predicate: Callable[[Event], bool] = lambda _: True
 ) -> set[str]:
     names = ("key", "task", "marker")
     return {
         event[name]
         for event in events
-        if event["event"] == kind and wanted(event)
+        if event["event"] == kind and predicate(event)
         for name in names
         if name in event
     }
