--- a/bench/bench_capacity.py
+++ b/bench/bench_capacity.py
@@ -129,7 +129,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         table = await Proc.spawn("table", folder, *_standin("table", "t"))
-        table_url = f"http://127.0.0.1:{(await table.printed('listening')).rsplit('=')[-1]}"
+        table_url = f"http://127.0.0.1:{(await table.wait_for_line('listening')).rsplit('=')[-1]}"
         http_port, control, data, bulk = (free_port() for _ in range(4))
         settings = {
             "id": "e1",
@@ -173,7 +173,7 @@
     args = ["--host", "127.0.0.1", "--control", str(made.control), "--first", "0"]
     args += ["--count", str(count), "--run-ms", str(run_ms)]
     proc = await made.spawn("fakes", "bench.fake_agents", *args)
-    await proc.printed("ready")
+    await proc.wait_for_line("ready")
 
 
 async def _submit(made: Rig, key: str) -> None:
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -152,7 +152,7 @@
     proc = await made.spawn(
         role, "sapphirelead.standin_main", *args, "--settings", json.dumps(settings)
     )
-    return "http://127.0.0.1:" + (await proc.printed("listening")).rsplit("=")[-1]
+    return "http://127.0.0.1:" + (await proc.wait_for_line("listening")).rsplit("=")[-1]
 
 
 async def _start_agent(made: Rig, worker_url: str, target_url: str) -> Proc:
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -86,7 +86,7 @@
         """Start a stand-in and return it with its address."""
         args = ["--port", "0", "--id", name, "--settings", json.dumps(settings)]
         proc = await self.spawn(f"{role}-{name}", "sapphirelead.standin_main", role, *args)
-        port = (await proc.printed("listening")).rpartition("port=")[2]
+        port = (await proc.wait_for_line("listening")).rpartition("port=")[2]
         return proc, f"http://127.0.0.1:{port}"
 
     async def call(self, method: str, url: str, body: Any = None) -> tuple[int, Any]:
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -184,7 +184,7 @@
         args = ["--id", name, "--history", history, "--port", str(port)]
         args += ["--settings", json.dumps(settings)]
         proc = await self._spawn(name, "sapphirelead.standin_main", role, *args)
-        line = await proc.printed("listening ")
+        line = await proc.wait_for_line("listening ")
         return proc, "http://127.0.0.1:" + line.rpartition("port=")[2]
 
     async def _make_entry(self, name: str) -> Entry:
--- a/bench/procs.py
+++ b/bench/procs.py
@@ -14,13 +14,13 @@
 from typing import Any, Final, TypeVar
 
 T = TypeVar("T")
-POLL_S: Final = 0.03
-START_S: Final = 20.0
+POLL_INTERVAL_S: Final = 0.03
+START_TIMEOUT_S: Final = 20.0
 
 
 # Below the range from which the system takes the ports of outgoing connections.
-PORTS: Final = itertools.cycle(range(12_000, 31_000))
-_held: Final[list[socket.socket]] = []
+PORT_CANDIDATES: Final = itertools.cycle(range(12_000, 31_000))
+_reserved_sockets: Final[list[socket.socket]] = []
 
 
 def free_port() -> int:
@@ -30,7 +30,7 @@
     processes choose the same port in the time that a started process takes to bind it, and one of
     the two ends with "address already in use".
     """
-    for port in PORTS:
+    for port in PORT_CANDIDATES:
         held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with socket.socket() as probe:
             try:
@@ -39,20 +39,20 @@
             except OSError:
                 held.close()
                 continue
-        _held.append(held)
+        _reserved_sockets.append(held)
         return port
     raise AssertionError("unreachable: the ports repeat")
 
 
 async def wait_until(
-    what: str, condition: Callable[[], Awaitable[T | None]], timeout_s: float = START_S
+    what: str, condition: Callable[[], Awaitable[T | None]], timeout_s: float = START_TIMEOUT_S
 ) -> T:
     """Wait for ``condition`` to return something true, and return that."""
     deadline = monotonic() + timeout_s
     while not (found := await condition()):
         if monotonic() > deadline:
             raise AssertionError(f"not within {timeout_s} s: {what}")
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
 
@@ -125,7 +125,7 @@
         await self.kill()
         return -9
 
-    async def printed(self, start: str) -> str:
+    async def wait_for_line(self, start: str) -> str:
         """Wait for a line that begins with ``start`` and return it."""
 
         async def find() -> str | None:
--- a/tests/process/test_queues.py
+++ b/tests/process/test_queues.py
@@ -59,7 +59,7 @@
         args = ["--id", name, "--history", history, "--port", str(port)]
         args += ["--settings", json.dumps(settings)]
         proc = await self.spawn(name, "sapphirelead.standin_main", role, *args)
-        line = await proc.printed("listening ")
+        line = await proc.wait_for_line("listening ")
         return "http://127.0.0.1:" + line.rpartition("port=")[2]
 
     async def start_entry(self, name: str, table: str) -> None:
