--- a/bench/platform_faults.py
+++ b/bench/platform_faults.py
@@ -182,7 +182,7 @@
         case "cut":
             proxy.cut()
         case "silence":
-            proxy.silence_existing()
+            proxy.blackhole_existing()
         case _:
             proxy.freeze(kind)
 
--- a/bench/proxy.py
+++ b/bench/proxy.py
@@ -15,12 +15,12 @@
 class _Pipe:
     """One proxied connection.
 
-    :ivar silent: bytes of both directions vanish; the connection stays open for good.
+    :ivar blackholed: bytes of both directions vanish; the connection stays open for good.
     """
 
     def __init__(self, client: asyncio.StreamWriter, server: asyncio.StreamWriter) -> None:
         self.writers = {"up": server, "down": client}
-        self.silent = False
+        self.blackholed = False
 
     def cut(self) -> None:
         for writer in self.writers.values():
@@ -30,21 +30,21 @@
 class Proxy:
     """Listens on :attr:`port` and forwards to the address given.
 
-    :ivar passed: bytes passed on in each direction.
+    :ivar forwarded_bytes: bytes passed on in each direction.
     """
 
     port: int
     delay_s: float
     refusing: bool
     flowing: dict[str, asyncio.Event]
-    passed: dict[str, int]
+    forwarded_bytes: dict[str, int]
 
     def __init__(self, target_port: int, host: str) -> None:
         self.delay_s = 0.0
         self.refusing = False
         self.flowing = {"up": asyncio.Event(), "down": asyncio.Event()}
         self.thaw()
-        self.passed = {"up": 0, "down": 0}
+        self.forwarded_bytes = {"up": 0, "down": 0}
         self._target = (host, target_port)
         self._pipes: set[_Pipe] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -72,10 +72,10 @@
         for pipe in list(self._pipes):
             pipe.cut()
 
-    def silence_existing(self) -> None:
+    def blackhole_existing(self) -> None:
         """Make open connections silent for good; new ones work."""
         for pipe in self._pipes:
-            pipe.silent = True
+            pipe.blackholed = True
 
     def freeze(self, direction: str) -> None:
         """Stop passing on bytes ``up`` (to the server) or ``down``, until :meth:`thaw`."""
@@ -96,8 +96,8 @@
             return
         pipe = _Pipe(writer, up_writer)
         self._pipes.add(pipe)
-        ways = [("up", reader), ("down", up_reader)]
-        tasks = [asyncio.create_task(self._pump(pipe, way, source)) for way, source in ways]
+        directions = [("up", reader), ("down", up_reader)]
+        tasks = [asyncio.create_task(self._pump(pipe, way, source)) for way, source in directions]
         self._tasks.update(tasks)
         try:
             await asyncio.wait(tasks)
@@ -113,10 +113,10 @@
                 await self.flowing[way].wait()
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                if not pipe.silent:
+                if not pipe.blackholed:
                     writer.write(data)
-                    self.passed[way] += len(data)
+                    self.forwarded_bytes[way] += len(data)
                     await writer.drain()
             # A silent path does not tell one end that the other closed either.
-            if not pipe.silent:
+            if not pipe.blackholed:
                 writer.write_eof()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -74,7 +74,7 @@
 async def break_connections(cluster: Cluster, rng: random.Random) -> None:
     """Make some connections silent for good, or cut them."""
     for proxy in rng.sample(cluster.proxies, len(cluster.proxies) // 3):
-        rng.choice([proxy.silence_existing, proxy.cut])()
+        rng.choice([proxy.blackhole_existing, proxy.cut])()
 
 
 async def freeze_connections(cluster: Cluster, rng: random.Random) -> None:
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -51,7 +51,7 @@
             await Upload.begin(entry, "/v1/jobs", {"key": f"half{n}", "input": "x" * 9000})
             for n in range(3)
         ] + [await Upload.begin(entry, SERVE, {"marker": f"half{n}"}) for n in range(3)]
-        while proxy.passed["up"] < sum(upload.sent for upload in uploads):
+        while proxy.forwarded_bytes["up"] < sum(upload.sent for upload in uploads):
             await asyncio.sleep(0.01)
         proxy.freeze("up")
         while monotonic() < started_at + READ_TIMEOUT_S / 2:
@@ -121,7 +121,7 @@
         ]
         await cluster.wait_seen("request_start", "m7")
         if fault == "silent for good":
-            proxy.silence_existing()
+            proxy.blackhole_existing()
         else:
             proxy.freeze("down")
         for n in range(8):
--- a/tests/process/test_connections.py
+++ b/tests/process/test_connections.py
@@ -52,7 +52,7 @@
 async def _break(proxies: list[Proxy], fault: str) -> None:
     for proxy in proxies:
         if fault == "silent for good":
-            proxy.silence_existing()
+            proxy.blackhole_existing()
         else:
             proxy.freeze(fault)
     if fault != "silent for good":
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -96,7 +96,7 @@
     cfg = PlatformSettings(table_url=f"http://127.0.0.1:{proxy.port}", timeout_seconds=0.3)
     table = HttpTable.from_settings(cfg)
     await asyncio.gather(*(table.rows(["a"]) for _ in range(8)))
-    proxy.silence_existing()
+    proxy.blackhole_existing()
     ends = [(await table.rows(["a"])).is_ok() for _ in range(3)]
     assert ends == [False, True, True]
     await table.close()
