--- a/bench/bench_policy.py
+++ b/bench/bench_policy.py
@@ -27,7 +27,7 @@
 from docopt import docopt
 
 from bench.deployment import SERVICE, Deployment, Shape, deployed
-from bench.load import Result, Stream, serve, submit
+from bench.load import LoadResult, JobStream, serve, submit
 from bench.procs import wait_until
 
 MEAN_MS: Final = 80.0
@@ -94,10 +94,10 @@
     ]
 
 
-async def _waves_run(seed: int, target: float, with_batch: bool) -> tuple[Result, float, float]:
+async def _waves_run(seed: int, target: float, with_batch: bool) -> tuple[LoadResult, float, float]:
     async with deployed(Shape()) as made:
         await made.apply(config(target))
-        stream = Stream(made, JOB_RATE, WAVE_S, ("quiet", "noisy"), (QUIET, NOISY), JOB_CPU)
+        stream = JobStream(made, JOB_RATE, WAVE_S, ("quiet", "noisy"), (QUIET, NOISY), JOB_CPU)
         jobs = asyncio.create_task(stream.run(WAVES_S)) if with_batch else None
         result = await serve(made, LOAD, WAVES_S, MEAN_MS, DEADLINE_MS, seed, warm_s=WAVE_S)
         if jobs is not None:
--- a/bench/load.py
+++ b/bench/load.py
@@ -16,12 +16,12 @@
 
 from bench.deployment import SERVICE, Deployment
 
-SIGMA: Final = 0.35
-HIGHEST_US: Final = 60_000_000
+SERVICE_TIME_SIGMA: Final = 0.35
+MAX_LATENCY_US: Final = 60_000_000
 
 
 @dataclass(slots=True)
-class Result:
+class LoadResult:
     """What a load saw; latencies of requests that were done, in milliseconds.
 
     :ivar refused: time until the final answer of requests that were not run.
@@ -30,8 +30,8 @@
 
     seconds: float = 0.0
     outcomes: Counter[str] = field(default_factory=Counter)
-    done: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HIGHEST_US, 3))
-    refused: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HIGHEST_US, 3))
+    done: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
+    refused: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
     by_second: dict[int, list[int]] = field(default_factory=dict)
 
     @property
@@ -51,8 +51,8 @@
     def failed_after(self, second: int) -> float:
         """Return the share of requests from ``second`` on that were not done."""
         late = [pair for at, pair in self.by_second.items() if at >= second]
-        asked = sum(pair[1] for pair in late)
-        return 1 - sum(pair[0] for pair in late) / asked if asked else 0.0
+        requested = sum(pair[1] for pair in late)
+        return 1 - sum(pair[0] for pair in late) / requested if requested else 0.0
 
 
 async def serve(
@@ -63,17 +63,19 @@
     deadline_ms: int,
     seed: int,
     warm_s: float = 0.0,
-) -> Result:
+) -> LoadResult:
     """Make service requests at ``rate`` a second, spread evenly over the entries."""
     rng = random.Random(seed)
-    result = Result()
+    result = LoadResult()
     start = monotonic()
     urls = itertools.cycle(made.urls)
     pending: set[asyncio.Task[None]] = set()
     due = start
     while due < start + seconds:
         await asyncio.sleep(max(0.0, due - monotonic()))
-        delay_ms = mean_ms * rng.lognormvariate(-SIGMA * SIGMA / 2, SIGMA)
+        delay_ms = mean_ms * rng.lognormvariate(
+            -SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2, SERVICE_TIME_SIGMA
+        )
         counted = due - start >= warm_s
         call = _serve_one(made, next(urls), delay_ms, deadline_ms, due, start, result, counted)
         task = asyncio.create_task(call)
@@ -93,7 +95,7 @@
     deadline_ms: int,
     due: float,
     start: float,
-    result: Result,
+    result: LoadResult,
     counted: bool,
 ) -> None:
     headers = {
@@ -124,7 +126,7 @@
 
 
 @dataclass(slots=True)
-class Stream:
+class JobStream:
     """Jobs submitted at a rate, in alternating phases of two classes.
 
     :ivar phase_s: length of a phase; the first is of ``classes[0]``.
