--- a/bench/fake_agents.py
+++ b/bench/fake_agents.py
@@ -31,7 +31,7 @@
 )
 from sapphirelead.wire_sockets import connect_dealer, make_context, send
 
-SIZE: Final = Amount(64_000, 250_000, 2)
+CAPACITY: Final = Amount(64_000, 250_000, 2)
 REPEAT_S: Final = 1.0
 
 
@@ -59,13 +59,13 @@
     def _head(self) -> dict[str, Any]:
         return {"sender": self._name, "incarnation": self._incarnation, "config_version": 0}
 
-    async def run(self, beat_s: float) -> None:
+    async def run(self, heartbeat_interval_s: float) -> None:
         """Announce, then beat for good."""
         announce = Announce(
             **self._head(),
             zone=self._zone,
             rack="r1",
-            capacity=SIZE,
+            capacity=CAPACITY,
             slots=8,
             connections=64,
             services=["checks"],
@@ -75,14 +75,14 @@
         receiving = asyncio.create_task(self._receive())
         try:
             while True:
-                await send(self._sock, self._beat())
+                await send(self._sock, self._make_heartbeat())
                 for report in list(self._unacked.values()):
                     await send(self._sock, report)
-                await asyncio.sleep(beat_s)
+                await asyncio.sleep(heartbeat_interval_s)
         finally:
             receiving.cancel()
 
-    def _beat(self) -> Beat:
+    def _make_heartbeat(self) -> Beat:
         self._counter += 1
         return Beat(
             **self._head(),
@@ -93,7 +93,7 @@
             slots=8,
             connections_used=4,
             connections=64,
-            free=SIZE,
+            free=CAPACITY,
             tasks=10,
         )
 
@@ -125,12 +125,12 @@
     ctx.set(zmq.MAX_SOCKETS, 8192)
     first = int(args["--first"])
     agents = [FakeAgent(ctx, args, first + n) for n in range(int(args["--count"]))]
-    beat_s = float(args["--beat-s"] or 1.0)
+    heartbeat_interval_s = float(args["--beat-s"] or 1.0)
     print("ready", flush=True)
     async with asyncio.TaskGroup() as group:
         for agent in agents:
-            group.create_task(agent.run(beat_s))
-            await asyncio.sleep(beat_s / len(agents))
+            group.create_task(agent.run(heartbeat_interval_s))
+            await asyncio.sleep(heartbeat_interval_s / len(agents))
 
 
 if __name__ == "__main__":
