--- a/bench/check_binary.py
+++ b/bench/check_binary.py
@@ -20,9 +20,9 @@
 
 import psutil
 
-START_LIMIT_S: Final = 60.0
-STEP_S: Final = 0.02
-SETTLED_S: Final = 1.0
+START_TIMEOUT_S: Final = 60.0
+POLL_INTERVAL_S: Final = 0.02
+SETTLE_DELAY_S: Final = 1.0
 MB: Final = 1_000_000
 
 SETTINGS: Final = """
@@ -41,12 +41,12 @@
 class Start:
     """One start of the file.
 
-    :ivar most_children: most descendants seen at any look.
+    :ivar max_children: most descendants seen at any look.
     :ivar same_process: whether the process that listened is the one that was started.
     """
 
     seconds: float
-    most_children: int
+    max_children: int
     same_process: bool
     memory_mb: float
     exit_code: int
@@ -63,20 +63,20 @@
         *command, env=env, stderr=asyncio.subprocess.DEVNULL
     )
     watched = psutil.Process(proc.pid)
-    most = 0
+    max_seen = 0
     while not _listens(watched):
-        most = max(most, len(watched.children(recursive=True)))
-        if monotonic() - started_at > START_LIMIT_S or proc.returncode is not None:
+        max_seen = max(max_seen, len(watched.children(recursive=True)))
+        if monotonic() - started_at > START_TIMEOUT_S or proc.returncode is not None:
             raise SystemExit(f"{binary} did not listen; exit code {proc.returncode}")
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     seconds = monotonic() - started_at
-    await asyncio.sleep(SETTLED_S)
-    most = max(most, len(watched.children(recursive=True)))
+    await asyncio.sleep(SETTLE_DELAY_S)
+    max_seen = max(max_seen, len(watched.children(recursive=True)))
     memory_mb = watched.memory_info().rss / MB
     same = any(conn.status == psutil.CONN_LISTEN for conn in watched.net_connections())
     proc.send_signal(signal.SIGTERM)
-    code = await asyncio.wait_for(proc.wait(), START_LIMIT_S)
-    return Start(seconds, most, same, memory_mb, code)
+    code = await asyncio.wait_for(proc.wait(), START_TIMEOUT_S)
+    return Start(seconds, max_seen, same, memory_mb, code)
 
 
 def size_mb(path: Path) -> float:
@@ -97,9 +97,9 @@
     print(f"start, cold          {cold.seconds:8.2f} s")
     print(f"start, warm          {warm.seconds:8.2f} s")
     print(f"memory once started  {warm.memory_mb:8.1f} MB")
-    print(f"children, at most    {max(cold.most_children, warm.most_children):8d}")
+    print(f"children, at most    {max(cold.max_children, warm.max_children):8d}")
     print(f"exit code of SIGTERM {warm.exit_code:8d}")
-    kept = all(s.same_process and s.most_children == 0 and s.exit_code == 0 for s in (cold, warm))
+    kept = all(s.same_process and s.max_children == 0 and s.exit_code == 0 for s in (cold, warm))
     print("one process" if kept else "FAILED: not one process, or no clean end")
     return 0 if kept else 1
 
--- a/tests/unit/test_binary.py
+++ b/tests/unit/test_binary.py
@@ -22,4 +22,4 @@
     file = tmp_path / "sapphirelead.pyz"
     zipapp.create_archive(source, file, "/usr/bin/env python3.11", "sapphirelead.main:run")
     start = await measure(file, tmp_path)
-    assert (start.most_children, start.same_process, start.exit_code) == (0, True, 0)
+    assert (start.max_children, start.same_process, start.exit_code) == (0, True, 0)
