--- a/tests/process/test_checker.py
+++ b/tests/process/test_checker.py
@@ -27,8 +27,8 @@
     return event("worker_up", source=worker, size=ONE | {"cpu_millicores": 1500, "memory_mb": 99})
 
 
-CAREFUL = event("submitted", key="a", idempotent=False)
-CALM = [up("w1"), up("w2"), CAREFUL, event("answer", key="a", outcome="done", whole=True)]
+NON_IDEMPOTENT = event("submitted", key="a", idempotent=False)
+VALID = [up("w1"), up("w2"), NON_IDEMPOTENT, event("answer", key="a", outcome="done", whole=True)]
 EXACT: Any = {"checkpoint": "c/a/1", "done_ms": 50.0}
 
 CASES: dict[str, tuple[str, list[Any]]] = {
@@ -100,5 +100,5 @@
 @pytest.mark.parametrize("name", CASES)
 def test_violation_is_flagged(name: str) -> None:
     wanted, history = CASES[name]
-    found = {violation.rule for violation in check([*CALM, *history])}
+    found = {violation.rule for violation in check([*VALID, *history])}
     assert found == ({wanted} if wanted else set())
