--- a/bench/checker.py
+++ b/bench/checker.py
@@ -1,13 +1,13 @@
-"""Judges a run by the stand-ins' own histories and by what callers were told.
+"""Checks the histories of stand-ins and callers against the scheduler's guarantees.
 
 Input is one list of events from all sources, each with ``event``, ``source`` and ``clock``; the
-product's logs are never read.  Besides the stand-ins' events (see the ``standin_`` modules) the
-harness adds what it did and what callers saw:
+scheduler's own logs are not read.  In addition to the stand-ins' events (see the ``standin_``
+modules), the harness records its actions and what callers received:
 
 - ``submitted``: ``key``, ``idempotent``; ``answer``: ``key`` or marker, ``outcome``, ``whole``
-- ``cancelled_unrun``: the caller's cancellation of ``key`` was answered with "not run"
+- ``cancelled_unrun``: the cancellation of ``key`` returned "not run"
 - ``worker_killed``: the worker ``source`` died with all its tasks
-- ``leaving``: the instance of worker or target ``source`` was told to leave
+- ``leaving``: the instance of worker or target ``source`` was told to shut down
 - ``config_seen``: ``process`` reported configuration ``version``
 """
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken guarantee."""
+    """A violated guarantee."""
 
     rule: str
     detail: str
@@ -35,7 +35,10 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run of a task on one worker, from start to end; open runs never end."""
+    """A run of a task on a worker.
+
+    :ivar until: clock time of its end, infinite while it runs.
+    """
 
     task: str
     epoch: int
@@ -46,7 +49,7 @@
 
 
 def read_histories(paths: Iterable[Path]) -> list[Event]:
-    """Merge histories by clock."""
+    """Read histories and merge them by clock, ignoring an incomplete last line."""
     events = [
         msgspec.json.decode(line)
         for path in paths
@@ -80,7 +83,7 @@
 
 
 def two_owners(events: list[Event]) -> Iterator[Violation]:
-    """No task runs in two places, or twice in one, at once."""
+    """Runs of a task do not overlap, on one worker or on several."""
     by_task = defaultdict(list)
     for run in runs_of(events):
         by_task[run.task].append(run)
@@ -92,7 +95,7 @@
 
 
 def rerun(events: list[Event]) -> Iterator[Violation]:
-    """A non-idempotent job starts again only where its last run stopped exactly."""
+    """A non-idempotent job resumes only from a checkpoint of all progress of its last run."""
     last: dict[str, Run] = {}
     non_idempotent = _keys(events, "submitted", lambda event: not event["idempotent"])
     for run in runs_of(events):
@@ -106,7 +109,7 @@
 
 
 def repeated_effect(events: list[Event]) -> Iterator[Violation]:
-    """A non-idempotent job has its effect once."""
+    """A non-idempotent job has its effect at most once."""
     non_idempotent = _keys(events, "submitted", lambda event: not event["idempotent"])
     seen: set[str] = set()
     for event in events:
@@ -117,7 +120,7 @@
 
 
 def over_size(events: list[Event]) -> Iterator[Violation]:
-    """No worker holds more than its size at any moment."""
+    """Running tasks never exceed a worker's size."""
     sizes = {e["source"]: e["size"] for e in events if e["event"] == "worker_up"}
     runs = runs_of(events)
     for run in runs:
@@ -132,14 +135,14 @@
 
 
 def over_connections(events: list[Event]) -> Iterator[Violation]:
-    """No target is asked for more connections than it has."""
+    """No target receives more connections than its limit."""
     for event in events:
         if event["event"] == "over_connections":
             yield Violation("over_connections", event["source"])
 
 
 def false_not_run(events: list[Event]) -> Iterator[Violation]:
-    """What a caller was told did not run, and was not accepted later, did not run."""
+    """Work reported as not run, and not accepted later, did not run."""
     ran = _keys(events, "task_start") | _keys(events, "request_start")
     accepted = _keys(events, "answer", lambda event: event["outcome"] != "not_run")
     refused = _keys(events, "answer", lambda event: event["outcome"] == "not_run")
@@ -149,7 +152,7 @@
 
 
 def work_on_leaving(events: list[Event]) -> Iterator[Violation]:
-    """A leaving target gets no new work after a few seconds."""
+    """A leaving worker or target gets no new work after :data:`LEAVING_GRACE_S`."""
     left: dict[str, float] = {}
     for event in events:
         if event["event"] == "leaving":
@@ -161,14 +164,14 @@
 
 
 def foreign_answer(events: list[Event]) -> Iterator[Violation]:
-    """Every caller gets the whole answer to its own request."""
+    """Every caller gets the complete response to its own request."""
     for event in events:
         if event["event"] == "answer" and not event.get("whole", True):
             yield Violation("foreign_answer", event["key"])
 
 
 def config_reverted(events: list[Event]) -> Iterator[Violation]:
-    """No process, and not the table, goes back to a lower configuration version."""
+    """Neither a process nor the table reverts to a lower configuration version."""
     highest: dict[str, int] = {}
     for event in events:
         for process, version in _versions(event):
--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -1,8 +1,8 @@
-"""Callers of a site: they keep connections open and repeat calls under the same id.
+"""Clients of a site, which keep connections open and retry a submission under the same job key.
 
-A connection is chosen by the balancer, which asks every entry each second whether callers may
-connect, and stays with its entry until that closes it.  Each call goes into the history with how it
-ended: a status, :data:`CONNECTION_CUT` or :data:`NO_RESPONSE`.
+The balancer selects the entry for each new connection from the results of periodic readiness
+checks.  A connection stays with its entry until either side closes it.  Each call is recorded in
+the history with its HTTP status, :data:`CONNECTION_CUT` or :data:`NO_RESPONSE`.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 CALL_DEADLINE_S: Final = 3.0
 CALL_TIMEOUT_S: Final = CALL_DEADLINE_S + 1.5
 SHORT_CALL_TIMEOUT_S: Final = 0.02
-"""Patience of a caller that leaves early."""
+"""Timeout of a caller that disconnects early."""
 
 MAX_SUBMIT_ATTEMPTS: Final = 5
 HEALTH_CHECK_INTERVAL_S: Final = 1.0
@@ -31,14 +31,18 @@
 
 
 class Balancer:
-    """Which entries take new connections: out after two failed looks, in after a good one."""
+    """Selects entries for new connections by health checks.
+
+    An entry is excluded after :data:`UNHEALTHY_THRESHOLD` failed checks in a row and included again
+    after a successful one.  If more than half are excluded, all entries are used.
+    """
 
     def __init__(self, entries: list[Node]) -> None:
         self._entries = entries
         self._failed_checks = {entry.name: 0 for entry in entries}
 
     async def run(self) -> None:
-        """Look at every entry each second, until cancelled."""
+        """Check every entry each :data:`HEALTH_CHECK_INTERVAL_S`, until cancelled."""
         timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -54,7 +58,7 @@
         self._failed_checks[entry.name] = 0 if healthy else self._failed_checks[entry.name] + 1
 
     def choose(self, rng: random.Random) -> Node:
-        """Choose an entry for a new connection."""
+        """Return a random healthy entry for a new connection."""
         usable = [
             entry
             for entry in self._entries
@@ -64,7 +68,7 @@
 
 
 class Connection:
-    """One connection to one entry."""
+    """A persistent HTTP connection to an entry."""
 
     def __init__(
         self, entry: Node, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -76,28 +80,28 @@
 
     @classmethod
     async def open(cls, entry: Node) -> "Connection | None":
-        """Connect; ``None`` where nobody listens."""
+        """Connect; return ``None`` if the connection fails."""
         with contextlib.suppress(OSError, TimeoutError):
-            # Not wait_for, which drops a cancellation that comes together with the connection.
+            # wait_for can lose a cancellation that arrives as the connection completes.
             async with asyncio.timeout(CALL_DEADLINE_S):
                 return cls(entry, *await asyncio.open_connection(entry.host, FRONT_PORT))
         return None
 
     @property
     def usable(self) -> bool:
-        """Whether another call can be made."""
+        """Whether the connection is still open."""
         return not (self._reader.at_eof() or self._writer.is_closing())
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self._writer.close()
 
     async def call(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = CALL_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """Make a call and return its status and the answer's body.
+        """Make a call and return its status and the response body.
 
-        :param timeout_s: how long the caller waits for the answer.
+        :param timeout_s: time to wait for the response before the connection is closed.
         """
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {HOST_NAME}\r\nContent-Length: {len(body)}\r\n"
@@ -125,10 +129,10 @@
 
 @dataclass
 class Job:
-    """A job of ours.
+    """A job submitted by the callers.
 
-    :ivar accepted: loop time of the answer that accepted it.
-    :ivar state: as last shown.
+    :ivar accepted: loop time of the first accepting response, 0 before.
+    :ivar state: last reported state.
     """
 
     key: str
@@ -141,17 +145,17 @@
 
 
 def make_job(rng: random.Random) -> Job:
-    """Make a job: short or long, with saved progress, with runs that fail, or lasting."""
+    """Make a random job: short, long with checkpoints, failing at first, or long-running."""
     key = f"{rng.getrandbits(64):016x}"
-    kind = rng.choice(["short", "short", "short", "long", "failing", "lasting"])
-    work_ms = {"short": rng.randint(100, 800), "long": rng.randint(2_000, 4_000), "lasting": 0}
+    kind = rng.choice(["short", "short", "short", "long", "failing", "long_running"])
+    work_ms = {"short": rng.randint(100, 800), "long": rng.randint(2_000, 4_000), "long_running": 0}
     script = {
         "work_ms": work_ms.get(kind, 300),
         "fail_runs": 1 if kind == "failing" else 0,
         "saves": kind == "long",
     }
     step: dict[str, Any] = {"count": rng.randint(1, 4), "mem_mb": 64, "cpu": 600}
-    if kind == "lasting":
+    if kind == "long_running":
         step.update(count=2, cpu=200, long_running=True, may_miss=1)
     else:
         step["estimate_ms"] = script["work_ms"]
@@ -160,14 +164,15 @@
     steps = [step]
     if kind == "short":
         steps += [{**step, "count": rng.randint(1, 3), "after": [0]}] * rng.randint(0, 1)
-    return Job(key, msgspec.json.encode(script).decode(), steps, kind == "lasting")
+    return Job(key, msgspec.json.encode(script).decode(), steps, kind == "long_running")
 
 
 @dataclass
 class Callers:
-    """Everything that calls a site.
+    """The client load on a site.
 
-    :ivar version: the configuration in force, or on its way.
+    :ivar version: version of the last configuration published or being published.
+    :ivar marker: number of that configuration, which names its marker route.
     """
 
     site: Site
@@ -178,7 +183,7 @@
     marker: int = 0
 
     async def configure(self) -> None:
-        """Write a newer configuration, whose marker is a route of its own."""
+        """Publish a newer configuration with a marker route of its own."""
         self.version += self.rng.randint(1, 5)
         self.marker += 1
         names = {"q": "/q/", f"m{self.marker}": f"/m{self.marker}/"}
@@ -198,13 +203,13 @@
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make a call and write it down."""
+        """Make a call and record it in the history."""
         sent = now()
         status, response = NO_RESPONSE, b""
         try:
             status, response = await conn.call(method, path, body, timeout_s)
         finally:
-            # Also where the run ends meanwhile: the entry may yet do what was asked.
+            # Record cancelled calls too: the entry may still execute them.
             self.site.history.record(
                 "call",
                 sent,
@@ -219,7 +224,10 @@
         return status, response
 
     async def caller(self, seed: int, mean_interval_s: float) -> None:
-        """Hand in jobs over a connection that is kept open, until cancelled."""
+        """Submit jobs over a persistent connection, until cancelled.
+
+        :param mean_interval_s: mean time between two jobs.
+        """
         rng = random.Random(seed)
         conn: Connection | None = None
         long_running: Job | None = None
@@ -233,7 +241,7 @@
                 conn = await self._ensure_connected(conn, rng)
                 await self._cancel(job, conn)
             elif job.long_running:
-                # One for each caller, or they fill the workers for good.
+                # Keep one per caller, or long-running jobs would exhaust the capacity.
                 if long_running is not None:
                     conn = await self._ensure_connected(conn, rng)
                     await self._cancel(long_running, conn)
@@ -267,7 +275,7 @@
         await self.call(conn, "DELETE", f"/q/{job.key}")
 
     async def watcher(self, seed: int) -> None:
-        """Ask for the states of accepted jobs, one after the other, until cancelled."""
+        """Poll the states of accepted jobs, until cancelled."""
         rng = random.Random(seed)
         conn: Connection | None = None
         while True:
@@ -279,13 +287,13 @@
             await asyncio.sleep(0.1)
 
     async def poll_state(self, job: Job, conn: Connection) -> None:
-        """Ask for a job's state."""
+        """Request a job's state and store it in the job."""
         status, response = await self.call(conn, "GET", f"/q/{job.key}")
         if status == 200:
             job.state = msgspec.json.decode(response)["state"]
 
     async def submit_one_job(self, rng: random.Random) -> None:
-        """Try once to hand in a job."""
+        """Submit one job over a new connection."""
         job = make_job(rng)
         self.jobs[job.key] = job
         self.site.history.record("job", key=job.key, spec=job.spec, steps=job.steps)
@@ -294,17 +302,17 @@
         conn.close()
 
     def incomplete_jobs(self) -> list[Job]:
-        """Return the accepted jobs that are still to complete."""
+        """Return the accepted, uncancelled jobs that have not been reported as completed."""
         jobs = self.jobs.values()
         return [j for j in jobs if j.accepted and not j.cancelled and j.state != "completed"]
 
     def open_jobs(self) -> list[Job]:
-        """Return the accepted jobs that have not been shown to have ended."""
+        """Return the accepted jobs that have not been reported in a terminal state."""
         ended = ("completed", "failed", "cancelled")
         return [job for job in self.jobs.values() if job.accepted and job.state not in ended]
 
     async def prober(self, entry: Node) -> None:
-        """Ask one entry for the routes of the newest configurations, until cancelled."""
+        """Request the marker routes of the two newest configurations from an entry, until cancelled."""
         conn: Connection | None = None
         while True:
             if conn is None or not conn.usable:
--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -1,8 +1,8 @@
-"""Judges a run on the users' platform by what its workers, its callers and the site saw.
+"""Checks the history of a platform soak run against the scheduler's guarantees.
 
-Input is one list of events, each with ``event``, ``source`` and ``clock``; the product's logs are
-never read.  A rule with a time bound holds where nothing disturbed the node in question for
-:data:`SETTLE_S` before.
+Input is one list of events from workers, callers and the site, each with ``event``, ``source`` and
+``clock``; the scheduler's own logs are not read.  A rule with a time bound applies only if no fault
+affected the node concerned within the preceding :data:`SETTLE_S`.
 """
 
 from collections import defaultdict
@@ -32,7 +32,12 @@
 
 @dataclass
 class TaskRun:
-    """A run, from its start to its end; open runs never end."""
+    """An execution attempt of a task.
+
+    :ivar until: loop time of its end, infinite while it runs.
+    :ivar how: outcome of the run, ``gone`` if its worker ended first.
+    :ivar acknowledged: whether the scheduler acknowledged its end.
+    """
 
     task: str
     attempt: int
@@ -44,7 +49,7 @@
 
     @property
     def started_at(self) -> float:
-        """Loop time of its start."""
+        """Loop time of the start."""
         return float(self.start["clock"])
 
     def __str__(self) -> str:
@@ -54,7 +59,10 @@
 
 @dataclass
 class RunHistory:
-    """The events of a run, in order, with what follows from several of them."""
+    """The events of a soak run in order of time, with indexes by kind, task and job.
+
+    :ivar submissions: submitting calls of each job key.
+    """
 
     events: list[Event]
     by_kind: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))
@@ -93,7 +101,7 @@
                     run.until, run.how = event["clock"], event["how"]
                     numbered[incarnation].append((event["number"], run))
                 case "lapse":
-                    # A task may run again whose end was not noted before its worker's lease lapsed.
+                    # A task whose end was unacknowledged when the lease expired may run again.
                     numbered[incarnation].clear()
                 case "noted":
                     for number, run in numbered[incarnation]:
@@ -110,9 +118,10 @@
             run.until, run.how = event["clock"], "gone"
 
     def undisturbed(self, begin: float, end: float, who: str = "", planned: bool = False) -> bool:
-        """Whether nothing disturbed a node, or with no name anything, up to ``end``.
+        """Whether no fault affected a node from :data:`SETTLE_S` before ``begin`` up to ``end``.
 
-        :param planned: planned work counts as a disturbance too.
+        :param who: the node; if empty, faults of all nodes count.
+        :param planned: whether planned operations count as faults too.
         """
         return not any(
             (planned or not fault["planned"]) and (not who or fault["who"] in (who, ALL_NODES))
@@ -120,12 +129,12 @@
         )
 
     def no_unplanned_fault(self, begin: float, end: float, who: str) -> bool:
-        """Whether no accident happened anywhere up to ``end``, and a node was calm.
+        """Whether no fault affected ``who`` and no unplanned one any other node up to ``end``.
 
-        Another node that waits for a processor excuses nothing.
+        CPU starvation of other nodes is ignored.
         """
-        accidents = (fault for fault in self._faults(begin, end) if not fault["planned"])
-        return self.undisturbed(begin, end, who) and all(_starved(fault) for fault in accidents)
+        unplanned = (fault for fault in self._faults(begin, end) if not fault["planned"])
+        return self.undisturbed(begin, end, who) and all(_starved(fault) for fault in unplanned)
 
     def _faults(self, begin: float, end: float) -> Iterator[Event]:
         for fault in self.by_kind["fault"]:
@@ -133,7 +142,7 @@
                 yield fault
 
     def all_runs(self) -> Iterator[TaskRun]:
-        """Return every run."""
+        """Yield the runs of all tasks."""
         for runs in self.runs.values():
             yield from runs
 
@@ -142,13 +151,13 @@
         return [f"{job['key']}.0.{step}.{index}" for index in range(job["steps"][step]["count"])]
 
     def done_at(self, task: str) -> float:
-        """Return when a task first ended well."""
+        """Return when a task first ended as done, or infinity."""
         return min(
             (r.until for r in self.runs.get(task, ()) if r.how == "done"), default=float("inf")
         )
 
     def accepted_at(self, key: str) -> float:
-        """Return when a job's acceptance was first answered."""
+        """Return when a caller first received a job's acceptance, or infinity."""
         times = (call["until"] for call in self.submissions.get(key, ()) if call["status"] == 200)
         return min(times, default=float("inf"))
 
@@ -180,7 +189,7 @@
 
 
 def interrupted_calls(history: RunHistory) -> Iterator[Violation]:
-    """A call that was read gets a whole answer, within its deadline, also from a leaving entry."""
+    """A call gets a complete response within its deadline, also from a stopping entry."""
     for call in history.by_kind["call"]:
         took = call["until"] - call["clock"]
         if not history.no_unplanned_fault(call["clock"], call["until"], call["entry"]):
@@ -193,7 +202,7 @@
 
 
 def lost_jobs(history: RunHistory) -> Iterator[Violation]:
-    """An accepted job is known, and shown as failed or cancelled with cause only."""
+    """An accepted job stays known, and its reported state agrees with its runs."""
     first_cancels = history.first_cancels()
     for call in history.by_kind["call"]:
         key = _key(call)
@@ -213,14 +222,14 @@
     job = history.jobs[key]
     tasks = [task for step in range(len(job["steps"])) for task in history.tasks_of(job, step)]
     if state == "completed" and any(history.done_at(task) > call["until"] for task in tasks):
-        yield Violation("false_state", f"{where}: completed, and a task has not ended so")
+        yield Violation("false_state", f"{where}: completed, but a task has not ended as done")
     failures = [sum(run.how == "failed" for run in history.runs.get(task, ())) for task in tasks]
     if state == "cancelled" or (state == "failed" and max(failures) < MAX_ATTEMPTS):
         yield Violation("false_state", f"{where}: {state} without cause")
 
 
 def refused_ran(history: RunHistory) -> Iterator[Violation]:
-    """No task starts of a job whose every submission was refused."""
+    """No task starts of a job whose submissions were all refused."""
     started = {_job_of(task) for task, runs in history.runs.items() if runs}
     for key, submissions in history.submissions.items():
         if key in started and all(call["status"] in (429, 503) for call in submissions):
@@ -228,7 +237,7 @@
 
 
 def duplicate_runs(history: RunHistory) -> Iterator[Violation]:
-    """A task runs once at a time, and not again after an end as done that has been noted."""
+    """Runs of a task do not overlap, and none starts after an acknowledged end as done."""
     for runs in history.runs.values():
         ordered = sorted(runs, key=lambda run: run.started_at)
         for index, run in enumerate(ordered):
@@ -240,7 +249,7 @@
 
 
 def wrong_order(history: RunHistory) -> Iterator[Violation]:
-    """A step starts when all tasks of the steps before it have ended as done."""
+    """A step starts only after all tasks of its preceding steps have ended as done."""
     for run in history.all_runs():
         if _job_of(run.task) not in history.jobs:
             continue
@@ -253,7 +262,7 @@
 
 
 def foreign_runs(history: RunHistory) -> Iterator[Violation]:
-    """A worker starts what a caller sent, with saved progress of that task only."""
+    """A task starts with the submitted spec, and only from its own saved progress."""
     for run in history.all_runs():
         job = history.jobs.get(_job_of(run.task))
         if job is None or job["spec"] != run.start["spec"]:
@@ -264,7 +273,7 @@
 
 
 def over_capacity(history: RunHistory) -> Iterator[Violation]:
-    """No worker holds more than its capacity at any moment; what is being stopped counts."""
+    """Running tasks never exceed a worker's capacity; tasks being stopped count."""
     sizes = {event["source"]: event for event in history.by_kind["life"]}
     by_incarnation = defaultdict(list)
     for run in history.all_runs():
@@ -280,7 +289,7 @@
 
 
 def cancelled_jobs_run(history: RunHistory) -> Iterator[Violation]:
-    """A cancelled job starts nothing more, and what runs of it is stopped."""
+    """After a cancellation, no task of the job starts and its running tasks are stopped."""
     for key, cancel in history.first_cancels().items():
         bound = cancel["until"] + CANCEL_TIMEOUT_S
         if cancel["status"] != 200:
@@ -293,14 +302,16 @@
                 and history.undisturbed(run.started_at, run.started_at)
             ):
                 yield Violation("start_after_cancel", f"{run}, cancelled {cancel['until']:.3f}")
-            gone = max(bound, run.started_at + SETTLE_S) + KILL_GRACE_S
-            over = min(run.until, history.events[-1]["clock"])
-            if over > gone and history.undisturbed(cancel["clock"], gone, planned=True):
+            stop_deadline = max(bound, run.started_at + SETTLE_S) + KILL_GRACE_S
+            ran_until = min(run.until, history.events[-1]["clock"])
+            if ran_until > stop_deadline and history.undisturbed(
+                cancel["clock"], stop_deadline, planned=True
+            ):
                 yield Violation("runs_on", f"{run}, cancelled {cancel['until']:.3f}")
 
 
 def starts_on_leaving(history: RunHistory) -> Iterator[Violation]:
-    """A worker whose leaving has been acknowledged gets no starts after a while."""
+    """A worker gets no starts :data:`DRAIN_TIMEOUT_S` after its draining was acknowledged."""
     leaving = {event["source"]: event["clock"] for event in history.by_kind["draining_known"]}
     for run in history.all_runs():
         since = run.started_at - leaving.get(run.incarnation, float("inf"))
@@ -313,9 +324,9 @@
 
 
 def stale_config(history: RunHistory) -> Iterator[Violation]:
-    """The newest configuration is in force everywhere in time, and none comes back.
+    """Every entry applies the newest configuration in time and never reverts to an older one.
 
-    Each configuration has a route of its own, its marker; a status other than 404 shows the route.
+    Each configuration has a marker route; status 200 shows that it is in force, 404 that it is not.
     """
     configs = history.by_kind["config"]
     seen: dict[tuple[str, int], tuple[int, float]] = {}
@@ -345,7 +356,7 @@
 
 
 def unexpected_exits(history: RunHistory) -> Iterator[Violation]:
-    """A node does not end by itself, and ends in the time that a stop gives it."""
+    """A node exits only when it is stopped, and within the grace period."""
     for event in history.by_kind["died"]:
         yield Violation("died", f"{event['node']} code {event['code']} at {event['clock']:.3f}")
     for event in history.by_kind["stopped"]:
@@ -357,7 +368,7 @@
 
 
 def unfinished(history: RunHistory) -> Iterator[Violation]:
-    """Once all is mended, every accepted job ends as it should."""
+    """Every accepted job ends once all faults are over."""
     for event in history.by_kind["unfinished"]:
         yield Violation("unfinished", f"{event['key']} is {event['state'] or 'unknown'}")
 
@@ -379,6 +390,6 @@
 
 
 def check(events: Iterable[Event]) -> list[Violation]:
-    """Return every broken promise in ``events``."""
+    """Return every violation in ``events``."""
     history = RunHistory.from_events(events)
     return [violation for rule in RULES for violation in rule(history)]
--- a/bench/platform_faults.py
+++ b/bench/platform_faults.py
@@ -1,7 +1,7 @@
-"""The faults that the soak brings to a site on the users' platform, each by its name.
+"""The faults that the platform soak injects into a site, selected by function name.
 
-Every fault writes down how long it lasts and whom it concerns, and leaves the site mended.  Several
-may go on at a time; a process is signalled by one of them at once.
+Each fault records its duration and the affected nodes, and restores the site before it returns.
+Faults may overlap; a lock per process ensures that only one of them signals it at a time.
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 )
 
 
-# Planned work.
+# Planned operations.
 
 
 async def rolling_entries(site: Site, _: Callers, rng: random.Random) -> None:
-    """Restart all entries in turn, about a second apart."""
+    """Restart all entries in random order, about a second apart; restarts may overlap."""
     restarts = []
     for entry in rng.sample(site.entries, len(site.entries)):
         restarts.append(asyncio.create_task(site.restart(entry, signal.SIGTERM)))
@@ -40,7 +40,7 @@
 
 
 async def rolling_agents(site: Site, _: Callers, rng: random.Random) -> None:
-    """Restart all agents in turn."""
+    """Restart all agents in random order; restarts may overlap."""
     restarts = []
     for agent in rng.sample(site.agents, len(site.agents)):
         restarts.append(asyncio.create_task(site.restart(agent, signal.SIGTERM)))
@@ -49,37 +49,37 @@
 
 
 async def stop_entry(site: Site, _: Callers, rng: random.Random) -> None:
-    """Restart one entry as planned."""
+    """Restart one entry by SIGTERM."""
     await site.restart(rng.choice(site.entries), signal.SIGTERM)
 
 
 async def reload(site: Site, _: Callers, rng: random.Random) -> None:
-    """Change the settings files of some nodes and tell them."""
+    """Change the settings files of three nodes and send them SIGHUP."""
     for node in rng.sample([*site.entries, *site.agents], 3):
         await site.reload(node)
 
 
 async def configure(_: Site, callers: Callers, rng: random.Random) -> None:
-    """Write one configuration, or several in quick succession."""
+    """Publish one configuration, or several in quick succession."""
     for _number in range(rng.choice([1, 1, 5])):
         await callers.configure()
         await asyncio.sleep(rng.uniform(0.05, 0.6))
 
 
 async def drain_worker(site: Site, _: Callers, rng: random.Random) -> None:
-    """Empty a worker; another life takes its place."""
+    """Drain a worker and start a new one in its place."""
     await site.replace(rng.choice(site.workers), signal.SIGTERM)
 
 
 async def foreign_writer(site: Site, _: Callers, rng: random.Random) -> None:
-    """Send an agent heartbeats, and write rows, that nobody can use."""
+    """Send malformed heartbeats to agents and write malformed rows to the store."""
     for body in MALFORMED_HEARTBEATS:
         await site.send_heartbeat(rng.choice(site.agents), body)
     await site.write_row("op", "unheard-of", b"\xff\xfe")
     await site.write_row("servers", "i-foreign", b'{"state": 7}')
 
 
-# Accidents.
+# Unplanned faults.
 
 
 async def kill_entry(site: Site, _: Callers, rng: random.Random) -> None:
@@ -95,22 +95,22 @@
 
 
 async def pause_node(site: Site, _: Callers, rng: random.Random) -> None:
-    """Freeze an entry or an agent, for less or more than it can be missed."""
+    """Suspend an entry or an agent, for less or more than the failure detection timeout."""
     await site.pause(rng.choice([*site.entries, *site.agents]), rng.choice([0.5, 1.5, 4.0]))
 
 
 async def pause_worker(site: Site, _: Callers, rng: random.Random) -> None:
-    """Freeze a worker."""
+    """Suspend a worker."""
     await site.pause(rng.choice(site.workers), rng.choice([0.5, 2.0, 5.0]))
 
 
 async def kill_worker(site: Site, _: Callers, rng: random.Random) -> None:
-    """Let a worker crash; another life takes its place."""
+    """Kill a worker and start a new one in its place."""
     await site.replace(rng.choice(site.workers), signal.SIGKILL)
 
 
 async def bad_worker(site: Site, _: Callers, rng: random.Random) -> None:
-    """Let a worker's tasks stand still or fail, or its orders be lost or carried out late."""
+    """Stall a worker's tasks, drop, delay or reject its requests, or lose its responses."""
     worker = rng.choice(site.workers)
     kinds: list[tuple[str, Any]] = [
         ("/behave", Behaviour(frozen=True)),
@@ -128,7 +128,7 @@
 
 
 async def bad_store(site: Site, _: Callers, rng: random.Random) -> None:
-    """Let the store be away, slow, or lose answers and perform calls late."""
+    """Make the store unavailable or slow, or lose requests or responses."""
     kinds: list[dict[str, Any]] = [
         {"down": True},
         {"down": True, "hang": True},
@@ -144,7 +144,7 @@
 
 
 async def picky_store(site: Site, _: Callers, rng: random.Random) -> None:
-    """Let the store turn some nodes away and serve the others."""
+    """Make the store reject or ignore requests of some nodes and serve the others."""
     chosen = rng.sample([*site.entries, *site.agents], rng.choice([1, 2, 4]))
     with site.fault(f"store refuses {[node.name for node in chosen]}"):
         await site.refuse(chosen, rng.choice([503, 429, 0]))
@@ -153,13 +153,13 @@
 
 
 async def forgetful_store(site: Site, _: Callers, __: random.Random) -> None:
-    """Let the store forget its history."""
+    """Truncate the store's change feed."""
     with site.fault("history forgotten"):
         await site.forget_history()
 
 
 async def bad_connections(site: Site, _: Callers, rng: random.Random) -> None:
-    """Delay, cut, silence or hold back one way of connections to the store and to workers."""
+    """Delay, reset, blackhole or stall in one direction connections to the store and to workers."""
     links: list[tuple[str, Proxy]] = [
         *((node.name, node.store_proxy) for node in (*site.entries, *site.agents)),
         *((worker.name, worker.proxy) for worker in site.workers),
--- a/bench/platform_site.py
+++ b/bench/platform_site.py
@@ -1,9 +1,8 @@
-"""Entries, agents, workers and the store as processes of one machine, with faults between them.
+"""A site of entries, agents, workers and the store as processes of one machine.
 
-Each node has a loopback address of its own and reaches the store through a fault proxy; a proxy
-stands between each agent and its worker too.  Links between nodes have none, since a node listens
-where it says it does.  What is done to the site goes into a history of its own: ``fault`` events
-span the time in which a node or everything is disturbed.
+Each node has its own loopback address.  Connections from nodes to the store and from agents to
+workers pass through fault proxies; connections between nodes are direct.  Operations and faults are
+recorded in the site's history; a ``fault`` event spans the time in which nodes were affected.
 """
 
 import asyncio
@@ -38,8 +37,8 @@
 STORE_NAME: Final = "store"
 WATCH_INTERVAL_S: Final = 0.25
 STARVATION_THRESHOLD_S: Final = 0.2
-"""A process that waits so long for a processor within one look counts as disturbed.  The kernel's
-own account tells it, not the time that something took."""
+"""CPU wait within one watch interval, by the kernel's accounting, from which a process counts as
+starved."""
 
 BOUNDS: Final = {
     "hold_max_ms": 10_000,
@@ -55,8 +54,8 @@
 class Node:
     """An entry or an agent.
 
-    :ivar signal_lock: held by whoever signals it, so that a paused process is not killed meanwhile.
-    :ivar starts: times it was started.
+    :ivar signal_lock: held while a fault signals the process, so that faults do not interfere.
+    :ivar starts: number of times it was started.
     """
 
     name: str
@@ -70,7 +69,7 @@
 
 @dataclass
 class Worker:
-    """The worker beside an agent; each start of its process is another life."""
+    """The worker of an agent; each start of its process is a new worker instance."""
 
     name: str
     settings: WorkerSettings
@@ -80,7 +79,7 @@
 
 
 class Site:
-    """The processes of one run."""
+    """The processes of one soak run."""
 
     folder: Path
     history: History
@@ -98,7 +97,7 @@
         self.folder = folder
         self.history = History.open("site", str(folder / "site.jsonl"))
         self.entries, self.agents, self.workers = [], [], []
-        # An address range for each process that runs a site, so that two of them cannot collide.
+        # Derived from the process id, so that sites of concurrent soak processes do not collide.
         self._base = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}"
         self._procs, self._proxies = [], []
         self._store_port = free_port()
@@ -106,7 +105,7 @@
     @classmethod
     @contextlib.asynccontextmanager
     async def running(cls, folder: Path, entries: int, agents: int) -> AsyncIterator["Site"]:
-        """Run a site until the block is left."""
+        """Run a site within the context."""
         site = cls(folder)
         try:
             async with aiohttp.ClientSession() as site._http:
@@ -152,7 +151,7 @@
         return proxy
 
     async def _watch(self) -> None:
-        """Write down which processes wait for a processor, and which end by themselves."""
+        """Record CPU starvation of processes and unexpected exits of nodes."""
         cpu_waits: dict[int, float] = {}
         checked_at = now()
         while True:
@@ -162,7 +161,7 @@
                 if cpu_waits[pid] - before > STARVATION_THRESHOLD_S:
                     shared = who in (SOAK_NAME, STORE_NAME)
                     self._record_fault(f"starved {who}", checked_at, ALL_NODES if shared else who)
-            # Also where it waited for a process that it had started: nothing is seen meanwhile.
+            # The event loop was blocked, for example by starting a process.
             if now() - checked_at > WATCH_INTERVAL_S + STARVATION_THRESHOLD_S:
                 self._record_fault(f"starved {SOAK_NAME}", checked_at, ALL_NODES)
             for node in (*self.entries, *self.agents):
@@ -207,7 +206,7 @@
         return proc
 
     async def restart(self, node: Node, by: signal.Signals) -> None:
-        """End a node by SIGTERM, or by SIGKILL as an accident, and start it again."""
+        """Stop a node by SIGTERM (planned) or SIGKILL (unplanned), and start it again."""
         planned = by is signal.SIGTERM
         async with node.signal_lock:
             with self.fault(f"{by.name} {node.name}", node.name, planned):
@@ -222,7 +221,7 @@
                 await asyncio.sleep(1)
 
     async def pause(self, node: Node | Worker, seconds: float) -> None:
-        """Freeze a process for a while."""
+        """Suspend a process for ``seconds``."""
         async with node.signal_lock:
             with self.fault(f"pause {node.name}", node.name):
                 node.proc.pause()
@@ -230,10 +229,10 @@
                 node.proc.resume()
 
     async def reload(self, node: Node) -> None:
-        """Change a node's settings file and tell it so.
+        """Change a node's settings file and send it SIGHUP.
 
-        The signal ends an interpreter that has not come to the program's first line yet, which no
-        program can help; it is sent once it is taken or ignored.
+        Waits until the process handles or ignores SIGHUP, whose default action would terminate a
+        starting interpreter.
         """
         async with node.signal_lock:
             while node.proc.running and not _has_disposition(node.proc.pid, signal.SIGHUP):
@@ -265,7 +264,7 @@
         return await self._spawn(name, "platform_standin_worker", text, "--name", name)
 
     async def replace(self, worker: Worker, by: signal.Signals) -> None:
-        """Drain a worker by SIGTERM, or crash it by SIGKILL; another life follows."""
+        """Drain a worker by SIGTERM or kill it by SIGKILL, and start a new one in its place."""
         planned = by is signal.SIGTERM
         async with worker.signal_lock:
             with self.fault(f"{by.name} {worker.name}", worker.name, planned):
@@ -278,7 +277,7 @@
                 worker.proc = await self._spawn_worker(worker.name, worker.settings)
 
     async def post_to_worker(self, worker: Worker, path: str, body: Any) -> None:
-        """Set a worker's faults or its behaviour."""
+        """Post to a worker's fault or behaviour controls; errors are ignored."""
         url = f"http://{worker.settings.host}:{WORKER_PORT}{path}"
         timeout = aiohttp.ClientTimeout(total=2)
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
@@ -286,7 +285,7 @@
                 pass
 
     async def send_heartbeat(self, agent: Node, body: bytes) -> None:
-        """Send an agent a heartbeat of a foreign writer."""
+        """Send an agent a heartbeat of an unknown instance."""
         url = f"http://{agent.host}:{CONTROL_PORT}/instances/i-foreign/heartbeat"
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             async with self._http.post(url, data=body, timeout=aiohttp.ClientTimeout(total=2)):
@@ -300,31 +299,31 @@
             assert response.status == 200, await response.text()
 
     async def store_fault(self, **faults: Any) -> None:
-        """Let the store misbehave towards nodes; nothing given mends it."""
+        """Set the store's faults for requests of nodes; no arguments clear them."""
         await self._post_store("/faults", {"only": "/rows", **faults})
 
     async def refuse(self, nodes: list[Node], status: int = 503) -> None:
-        """Let the store turn these nodes away, and no others."""
+        """Make the store reject requests of exactly these nodes."""
         await self._post_store("/refuse", [{"host": n.host, "status": status} for n in nodes])
 
     async def forget_history(self) -> None:
-        """Let the store forget all changes so far."""
+        """Make the store drop the changes so far from its change feed."""
         await self._post_store("/forget", {})
 
     async def write_row(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as the operator, or as a writer that nobody knows."""
+        """Write a row through the store's operator endpoint."""
         row = {"table": table, "key": key, "value": base64.b64encode(value).decode()}
         await self._post_store("/operator", {"writes": [row]})
 
     async def publish(self, config: dict[str, Any]) -> None:
-        """Write a configuration."""
+        """Publish a configuration."""
         await self.write_row("op", "config", msgspec.json.encode(config))
 
     @contextlib.contextmanager
     def fault(self, what: str, who: str = ALL_NODES, planned: bool = False) -> Iterator[None]:
-        """Write down a disturbance that lasts as long as the block.
+        """Record a fault that lasts as long as the context.
 
-        :param who: the node or worker disturbed, or :data:`ALL_NODES`.
+        :param who: the affected node or worker, or :data:`ALL_NODES`.
         """
         begin = now()
         try:
@@ -348,7 +347,7 @@
 
 
 def _cpu_wait_s(pid: int) -> float:
-    """Return how long a process has been ready to run and had no processor, its main thread."""
+    """Return how long a process's main thread has waited on a run queue, in total."""
     with contextlib.suppress(OSError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     return 0.0
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -41,27 +41,27 @@
 CALLER_COUNT: Final = 6
 WATCHER_COUNT: Final = 2
 MEAN_SUBMIT_INTERVAL_S: Final = 1.0
-"""Mean pause of a caller between two jobs: six callers bring up to six jobs a second, about half of
-what five workers can do."""
-
 COMPLETION_TIMEOUT_S: Final = 45.0
-"""Once all is mended: the longest lease, the failover, and the work that is left, twice over."""
+"""Time for accepted jobs to end once all faults are over."""
 
 PLANNED_SEED_INTERVAL: Final = 3
-"""Each so-manyth seed has planned work only."""
+"""Every seed divisible by this has planned operations only."""
 
 MAX_HISTORY_LINES: Final = 12
-"""Lines of the history shown for each problem, half of them the first ones."""
+"""History lines printed per violation, the first and the last ones."""
 
 REGRESSION_SEEDS_PATH: Final = Path(__file__).with_name("platform_soak_seeds.txt")
 
 MAX_EXAMPLES_PER_RULE: Final = 3
-"""Problems shown of those that break the same rule; the folder keeps the history of all."""
+"""Violations printed per rule."""
 
 
 @dataclass(frozen=True)
 class Plan:
-    """Size and length of a run."""
+    """Size and duration of a soak run, and the faults to choose from.
+
+    :ivar seconds: how long faults are injected.
+    """
 
     seconds: float
     entries: int = 4
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What a run came to."""
+    """The outcome of a soak run."""
 
     seed: int
     violations: list[Violation]
@@ -79,7 +79,7 @@
     summary: str
 
     def report(self) -> str:
-        """Describe the run, each broken promise with its lines of the history."""
+        """Format the summary and the violations with their related history events."""
         parts = [f"seed={self.seed} {'FAILED' if self.violations else 'ok'} {self.summary}"]
         printed: Counter[str] = Counter()
         for violation in self.violations:
@@ -102,7 +102,7 @@
 
 
 async def run_seed(seed: int, plan: Plan, folder: Path) -> SoakResult:
-    """Run one seed and judge it."""
+    """Run one seed and check its history."""
     rng = random.Random(seed)
     folder.mkdir(parents=True)
     async with Site.running(folder, plan.entries, plan.agents) as site:
@@ -130,17 +130,17 @@
 
 
 async def _wait_until_served(callers: Callers) -> None:
-    """Wait until an entry accepts jobs; faults begin only then."""
+    """Wait until an entry accepts a job, before any fault is injected."""
     await callers.configure()
     rng = random.Random(0)
     deadline = now() + 30
     while not any(job.accepted for job in callers.jobs.values()):
-        assert now() < deadline, "the site does not come up"
+        assert now() < deadline, "no job was accepted within 30 s of the start of the site"
         await callers.submit_one_job(rng)
 
 
 async def _inject(site: Site, callers: Callers, rng: random.Random, plan: Plan) -> Counter[str]:
-    """Begin a fault every now and then, whatever goes on still; wait for all to be over."""
+    """Start faults at random intervals, which may overlap, and wait until all are over."""
     injected: Counter[str] = Counter()
     active: set[asyncio.Task[None]] = set()
     until = now() + plan.seconds
@@ -154,7 +154,7 @@
 
 
 async def _wait_for_jobs(callers: Callers) -> None:
-    """Wait for the accepted jobs, and write down those that do not end."""
+    """Wait for the accepted jobs to end and record those that do not."""
     watching = asyncio.create_task(callers.watcher(0))
     until = now() + COMPLETION_TIMEOUT_S
     while now() < until and any(not job.long_running for job in callers.incomplete_jobs()):
@@ -183,7 +183,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Read a list of seeds; ``kept`` stands for those of :data:`REGRESSION_SEEDS_PATH`.
+    """Parse a list of seeds; ``kept`` stands for those of :data:`REGRESSION_SEEDS_PATH`.
 
     >>> parse_seeds("1,4-6")
     [1, 4, 5, 6]
@@ -205,7 +205,7 @@
 
 
 def main() -> int:
-    """Run every seed and return 0 if all promises were kept in all of them."""
+    """Run every seed and return 0 if none has violations."""
     args = docopt(__doc__)
     sizes = int(args["--entries"]), int(args["--agents"])
     bad = []
--- a/bench/platform_standin_run.py
+++ b/bench/platform_standin_run.py
@@ -1,7 +1,7 @@
-"""What the stand-in of the platform's worker runs, free of I/O.
+"""Simulated task runs of the platform's stand-in worker, without I/O.
 
-Progress, ends and the lease follow from the clock, so that a worker that was itself paused finds
-everything that came due meanwhile, in its order and at its time.
+Progress, run ends and lease expiry are computed from the clock, so that a worker process that was
+suspended afterwards processes the events that came due meanwhile in order and at their due times.
 """
 
 from dataclasses import dataclass, field
@@ -10,15 +10,15 @@
 import msgspec
 
 STOP_DURATION_SHARE: Final = 0.5
-"""Part of the longest time of a stop that a stop takes."""
+"""Share of the kill grace period that a stop takes."""
 
 
 class Script(msgspec.Struct):
     """What a task does, read from its ``spec``.
 
-    :ivar work_ms: run time; 0 for a task that lasts.
-    :ivar fail_runs: so many first runs end as failed.
-    :ivar saves: it has new saved progress with each ``save_every_ms`` of work.
+    :ivar work_ms: run time; 0 for a long-running task.
+    :ivar fail_runs: number of first attempts that fail.
+    :ivar saves: whether it saves a checkpoint for every ``save_every_ms`` of work.
     """
 
     work_ms: int = 0
@@ -27,7 +27,7 @@
 
 
 def decode_script(spec: str) -> Script:
-    """Read a script; a spec that holds none is a task that lasts."""
+    """Decode a script; an invalid spec stands for a long-running task."""
     try:
         return msgspec.json.decode(spec, type=Script)
     except msgspec.DecodeError:
@@ -36,9 +36,12 @@
 
 @dataclass
 class Run:
-    """A run; ``at`` is the loop time up to which its progress is worked out.
+    """A run of a task.
 
-    :ivar stops_at: when its stop is over, once it is being stopped.
+    :ivar at: loop time up to which its progress is computed.
+    :ivar saved: checkpoint as ``milliseconds:task``.
+    :ivar percent: pace, as a share of full speed.
+    :ivar stops_at: loop time at which it ends by a stop.
     """
 
     task: str
@@ -52,7 +55,7 @@
 
     @property
     def progress(self) -> int:
-        """Percent done; 100 for a task that lasts."""
+        """Progress in percent; 100 for a long-running task."""
         if not self.script.work_ms:
             return 100
         return min(100, int(100 * self.done_ms / self.script.work_ms))
@@ -60,7 +63,7 @@
 
 @dataclass(frozen=True)
 class EndedRun:
-    """An end, at its loop time."""
+    """A run that ended at loop time ``at`` with outcome ``how``."""
 
     number: int
     at: float
@@ -72,11 +75,14 @@
 
 @dataclass
 class WorkerState:
-    """Everything that one life of the worker holds.
-
-    :ivar lease_until: loop time at which everything is killed.
-    :ivar frozen: tasks stand still.
-    :ivar failing: every run fails at once.
+    """Runs and lease of one worker process.
+
+    :ivar stop_s: kill grace period.
+    :ivar lease_until: loop time at which the lease expires and all runs end.
+    :ivar frozen: whether tasks make no progress.
+    :ivar failing: whether every run fails immediately.
+    :ivar ended: ended runs that are not yet acknowledged.
+    :ivar closed_attempts: highest ended or stopped attempt of each task, which may not start again.
     """
 
     stop_s: float
@@ -91,21 +97,21 @@
     last_number: int = 0
 
     def start(self, run: Run) -> None:
-        """Take a run up, from its saved progress."""
+        """Start a run, from its checkpoint if that is of the same task."""
         done, _, task = run.saved.partition(":")
         if task == run.task and done.isdigit():
             run.done_ms = float(done)
         self.runs[run.task, run.attempt] = run
 
     def stop(self, task: str, attempt: int, at: float) -> None:
-        """Stop a run, or see to it that it never starts."""
+        """Stop a run if it is running, and prevent later starts of this attempt."""
         self.closed_attempts[task] = max(self.closed_attempts.get(task, 0), attempt)
         run = self.runs.get((task, attempt))
         if run is not None:
             run.stops_at = min(run.stops_at, at + self.stop_s * STOP_DURATION_SHARE)
 
     def advance(self, at: float) -> list[EndedRun]:
-        """End what came due up to a loop time; return the new ends in their order."""
+        """Advance all runs to a loop time and return the runs that ended, in order of time."""
         due = sorted((self._due_at(run), key) for key, run in self.runs.items())
         ends = [self._end(self.runs[key], when) for when, key in due if when <= at]
         for run in self.runs.values():
--- a/bench/platform_standin_store.py
+++ b/bench/platform_standin_store.py
@@ -37,10 +37,10 @@
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Rates and times of the store.
+    """Addresses, rate limits and times of the store.
 
-    :ivar hosts: further addresses to listen on, one for each process.
-    :ivar history_s: how long a change can be followed.
+    :ivar hosts: additional addresses to listen on, one for each process.
+    :ivar history_s: retention period of the change feed.
     """
 
     hosts: list[str] = []
@@ -51,7 +51,7 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where a row lies."""
+    """Full key of a row."""
 
     table: str
     part: str = ""
@@ -70,7 +70,7 @@
 
     @property
     def place(self) -> Place:
-        """Where it lies."""
+        """Full key of the row."""
         return Place(self.table, self.part, self.key)
 
 
@@ -84,15 +84,15 @@
 
     @property
     def parts(self) -> set[str]:
-        """Parts that it touches."""
+        """Parts that the transaction refers to."""
         return {row.part for row in (*self.expected_rev, *self.writes, *self.remove)}
 
 
 class Refusal(msgspec.Struct):
-    """How one process is turned away.
+    """Rejection of all requests of one process.
 
-    :ivar host: the address at which it reaches the store.
-    :ivar status: status of each answer; 0 for no answer at all.
+    :ivar host: the address at which the process reaches the store.
+    :ivar status: HTTP status of each response; 0 for no response.
     """
 
     host: str
@@ -101,7 +101,11 @@
 
 @dataclass
 class RowTable:
-    """The rows of all tables, and their latest changes."""
+    """The rows of all tables, and the retained changes.
+
+    :ivar changes: time and row of each change, for the feed.
+    :ivar trimmed_version: version of the newest change dropped.
+    """
 
     rows: dict[Place, WireRow] = field(default_factory=dict)
     version: int = 0
@@ -109,16 +113,16 @@
     trimmed_version: int = 0
 
     def conflicts(self, txn: WireTransaction) -> bool:
-        """Whether a row is not at the version that the transaction names."""
+        """Whether a row's version differs from the one that the transaction expects."""
         return any(self._version_of(row.place) != row.ver for row in txn.expected_rev)
 
     def current(self, txn: WireTransaction) -> list[WireRow]:
-        """Return those of the rows named by conditions that exist."""
+        """Return the existing rows among those that the transaction expects."""
         places = [row.place for row in txn.expected_rev]
         return [self.rows[place] for place in places if place in self.rows]
 
     def apply(self, txn: WireTransaction) -> None:
-        """Carry out every entry under one new version."""
+        """Apply all writes and removals under one new version."""
         self.version += 1
         for row in txn.writes:
             self._change(WireRow(row.table, row.part, row.key, row.value, self.version))
@@ -142,7 +146,7 @@
             self.trimmed_version = self.changes.popleft()[1].ver
 
     def select(self, table: str, part: str, start: str, end: str) -> list[WireRow]:
-        """Return a range of rows by key; an empty ``end`` is no limit."""
+        """Return the rows in a key range, ordered by key; an empty ``end`` is no limit."""
         found = [
             row
             for place, row in self.rows.items()
@@ -158,7 +162,7 @@
 
 
 class StandInStore(StandIn):
-    """The store's server."""
+    """HTTP server of the store."""
 
     rows: RowTable
     _cfg: StoreSettings
@@ -178,11 +182,11 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInStore":
-        """Build from checked settings; see :class:`StoreSettings`."""
+        """Build from raw settings, which are validated as :class:`StoreSettings`."""
         return cls(history, msgspec.convert(raw, StoreSettings))
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the store's calls, the operator's, and the switches of its faults."""
+        """Return the routes of the store, the operator and the fault controls."""
         return [
             web.post("/rows-tx", self._transact),
             web.get("/rows-get", self._get),
@@ -194,7 +198,7 @@
         ]
 
     async def start(self, host: str, port: int) -> int:
-        """Listen on ``host`` and on every further address of the settings."""
+        """Listen on ``host`` and on the additional addresses of the settings."""
         real_port = await super().start(host, port)
         assert self._runner is not None
         for other in self._cfg.hosts:
@@ -203,7 +207,7 @@
 
     async def _refusal_response(self, request: web.Request) -> web.Response | None:
         if request.transport is None:
-            # Taken earlier, and performed late: its caller has hung up since.
+            # A request that is applied late, after its client has disconnected.
             return None
         status = self._refusals.get(request.transport.get_extra_info("sockname")[0])
         if status is None:
@@ -297,7 +301,7 @@
 
 
 def _check(txn: WireTransaction) -> int:
-    """Return the status with which a transaction is refused, or 0."""
+    """Return the status with which a transaction is rejected, or 0."""
     if len(txn.expected_rev) + len(txn.writes) + len(txn.remove) > MAX_TRANSACTION_ROWS:
         return 413
     if len(txn.parts) > 1 and not txn.across:
@@ -317,7 +321,7 @@
 
 
 def main() -> int:
-    """Run the store as the command line says."""
+    """Run the store with the command line's options."""
     args = docopt(__doc__)
     history = History.open("store", args["--history"])
     asyncio.run(run_store(history, args["--settings"], int(args["--port"])))
--- a/bench/platform_standin_worker.py
+++ b/bench/platform_standin_worker.py
@@ -37,13 +37,13 @@
 
 
 class WorkerSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Where the worker is and what it holds.
+    """Addresses, capacity and timing of the worker.
 
     :ivar host: address to listen on.
-    :ivar told: address that it tells its agent; a proxy may stand there.
-    :ivar agent: where the agent takes heartbeats.
-    :ivar clock_rate: its clock against the true time; up to 0.02 slow.
-    :ivar drain_s: how long it serves on once its leaving has been acknowledged.
+    :ivar told: address announced to the agent, which may be a proxy's.
+    :ivar agent: address to which heartbeats are sent.
+    :ivar clock_rate: rate of its clock relative to true time.
+    :ivar drain_s: how long it continues to serve after announcing that it drains.
     """
 
     host: str
@@ -62,9 +62,10 @@
 
 
 class Behaviour(msgspec.Struct):
-    """How the worker misbehaves, beside the faults of every stand-in.
+    """Faults of the worker, in addition to those of every stand-in.
 
-    :ivar late_orders: so many starts and stops are carried out after ``late_s``, unanswered.
+    :ivar late_orders: number of starts and stops that are executed after ``late_s`` without a
+        response.
     """
 
     frozen: bool = False
@@ -74,7 +75,7 @@
 
 
 class _Order(msgspec.Struct):
-    """An order; a start also has ``spec``, ``saved`` and the deadline."""
+    """A start, stop or pace request; ``spec``, ``saved`` and the deadline are for starts."""
 
     task: str
     attempt: int
@@ -93,7 +94,7 @@
 
 
 class StandInWorker(StandIn):
-    """One life of the worker."""
+    """HTTP server of one worker instance."""
 
     instance_id: str
     state: WorkerState
@@ -119,7 +120,7 @@
         self._lease_expired_at = 0.0
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the agent's calls and the switch of the behaviour."""
+        """Return the routes of the agent and of the behaviour control."""
         return [
             web.post("/run-start", self._order),
             web.post("/run-stop", self._order),
@@ -129,16 +130,16 @@
         ]
 
     def record_start(self, name: str) -> None:
-        """Write the beginning of this life into the history."""
+        """Record the start of this instance in the history."""
         self.history.record("life", name=name, cpu=self._cfg.cpu, mem_mb=self._cfg.mem_mb)
 
     @property
     def clock_ms(self) -> int:
-        """The worker's clock."""
+        """Time of the worker's clock, in milliseconds."""
         return int(now() * 1000 * self._cfg.clock_rate)
 
     async def tick(self) -> None:
-        """End what comes due, until cancelled."""
+        """Advance the runs periodically, until cancelled."""
         while True:
             self._advance()
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -261,10 +262,10 @@
         self.state.frozen, self.state.failing = self.behaviour.frozen, self.behaviour.failing
         return web.Response()
 
-    # What the worker says of itself.
+    # Calls to the agent.
 
     async def send_heartbeat(self, session: aiohttp.ClientSession) -> bool:
-        """Send a heartbeat and say whether it was acknowledged."""
+        """Send a heartbeat and return whether it was acknowledged."""
         self._seq += 1
         cfg = self._cfg
         body = {
@@ -285,7 +286,7 @@
         return await self._post_to_agent(session, "heartbeat", body)
 
     async def leave(self, session: aiohttp.ClientSession) -> None:
-        """Say that this life ends now."""
+        """Notify the agent that this instance ends now."""
         await self._post_to_agent(session, "leave", {})
 
     async def _post_to_agent(self, session: aiohttp.ClientSession, what: str, body: Any) -> bool:
@@ -298,7 +299,7 @@
 
 
 async def run_worker(name: str, history: History, settings: WorkerSettings) -> None:
-    """Run one life until SIGTERM and the draining that follows."""
+    """Run a worker instance until SIGTERM, then drain it."""
     worker = StandInWorker(history, settings)
     stopping = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
@@ -330,7 +331,7 @@
 
 
 def main() -> int:
-    """Run what the command line names."""
+    """Run the worker with the command line's options."""
     args = docopt(__doc__)
     history = History.open(args["--name"], args["--history"])
     settings = msgspec.json.decode(args["--settings"], type=WorkerSettings)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -35,7 +35,7 @@
 
 
 async def kill_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Replace an agent."""
+    """Kill an agent and start another, at once or after its lease has expired."""
     instance = rng.choice(cluster.instances)
     await instance.agent.kill()
     await asyncio.sleep(rng.choice([0.0, 3.0]))
@@ -43,42 +43,42 @@
 
 
 async def pause_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Freeze an agent for less or more than its lease."""
+    """Suspend an agent for less or more than its lease."""
     await _pause(rng.choice(cluster.instances).agent, rng)
 
 
 async def kill_worker(cluster: Cluster, rng: random.Random) -> None:
-    """Replace a worker."""
+    """Kill a worker and start another."""
     await cluster.replace_worker(rng.choice(cluster.instances))
 
 
 async def kill_entry(cluster: Cluster, rng: random.Random) -> None:
-    """Replace an entry."""
+    """Kill an entry and start another."""
     entry = rng.choice(cluster.entries)
     await entry.proc.kill()
     entry.proc = await cluster.spawn_entry(entry.name)
 
 
 async def stop_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Stop an agent as planned and start another."""
+    """Stop an agent by SIGTERM and start another."""
     instance = rng.choice(cluster.instances)
     await instance.agent.stop(40)
     instance.agent = await cluster.spawn_agent(instance.name)
 
 
 async def pause_entry(cluster: Cluster, rng: random.Random) -> None:
-    """Freeze an entry."""
+    """Suspend an entry."""
     await _pause(rng.choice(cluster.entries).proc, rng)
 
 
 async def break_connections(cluster: Cluster, rng: random.Random) -> None:
-    """Make some connections silent for good, or cut them."""
+    """Blackhole or reset existing connections of a third of the proxies."""
     for proxy in rng.sample(cluster.proxies, len(cluster.proxies) // 3):
         rng.choice([proxy.blackhole_existing, proxy.cut])()
 
 
 async def freeze_connections(cluster: Cluster, rng: random.Random) -> None:
-    """Hold back one direction of some connections for a while."""
+    """Stall one direction of connections for a while, in a third of the proxies."""
     chosen = rng.sample(cluster.proxies, len(cluster.proxies) // 3)
     for proxy in chosen:
         proxy.freeze(rng.choice(["up", "down"]))
@@ -88,7 +88,7 @@
 
 
 async def break_table(cluster: Cluster, rng: random.Random) -> None:
-    """Let the table be down, hang, lose answers or drop writes."""
+    """Make the table unavailable or slow, or lose requests or responses."""
     hang, late = rng.random() < 0.5, rng.random() < 0.5
     kinds: list[dict[str, Any]] = [
         {"down": True, "hang": hang, "late_apply": late, "only": "/table"},
@@ -120,7 +120,7 @@
 
 
 async def submit_jobs(cluster: Cluster, rng: random.Random, accepted: set[str]) -> None:
-    """Submit jobs until cancelled, repeating each under its key until it is accepted."""
+    """Submit jobs until cancelled, retrying each under its key until it is accepted."""
     for number in itertools.count():
         key = f"k{number}"
         script = {"work_ms": rng.choice([50, 300, 1500])}
@@ -140,7 +140,7 @@
 
 
 async def send_requests(cluster: Cluster, rng: random.Random) -> None:
-    """Make service requests until cancelled."""
+    """Send service requests until cancelled."""
     for number in itertools.count():
         entry = rng.choice(cluster.entries)
         await cluster.serve(f"m{number}", rng.choice([2, 20]), rng.choice([0, 90_000]), entry)
@@ -148,7 +148,7 @@
 
 
 async def run_seed(seed: int, seconds: float, folder: Path) -> bool:
-    """Run one seed and say whether every guarantee held."""
+    """Run one seed; raise ``AssertionError`` if a guarantee was violated."""
     rng = random.Random(seed)
     folder.mkdir(parents=True)
     accepted: set[str] = set()
