--- a/bench/check_binary.py
+++ b/bench/check_binary.py
@@ -1,9 +1,8 @@
-"""Check of the packaged file: starting it leaves one process, and no child.
+"""Checks that the packaged file runs as a single process, and measures its start-up.
 
-A bundler whose loader stays as a parent of the program breaks two rules at once: a process of the
-system starts no other process, and SIGTERM reaches the loader instead of the entry.  The check
-starts the file as an entry whose table is down (an entry serves without it), looks at its process
-until it listens, and measures the start-up, cold (nothing unpacked yet) and warm.
+Guards against a bundler whose loader stays as the parent process and receives SIGTERM instead of
+the entry.  The file is started as an entry without a table, cold (nothing unpacked) and warm, and
+its process tree is observed until it listens.
 
 Usage: python -m bench.check_binary FILE
 """
@@ -39,10 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One start of the file.
+    """Measurements of one start of the file.
 
-    :ivar max_children: most descendants seen at any look.
+    :ivar seconds: time until it listened.
+    :ivar max_children: highest number of descendants observed.
     :ivar same_process: whether the process that listened is the one that was started.
+    :ivar exit_code: exit code after SIGTERM.
     """
 
     seconds: float
@@ -53,7 +54,7 @@
 
 
 async def measure(binary: Path, folder: Path) -> Start:
-    """Start the file once, until it listens, then end it."""
+    """Start the file, wait until it listens, then stop it by SIGTERM."""
     settings = folder / "entry.toml"
     settings.write_text(SETTINGS)
     env = {**os.environ, "SHIV_ROOT": str(folder / "unpacked"), "HOME": str(folder)}
@@ -80,13 +81,13 @@
 
 
 def size_mb(path: Path) -> float:
-    """Return the size of a file or of everything in a folder."""
+    """Return the total size of a file or folder."""
     files = [path] if path.is_file() else [found for found in path.rglob("*") if found.is_file()]
     return sum(found.lstat().st_size for found in files) / MB
 
 
 async def run(binary: Path) -> int:
-    """Check and print; return the exit code."""
+    """Run the check, print its measurements and return the exit code."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         cold = await measure(binary, folder)
@@ -105,10 +106,9 @@
 
 
 def _interpreter(binary: Path) -> list[str]:
-    """Return the interpreter of a zip file with a first line of its own, nothing for others.
+    """Return the current interpreter for a zip file with a shebang line, nothing for others.
 
-    The first line names ``python3.11`` on the search path, which on a developer's machine may be a
-    script that starts further processes; the check is about the file.
+    The ``python3.11`` of the shebang line may be a wrapper script that starts further processes.
     """
     with binary.open("rb") as file:
         return [sys.executable] if file.read(2) == b"#!" else []
@@ -120,7 +120,7 @@
         conns = [conn for proc in family for conn in proc.net_connections()]
     except psutil.NoSuchProcess:
         return False
-    # Three lanes and the HTTP side: the last one is bound when everything else runs.
+    # Three channels and the HTTP server, which is bound last.
     return sum(conn.status == psutil.CONN_LISTEN for conn in conns) >= 4
 
 
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,6 +1,6 @@
-"""A deployment of real processes for experiments: table, entries, instances with stand-ins.
+"""A deployment of real processes for benchmarks: table, entries, instances with stand-ins.
 
-No proxies stand between the processes, so that latencies are the product's own.
+Processes are connected without proxies, which would add latency.
 """
 
 import asyncio
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What is started.
+    """Size and settings of a deployment.
 
-    :ivar interference: added share of a target's service time when its worker is full.
+    :ivar interference: relative increase of a target's service time when its worker is full.
     """
 
     entries: int = 2
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Unit:
-    """One instance: agent, worker and target."""
+    """An instance: agent, worker and target."""
 
     name: str
     zone: str
@@ -58,13 +58,13 @@
     worker_url: str
 
     async def kill(self) -> None:
-        """Take the whole instance away."""
+        """Kill all processes of the instance."""
         await asyncio.gather(self.agent.kill(), self.worker.kill(), self.target.kill())
 
 
 @dataclass(slots=True)
 class Deployment:
-    """The running processes and how to reach them."""
+    """The running processes and their addresses."""
 
     folder: Path
     http: aiohttp.ClientSession
@@ -77,20 +77,20 @@
     version: int = 0
 
     async def spawn(self, name: str, *args: str) -> Proc:
-        """Start one process that ends with the deployment."""
+        """Start a process that is killed with the deployment."""
         proc = await Proc.spawn(name, self.folder, *args)
         self.procs.append(proc)
         return proc
 
     async def standin(self, role: str, name: str, settings: dict[str, Any]) -> tuple[Proc, str]:
-        """Start a stand-in and return it with its address."""
+        """Start a stand-in and return it with its base URL."""
         args = ["--port", "0", "--id", name, "--settings", json.dumps(settings)]
         proc = await self.spawn(f"{role}-{name}", "sapphirelead.standin_main", role, *args)
         port = (await proc.wait_for_line("listening")).rpartition("port=")[2]
         return proc, f"http://127.0.0.1:{port}"
 
     async def call(self, method: str, url: str, body: Any = None) -> tuple[int, Any]:
-        """Make one call as an operator; status 0 stands for a broken connection."""
+        """Make a call as an operator; status 0 stands for a broken connection."""
         headers = {"Authorization": f"Bearer {TOKEN}"}
         try:
             async with self.http.request(method, url, json=body, headers=headers) as resp:
@@ -100,7 +100,7 @@
             return 0, None
 
     async def apply(self, document: dict[str, Any]) -> None:
-        """Apply a configuration and wait until every process decides by it."""
+        """Apply a configuration and wait until every process uses it."""
         change = {
             "document": document,
             "base_version": self.version,
@@ -114,7 +114,7 @@
         await wait_until("configuration in force", self.in_force)
 
     async def in_force(self) -> bool:
-        """Whether every process decides by the newest version."""
+        """Whether every process reports the newest version."""
         for url in self.urls:
             _, body = await self.call("GET", f"{url}/v1/admin/config/status")
             if not body or any(p["version"] < self.version for p in body["processes"]):
@@ -122,7 +122,7 @@
         return True
 
     async def metric(self, name: str, *labels: str) -> float:
-        """Return the sum over entries of a metric's samples that carry all ``labels``."""
+        """Return the sum over all entries of a metric's samples that match all ``labels``."""
         total = 0.0
         for url in self.urls:
             _, text = await self.call("GET", f"{url}/metrics")
@@ -134,37 +134,39 @@
         return total
 
     async def control(self, url: str, **wanted: Any) -> None:
-        """Set the manner of a stand-in."""
+        """Set the behaviour of a stand-in."""
         await self.call("POST", f"{url}/control", wanted)
 
 
 @contextlib.asynccontextmanager
 async def deployed(shape: Shape) -> AsyncIterator[Deployment]:
-    """Start a deployment and end all of it."""
+    """Run a deployment within the context."""
     timeout = aiohttp.ClientTimeout(total=10)
     connector = aiohttp.TCPConnector(limit=0)
     with tempfile.TemporaryDirectory() as name:
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as http:
-            made = Deployment(Path(name), http)
+            deployment = Deployment(Path(name), http)
             try:
-                await _start(made, shape)
-                yield made
+                await _start(deployment, shape)
+                yield deployment
             finally:
-                await asyncio.gather(*(proc.kill() for proc in made.procs if proc.running))
+                await asyncio.gather(*(proc.kill() for proc in deployment.procs if proc.running))
 
 
-async def _start(made: Deployment, shape: Shape) -> None:
-    (made.folder / "token").write_text(TOKEN)
-    _, made.table_url = await made.standin("table", "t", {})
+async def _start(deployment: Deployment, shape: Shape) -> None:
+    (deployment.folder / "token").write_text(TOKEN)
+    _, deployment.table_url = await deployment.standin("table", "t", {})
     zones = [f"z{number + 1}" for number in range(shape.zones)]
     for number in range(shape.entries):
-        await _start_entry(made, number, zones, shape.lease)
-    makers = [_start_unit(made, n, zones[n % len(zones)], shape) for n in range(shape.instances)]
-    made.units.extend(await asyncio.gather(*makers))
+        await _start_entry(deployment, number, zones, shape.lease)
+    makers = [
+        _start_unit(deployment, n, zones[n % len(zones)], shape) for n in range(shape.instances)
+    ]
+    deployment.units.extend(await asyncio.gather(*makers))
 
     async def live() -> bool:
-        for url in made.urls:
-            _, body = await made.call("GET", f"{url}/v1/admin/status")
+        for url in deployment.urls:
+            _, body = await deployment.call("GET", f"{url}/v1/admin/status")
             if not body or body["live_instances"] < shape.instances:
                 return False
         return True
@@ -173,7 +175,7 @@
 
 
 async def _start_entry(
-    made: Deployment, number: int, zones: list[str], lease: dict[str, float]
+    deployment: Deployment, number: int, zones: list[str], lease: dict[str, float]
 ) -> None:
     ports = {name: free_port() for name in ("http_port", *CHANNEL_PORTS)}
     settings = {
@@ -181,37 +183,37 @@
         "zone": zones[number % len(zones)],
         "zones": zones,
         **ports,
-        "platform": {"table_url": made.table_url, "objects_url": made.table_url},
+        "platform": {"table_url": deployment.table_url, "objects_url": deployment.table_url},
         "lease": lease,
-        "security": {"operator_token_file": str(made.folder / "token")},
+        "security": {"operator_token_file": str(deployment.folder / "token")},
         "log": {"level": "WARNING"},
     }
-    path = made.folder / f"e{number}.toml"
+    path = deployment.folder / f"e{number}.toml"
     path.write_text(to_toml(settings))
-    made.entries.append(
-        await made.spawn(f"e{number}", "sapphirelead", "entry", "--config", str(path))
+    deployment.entries.append(
+        await deployment.spawn(f"e{number}", "sapphirelead", "entry", "--config", str(path))
     )
-    made.urls.append(f"http://127.0.0.1:{ports['http_port']}")
-    made.ports.append(ports)
+    deployment.urls.append(f"http://127.0.0.1:{ports['http_port']}")
+    deployment.ports.append(ports)
 
 
-async def _start_unit(made: Deployment, number: int, zone: str, shape: Shape) -> Unit:
+async def _start_unit(deployment: Deployment, number: int, zone: str, shape: Shape) -> Unit:
     name = f"i{number}"
     worker_settings = {
         **CAPACITY,
-        "objects_url": made.table_url,
+        "objects_url": deployment.table_url,
         "usage_lag_s": shape.usage_lag_s,
     }
-    worker, worker_url = await made.standin("worker", name, worker_settings)
+    worker, worker_url = await deployment.standin("worker", name, worker_settings)
     target_settings = {
         "worker_url": worker_url,
         "slots": shape.slots,
         "interference": shape.interference,
     }
-    target, target_url = await made.standin("target", name, target_settings)
+    target, target_url = await deployment.standin("target", name, target_settings)
     addresses = [
         {"host": "127.0.0.1", **{lane: ports[lane] for lane in CHANNEL_PORTS}}
-        for ports in made.ports
+        for ports in deployment.ports
     ]
     settings = {
         "id": name,
@@ -226,7 +228,7 @@
         "lease": shape.lease,
         "log": {"level": "WARNING"},
     }
-    path = made.folder / f"{name}.toml"
+    path = deployment.folder / f"{name}.toml"
     path.write_text(to_toml(settings))
-    agent = await made.spawn(f"agent-{name}", "sapphirelead", "agent", "--config", str(path))
+    agent = await deployment.spawn(f"agent-{name}", "sapphirelead", "agent", "--config", str(path))
     return Unit(name, zone, agent, worker, target, target_url, worker_url)
--- a/bench/fake_agents.py
+++ b/bench/fake_agents.py
@@ -36,7 +36,7 @@
 
 
 class FakeAgent:
-    """One agent's control lane."""
+    """The control channel of an agent."""
 
     _name: str
     _incarnation: str
@@ -60,7 +60,7 @@
         return {"sender": self._name, "incarnation": self._incarnation, "config_version": 0}
 
     async def run(self, heartbeat_interval_s: float) -> None:
-        """Announce, then beat for good."""
+        """Announce the agent, then send heartbeats until cancelled."""
         announce = Announce(
             **self._head(),
             zone=self._zone,
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -1,8 +1,8 @@
-"""A small deployment of real processes with a fault proxy on every edge.
+"""A small deployment of real processes with a fault proxy on every connection.
 
-One table with the object store, any number of entries, and instances that each have an agent, a
-worker and a target.  What callers were told goes into the history beside the stand-ins' own, and
-the checker judges all of it when the deployment is closed.
+It has one table that is also the object store, entries, and instances of one agent, worker and
+target each.  Responses to callers are recorded in addition to the stand-ins' histories; the
+checker verifies the merged history when the deployment is closed.
 """
 
 import asyncio
@@ -35,8 +35,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a caller was told."""
+class Response:
+    """The response to a caller.
+
+    :ivar status: HTTP status, 0 if the connection broke.
+    """
 
     status: int
     body: Any
@@ -44,21 +47,21 @@
 
     @property
     def ok(self) -> bool:
-        """Whether it was accepted."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
     @property
     def outcome(self) -> str:
-        """``outcome`` of the answer, ``unknown`` where the connection broke."""
+        """The ``outcome`` of the body, or one derived from the status."""
         if self.status == 0:
             return "unknown"
-        caller_events = self.body.get("outcome") if isinstance(self.body, dict) else None
-        return str(caller_events or ("done" if self.status < 300 else "unknown"))
+        reported = self.body.get("outcome") if isinstance(self.body, dict) else None
+        return str(reported or ("done" if self.status < 300 else "unknown"))
 
 
 @dataclass(slots=True)
 class Instance:
-    """One agent with its worker and target."""
+    """An agent with its worker and target, and the proxies of its connections."""
 
     name: str
     agent: Proc
@@ -73,7 +76,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One entry."""
+    """An entry and its ports."""
 
     name: str
     proc: Proc
@@ -82,7 +85,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL of its HTTP side."""
+        """Base URL of its HTTP API."""
         return f"http://127.0.0.1:{self.ports['http_port']}"
 
 
@@ -127,8 +130,10 @@
         target: dict[str, Any] | None = None,
         limits: dict[str, Any] | None = None,
     ) -> AsyncIterator["Cluster"]:
-        """Run a deployment, and check its history when the test is done.
+        """Run a deployment, and check its history when the context exits.
 
+        :param worker: settings of the stand-in workers.
+        :param target: settings of the stand-in targets.
         :param limits: settings of the entries' ``limits``.
         """
         cluster = cls(folder, zones, LEASE | (lease or {}))
@@ -205,18 +210,18 @@
         return Entry(name, await self.spawn_entry(name), ports, table_proxy)
 
     async def behind_proxy(self, entry: Entry) -> tuple[Proxy, Entry]:
-        """Return a fault proxy between callers and an entry, and the entry as seen through it."""
+        """Return a fault proxy in front of an entry, and the entry with the proxy's port."""
         proxy = await self._proxy(entry.ports["http_port"])
         return proxy, replace(entry, ports=entry.ports | {"http_port": proxy.port})
 
     async def spawn_entry(self, name: str) -> Proc:
-        """Start (again) the entry of this name from its settings."""
+        """Start or restart the entry of this name with its settings file."""
         return await self._spawn(
             name, "sapphirelead", "entry", "--config", str(self.folder / f"{name}.toml")
         )
 
     async def spawn_agent(self, name: str) -> Proc:
-        """Start (again) the agent of this name from its settings."""
+        """Start or restart the agent of this name with its settings file."""
         return await self._spawn(
             f"agent-{name}", "sapphirelead", "agent", "--config", str(self.folder / f"{name}.toml")
         )
@@ -259,7 +264,7 @@
         )
 
     async def kill_worker(self, instance: Instance) -> None:
-        """Kill a worker; its tasks die with it."""
+        """Kill a worker, which ends its tasks."""
         await instance.worker.kill()
         self._record_event("worker_killed", instance.worker.name)
 
@@ -279,8 +284,8 @@
 
     async def request(
         self, method: str, path: str, entry: Entry | None = None, **options: Any
-    ) -> Answer:
-        """Make one HTTP request to an entry; status 0 stands for a broken connection."""
+    ) -> Response:
+        """Make an HTTP request to an entry; status 0 stands for a broken connection."""
         url = (entry or self.entries[0]).url + path
         headers = {"Authorization": "Bearer secret", **options.pop("headers", {})}
         timeout = aiohttp.ClientTimeout(total=30)
@@ -289,9 +294,9 @@
                 method, url, headers=headers, timeout=timeout, **options
             ) as response:
                 raw = await response.read()
-                return Answer(response.status, _decode(raw), dict(response.headers))
+                return Response(response.status, _decode(raw), dict(response.headers))
         except (aiohttp.ClientError, TimeoutError):
-            return Answer(0, None)
+            return Response(0, None)
 
     async def serve(
         self,
@@ -300,25 +305,25 @@
         size: int = 0,
         entry: Entry | None = None,
         **headers: str,
-    ) -> Answer:
-        """Make one service request and note whether its answer is whole and its own."""
+    ) -> Response:
+        """Make a service request and record whether the response is complete and its own."""
         body = {"marker": marker, "delay_ms": delay_ms, "bytes": size}
         extra = {name.replace("_", "-"): value for name, value in headers.items()}
         path = f"/v1/services/{SERVICE}"
-        answer = await self.request("POST", path, entry, json=body, headers=extra)
-        done = answer.outcome == "done"
-        whole = not done or (answer.body["marker"], len(answer.body["fill"])) == (marker, size)
-        self._record_event("answer", key=marker, outcome=answer.outcome, whole=whole)
-        return answer
-
-    async def serve_once(self, key: str, entry: Entry | None = None) -> Answer:
-        """Make one non-idempotent service request under a key."""
+        response = await self.request("POST", path, entry, json=body, headers=extra)
+        done = response.outcome == "done"
+        whole = not done or (response.body["marker"], len(response.body["fill"])) == (marker, size)
+        self._record_event("answer", key=marker, outcome=response.outcome, whole=whole)
+        return response
+
+    async def serve_once(self, key: str, entry: Entry | None = None) -> Response:
+        """Make a non-idempotent service request with an idempotency key."""
         self._record_event("submitted", key=key, idempotent=False)
         headers = {"X-Request-Idempotent": "false", "Idempotency-Key": key}
         path = f"/v1/services/{SERVICE}"
-        answer = await self.request("POST", path, entry, data=b"estimate", headers=headers)
-        self._record_event("answer", key=key, outcome=answer.outcome)
-        return answer
+        response = await self.request("POST", path, entry, data=b"estimate", headers=headers)
+        self._record_event("answer", key=key, outcome=response.outcome)
+        return response
 
     async def submit(
         self,
@@ -329,8 +334,8 @@
         cpu: int = 1000,
         input: Any = None,
         **more: Any,
-    ) -> Answer:
-        """Submit a job and note what the caller was told."""
+    ) -> Response:
+        """Submit a job and record the outcome."""
         spec = {
             "key": key,
             "kind": kind,
@@ -342,31 +347,31 @@
             **more,
         }
         self._record_event("submitted", key=key, idempotent=idempotent)
-        answer = await self.request("POST", "/v1/jobs", entry, json=spec)
-        outcome = "accepted" if answer.status == 202 else answer.outcome
+        response = await self.request("POST", "/v1/jobs", entry, json=spec)
+        outcome = "accepted" if response.status == 202 else response.outcome
         self._record_event("answer", key=key, outcome=outcome)
-        return answer
+        return response
 
     async def job(self, key: str, entry: Entry | None = None) -> Any:
-        """Read a job; ``None`` where the entry gave no job."""
-        answer = await self.request("GET", f"/v1/jobs/{quote(key, safe='')}", entry)
-        return answer.body if answer.status == 200 else None
-
-    async def cancel(self, key: str, entry: Entry | None = None) -> Answer:
-        """Cancel a job and note where the caller was told that it did not run."""
-        answer = await self.request("DELETE", f"/v1/jobs/{quote(key, safe='')}", entry)
-        if answer.ok and answer.outcome == "not_run":
+        """Return a job, or ``None`` if the response is not 200."""
+        response = await self.request("GET", f"/v1/jobs/{quote(key, safe='')}", entry)
+        return response.body if response.status == 200 else None
+
+    async def cancel(self, key: str, entry: Entry | None = None) -> Response:
+        """Cancel a job and record whether it was reported as not run."""
+        response = await self.request("DELETE", f"/v1/jobs/{quote(key, safe='')}", entry)
+        if response.ok and response.outcome == "not_run":
             self._record_event("cancelled_unrun", key=key)
-        return answer
+        return response
 
     async def wait_job(
         self, key: str, *states: str, timeout_s: float = 15.0, entry: Entry | None = None
     ) -> Any:
-        """Wait until a job is in one of ``states`` (ended by default) and return it."""
-        asked = [entry] if entry else self.entries
+        """Wait until a job is in one of ``states`` (by default a terminal one) and return it."""
+        polled = [entry] if entry else self.entries
 
         async def reached() -> Any:
-            for entry in asked:
+            for entry in polled:
                 job = await self.job(key, entry) if entry.proc.running else None
                 if job and job["state"] in (states or TERMINAL_STATES):
                     return job
@@ -375,7 +380,7 @@
         return await wait_until(f"{key} is {states or 'ended'}", reached, timeout_s)
 
     async def holder_of(self, key: str) -> Instance:
-        """Wait until a job's task runs and return where."""
+        """Wait until a job's task has started and return the instance of its last start."""
         await self.wait_seen("task_start", key)
         source = self.seen("task_start", key)[-1]["source"]
         return next(i for i in self.instances if i.worker.name == source)
@@ -383,7 +388,7 @@
     async def events(
         self, key: str, count: int, entry: Entry | None = None, after: str = ""
     ) -> list[Any]:
-        """Read ``count`` events of a watch from its stream, each with its ``id``.
+        """Return up to ``count`` events of a job's event stream, each with its ``id``.
 
         :param after: id of the event to resume after.
         """
@@ -393,15 +398,15 @@
         async with asyncio.timeout(10), self._http.get(url, headers=headers) as response:
             assert response.status == 200, await response.text()
             async for line in response.content:
-                caller_events = json.loads(line) if line.strip() else {}
-                if caller_events.get("event") == "event":
-                    found.append(caller_events["data"] | {"id": caller_events["id"]})
-                if len(found) >= count or caller_events.get("event") in ("end", "moved"):
+                message = json.loads(line) if line.strip() else {}
+                if message.get("event") == "event":
+                    found.append(message["data"] | {"id": message["id"]})
+                if len(found) >= count or message.get("event") in ("end", "moved"):
                     break
         return found
 
     async def wait_served(self) -> None:
-        """Wait until service requests are answered (again)."""
+        """Wait until a service request succeeds."""
 
         async def served() -> bool:
             marker = f"served{len(self.caller_events)}"
@@ -409,13 +414,13 @@
 
         await wait_until("a request is served", served)
 
-    async def apply(self, document: Any, base: int, entry: Entry | None = None) -> Answer:
+    async def apply(self, document: Any, base: int, entry: Entry | None = None) -> Response:
         """Apply a configuration."""
         change = {"document": document, "base_version": base, "author": "test", "reason": "test"}
         return await self.request("POST", "/v1/admin/config", entry, json=change)
 
     async def versions(self) -> dict[str, int]:
-        """Return which configuration version each live process reported to its entries."""
+        """Return and record the highest configuration version that each process reported."""
         found: dict[str, int] = {}
         for entry in self.entries:
             status = await self.request("GET", "/v1/admin/config/status", entry)
@@ -428,7 +433,7 @@
         return found
 
     async def wait_ready(self, entry: Entry) -> None:
-        """Wait until an entry takes requests."""
+        """Wait until an entry is ready."""
 
         async def ready() -> bool:
             assert entry.proc.running, entry.proc.tail()
@@ -437,22 +442,22 @@
         await wait_until(f"{entry.name} is ready", ready)
 
     async def wait_live(self, count: int, entry: Entry | None = None) -> None:
-        """Wait until an entry knows ``count`` live instances."""
+        """Wait until an entry reports ``count`` live instances."""
 
         async def live() -> bool:
-            answer = await self.request("GET", "/v1/admin/status", entry)
-            return answer.status == 200 and answer.body["live_instances"] == count
+            response = await self.request("GET", "/v1/admin/status", entry)
+            return response.status == 200 and response.body["live_instances"] == count
 
         await wait_until(f"{count} instances are live", live)
 
     # The platform.
 
     async def fault(self, url: str = "", /, **faults: Any) -> None:
-        """Set the faults of a stand-in, the table by default; none mends it."""
+        """Set the faults of a stand-in, by default the table; no faults restore it."""
         await self._control((url or self.table_url) + "/faults", faults)
 
     async def table_load(self, seconds: float) -> dict[str, float]:
-        """Measure what reaches the table over ``seconds``: each kind of call, a second."""
+        """Measure the rate of each kind of table call over ``seconds``, per second."""
         before = await self._stats()
         await asyncio.sleep(seconds)
         after = await self._stats()
@@ -463,7 +468,7 @@
             return dict(await response.json())
 
     async def control(self, url: str, **wanted: Any) -> None:
-        """Set the manner of a worker or target."""
+        """Set the behaviour of a worker or target."""
         await self._control(url + "/control", wanted)
 
     async def _control(self, url: str, body: Any) -> None:
@@ -478,23 +483,23 @@
         )
 
     def leaving(self, instance: Instance) -> None:
-        """Note that an instance was told to leave."""
+        """Record that an instance was told to shut down."""
         for proc in (instance.worker, instance.target):
             self._record_event("leaving", proc.name)
 
     def history(self) -> list[Event]:
-        """Return what the stand-ins and the callers saw so far."""
+        """Return the events of the stand-ins and the callers so far."""
         return read_histories(sorted(self.folder.glob("*.jsonl"))) + self.caller_events
 
     def seen(self, event: str, key: str = "") -> list[Event]:
-        """Return the events of one kind, about one task or marker if given."""
+        """Return the events of a kind, optionally of one task or marker only."""
         found = [e for e in self.history() if e["event"] == event]
         return [e for e in found if not key or key in (e.get("task"), e.get("marker"))]
 
     async def wait_seen(
         self, event: str, key: str, count: int = 1, timeout_s: float = 20.0
     ) -> None:
-        """Wait until the stand-ins saw ``count`` such events."""
+        """Wait until ``count`` such events are in the history."""
 
         async def seen() -> bool:
             return len(self.seen(event, key)) >= count
@@ -502,11 +507,11 @@
         await wait_until(f"{count} {event} of {key}", seen, timeout_s)
 
     def violations(self) -> list[str]:
-        """Return what the checker finds."""
+        """Return the violations found by the checker."""
         return [str(found) for found in check(self.history())]
 
     def print_logs(self) -> None:
-        """Print the end of each log, for a failed test."""
+        """Print the last lines of each log."""
         for proc in self._procs:
             print(f"--- {proc.name} (exit {proc.code})\n{proc.tail()}")
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,6 @@
-"""Open-loop load of service requests and streams of jobs, with what came of them.
+"""Open-loop load of service requests and streams of jobs, with their results.
 
-Latency is counted from the moment at which a request was due, so that a caller that falls behind
-does not hide a slow answer.
+Latency is measured from the scheduled send time of a request, which avoids coordinated omission.
 """
 
 import asyncio
@@ -22,10 +21,11 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a load saw; latencies of requests that were done, in milliseconds.
+    """Outcomes and latencies of a load.
 
-    :ivar refused: time until the final answer of requests that were not run.
-    :ivar by_second: done and all requests of each second.
+    :ivar done: latencies of successful requests, in microseconds.
+    :ivar refused: time until the response of requests that were not run, in microseconds.
+    :ivar by_second: numbers of successful and of all requests due in each second.
     """
 
     seconds: float = 0.0
@@ -36,27 +36,27 @@
 
     @property
     def total(self) -> int:
-        """Requests made."""
+        """Number of requests."""
         return sum(self.outcomes.values())
 
     @property
     def goodput(self) -> float:
-        """Requests done a second."""
+        """Successful requests per second."""
         return self.outcomes["done"] / self.seconds if self.seconds else 0.0
 
     def percentile(self, share: float) -> float:
-        """Return a latency percentile of the requests that were done."""
+        """Return a latency percentile of the successful requests, in milliseconds."""
         return float(self.done.get_value_at_percentile(share)) / 1000
 
     def failed_after(self, second: int) -> float:
-        """Return the share of requests from ``second`` on that were not done."""
+        """Return the share of requests from ``second`` on that did not succeed."""
         late = [pair for at, pair in self.by_second.items() if at >= second]
         requested = sum(pair[1] for pair in late)
         return 1 - sum(pair[0] for pair in late) / requested if requested else 0.0
 
 
 async def serve(
-    made: Deployment,
+    deployment: Deployment,
     rate: float,
     seconds: float,
     mean_ms: float,
@@ -64,11 +64,16 @@
     seed: int,
     warm_s: float = 0.0,
 ) -> LoadResult:
-    """Make service requests at ``rate`` a second, spread evenly over the entries."""
+    """Send service requests with Poisson arrivals, round-robin over the entries.
+
+    :param rate: mean requests per second.
+    :param mean_ms: mean service time.
+    :param warm_s: initial period whose requests are not counted.
+    """
     rng = random.Random(seed)
     result = LoadResult()
     start = monotonic()
-    urls = itertools.cycle(made.urls)
+    urls = itertools.cycle(deployment.urls)
     pending: set[asyncio.Task[None]] = set()
     due = start
     while due < start + seconds:
@@ -77,7 +82,9 @@
             -SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2, SERVICE_TIME_SIGMA
         )
         counted = due - start >= warm_s
-        call = _serve_one(made, next(urls), delay_ms, deadline_ms, due, start, result, counted)
+        call = _serve_one(
+            deployment, next(urls), delay_ms, deadline_ms, due, start, result, counted
+        )
         task = asyncio.create_task(call)
         pending.add(task)
         task.add_done_callback(pending.discard)
@@ -89,7 +96,7 @@
 
 
 async def _serve_one(
-    made: Deployment,
+    deployment: Deployment,
     url: str,
     delay_ms: float,
     deadline_ms: int,
@@ -105,7 +112,7 @@
     outcome = "unknown"
     try:
         path = f"{url}/v1/services/{SERVICE}"
-        async with made.http.post(path, data=b"{}", headers=headers) as resp:
+        async with deployment.http.post(path, data=b"{}", headers=headers) as resp:
             await resp.read()
             outcome = resp.headers.get("X-Request-Outcome", "unknown")
             if outcome == "done" and resp.status >= 500:
@@ -127,12 +134,13 @@
 
 @dataclass(slots=True)
 class JobStream:
-    """Jobs submitted at a rate, in alternating phases of two classes.
+    """Submits jobs at a fixed rate, in alternating phases of two classes.
 
-    :ivar phase_s: length of a phase; the first is of ``classes[0]``.
+    :ivar rate: jobs per second.
+    :ivar phase_s: duration of a phase; the first is of ``classes[0]``.
     """
 
-    made: Deployment
+    deployment: Deployment
     rate: float
     phase_s: float
     classes: tuple[str, str]
@@ -148,24 +156,24 @@
             key = f"job-{len(self.keys)}"
             self.keys.append(key)
             await submit(
-                self.made, key, self.classes[phase], self.inputs[phase], self.cpu_millicores
+                self.deployment, key, self.classes[phase], self.inputs[phase], self.cpu_millicores
             )
             await asyncio.sleep(1 / self.rate)
 
     async def done(self) -> int:
-        """Return how many jobs have ended as done."""
-        return int(await self.made.metric("jobs_ended_total", 'state="done"'))
+        """Return the number of jobs that have ended as done."""
+        return int(await self.deployment.metric("jobs_ended_total", 'state="done"'))
 
 
 async def submit(
-    made: Deployment,
+    deployment: Deployment,
     key: str,
     job_class: str,
     work: dict[str, Any],
     cpu_millicores: int,
     **more: Any,
 ) -> tuple[int, Any]:
-    """Submit one idempotent job."""
+    """Submit an idempotent job."""
     spec = {
         "key": key,
         "kind": "batch",
@@ -176,4 +184,4 @@
         "idempotent": True,
         **more,
     }
-    return await made.call("POST", f"{made.urls[0]}/v1/jobs", spec)
+    return await deployment.call("POST", f"{deployment.urls[0]}/v1/jobs", spec)
--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -312,7 +312,7 @@
         return [job for job in self.jobs.values() if job.accepted and job.state not in ended]
 
     async def prober(self, entry: Node) -> None:
-        """Request the marker routes of the two newest configurations from an entry, until cancelled."""
+        """Request the two newest marker routes from an entry, until cancelled."""
         conn: Connection | None = None
         while True:
             if conn is None or not conn.usable:
--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from bench.checker import Event, Violation
-from bench.platform_callers import CONNECTION_CUT, CALL_DEADLINE_S, NO_RESPONSE
+from bench.platform_callers import CALL_DEADLINE_S, CONNECTION_CUT, NO_RESPONSE
 from bench.platform_site import ALL_NODES, STOP_GRACE_S
 
 SETTLE_S: Final = 3.0
--- a/bench/platform_standin_worker.py
+++ b/bench/platform_standin_worker.py
@@ -24,7 +24,7 @@
 from aiohttp import web
 from docopt import docopt
 
-from bench.platform_standin_run import EndedRun, WorkerState, Run, decode_script
+from bench.platform_standin_run import EndedRun, Run, WorkerState, decode_script
 from sapphirelead.clock import now
 from sapphirelead.standin_history import History
 from sapphirelead.standin_server import StandIn
--- a/bench/procs.py
+++ b/bench/procs.py
@@ -1,4 +1,4 @@
-"""Real processes under test, and waiting for what they do."""
+"""Processes under test, port allocation and polling for conditions."""
 
 import asyncio
 import contextlib
@@ -18,17 +18,16 @@
 START_TIMEOUT_S: Final = 20.0
 
 
-# Below the range from which the system takes the ports of outgoing connections.
+# Below the range of ephemeral ports.
 PORT_CANDIDATES: Final = itertools.cycle(range(12_000, 31_000))
 _reserved_sockets: Final[list[socket.socket]] = []
 
 
 def free_port() -> int:
-    """Return a TCP port that no other test uses.
+    """Return a TCP port that no other test process uses.
 
-    The UDP port of the same number is held until this process ends.  Without that two test
-    processes choose the same port in the time that a started process takes to bind it, and one of
-    the two ends with "address already in use".
+    The UDP port of the same number stays bound until this process ends, which reserves the TCP port
+    against concurrent test processes until the started process binds it.
     """
     for port in PORT_CANDIDATES:
         held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -47,17 +46,20 @@
 async def wait_until(
     what: str, condition: Callable[[], Awaitable[T | None]], timeout_s: float = START_TIMEOUT_S
 ) -> T:
-    """Wait for ``condition`` to return something true, and return that."""
+    """Poll ``condition`` until it returns a true value, and return that.
+
+    :raises AssertionError: after ``timeout_s``.
+    """
     deadline = monotonic() + timeout_s
     while not (found := await condition()):
         if monotonic() > deadline:
-            raise AssertionError(f"not within {timeout_s} s: {what}")
+            raise AssertionError(f"timed out after {timeout_s} s: {what}")
         await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
 
 class Proc:
-    """One process, known by its id only."""
+    """A child process whose output is appended to a log file."""
 
     name: str
     log: Path
@@ -72,9 +74,9 @@
     async def spawn(
         cls, name: str, folder: Path, *args: str, env: dict[str, str] | None = None
     ) -> "Proc":
-        """Start ``python -m`` with ``args``; its output is appended to a file of its name.
+        """Start ``python -m`` with ``args`` and append its output to ``name.log``.
 
-        :param env: variables beside those of this process.
+        :param env: environment variables in addition to those of this process.
         """
         log = folder / f"{name}.log"
         with log.open("ab") as out:
@@ -85,17 +87,17 @@
 
     @property
     def pid(self) -> int:
-        """Id of the process."""
+        """Process id."""
         return self._proc.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self._proc.returncode is None
 
     @property
     def code(self) -> int | None:
-        """Exit code once ended."""
+        """Exit code, or ``None`` while the process runs."""
         return self._proc.returncode
 
     def send(self, signum: signal.Signals) -> None:
@@ -104,20 +106,20 @@
             self._proc.send_signal(signum)
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Suspend the process by SIGSTOP."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the process by SIGCONT."""
         self.send(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.send(signal.SIGKILL)
         await self._proc.wait()
 
     async def stop(self, timeout_s: float = 10.0) -> int:
-        """Ask the process to stop and return its exit code; kill it if it does not."""
+        """Stop the process by SIGTERM, or by SIGKILL after the timeout; return the exit code."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
@@ -137,12 +139,12 @@
         return await wait_until(f"{self.name} prints {start!r}", find)
 
     def tail(self, lines: int = 25) -> str:
-        """Return the last lines of the output."""
+        """Return the last lines of the log."""
         return "\n".join(self.log.read_text().splitlines()[-lines:])
 
 
 def to_toml(table: dict[str, Any]) -> str:
-    """Write a nested dictionary as TOML with inline tables."""
+    """Encode a nested dictionary as TOML with inline tables."""
     return "\n".join(f"{key} = {_toml_value(value)}" for key, value in table.items()) + "\n"
 
 
--- a/bench/proxy.py
+++ b/bench/proxy.py
@@ -1,8 +1,7 @@
-"""A TCP proxy in the test process that injects faults between two real processes.
+"""A TCP proxy in the test process that injects network faults between two processes.
 
-Each accepted connection is one :class:`_Pipe` with two directions.  A fault that concerns
-"existing" connections leaves later ones alone: this is how something between two ends that has lost
-track of its connections looks from outside.
+Each accepted connection is a :class:`_Pipe` with two directions.  Faults of existing connections do
+not affect later ones, as with a middlebox that has lost its connection table.
 """
 
 import asyncio
@@ -13,9 +12,9 @@
 
 
 class _Pipe:
-    """One proxied connection.
+    """A proxied connection.
 
-    :ivar blackholed: bytes of both directions vanish; the connection stays open for good.
+    :ivar blackholed: whether data in both directions is dropped while the connection stays open.
     """
 
     def __init__(self, client: asyncio.StreamWriter, server: asyncio.StreamWriter) -> None:
@@ -28,9 +27,12 @@
 
 
 class Proxy:
-    """Listens on :attr:`port` and forwards to the address given.
+    """Listens on :attr:`port` and forwards connections to the given address.
 
-    :ivar forwarded_bytes: bytes passed on in each direction.
+    :ivar delay_s: delay of each chunk.
+    :ivar refusing: whether new connections are reset.
+    :ivar flowing: set for each direction that is not stalled.
+    :ivar forwarded_bytes: number of bytes forwarded in each direction.
     """
 
     port: int
@@ -59,7 +61,7 @@
         return proxy
 
     async def stop(self) -> None:
-        """Cut everything and stop listening."""
+        """Reset all connections and stop listening."""
         if self._server is not None:
             self._server.close()
         self.cut()
@@ -73,16 +75,16 @@
             pipe.cut()
 
     def blackhole_existing(self) -> None:
-        """Make open connections silent for good; new ones work."""
+        """Drop all further data of open connections; new ones are not affected."""
         for pipe in self._pipes:
             pipe.blackholed = True
 
     def freeze(self, direction: str) -> None:
-        """Stop passing on bytes ``up`` (to the server) or ``down``, until :meth:`thaw`."""
+        """Stall the direction ``up`` (to the server) or ``down`` until :meth:`thaw`."""
         self.flowing[direction].clear()
 
     def thaw(self) -> None:
-        """Pass bytes on again, those held back first."""
+        """Forward data again, including that received while stalled."""
         for flowing in self.flowing.values():
             flowing.set()
 
@@ -97,7 +99,10 @@
         pipe = _Pipe(writer, up_writer)
         self._pipes.add(pipe)
         directions = [("up", reader), ("down", up_reader)]
-        tasks = [asyncio.create_task(self._pump(pipe, way, source)) for way, source in directions]
+        tasks = [
+            asyncio.create_task(self._pump(pipe, direction, source))
+            for direction, source in directions
+        ]
         self._tasks.update(tasks)
         try:
             await asyncio.wait(tasks)
@@ -106,17 +111,17 @@
             self._pipes.discard(pipe)
             pipe.cut()
 
-    async def _pump(self, pipe: _Pipe, way: str, source: asyncio.StreamReader) -> None:
-        writer = pipe.writers[way]
+    async def _pump(self, pipe: _Pipe, direction: str, source: asyncio.StreamReader) -> None:
+        writer = pipe.writers[direction]
         with contextlib.suppress(OSError):
             while data := await source.read(CHUNK):
-                await self.flowing[way].wait()
+                await self.flowing[direction].wait()
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 if not pipe.blackholed:
                     writer.write(data)
-                    self.forwarded_bytes[way] += len(data)
+                    self.forwarded_bytes[direction] += len(data)
                     await writer.drain()
-            # A silent path does not tell one end that the other closed either.
+            # A blackholed connection does not propagate a close either.
             if not pipe.blackholed:
                 writer.write_eof()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -174,12 +174,12 @@
                 for key in accepted
             ]
             ended_s = monotonic() - repaired_at
-            caller_events = Counter(
+            outcomes = Counter(
                 e["outcome"] for e in cluster.caller_events if e["event"] == "answer"
             )
     faults = " ".join(f"{name}={count}" for name, count in sorted(injected.items()))
     ends = " ".join(f"{state}={count}" for state, count in sorted(Counter(states).items()))
-    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(caller_events.items()))
+    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(outcomes.items()))
     print(
         f"seed={seed} ok live_s={live_s:.1f} ended_s={ended_s:.1f} | {ends} | {answers} | {faults}"
     )
--- a/tests/process/test_checker.py
+++ b/tests/process/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker flags each violation, and nothing in a history without one."""
+"""The history checker reports each violation, and nothing for a valid history."""
 
 from typing import Any
 
@@ -28,11 +28,16 @@
 
 
 NON_IDEMPOTENT = event("submitted", key="a", idempotent=False)
-VALID = [up("w1"), up("w2"), NON_IDEMPOTENT, event("answer", key="a", outcome="done", whole=True)]
+BASE_EVENTS = [
+    up("w1"),
+    up("w2"),
+    NON_IDEMPOTENT,
+    event("answer", key="a", outcome="done", whole=True),
+]
 EXACT: Any = {"checkpoint": "c/a/1", "done_ms": 50.0}
 
 CASES: dict[str, tuple[str, list[Any]]] = {
-    "resumed once from its exact checkpoint": (
+    "resumed from a checkpoint of all progress": (
         "",
         [start(1), end(2), start(3, "w2", epoch=2, **EXACT), end(4, "w2", 90, 2)],
     ),
@@ -42,12 +47,12 @@
         "two_owners",
         [start(1, resources=ONE | {"cpu_millicores": 1}), start(2, epoch=2, **EXACT), end(3)],
     ),
-    "started again from nothing": ("rerun", [start(1), end(2), start(3, "w2", epoch=2)]),
-    "started again from an older checkpoint": (
+    "restarted without a checkpoint": ("rerun", [start(1), end(2), start(3, "w2", epoch=2)]),
+    "restarted from an older checkpoint": (
         "rerun",
         [start(1), end(2), start(3, "w2", epoch=2, checkpoint="c", done_ms=40.0)],
     ),
-    "started again after its worker died": (
+    "restarted after its worker died": (
         "rerun",
         [start(1), event("worker_killed", 2, "w1"), start(3, "w2", epoch=2)],
     ),
@@ -55,7 +60,7 @@
         "repeated_effect",
         [start(1), end(2), event("effect", 2, task="a"), event("effect", 3, task="a")],
     ),
-    "more than the worker holds": ("over_size", [start(1), start(2, task="b")]),
+    "more than the worker's capacity": ("over_size", [start(1), start(2, task="b")]),
     "more connections than the target has": ("over_connections", [event("over_connections")]),
     "not run, but a task started": (
         "false_not_run",
@@ -82,15 +87,15 @@
         "work_on_leaving",
         [event("leaving", 1, "t1"), event("request_start", 5, "t1", marker="m")],
     ),
-    "answer of another request": (
+    "response of another request": (
         "foreign_answer",
         [event("answer", key="m", outcome="done", whole=False)],
     ),
-    "table went back": (
+    "table reverted": (
         "config_reverted",
         [event("txn", n, writes=[{"key": "config/current", "version": 3 - n}]) for n in (1, 2)],
     ),
-    "process went back": (
+    "process reverted": (
         "config_reverted",
         [event("config_seen", n, process="agent a1", version=3 - n) for n in (1, 2)],
     ),
@@ -100,5 +105,5 @@
 @pytest.mark.parametrize("name", CASES)
 def test_violation_is_flagged(name: str) -> None:
     wanted, history = CASES[name]
-    found = {violation.rule for violation in check([*VALID, *history])}
+    found = {violation.rule for violation in check([*BASE_EVENTS, *history])}
     assert found == ({wanted} if wanted else set())
--- a/tests/process/test_leaving.py
+++ b/tests/process/test_leaving.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.harness import Answer, Cluster, Entry
+from bench.harness import Response, Cluster, Entry
 from bench.procs import wait_until
 
 Stop = Callable[[Cluster], Coroutine[Any, Any, int]]
@@ -73,7 +73,7 @@
             await cluster.submit(f"k{n}", input={"work_ms": 5000})
         await cluster.wait_seen("task_start", "", 4)
         open_entries = list(cluster.entries)
-        answers: list[Answer] = []
+        answers: list[Response] = []
         load = [asyncio.create_task(_load(cluster, open_entries, n, answers)) for n in range(4)]
         for instance in cluster.instances:
             assert await instance.agent.stop() == 0
@@ -95,7 +95,9 @@
         assert len(cluster.seen("effect")) == 4
 
 
-async def _load(cluster: Cluster, entries: list[Entry], worker: int, answers: list[Answer]) -> None:
+async def _load(
+    cluster: Cluster, entries: list[Entry], worker: int, answers: list[Response]
+) -> None:
     while entries:
         number = len(answers)
         entry = entries[number % len(entries)]
--- a/tests/process/test_platform_checker.py
+++ b/tests/process/test_platform_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker flags each broken promise, and nothing in a history without one."""
+"""The platform checker reports each violation, and nothing for a valid history."""
 
 from typing import Any
 
@@ -72,25 +72,25 @@
     ),
     "a call cut in the middle": ("call_cut", [call(20, "GET", 0, took=1.0)]),
     "a call cut at once": ("", [call(20, "GET", 0, took=0.1)]),
-    "a call cut beside a planned stop": (
+    "a call cut during a planned stop": (
         "call_cut",
         [fault(19, 22, "e1", planned=True), call(20, "GET", 0, took=1.0)],
     ),
-    "a call cut beside an accident": ("", [fault(17.5, 18), call(20, "GET", 0, took=1.0)]),
-    "a call cut while its entry waited for a processor": (
+    "a call cut during an unplanned fault": ("", [fault(17.5, 18), call(20, "GET", 0, took=1.0)]),
+    "a call cut while its entry was starved of CPU": (
         "",
         [fault(19, 22, "e1", what="starved e1"), call(20, "GET", 0, took=1.0)],
     ),
-    "a call cut while another entry waited for a processor": (
+    "a call cut while another entry was starved of CPU": (
         "call_cut",
         [fault(19, 22, "e2", what="starved e2"), call(20, "GET", 0, took=1.0)],
     ),
-    "a call without an answer": ("no_answer", [call(20, "GET", -1, took=4.5)]),
-    "a caller that leaves early": ("", [call(20, "GET", -1, took=0.5)]),
+    "a call without a response": ("no_answer", [call(20, "GET", -1, took=4.5)]),
+    "a caller that disconnects early": ("", [call(20, "GET", -1, took=0.5)]),
     "an accepted job that is unknown": ("job_lost", [call(14, "GET", 410)]),
     "a job that is not visible yet": ("", [call(12, "GET", 410)]),
-    "shown as completed too early": ("false_state", [*DONE, state(13, "completed")]),
-    "shown as failed after one failure": (
+    "reported as completed too early": ("false_state", [*DONE, state(13, "completed")]),
+    "reported as failed after one failure": (
         "false_state",
         [start(11), end(12, how="failed"), state(13, "failed")],
     ),
@@ -99,19 +99,19 @@
         "",
         [start(11), event("worker_gone", 11.2, name="w1"), start(11.5, where="i2", attempt=2)],
     ),
-    "a run after a noted end": ("rerun", [*DONE, start(13, where="i2", attempt=2)]),
-    "a run after an end that nobody noted": (
+    "a run after an acknowledged end": ("rerun", [*DONE, start(13, where="i2", attempt=2)]),
+    "a run after an unacknowledged end": (
         "",
         [start(11), end(12), start(13, where="i2", attempt=2)],
     ),
-    "a run after an end noted once the lease had lapsed": (
+    "a run after an end acknowledged after lease expiry": (
         "",
         [start(11), end(12), event("lapse", 22, "i1"), noted(23), start(24, attempt=2)],
     ),
-    "a step before the one that it needs": ("wrong_order", [start(11, SECOND)]),
+    "a step before its predecessor": ("wrong_order", [start(11, SECOND)]),
     "another spec": ("foreign_run", [start(11, spec="{}")]),
-    "another task's progress": ("foreign_run", [start(11, saved=f"10:{SECOND}")]),
-    "more than the worker holds": (
+    "another task's checkpoint": ("foreign_run", [start(11, saved=f"10:{SECOND}")]),
+    "more than the worker's capacity": (
         "over_capacity",
         [
             event("job", 1.0, key="bb", spec=SPEC, steps=STEPS),
@@ -124,7 +124,7 @@
         "start_after_cancel",
         [call(11, "DELETE", 200), start(15), end(15.1, how="stopped")],
     ),
-    "a cancelled run goes on": (
+    "a cancelled run continues": (
         "runs_on",
         [start(11), call(11.5, "DELETE", 200), MUCH_LATER],
     ),
@@ -132,21 +132,21 @@
         "",
         [start(11), call(11.5, "DELETE", 200), end(12, how="stopped"), MUCH_LATER],
     ),
-    "a start on a leaving worker": (
+    "a start on a draining worker": (
         "start_on_leaving",
         [event("draining_known", 11, "i1"), start(14)],
     ),
-    "a configuration that does not come": ("config_late", [config(20, 1), probe(22.5, 1, 404)]),
-    "a dropped route that stays": (
+    "a configuration that is not applied": ("config_late", [config(20, 1), probe(22.5, 1, 404)]),
+    "a removed route that is still served": (
         "config_late",
         [config(20, 1), config(21, 2), probe(24, 1, 200)],
     ),
-    "a configuration that is still on its way": ("", [config(20, 1), probe(21.5, 1, 404)]),
-    "a configuration that goes back": (
+    "a configuration that may still be pending": ("", [config(20, 1), probe(21.5, 1, 404)]),
+    "a configuration that reverts": (
         "config_reverted",
         [config(20, 1), probe(20.2, 1, 200), probe(21, 1, 404)],
     ),
-    "a node that ends by itself": ("died", [event("died", 20, node="e1", code=1)]),
+    "a node that exits unexpectedly": ("died", [event("died", 20, node="e1", code=1)]),
     "a node that has to be killed": ("stop_overdue", [event("stopped", 20, node="e1", code=-9)]),
     "a job that never ends": ("unfinished", [event("unfinished", 90, key="aa", state="running")]),
 }
--- a/tests/process/test_store.py
+++ b/tests/process/test_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bench.harness import Answer, Cluster
+from bench.harness import Response, Cluster
 
 LOST: dict[str, dict[str, Any]] = {
     **{f"{n} answers lost": {"lose_answers": n} for n in (1, 2, 3, 6)},
@@ -77,7 +77,7 @@
         await cluster.fault(only="/table", **fault)
         outage = asyncio.create_task(asyncio.sleep(seconds))
         served = 0
-        new: list[asyncio.Task[Answer]] = []
+        new: list[asyncio.Task[Response]] = []
         while not outage.done():
             served += (await cluster.serve(f"m{served}")).outcome == "done"
             if served % 20 == 1:
