--- a/bench/bench_capacity.py
+++ b/bench/bench_capacity.py
@@ -234,7 +234,7 @@
             for number in range(count):
                 work = {"work_ms": 600_000}
                 await submit(made, f"job-{number}", "rollover", work, 100)
-            agent = made.units[0].agent
+            agent = made.instance_procs[0].agent
             points.append(await measure(made.http, made.table_url, agent.pid, count))
     return points
 
@@ -244,7 +244,7 @@
     points = []
     for count in ENTRY_COUNTS:
         async with deployed(Shape(entries=count, instances=1, lease={})) as made:
-            agent = made.units[0].agent
+            agent = made.instance_procs[0].agent
             points.append(await measure(made.http, made.table_url, agent.pid, count))
     return points
 
--- a/bench/bench_policy.py
+++ b/bench/bench_policy.py
@@ -112,7 +112,7 @@
         await made.apply(config())
         load = asyncio.create_task(serve(made, LOAD_WITH_LOSS, 15, MEAN_MS, DEADLINE_MS, seed))
         await asyncio.sleep(5)
-        await made.control(made.units[0].target_url, fail_all=True)
+        await made.control(made.instance_procs[0].target_url, fail_all=True)
         result = await load
     return [
         Figure("failing", "not done from 3 s after", result.failed_after(8), "", "0.01"),
@@ -125,7 +125,7 @@
     async with deployed(Shape()) as made:
         await made.apply(config())
         before = await serve(made, LOAD_WITH_LOSS, 8, MEAN_MS, DEADLINE_MS, seed, warm_s=2)
-        await made.control(made.units[0].target_url, slow=10.0)
+        await made.control(made.instance_procs[0].target_url, slow=10.0)
         after = await serve(made, LOAD_WITH_LOSS, 12, MEAN_MS, DEADLINE_MS, seed, warm_s=4)
     return [
         Figure("slow", "p99 / before", after.percentile(99) / before.percentile(99), ""),
@@ -139,7 +139,7 @@
         await made.apply(config())
         load = asyncio.create_task(serve(made, LOAD_WITH_LOSS, 15, MEAN_MS, DEADLINE_MS, seed))
         await asyncio.sleep(5)
-        await made.units[2].kill()
+        await made.instance_procs[2].kill()
         result = await load
     return [
         Figure("zone", "not done from 3 s after", result.failed_after(8), ""),
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Unit:
+class InstanceProcs:
     """An instance: agent, worker and target."""
 
     name: str
@@ -72,7 +72,7 @@
     urls: list[str] = field(default_factory=list)
     ports: list[dict[str, int]] = field(default_factory=list)
     entries: list[Proc] = field(default_factory=list)
-    units: list[Unit] = field(default_factory=list)
+    instance_procs: list[InstanceProcs] = field(default_factory=list)
     procs: list[Proc] = field(default_factory=list)
     version: int = 0
 
@@ -160,9 +160,9 @@
     for number in range(shape.entries):
         await _start_entry(deployment, number, zones, shape.lease)
     makers = [
-        _start_unit(deployment, n, zones[n % len(zones)], shape) for n in range(shape.instances)
+        _start_instance(deployment, n, zones[n % len(zones)], shape) for n in range(shape.instances)
     ]
-    deployment.units.extend(await asyncio.gather(*makers))
+    deployment.instance_procs.extend(await asyncio.gather(*makers))
 
     async def live() -> bool:
         for url in deployment.urls:
@@ -197,7 +197,9 @@
     deployment.ports.append(ports)
 
 
-async def _start_unit(deployment: Deployment, number: int, zone: str, shape: Shape) -> Unit:
+async def _start_instance(
+    deployment: Deployment, number: int, zone: str, shape: Shape
+) -> InstanceProcs:
     name = f"i{number}"
     worker_settings = {
         **CAPACITY,
@@ -212,7 +214,7 @@
     }
     target, target_url = await deployment.standin("target", name, target_settings)
     addresses = [
-        {"host": "127.0.0.1", **{lane: ports[lane] for lane in CHANNEL_PORTS}}
+        {"host": "127.0.0.1", **{port_name: ports[port_name] for port_name in CHANNEL_PORTS}}
         for ports in deployment.ports
     ]
     settings = {
@@ -231,4 +233,4 @@
     path = deployment.folder / f"{name}.toml"
     path.write_text(to_toml(settings))
     agent = await deployment.spawn(f"agent-{name}", "sapphirelead", "agent", "--config", str(path))
-    return Unit(name, zone, agent, worker, target, target_url, worker_url)
+    return InstanceProcs(name, zone, agent, worker, target, target_url, worker_url)
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -236,11 +236,14 @@
         target_proc, target_url = await self._standin("target", f"target-{name}", target_settings)
         worker_proxy = await self._proxy(_port_of(worker_url))
         target_proxy = await self._proxy(_port_of(target_url))
-        lanes = [[await self._proxy(e.ports[lane]) for lane in CHANNEL_PORTS] for e in self.entries]
+        channel_proxies = [
+            [await self._proxy(e.ports[port_name]) for port_name in CHANNEL_PORTS]
+            for e in self.entries
+        ]
         addresses = [
             {"host": "127.0.0.1"}
-            | {lane: p.port for lane, p in zip(CHANNEL_PORTS, three, strict=True)}
-            for three in lanes
+            | {port_name: p.port for port_name, p in zip(CHANNEL_PORTS, entry_proxies, strict=True)}
+            for entry_proxies in channel_proxies
         ]
         size = {key: worker_settings[key] for key in CAPACITY}
         settings = {
@@ -258,7 +261,7 @@
         (self.folder / f"{name}.toml").write_text(to_toml(settings))
         agent = await self.spawn_agent(name)
         urls = (worker_url, target_url)
-        proxies = [proxy for three in lanes for proxy in three]
+        proxies = [proxy for entry_proxies in channel_proxies for proxy in entry_proxies]
         return Instance(
             name, agent, worker_proc, target_proc, *urls, worker_proxy, target_proxy, proxies
         )
--- a/bench/platform_checker.py
+++ b/bench/platform_checker.py
@@ -288,7 +288,7 @@
                     yield Violation("over_capacity", f"{incarnation}: {size} {used} with {run}")
 
 
-def cancelled_jobs_run(history: RunHistory) -> Iterator[Violation]:
+def runs_of_cancelled_jobs(history: RunHistory) -> Iterator[Violation]:
     """After a cancellation, no task of the job starts and its running tasks are stopped."""
     for key, cancel in history.first_cancels().items():
         bound = cancel["until"] + CANCEL_TIMEOUT_S
@@ -381,7 +381,7 @@
     wrong_order,
     foreign_runs,
     over_capacity,
-    cancelled_jobs_run,
+    runs_of_cancelled_jobs,
     starts_on_leaving,
     stale_config,
     unexpected_exits,
