--- a/bench/soak.py
+++ b/bench/soak.py
@@ -148,7 +148,7 @@
 
 
 async def run_seed(seed: int, seconds: float, folder: Path) -> bool:
-    """Run one seed; raise ``AssertionError`` if a guarantee was violated."""
+    """Run one seed; raise ``AssertionError`` or ``TimeoutError`` if a guarantee was violated."""
     rng = random.Random(seed)
     folder.mkdir(parents=True)
     accepted: set[str] = set()
