--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers whose connections break, callers who send nonsense, and an object store that is out."""
+"""Broken caller connections, invalid requests, and outages of the object store."""
 
 import asyncio
 import json
@@ -20,10 +20,10 @@
 async def test_request_repeated_after_its_answer_was_cut_runs_once(
     tmp_path: Path, seen: str
 ) -> None:
-    """A surveyor's connection is cut after the estimate went in, before its answer came.
+    """Guards against a second run when a client repeats a request whose response was lost.
 
-    The cut comes while the estimate runs, or after its end.  Her client repeats it under the same
-    key through another entry and gets the result of the one run.
+    The connection is reset while the task runs or after it has ended; the client retries with the
+    same key through another entry.
     """
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         proxy, entry = await cluster.behind_proxy(cluster.entries[0])
@@ -32,16 +32,15 @@
         await cluster.wait_seen(seen, "estimate")
         proxy.cut()
         assert (await first).status == 0
-        again = await cluster.once("estimate", cluster.entries[1])
-        assert (again.status, again.outcome) == (200, "done")
+        repeated = await cluster.once("estimate", cluster.entries[1])
+        assert (repeated.status, repeated.outcome) == (200, "done")
         assert len(cluster.seen("task_start", "estimate")) == 1
 
 
 async def test_upload_that_freezes_holds_nothing_and_is_not_accepted(tmp_path: Path) -> None:
-    """Uploads from a roof freeze in mid-body; as many as leave two requests free at the entry.
+    """Guards against stalled uploads that block other requests or are accepted after the timeout.
 
-    Others are answered meanwhile.  Each frozen one is told so once the time to read a body is over,
-    and its connection ends; the rest of the body, which comes later, starts nothing.
+    Each stalled upload gets a 400 response after the read timeout, and its connection is closed.
     """
     limits = {"read_timeout_seconds": READ_TIMEOUT_S, "open_requests": 8}
     async with Cluster.running(tmp_path, limits=limits) as cluster:
@@ -56,10 +55,10 @@
         proxy.freeze("up")
         while monotonic() < started_at + READ_TIMEOUT_S / 2:
             assert (await cluster.serve("other")).outcome == "done"
-        told = await asyncio.gather(*(upload.told() for upload in uploads))
+        responses = await asyncio.gather(*(upload.response() for upload in uploads))
         assert monotonic() - started_at < READ_TIMEOUT_S + SLACK_S
         proxy.thaw()
-        for head, problem in told:
+        for head, problem in responses:
             assert b" 400 " in head
             assert (problem["field"], problem["limit"], problem["unit"]) == (
                 "body",
@@ -73,9 +72,9 @@
 
 
 class Upload:
-    """A request of which half of the body was sent.
+    """A request of which only half of the body has been sent.
 
-    :ivar sent: bytes that were sent.
+    :ivar sent: number of bytes sent.
     """
 
     reader: asyncio.StreamReader
@@ -99,8 +98,8 @@
         await upload.writer.drain()
         return upload
 
-    async def told(self) -> tuple[bytes, Any]:
-        """Return head and body of the answer once the entry has closed the connection."""
+    async def response(self) -> tuple[bytes, Any]:
+        """Return the head and body of the response after the entry has closed the connection."""
         answer = await asyncio.wait_for(self.reader.read(), 30)
         self.writer.close()
         head, _, body = answer.partition(b"\r\n\r\n")
@@ -108,11 +107,11 @@
 
 
 @pytest.mark.parametrize("fault", ["silent for good", "reads nothing"])
-async def test_caller_that_goes_silent_holds_no_slot(tmp_path: Path, fault: str) -> None:
-    """Eight surveyors drive out of range while their answers, 4 MB each, are due.
+async def test_unresponsive_caller_holds_no_slot(tmp_path: Path, fault: str) -> None:
+    """Guards against callers that stop reading and keep the slots of the target or the entry.
 
-    All eight slots of the target and all requests that the entry takes were theirs.  Eight others
-    are answered right after, and the entry can leave at once.
+    Such callers hold every slot; other requests are served right afterwards, and the entry can
+    stop within 5 s.
     """
     async with Cluster.running(tmp_path, limits={"open_requests": 8}) as cluster:
         proxy, entry = await cluster.behind_proxy(cluster.entries[0])
@@ -144,9 +143,10 @@
     return json.dumps({"key": "bad", **fields}).encode()
 
 
-Told = tuple[int, str, str, str]
+# Status, field, limit (``*`` matches any) and unit of the response.
+ExpectedRefusal = tuple[int, str, str, str]
 LARGE = b"x" * 1_048_577
-BAD_JOBS: dict[bytes, Told] = {
+BAD_JOBS: dict[bytes, ExpectedRefusal] = {
     b'{"key": "bad"': (400, "body", "one JSON object", ""),
     b'{"key":"bad","input":"\xff"}': (400, "body", "*", ""),
     b'{"key":"bad","input":' + b"[" * 9000 + b"]" * 9000 + b"}": (400, "body", "*", ""),
@@ -162,7 +162,7 @@
     _job(input=float("nan")): (422, "input", "*", ""),
     LARGE: (413, "body", "1048576", "bytes"),
 }
-BAD_HEADERS: list[tuple[dict[str, str], Told]] = [
+BAD_HEADERS: list[tuple[dict[str, str], ExpectedRefusal]] = [
     ({f"X-{n}": "x" * 4000 for n in range(5)}, (413, "headers", "16384", "bytes")),
     (
         {"X-Request-Deadline-Ms": "0"},
@@ -177,21 +177,22 @@
         (400, "Idempotency-Key", "*", ""),
     ),
 ]
-BAD: list[tuple[str, dict[str, str], bytes, Told]] = [
-    *(("/v1/jobs", {}, body, told) for body, told in BAD_JOBS.items()),
-    *((SERVE, headers, b"", told) for headers, told in BAD_HEADERS),
+# Path, headers, body, and the expected response.
+BAD_REQUESTS: list[tuple[str, dict[str, str], bytes, ExpectedRefusal]] = [
+    *(("/v1/jobs", {}, body, expected) for body, expected in BAD_JOBS.items()),
+    *((SERVE, headers, b"", expected) for headers, expected in BAD_HEADERS),
     (SERVE, {}, LARGE, (413, "body", "1048576", "bytes")),
     ("/v1/services/a%20b", {}, b"", (400, "service", "*", "")),
 ]
 
 
 async def test_bad_input_is_refused_by_field_and_accepted_nowhere(tmp_path: Path) -> None:
-    """``BAD``: what is sent, and status, field, limit and unit of the answer (``*``: any limit)."""
+    """Each of ``BAD_REQUESTS`` is refused with the expected error and starts nothing."""
     async with Cluster.running(tmp_path) as cluster:
-        for path, headers, body, told in BAD:
+        for path, headers, body, expected in BAD_REQUESTS:
             answer = await cluster.request("POST", path, headers=headers, data=body)
             case = (path, headers, body[:40], answer)
-            status, field, limit, unit = told
+            status, field, limit, unit = expected
             assert (answer.status, answer.outcome) == (status, "not_run"), case
             assert answer.body["field"] == field, case
             assert limit in ("*", answer.body.get("limit", "")), case
@@ -207,10 +208,10 @@
 async def test_stop_while_no_checkpoint_can_be_stored(
     tmp_path: Path, stop: str, fault: str
 ) -> None:
-    """The object store alone is out, for 3 s, when an instance with two rollovers must leave.
+    """Guards against lost or repeated jobs when an instance stops during an object store outage.
 
-    No checkpoint can be stored, so the tasks go on beside it or are stored once it is back; each
-    rollover ends once, whether it may run again or not.
+    The tasks continue or are checkpointed after the outage; each job takes effect once, whether
+    or not it is idempotent.
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
         await cluster.submit("once", input={"work_ms": 4500})
@@ -236,10 +237,9 @@
 
 
 async def test_resume_while_no_checkpoint_can_be_read(tmp_path: Path) -> None:
-    """Urgent estimates evict two rollovers; then the object store alone is out.
+    """Guards against evicted jobs that restart from scratch or are set aside in an outage.
 
-    The rollovers cannot start from their checkpoints.  That is no failure of theirs: they are
-    neither run from the beginning nor set aside, and end once the store is back.
+    While the object store is down their checkpoints cannot be read; they resume when it is back.
     """
     async with Cluster.running(tmp_path) as cluster:
         keys = [f"k{n}" for n in range(4)]
--- a/tests/process/test_connections.py
+++ b/tests/process/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good, freeze or break between real processes."""
+"""Unresponsive, stalled and broken connections between real processes."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,11 +27,11 @@
 
 
 @pytest.mark.parametrize(("edge", "fault"), CASES)
-async def test_silence_is_noticed(tmp_path: Path, edge: str, fault: str) -> None:
-    """Something between two processes forgets their open connections, or one way for a while.
+async def test_unresponsive_connections_are_detected(tmp_path: Path, edge: str, fault: str) -> None:
+    """Guards against undetected connections that drop traffic without an error.
 
-    Requests are in progress and a rollover runs.  No error arrives anywhere.  The requests end
-    within their deadline, later ones are answered, and the rollover ends in its one run.
+    Open requests end within their deadline, later ones are served, and the running job ends in
+    its only run.
     """
     async with Cluster.running(tmp_path, lease=LEASE) as cluster:
         await cluster.submit("k", input={"work_ms": 2000})
@@ -41,15 +41,15 @@
             for n in range(4)
         ]
         await cluster.wait_seen("request_start", "m3")
-        await _break(EDGES[edge](cluster), fault)
-        ends = await asyncio.wait_for(asyncio.gather(*open_requests), 8)
-        assert {end.outcome for end in ends} <= {"done", "unknown"}
+        await _inject_fault(EDGES[edge](cluster), fault)
+        responses = await asyncio.wait_for(asyncio.gather(*open_requests), 8)
+        assert {response.outcome for response in responses} <= {"done", "unknown"}
         await cluster.wait_served()
         assert (await cluster.wait_job("k"))["state"] == "done"
         assert len(cluster.seen("task_start", "k")) == 1
 
 
-async def _break(proxies: list[Proxy], fault: str) -> None:
+async def _inject_fault(proxies: list[Proxy], fault: str) -> None:
     for proxy in proxies:
         if fault == "silent for good":
             proxy.silence_existing()
@@ -61,32 +61,31 @@
         proxy.thaw()
 
 
-async def test_late_answers_reach_nobody_else(tmp_path: Path) -> None:
-    """Answers are held on their way past their requests' deadlines, then all arrive at once.
+async def test_late_responses_reach_no_other_caller(tmp_path: Path) -> None:
+    """Guards against late responses that are delivered to other requests.
 
-    Callers of the first wave have been told that the end is unknown.  The second wave, in progress
-    when the late answers come, gets whole answers of its own (the checker compares markers).
+    Responses to the first wave arrive after its deadline, while the second wave is in progress
+    (the checker compares markers).
     """
     async with Cluster.running(tmp_path, lease=LEASE) as cluster:
-        lanes = cluster.instances[0].entry_proxies
-        for lane in lanes:
-            lane.freeze("up")
+        proxies = cluster.instances[0].entry_proxies
+        for proxy in proxies:
+            proxy.freeze("up")
         first = [cluster.serve(f"a{n}", size=n, X_Request_Deadline_Ms="500") for n in range(8)]
         for answer in await asyncio.gather(*first):
             assert answer.outcome in ("unknown", "not_run")
         second = [asyncio.create_task(cluster.serve(f"b{n}", 200, size=n)) for n in range(8)]
         await cluster.wait_seen("request_start", "b0", timeout_s=3)
-        for lane in lanes:
-            lane.thaw()
+        for proxy in proxies:
+            proxy.thaw()
         assert {answer.outcome for answer in await asyncio.gather(*second)} == {"done"}
 
 
 @pytest.mark.parametrize("way", ["up", "down"])
-async def test_start_held_back_past_its_lease(tmp_path: Path, way: str) -> None:
-    """Starts, or the answers to them, are held back on their way between agents and workers.
+async def test_start_delayed_past_its_lease(tmp_path: Path, way: str) -> None:
+    """Guards against double runs when start requests or responses arrive after the lease expired.
 
-    They arrive when the lease they were sent under has lapsed, and the jobs may have moved.  The
-    idempotent job ends; the other one runs at most once (the checker looks).
+    The idempotent job completes; the other one runs at most once (the checker verifies it).
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
         for instance in cluster.instances:
@@ -104,10 +103,9 @@
 async def test_requests_under_a_dying_target_are_answered_elsewhere(
     tmp_path: Path, killed: bool
 ) -> None:
-    """The target beside one agent drops all its connections, or dies, under idempotent requests.
+    """Guards against failed idempotent requests when a target drops its connections or dies.
 
-    The service has run for a while, so that the retry budget (a tenth of the requests) holds what
-    the requests in progress and those before the ejection need.
+    The warm-up fills the retry budget, which is a tenth of the requests.
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
         for wave in range(12):
@@ -125,10 +123,9 @@
 
 
 async def test_request_at_most_once_while_its_instance_dies(tmp_path: Path) -> None:
-    """A repair estimate is asked for as a synchronous request that is not idempotent.
+    """Guards against a second run of a non-idempotent request whose instance dies.
 
-    Its instance dies; the surveyor's client repeats it under the same key through another entry,
-    and learns its end, without a second run.
+    A retry with the same key through another entry returns the outcome of the first run.
     """
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         asked = [cluster.once("estimate", entry) for entry in cluster.entries * 3]
--- a/tests/process/test_leaving.py
+++ b/tests/process/test_leaving.py
@@ -1,4 +1,4 @@
-"""Planned stops cut nothing, and a leaving target gets no new work."""
+"""Planned stops interrupt no work, and a draining instance gets no new work."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -20,7 +20,7 @@
 
 
 async def drain_by_operator(cluster: Cluster) -> int:
-    """The instance leaves although its process is not told by a signal."""
+    """Drain the instance through the admin API, without a signal to its process."""
     holder = await cluster.holder_of("k")
     cluster.leaving(holder)
     answer = await cluster.request("POST", f"/v1/admin/instances/{holder.name}/drain")
@@ -40,10 +40,10 @@
 
 @pytest.mark.parametrize("name", STOPS)
 async def test_planned_stop_cuts_nothing(tmp_path: Path, name: str) -> None:
-    """A process is told to stop while clerks wait for answers and a rollover runs.
+    """Guards against a planned stop that fails open requests or loses or repeats a running job.
 
-    Each request in progress gets its whole answer, the rollover ends in its own run or resumes
-    from an exact checkpoint, its watch goes on, and requests keep being answered meanwhile.
+    The job ends in its run or resumes from an exact checkpoint, and other requests are served
+    throughout.
     """
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         await cluster.submit("k", input={"work_ms": 1500})
@@ -63,10 +63,9 @@
 
 
 async def test_rolling_restart_cuts_nothing(tmp_path: Path) -> None:
-    """Operators replace every process, one after the other, under load.
+    """Guards against failed requests or repeated jobs when every process is replaced under load.
 
-    The balancer sends requests to entries that are not leaving.  Each request is answered, long
-    jobs end once, and each replaced process takes part again.
+    Requests are sent only to entries that are not stopping.
     """
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         for n in range(4):
@@ -104,7 +103,7 @@
 
 
 async def test_leaving_target_gets_no_new_work(tmp_path: Path) -> None:
-    """An instance leaves under steady load; the checker flags work on it after a few seconds."""
+    """Guards against requests and tasks that are routed to a draining instance."""
     async with Cluster.running(tmp_path, instances=2) as cluster:
         leaving, staying = cluster.instances
         cluster.leaving(leaving)
--- a/tests/process/test_loss.py
+++ b/tests/process/test_loss.py
@@ -1,8 +1,7 @@
-"""Processes that die or are paused while a job runs.
+"""Process crashes and pauses while a job runs on one of two instances.
 
-One job is running on one of two instances when something happens to the processes; the
-checker adds that it never had two owners, and a non-idempotent one never a second start without an
-exact checkpoint.
+The checker verifies that a job never has two owners and that a non-idempotent job never starts
+again without an exact checkpoint.
 """
 
 import asyncio
@@ -15,31 +14,31 @@
 from bench.harness import Cluster, Instance
 from bench.procs import wait_until
 
-Story = Callable[[Cluster, Instance], Awaitable[None]]
+FaultInjection = Callable[[Cluster, Instance], Awaitable[None]]
 
 
 async def kill_agent(cluster: Cluster, holder: Instance) -> None:
-    """The agent dies; its worker stops the task when the lease lapses."""
+    """Kill the agent; its worker stops the task when the lease expires."""
     await holder.agent.kill()
 
 
 async def kill_instance(cluster: Cluster, holder: Instance) -> None:
-    """The whole instance dies with its task."""
+    """Kill the whole instance and its task."""
     await cluster.kill_instance(holder)
 
 
 async def replace_worker(cluster: Cluster, holder: Instance) -> None:
-    """The platform restarts the worker under a living agent; its tasks are gone."""
+    """Restart the worker beside a running agent; its tasks are lost."""
     await cluster.replace_worker(holder)
 
 
 async def kill_instance_and_entry(cluster: Cluster, holder: Instance) -> None:
-    """A rack goes: an instance and the only entry at once; the entry comes back."""
+    """Kill an instance and the only entry at once, and restart the entry."""
     await asyncio.gather(cluster.kill_instance(holder), kill_entry(cluster, holder))
 
 
 async def pause_everything(cluster: Cluster, holder: Instance) -> None:
-    """Entry and agents are frozen past the lease at once, and go on at once."""
+    """Pause the entry and all agents past the lease, and resume them together."""
     paused = [cluster.entries[0].proc, *(instance.agent for instance in cluster.instances)]
     for proc in paused:
         proc.pause()
@@ -49,68 +48,68 @@
 
 
 async def replace_agent(cluster: Cluster, holder: Instance) -> None:
-    """The agent dies and a new one takes over the worker with its running task."""
+    """Replace the agent; the new one adopts the worker and its running task."""
     await holder.agent.kill()
     holder.agent = await cluster.spawn_agent(holder.name)
 
 
 async def replace_agent_twice(cluster: Cluster, holder: Instance) -> None:
-    """As before, and the new agent dies as soon as it took the worker over."""
+    """Replace the agent, and replace the new one once it has adopted the worker."""
     await replace_agent(cluster, holder)
     sessions = len(cluster.seen("session"))
 
     async def took_over() -> bool:
         return len(cluster.seen("session")) > sessions
 
-    await wait_until("the new agent takes the worker over", took_over)
+    await wait_until("the new agent adopts the worker", took_over)
     await replace_agent(cluster, holder)
 
 
 async def pause_agent_briefly(cluster: Cluster, holder: Instance) -> None:
-    """The agent is frozen for less than its lease."""
+    """Pause the agent for less than its lease."""
     holder.agent.pause()
     await asyncio.sleep(cluster.lease["lease_seconds"] * 0.4)
     holder.agent.resume()
 
 
 async def pause_agent_past_lease(cluster: Cluster, holder: Instance) -> None:
-    """The agent is frozen past its lease and acts again only when the job has moved on."""
+    """Pause the agent past its lease until the job has been reassigned or has ended."""
     holder.agent.pause()
 
     async def moved_on() -> bool:
         job = await cluster.job("k")
         return job is not None and (job["epoch"] > 1 or job["state"] != "claimed")
 
-    await wait_until("the entry gives the holder up", moved_on)
+    await wait_until("the entry abandons the holder", moved_on)
     holder.agent.resume()
     await cluster.wait_live(2)
 
 
 async def kill_entry(cluster: Cluster, holder: Instance) -> None:
-    """The entry that scheduled the job dies and another takes its place."""
+    """Replace the entry that scheduled the job."""
     await cluster.entries[0].proc.kill()
     cluster.entries[0].proc = await cluster.spawn_entry("e1")
 
 
 async def pause_entry(cluster: Cluster, holder: Instance) -> None:
-    """The only entry is frozen past the lease; it must doubt itself before the instances."""
+    """Pause the only entry past the lease; it must not take the instances for failed."""
     cluster.entries[0].proc.pause()
     await asyncio.sleep(cluster.lease["lease_seconds"] + 1.5)
     cluster.entries[0].proc.resume()
 
 
 async def cut_connections(cluster: Cluster, holder: Instance) -> None:
-    """Every connection to the table and the agents breaks."""
+    """Reset every proxied connection."""
     for proxy in cluster.proxies:
         proxy.cut()
 
 
 SHORT: Final = {"lease_seconds": 1.5, "margin_seconds": 0.5}
 LONG: Final = {"lease_seconds": 6.0, "margin_seconds": 1.0}
-CASES: dict[str, tuple[Story, dict[str, float], int, str, str]] = {
-    # what happens: lease, run time in ms, end of an idempotent job, end of a non-idempotent one.
-    # Where the holder is lost, the run time is beyond the lease: a task that ends before its lease
-    # lapses has its effect although nobody is left to report it.
+CASES: dict[str, tuple[FaultInjection, dict[str, float], int, str, str]] = {
+    # Fault, lease, run time in ms, end state of an idempotent job, end state of a non-idempotent
+    # one.  Where the agent is lost, the task outlasts its lease: one that ended earlier would take
+    # effect without a report.
     "agent killed": (kill_agent, SHORT, 2500, "done", "unknown"),
     "instance killed": (kill_instance, SHORT, 1000, "done", "unknown"),
     "worker replaced": (replace_worker, SHORT, 1000, "done", "unknown"),
@@ -129,12 +128,12 @@
 @pytest.mark.parametrize("idempotent", [True, False], ids=["idempotent", "once"])
 @pytest.mark.parametrize("name", CASES)
 async def test_running_job_ends_correctly(tmp_path: Path, name: str, idempotent: bool) -> None:
-    story, lease, work_ms, if_idempotent, if_not = CASES[name]
+    inject_fault, lease, work_ms, if_idempotent, if_not = CASES[name]
     async with Cluster.running(tmp_path, instances=2, lease=lease) as cluster:
         work = {"work_ms": work_ms}
         await cluster.submit("k", idempotent=idempotent, input=work)
         holder = await cluster.holder_of("k")
-        await story(cluster, holder)
+        await inject_fault(cluster, holder)
         job = await cluster.wait_job("k")
         assert job["state"] in (if_idempotent if idempotent else if_not)
         assert len(cluster.seen("effect", "k")) == (job["state"] == "done")
@@ -143,8 +142,8 @@
 @pytest.mark.parametrize(
     "name", ["agent killed", "instance killed", "agent replaced", "entry replaced"]
 )
-async def test_watch_stays_alive(tmp_path: Path, name: str) -> None:
-    """A watcher's claim watch goes on although what carried it died."""
+async def test_watch_survives_a_process_loss(tmp_path: Path, name: str) -> None:
+    """Guards against a watch that ends, or restarts more than once, after a process loss."""
     async with Cluster.running(tmp_path, instances=2) as cluster:
         await cluster.submit("k", kind="watch", idempotent=True, input={"event_every_ms": 50})
         holder = await cluster.holder_of("k")
@@ -155,11 +154,8 @@
         assert len(cluster.seen("task_start", "k")) <= before + 1
 
 
-async def test_watcher_resumes_its_stream_through_another_entry(tmp_path: Path) -> None:
-    """A watcher reads through one entry, which dies; the balancer sends it to the other.
-
-    It asks for what came after the last event it has, and misses none and gets none twice.
-    """
+async def test_watcher_resumes_its_event_stream_through_another_entry(tmp_path: Path) -> None:
+    """Guards against lost or repeated events when a client resumes through another entry."""
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         await cluster.submit("k", kind="watch", idempotent=True, input={"event_every_ms": 50})
         first = await cluster.events("k", 5)
@@ -169,7 +165,7 @@
 
 
 async def test_zone_lost(tmp_path: Path) -> None:
-    """All processes of one of two zones die; the other zone's entry takes its work over."""
+    """All processes of one of two zones die; the entry of the other zone takes over its work."""
     async with Cluster.running(tmp_path, entries=2, instances=2, zones=2) as cluster:
         for n in range(4):
             await cluster.submit(f"k{n}", idempotent=True, input={"work_ms": 1000})
--- a/tests/process/test_queues.py
+++ b/tests/process/test_queues.py
@@ -1,4 +1,4 @@
-"""Jobs of steps through the product's own processes: entries, runners, stand-ins, command line."""
+"""Multi-step jobs through real processes: entries, runners, stand-ins and the command line."""
 
 import asyncio
 import json
@@ -46,9 +46,9 @@
         for name in self.worker_ports:
             await self.until_logged(name, "event=following")
         change = {"document": DOCUMENT, "base_version": 0, "author": "test", "reason": "test"}
-        assert (await self.ask("e1", "POST", "/v1/admin/config", change))[0] == 200
+        assert (await self.request("e1", "POST", "/v1/admin/config", change))[0] == 200
         for name in self.urls:
-            await self.until_taken(name)
+            await self.until_configured(name)
 
     async def spawn(self, name: str, *args: str) -> Proc:
         self.procs[name] = await Proc.spawn(name, self.folder, *args)
@@ -103,27 +103,29 @@
     async def run(self, name: str, role: str) -> None:
         await self.spawn(name, "sapphirelead", role, "--config", str(self.folder / f"{name}.toml"))
 
-    async def ask(
+    async def request(
         self, entry: str, method: str, path: str, body: Any = None
     ) -> tuple[int, Any, dict[str, str]]:
         async with self.http.request(method, self.urls[entry] + path, json=body) as response:
             return response.status, await response.json(), dict(response.headers)
 
-    async def submit(self, entry: str, job_id: str, *steps: Any, **more: Any) -> tuple[int, Any]:
-        """Submit with a caller's retries, as each refusal allows."""
-        body = {"input": {"work_ms": 200}, "steps": list(steps), **more}
+    async def submit(
+        self, entry: str, job_id: str, *steps: Any, **job_fields: Any
+    ) -> tuple[int, Any]:
+        """Submit, and retry a refused submission after its ``Retry-After``."""
+        body = {"input": {"work_ms": 200}, "steps": list(steps), **job_fields}
         for _ in range(6):
             path = f"/v1/queues/nightly/jobs/{job_id}"
-            status, told, headers = await self.ask(entry, "POST", path, body)
+            status, reply, headers = await self.request(entry, "POST", path, body)
             if status != 503:
                 break
-            assert told["outcome"] == "not_run"
+            assert reply["outcome"] == "not_run"
             await asyncio.sleep(int(headers["Retry-After"]))
-        return status, told
+        return status, reply
 
     async def state(self, entry: str, job_id: str) -> str:
-        status, told, _ = await self.ask(entry, "GET", f"/v1/queues/nightly/jobs/{job_id}")
-        return str(told["state"]) if status == 200 else ""
+        status, reply, _ = await self.request(entry, "GET", f"/v1/queues/nightly/jobs/{job_id}")
+        return str(reply["state"]) if status == 200 else ""
 
     async def until_state(self, entry: str, job_id: str, *states: str) -> str:
         async def reached() -> str:
@@ -152,22 +154,22 @@
 
         await wait_until(f"{name} logs {text}", logged)
 
-    async def until_taken(self, entry: str) -> None:
-        async def taken() -> bool:
-            return (await self.ask(entry, "GET", "/v1/queues/nightly"))[0] == 200
+    async def until_configured(self, entry: str) -> None:
+        async def configured() -> bool:
+            return (await self.request(entry, "GET", "/v1/queues/nightly"))[0] == 200
 
-        await wait_until(f"{entry} has the queues", taken)
+        await wait_until(f"{entry} has the queues", configured)
 
     def effects(self, *runners: str) -> list[str]:
-        """Names of the tasks that ended well, one for each time."""
+        """Return the sorted tasks of the runs that took effect, one for each run."""
         return sorted(self.seen("effect", *runners))
 
     def started(self) -> int:
-        """Number of runs that were started."""
+        """Return the number of started runs."""
         return len(self.seen("task_start"))
 
     def seen(self, what: str, *runners: str) -> list[str]:
-        """Tasks of the events of one kind at the workers."""
+        """Return the tasks of all events of one kind at the workers."""
         found = []
         for runner in runners or self.worker_ports:
             text = (self.folder / f"worker-{runner}.jsonl").read_text()
@@ -176,7 +178,7 @@
         return found
 
     def leader(self) -> str:
-        """The entry that took the lead last."""
+        """Return the entry that became leader last."""
         leading = [
             (line.partition("epoch=")[2].split()[0], name)
             for name in self.urls
@@ -186,7 +188,7 @@
         return max(leading, key=lambda found: int(found[0]))[1]
 
     async def command(self, entry: str, *words: str) -> tuple[int, str]:
-        """Run the command line and return its exit code and output."""
+        """Run a command and return its exit code and output."""
         proc = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -203,16 +205,16 @@
 @asynccontextmanager
 async def site(folder: Path) -> AsyncIterator[Site]:
     async with aiohttp.ClientSession() as http:
-        made = Site(folder, http)
+        cluster = Site(folder, http)
         try:
-            await made.start()
-            yield made
+            await cluster.start()
+            yield cluster
         except BaseException:
-            for name, proc in made.procs.items():
+            for name, proc in cluster.procs.items():
                 print(f"--- {name}\n{proc.tail()}")
             raise
         finally:
-            alive = [proc for proc in made.procs.values() if proc.running]
+            alive = [proc for proc in cluster.procs.values() if proc.running]
             await asyncio.gather(*(proc.kill() for proc in alive))
 
 
@@ -221,21 +223,21 @@
 
 
 async def test_a_job_is_accepted_run_and_shown_at_any_entry(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+    async with site(tmp_path) as cluster:
         two = ({**STEP, "tasks": 3}, {**STEP, "tasks": 2, "after": [0]})
-        assert (await made.submit("e1", "a1", *two))[0] == 202
-        assert (await made.submit("e2", "a1", *two))[0] == 202
-        other = await made.submit("e2", "a1", {**STEP, "tasks": 4})
+        assert (await cluster.submit("e1", "a1", *two))[0] == 202
+        assert (await cluster.submit("e2", "a1", *two))[0] == 202
+        other = await cluster.submit("e2", "a1", {**STEP, "tasks": 4})
         assert (other[0], other[1]["code"], other[1]["outcome"]) == (422, "SL-105", "not_run")
-        for entry in made.urls:
-            assert await made.until_state(entry, "a1") == "completed"
-        assert made.effects() == tasks("a1", 3, 2)
-        assert (await made.submit("e2", "a1", *two))[1]["state"] == "completed"
-        assert made.effects() == tasks("a1", 3, 2)
+        for entry in cluster.urls:
+            assert await cluster.until_state(entry, "a1") == "completed"
+        assert cluster.effects() == tasks("a1", 3, 2)
+        assert (await cluster.submit("e2", "a1", *two))[1]["state"] == "completed"
+        assert cluster.effects() == tasks("a1", 3, 2)
 
 
-async def test_a_bad_submission_leaves_nothing_behind(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+async def test_an_invalid_submission_creates_no_job(tmp_path: Path) -> None:
+    async with site(tmp_path) as cluster:
         bad: dict[str, tuple[Any, int]] = {
             "b1": ([{**STEP, "after": [1]}, {**STEP, "after": [0]}], 422),
             "b2": ([STEP, {**STEP, "after": [9]}], 422),
@@ -244,18 +246,18 @@
             "b5": ([{**STEP, "label": "x" * 50_000}], 413),
         }
         for job_id, (steps, status) in bad.items():
-            for entry in made.urls:
+            for entry in cluster.urls:
                 path = f"/v1/queues/nightly/jobs/{job_id}"
-                told = await made.ask(entry, "POST", path, {"steps": steps})
-                assert (told[0], told[1]["outcome"]) == (status, "not_run"), told
-                assert (await made.ask(entry, "GET", path))[0] == 404
-        assert (await made.submit("e1", "good", STEP))[0] == 202
-        assert await made.until_state("e2", "good") == "completed"
-        assert made.effects() == tasks("good", 1)
+                reply = await cluster.request(entry, "POST", path, {"steps": steps})
+                assert (reply[0], reply[1]["outcome"]) == (status, "not_run"), reply
+                assert (await cluster.request(entry, "GET", path))[0] == 404
+        assert (await cluster.submit("e1", "good", STEP))[0] == 202
+        assert await cluster.until_state("e2", "good") == "completed"
+        assert cluster.effects() == tasks("good", 1)
 
 
-# Steps, further fields of the job, its end, and how often its tasks end well: in all, or by worker.
-WAYS: dict[str, tuple[list[Any], dict[str, Any], str, list[int]]] = {
+# Steps, further job fields, final state, and the number of effects: in total, or by worker.
+JOB_CASES: dict[str, tuple[list[Any], dict[str, Any], str, list[int]]] = {
     "apart from each other": ([{**STEP, "tasks": 2, "per_worker": 1}], {}, "completed", [1, 1]),
     "where the label is": ([{**STEP, "tasks": 3, "label": "only-r2"}], {}, "completed", [0, 3]),
     "in a rack": ([{**STEP, "tasks": 3, "label": "rack-r1"}], {}, "completed", [3, 0]),
@@ -270,172 +272,167 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", WAYS)
-async def test_a_job_runs_as_its_steps_say(tmp_path: Path, name: str) -> None:
-    steps, more, ended, expected = WAYS[name]
-    async with site(tmp_path) as made:
-        if "occurrences" in more:
-            more = {**more, "first_due_ms": int(time.time() * 1000) + 1500}
-        assert (await made.submit("e2", "j1", *steps, **more))[0] == 202
-        assert await made.until_state("e1", "j1") == ended
+@pytest.mark.parametrize("name", JOB_CASES)
+async def test_a_job_runs_as_its_steps_specify(tmp_path: Path, name: str) -> None:
+    steps, job_fields, ended, expected = JOB_CASES[name]
+    async with site(tmp_path) as cluster:
+        if "occurrences" in job_fields:
+            job_fields = {**job_fields, "first_due_ms": int(time.time() * 1000) + 1500}
+        assert (await cluster.submit("e2", "j1", *steps, **job_fields))[0] == 202
+        assert await cluster.until_state("e1", "j1") == ended
 
         def effects() -> list[int]:
-            by_worker = [len(made.effects(runner)) for runner in made.worker_ports]
+            by_worker = [len(cluster.effects(runner)) for runner in cluster.worker_ports]
             return by_worker if len(expected) == 2 else [sum(by_worker)]
 
         async def all_seen() -> bool:
             return sum(effects()) >= sum(expected)
 
-        # One member's end stands for its gang; those on the other worker end by their own timers.
+        # The job may be shown as ended before gang members on the other worker have ended.
         await wait_until("each task has had its effect", all_seen)
         assert effects() == expected
         if ended == "failed":
-            assert made.started() == 3
-        if "occurrences" in more:
+            assert cluster.started() == 3
+        if "occurrences" in job_fields:
             due = [f"j1.{number}.{step}.0" for number in range(3) for step in range(2)]
-            assert made.effects() == due
+            assert cluster.effects() == due
 
 
 async def test_waiting_jobs_are_counted_and_cancelled_at_any_entry(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+    async with site(tmp_path) as cluster:
         for number in range(3):
             path = f"/v1/queues/waiting/jobs/w{number}"
-            assert (await made.ask("e1", "POST", path, {"steps": [STEP]}))[0] == 202
-        for entry in made.urls:
-            status, told, _ = await made.ask(entry, "GET", "/v1/queues/waiting")
-            assert (status, told["waiting"]) == (200, 3)
-        cancelled = await made.ask("e2", "DELETE", "/v1/queues/waiting/jobs/w1")
+            assert (await cluster.request("e1", "POST", path, {"steps": [STEP]}))[0] == 202
+        for entry in cluster.urls:
+            status, reply, _ = await cluster.request(entry, "GET", "/v1/queues/waiting")
+            assert (status, reply["waiting"]) == (200, 3)
+        cancelled = await cluster.request("e2", "DELETE", "/v1/queues/waiting/jobs/w1")
         assert (cancelled[0], cancelled[1]["state"]) == (200, "cancelled")
-        assert (await made.ask("e1", "GET", "/v1/queues/waiting"))[1]["waiting"] == 2
-        again = await made.ask("e1", "DELETE", "/v1/queues/waiting/jobs/w1")
+        assert (await cluster.request("e1", "GET", "/v1/queues/waiting"))[1]["waiting"] == 2
+        again = await cluster.request("e1", "DELETE", "/v1/queues/waiting/jobs/w1")
         assert (again[0], again[1]["state"]) == (200, "cancelled")
 
 
-async def test_cancelling_stops_what_runs(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+async def test_cancelling_stops_running_tasks(tmp_path: Path) -> None:
+    async with site(tmp_path) as cluster:
         lasting = {"input": {"lasts": True}}
-        assert (await made.submit("e1", "c1", {**STEP, "tasks": 2, "lasting": True}, **lasting))[
+        assert (await cluster.submit("e1", "c1", {**STEP, "tasks": 2, "lasting": True}, **lasting))[
             0
         ] == 202
-        await made.until_state("e2", "c1", "running")
-        await made.ask("e2", "DELETE", "/v1/queues/nightly/jobs/c1")
-        assert await made.state("e1", "c1") == "cancelled"
+        await cluster.until_state("e2", "c1", "running")
+        await cluster.request("e2", "DELETE", "/v1/queues/nightly/jobs/c1")
+        assert await cluster.state("e1", "c1") == "cancelled"
 
         async def stopped() -> bool:
-            return made.started() == len(made.seen("task_end")) == 2
+            return cluster.started() == len(cluster.seen("task_end")) == 2
 
         await wait_until("both tasks have ended", stopped)
-        assert made.effects() == []
+        assert cluster.effects() == []
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped"])
-async def test_jobs_go_on_when_the_leading_entry_ends(tmp_path: Path, how: str) -> None:
-    """The entry that decides ends, by a loss of power or by the operators' wish.
-
-    What was accepted goes on under the other entry and no task has its effect twice; callers of the
-    other entry are served again within seconds.
-    """
-    async with site(tmp_path) as made:
+async def test_jobs_complete_when_the_leader_ends(tmp_path: Path, how: str) -> None:
+    """Guards against lost or repeated tasks when the leader crashes or is stopped."""
+    async with site(tmp_path) as cluster:
         long = {"input": {"work_ms": 1500}}
-        assert (await made.submit("e1", "k1", {**STEP, "tasks": 4}, **long))[0] == 202
-        await made.until_state("e2", "k1", "running")
-        leader = made.leader()
+        assert (await cluster.submit("e1", "k1", {**STEP, "tasks": 4}, **long))[0] == 202
+        await cluster.until_state("e2", "k1", "running")
+        leader = cluster.leader()
         other = "e2" if leader == "e1" else "e1"
         if how == "killed":
-            await made.procs[leader].kill()
+            await cluster.procs[leader].kill()
         else:
-            assert await made.procs[leader].stop(15) == 0
-        assert (await made.submit(other, "k2", {**STEP, "tasks": 2}))[0] == 202
+            assert await cluster.procs[leader].stop(15) == 0
+        assert (await cluster.submit(other, "k2", {**STEP, "tasks": 2}))[0] == 202
         for job_id in ("k1", "k2"):
-            assert await made.until_state(other, job_id) == "completed"
-        assert made.effects() == sorted(tasks("k1", 4) + tasks("k2", 2))
+            assert await cluster.until_state(other, job_id) == "completed"
+        assert cluster.effects() == sorted(tasks("k1", 4) + tasks("k2", 2))
 
 
 async def test_tasks_of_a_lost_worker_run_again(tmp_path: Path) -> None:
-    """A worker crashes with tasks on it and starts anew; its runner goes on beside it."""
-    async with site(tmp_path) as made:
+    """Guards against lost or repeated tasks when a worker restarts and its runner does not."""
+    async with site(tmp_path) as cluster:
         work = {"input": {"work_ms": 1200}}
         spread = {**STEP, "tasks": 4, "per_worker": 2}
-        assert (await made.submit("e1", "l1", spread, **work))[0] == 202
-        await made.until_state("e1", "l1", "running")
+        assert (await cluster.submit("e1", "l1", spread, **work))[0] == 202
+        await cluster.until_state("e1", "l1", "running")
         await asyncio.sleep(0.5)
-        await made.procs["worker-r1"].kill()
-        await made.start_worker("r1")
-        assert await made.until_state("e2", "l1") == "completed"
-        assert sorted(set(made.effects())) == tasks("l1", 4)
-        assert len(made.effects()) == 4
+        await cluster.procs["worker-r1"].kill()
+        await cluster.start_worker("r1")
+        assert await cluster.until_state("e2", "l1") == "completed"
+        assert sorted(set(cluster.effects())) == tasks("l1", 4)
+        assert len(cluster.effects()) == 4
 
 
-async def test_a_restarted_runner_takes_over_what_its_worker_runs(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+async def test_a_restarted_runner_adopts_the_runs_of_its_worker(tmp_path: Path) -> None:
+    async with site(tmp_path) as cluster:
         work = {"input": {"work_ms": 2500}}
-        assert (await made.submit("e1", "t1", {**STEP, "tasks": 2}, **work))[0] == 202
-        await made.until_state("e1", "t1", "running")
+        assert (await cluster.submit("e1", "t1", {**STEP, "tasks": 2}, **work))[0] == 202
+        await cluster.until_state("e1", "t1", "running")
         await asyncio.sleep(0.5)
         for name in ("r1", "r2"):
-            assert await made.procs[name].stop() == 0
-            await made.run(name, "runner")
-        assert await made.until_state("e2", "t1") == "completed"
-        assert made.started() == 2
+            assert await cluster.procs[name].stop() == 0
+            await cluster.run(name, "runner")
+        assert await cluster.until_state("e2", "t1") == "completed"
+        assert cluster.started() == 2
 
 
 async def test_tasks_that_outlast_their_estimate_are_not_started_again(tmp_path: Path) -> None:
-    """Guards against sound runs that are stopped as slow since their estimate is too low."""
-    async with site(tmp_path) as made:
+    """Guards against healthy runs that are stopped as stragglers because their estimate is low."""
+    async with site(tmp_path) as cluster:
         work = {"input": {"work_ms": 2500}}
-        assert (await made.submit("e1", "t1", {**STEP, "tasks": 2}, **work))[0] == 202
-        assert await made.until_state("e2", "t1") == "completed"
-        assert made.started() == 2
+        assert (await cluster.submit("e1", "t1", {**STEP, "tasks": 2}, **work))[0] == 202
+        assert await cluster.until_state("e2", "t1") == "completed"
+        assert cluster.started() == 2
 
 
-async def test_refusal_is_true_while_the_table_is_away(tmp_path: Path) -> None:
-    """The table falls silent; connections to it hang.
+async def test_a_submission_refused_during_a_table_outage_never_runs(tmp_path: Path) -> None:
+    """Guards against a job that was refused as not run while the table hung and runs afterwards.
 
-    What callers are told was not run has not run when it is back.  Jobs can be asked for all the
-    while, at the entry that waits for the table too: it went silent for its leader, and refused its
-    callers, while one read of the table took longer than a heartbeat may be late.
+    Also guards against an entry that misses heartbeats, and refuses its callers, while a table
+    read blocks.
     """
-    async with site(tmp_path) as made:
-        table = made.procs["table"]
-        assert (await made.submit("e1", "s1", STEP))[0] == 202
-        await made.until_state("e1", "s1")
+    async with site(tmp_path) as cluster:
+        table = cluster.procs["table"]
+        assert (await cluster.submit("e1", "s1", STEP))[0] == 202
+        await cluster.until_state("e1", "s1")
         table.pause()
         await asyncio.sleep(2.5)
         path = "/v1/queues/nightly/jobs/s2"
-        status, told, headers = await made.ask("e1", "POST", path, {"steps": [STEP]})
-        assert (status, told["code"], told["outcome"]) == (503, "SL-307", "not_run")
+        status, reply, headers = await cluster.request("e1", "POST", path, {"steps": [STEP]})
+        assert (status, reply["code"], reply["outcome"]) == (503, "SL-307", "not_run")
         assert int(headers["Retry-After"]) >= 1
         for number in range(40):
             entry = ("e1", "e2")[number % 2]
-            shown = await made.ask(entry, "GET", "/v1/queues/nightly/jobs/s1")
+            shown = await cluster.request(entry, "GET", "/v1/queues/nightly/jobs/s1")
             assert (shown[0], shown[1].get("state")) == (200, "completed"), (number, entry, shown)
             await asyncio.sleep(0.1)
         table.resume()
         await asyncio.sleep(2.0)
-        assert await made.state("e1", "s2") == ""
-        assert made.effects() == tasks("s1", 1)
-        assert (await made.submit("e2", "s2", STEP))[0] == 202
-        assert await made.until_state("e1", "s2") == "completed"
+        assert await cluster.state("e1", "s2") == ""
+        assert cluster.effects() == tasks("s1", 1)
+        assert (await cluster.submit("e2", "s2", STEP))[0] == 202
+        assert await cluster.until_state("e1", "s2") == "completed"
 
 
 async def test_the_command_line_submits_shows_and_cancels(tmp_path: Path) -> None:
-    async with site(tmp_path) as made:
+    async with site(tmp_path) as cluster:
         file = tmp_path / "job.json"
         file.write_text(
             json.dumps({"input": {"lasts": True}, "steps": [{**STEP, "lasting": True}]})
         )
-        code, out = await made.command("e1", "queues", "submit", "nightly", "m1", str(file))
+        code, out = await cluster.command("e1", "queues", "submit", "nightly", "m1", str(file))
         assert code == 0 and "state:" in out
-        await made.until_state("e1", "m1", "running")
-        assert await made.command("e2", "queues", "show", "nightly", "m1") == (
+        await cluster.until_state("e1", "m1", "running")
+        assert await cluster.command("e2", "queues", "show", "nightly", "m1") == (
             0,
             "queue: nightly\nid: m1\nstate: running\n",
         )
-        assert await made.command("e2", "queues", "show", "nightly") == (
+        assert await cluster.command("e2", "queues", "show", "nightly") == (
             0,
             "queue: nightly\nwaiting: 0\n",
         )
-        code, out = await made.command("e2", "queues", "cancel", "nightly", "m1", "--json")
+        code, out = await cluster.command("e2", "queues", "cancel", "nightly", "m1", "--json")
         assert (code, json.loads(out)["state"]) == (0, "cancelled")
-        code, out = await made.command("e1", "queues", "show", "nightly", "none")
+        code, out = await cluster.command("e1", "queues", "show", "nightly", "none")
         assert code == 1 and "SL-103" in out
--- a/tests/process/test_store.py
+++ b/tests/process/test_store.py
@@ -1,4 +1,4 @@
-"""The platform's table is down, slow, or takes effect without an answer."""
+"""The platform table is down or slow, or applies writes without a response."""
 
 import asyncio
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from bench.harness import Answer, Cluster
 
-LOST: dict[str, dict[str, Any]] = {
+WRITE_FAULTS: dict[str, dict[str, Any]] = {
     **{f"{n} answers lost": {"lose_answers": n} for n in (1, 2, 3, 6)},
     **{f"{n} dropped before the effect": {"drop_before": n} for n in (1, 2, 3)},
     "dropped and lost": {"drop_before": 1, "lose_answers": 2},
@@ -16,17 +16,17 @@
 }
 
 
-@pytest.mark.parametrize("name", LOST)
-async def test_job_is_accepted_and_run_once_whatever_answer_is_lost(
+@pytest.mark.parametrize("name", WRITE_FAULTS)
+async def test_job_is_accepted_and_run_once_when_responses_are_lost(
     tmp_path: Path, name: str
 ) -> None:
-    """Writes to a job's row take effect, but their answers never come, or they never arrive.
+    """Guards against lost or repeated jobs when writes or their responses are lost.
 
-    A clerk submits a rollover batch and repeats it under the same key until it is accepted.  The
-    lost answer may be that of its acceptance, its claim or its completion.
+    The client repeats the submission with the same key until it is accepted.  The lost response
+    may be that of the acceptance, the claim or the completion.
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
-        await cluster.fault(match="rollover", **LOST[name])
+        await cluster.fault(match="rollover", **WRITE_FAULTS[name])
         for _ in range(8):
             if (await cluster.submit("rollover", input={"work_ms": 100})).ok:
                 break
@@ -35,16 +35,18 @@
         assert len(cluster.seen("task_start", "rollover")) == 1
 
 
-ANSWERED_S = 1.5
+REFUSAL_TIMEOUT_S = 1.5
 
 
 @pytest.mark.parametrize(
     "name", ["1 answers lost", "3 answers lost", "1 dropped before the effect"]
 )
-async def test_answer_to_a_single_submission_is_true(tmp_path: Path, name: str) -> None:
-    """The clerk does not repeat.  What is called "not run" never starts, all else ends as done."""
+async def test_response_to_a_single_submission_matches_its_outcome(
+    tmp_path: Path, name: str
+) -> None:
+    """Guards against a "not run" response for a job that exists; any other job completes."""
     async with Cluster.running(tmp_path) as cluster:
-        await cluster.fault(match="rollover", **LOST[name])
+        await cluster.fault(match="rollover", **WRITE_FAULTS[name])
         answer = await cluster.submit("rollover")
         if answer.outcome == "not_run":
             assert await cluster.job("rollover") is None
@@ -65,10 +67,10 @@
 
 @pytest.mark.parametrize("name", OUTAGES)
 async def test_outage_of_the_table(tmp_path: Path, name: str) -> None:
-    """The table is out while a rollover runs; the object store stays up.
+    """Guards against failed requests and repeated jobs while the table alone is down.
 
-    Photo checks go on, a new job is refused at once as not run with a time to come back, and the
-    running job ends once: it goes on, or is checkpointed and held before its lease lapses.
+    Service requests are served, new jobs are refused promptly with a retry delay, and the running
+    job takes effect once.
     """
     seconds, fault = OUTAGES[name]
     async with Cluster.running(tmp_path, instances=2) as cluster:
@@ -82,7 +84,7 @@
             served += (await cluster.serve(f"m{served}")).outcome == "done"
             if served % 20 == 1:
                 new.append(asyncio.create_task(cluster.submit(f"new{served}")))
-        answers = await asyncio.wait_for(asyncio.gather(*new), ANSWERED_S)
+        answers = await asyncio.wait_for(asyncio.gather(*new), REFUSAL_TIMEOUT_S)
         await cluster.fault()
         refused = [answer for answer in answers if answer.outcome == "not_run"]
         assert served > 0
@@ -96,9 +98,10 @@
 
 
 async def test_outage_of_the_whole_platform_never_runs_a_job_twice(tmp_path: Path) -> None:
-    """Table and objects are out past the lease, so that no checkpoint can be stored.
+    """Guards against a second run when table and object store are down past the lease.
 
-    A non-idempotent estimate may end as unknown, an idempotent one runs again; neither is lost.
+    No checkpoint can be stored: a non-idempotent job may end as unknown, an idempotent one runs
+    again.
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
         for key, idempotent in (("once", False), ("again", True)):
@@ -112,7 +115,7 @@
         assert len(cluster.seen("task_start", "once")) == 1
 
 
-DEPLOYED: Final = {
+PRODUCTION_LEASE: Final = {
     "lease_seconds": 20.0,
     "margin_seconds": 5.0,
     "renew_interval_seconds": 2.0,
@@ -121,14 +124,14 @@
 }
 
 
-async def test_load_on_the_table_keeps_to_its_budget(tmp_path: Path) -> None:
-    """Calm, a wave of 300 short jobs, and the return after an outage, at the leases as shipped.
+async def test_load_on_the_table_stays_within_its_budget(tmp_path: Path) -> None:
+    """Guards against table load beyond the limits: when idle, in a burst of jobs, after an outage.
 
-    The stand-in refuses what exceeds 400 writes or 2,000 reads in any second; nothing may come
-    near it.
+    Uses the production lease settings.  The stand-in refuses requests beyond 400 writes or 2,000
+    reads a second.
     """
     loads: dict[str, dict[str, float]] = {}
-    async with Cluster.running(tmp_path, entries=2, instances=3, lease=DEPLOYED) as cluster:
+    async with Cluster.running(tmp_path, entries=2, instances=3, lease=PRODUCTION_LEASE) as cluster:
         loads["calm"] = await cluster.table_load(4.0)
         wave = [
             asyncio.create_task(cluster.submit(f"k{n}", cluster.entries[n % 2], cpu=100))
@@ -152,7 +155,7 @@
 
 
 async def test_service_starts_and_answers_while_the_table_is_down(tmp_path: Path) -> None:
-    """An entry dies during an outage of the table; the balancer sends clerks to its successor."""
+    """Guards against an entry that cannot start, or serve requests, during a table outage."""
     async with Cluster.running(tmp_path, entries=2) as cluster:
         await cluster.fault(down=True)
         entry = cluster.entries[0]
--- a/tests/process/test_thin_path.py
+++ b/tests/process/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: a request, a job, a watch and a change of the rules."""
+"""End-to-end path through real processes: requests, jobs, watches and rule changes."""
 
 import asyncio
 from pathlib import Path
--- a/tests/process/test_waves.py
+++ b/tests/process/test_waves.py
@@ -1,4 +1,4 @@
-"""Waves: of jobs over capacity, of cancellations, of failures, and of noisy tasks."""
+"""Bursts of jobs over capacity, of cancellations, of failures and of interfering tasks."""
 
 import asyncio
 import itertools
@@ -10,16 +10,16 @@
 from sapphirelead.agent_samples import MAX_INTERVALS
 from sapphirelead.model_config import ConfigDocument
 
-CALM_MS: Final = 20.0
-LAG_S: Final = 0.5
-FIRST_LAG_S: Final = ConfigDocument().interference.report_lag_seconds
-"""Lag in force when the agent starts; the interval that has begun with it ends with it."""
-NOISE_MS: Final = 1000 * (FIRST_LAG_S + (MAX_INTERVALS + 1) * LAG_S + 1.0)
-"""Noise that outlasts the intervals in which the agent has to decide, and a second."""
+REQUEST_MS: Final = 20.0
+REPORT_LAG_S: Final = 0.5
+INITIAL_REPORT_LAG_S: Final = ConfigDocument().interference.report_lag_seconds
+"""Lag when the agent starts; it still applies to the interval in progress."""
+NOISY_TASK_MS: Final = 1000 * (INITIAL_REPORT_LAG_S + (MAX_INTERVALS + 1) * REPORT_LAG_S + 1.0)
+"""Run time that outlasts the intervals within which the agent must decide, plus a second."""
 
 
 async def test_capacity_holds_under_a_wave_through_two_entries(tmp_path: Path) -> None:
-    """Thirty jobs of 1,500 millicores, two of which fit beside each other on each instance."""
+    """Thirty jobs of 1,500 millicores, of which two fit on an instance at a time."""
     async with Cluster.running(tmp_path, entries=2, instances=2) as cluster:
         jobs = [
             cluster.submit(f"k{n}", cluster.entries[n % 2], cpu=1500, input={"work_ms": 80})
@@ -31,8 +31,8 @@
         assert len(cluster.seen("effect")) == 30
 
 
-async def test_use_beyond_the_declaration_is_charged(tmp_path: Path) -> None:
-    """A task declares 500 millicores and takes all 4,000; the next job must wait for its end."""
+async def test_usage_beyond_the_declared_resources_is_accounted(tmp_path: Path) -> None:
+    """Guards against scheduling by declared resources when a task uses far more."""
     async with Cluster.running(tmp_path) as cluster:
         true_use = {"cpu_millicores": 3900, "memory_mb": 100, "accelerators": 0}
         await cluster.submit("hog", cpu=500, input={"work_ms": 2500, "usage": true_use})
@@ -45,10 +45,9 @@
 
 
 async def test_cancellation_wave(tmp_path: Path) -> None:
-    """Forty jobs wait or run; thirty-nine are cancelled at once, each twice, through both entries.
+    """Guards against lost capacity after many cancellations, each sent through both entries.
 
-    Those called "not run" never started (the checker looks), the capacity comes back, and the one
-    left ends.
+    Jobs reported as "not run" never started (the checker verifies it), and the remaining job runs.
     """
     async with Cluster.running(tmp_path, entries=2, instances=1) as cluster:
         work = {"work_ms": 20_000}
@@ -64,16 +63,16 @@
 
 
 async def test_urgent_work_evicts_batch_which_resumes_once(tmp_path: Path) -> None:
-    """The only instance is full of batch when urgent estimates come.
+    """Guards against urgent jobs that wait behind batch, and against lost or repeated evicted jobs.
 
-    They start within seconds; what was evicted resumes from its exact checkpoint and ends once.
+    The evicted jobs resume from their checkpoints and take effect once.
     """
     async with Cluster.running(tmp_path) as cluster:
         for n in range(4):
             await cluster.submit(f"k{n}", input={"work_ms": 2500})
         await cluster.wait_seen("task_start", "", 4)
         for n in range(2):
-            # Each lasts for longer than the other waits, so that neither takes the other's place.
+            # Each runs longer than the other waits, so that each has to evict a job of its own.
             await cluster.submit(f"urgent{n}", urgent=True, input={"work_ms": 1000})
         for n in range(2):
             assert (await cluster.wait_job(f"urgent{n}"))["state"] == "done"
@@ -85,9 +84,9 @@
 
 
 async def test_worker_that_fails_everything_does_not_use_up_jobs(tmp_path: Path) -> None:
-    """One of two workers fails each task at once, so that it always looks free.
+    """Guards against idempotent jobs that are set aside because of one failing worker.
 
-    Idempotent jobs end on the other; none is set aside for the failures of one instance.
+    The worker fails each task at once and so always appears idle.
     """
     async with Cluster.running(tmp_path, instances=2) as cluster:
         await cluster.control(cluster.instances[0].worker_url, fail_all=True)
@@ -99,7 +98,7 @@
         assert len(failed) <= 16
 
 
-async def test_target_that_fails_everything_fast_attracts_little(tmp_path: Path) -> None:
+async def test_target_that_fails_fast_attracts_few_requests(tmp_path: Path) -> None:
     async with Cluster.running(tmp_path, instances=2) as cluster:
         await cluster.control(cluster.instances[0].target_url, fail_all=True)
         for n in range(40):
@@ -109,8 +108,8 @@
         assert len(failed) <= 2
 
 
-async def test_jobs_that_can_never_end_are_given_up_with_the_reason(tmp_path: Path) -> None:
-    """One asks for more than any instance has; one breaks on every instance; one breaks once."""
+async def test_jobs_that_cannot_succeed_are_set_aside_or_failed(tmp_path: Path) -> None:
+    """One job exceeds every instance, one fails on every instance, and one must not be retried."""
     async with Cluster.running(tmp_path, instances=2) as cluster:
         answer = await cluster.submit("huge", cpu=999_000)
         assert answer.outcome == "not_run" or (await cluster.wait_job("huge"))["state"] in (
@@ -126,8 +125,8 @@
         assert len(cluster.seen("task_start", "broken")) == 1
 
 
-async def test_overload_is_refused_at_once_and_told_when_to_return(tmp_path: Path) -> None:
-    """Many times more requests than slots arrive; all are answered well before their deadline."""
+async def test_overload_is_refused_at_once_with_a_retry_delay(tmp_path: Path) -> None:
+    """Guards against requests that are queued past their deadline instead of being refused."""
     async with Cluster.running(tmp_path) as cluster:
         calls = [cluster.serve(f"m{n}", 200, X_Request_Deadline_Ms="1500") for n in range(300)]
         answers = await asyncio.gather(*calls)
@@ -139,27 +138,26 @@
         assert peak <= 8
 
 
-async def test_noisy_batch_is_held_back_for_a_service(tmp_path: Path) -> None:
-    """A service runs calmly; then noisy tasks make it several times slower.
+async def test_noisy_batch_is_throttled_for_a_service(tmp_path: Path) -> None:
+    """Guards against interfering tasks that slow a service and are neither throttled nor evicted.
 
-    The agent learns from lagged reports which class disturbs, throttles or evicts, and every job
-    ends all the same.  A request takes 20 ms: beside a busy machine one of 2 ms takes 25 to 80 ms
-    by the machine's own doing, and 36 ms more are then no slowdown that has to be acted on.
+    The agent has only lagged reports.  Requests take long enough for the slowdown to stand out on
+    a busy machine.
     """
     async with Cluster.running(tmp_path, target={"interference": 8.0}) as cluster:
-        await cluster.apply({"interference": {"report_lag_seconds": LAG_S}}, 0)
+        await cluster.apply({"interference": {"report_lag_seconds": REPORT_LAG_S}}, 0)
         load = asyncio.create_task(_steady(cluster))
         await cluster.wait_seen("request_end", "s100.0")
-        assert _took_ms(cluster, "s100.0") >= CALM_MS
+        assert _took_ms(cluster, "s100.0") >= REQUEST_MS
         for n in range(3):
-            noisy = {"work_ms": NOISE_MS, "noise": 0.3}
+            noisy = {"work_ms": NOISY_TASK_MS, "noise": 0.3}
             await cluster.submit(f"k{n}", idempotent=True, input=noisy)
 
-        async def held_back() -> bool:
+        async def throttled() -> bool:
             return bool(cluster.seen("throttle") or cluster.seen("checkpoint"))
 
-        await wait_until("a noisy task is throttled or evicted", held_back, 12)
-        assert not cluster.seen("task_end"), "held back only after a noisy task had ended"
+        await wait_until("a noisy task is throttled or evicted", throttled, 12)
+        assert not cluster.seen("task_end"), "throttled only after a noisy task had ended"
         load.cancel()
         for n in range(3):
             assert (await cluster.wait_job(f"k{n}", timeout_s=30))["state"] == "done"
@@ -167,11 +165,11 @@
 
 async def _steady(cluster: Cluster) -> None:
     for number in itertools.count():
-        await asyncio.gather(*(cluster.serve(f"s{number}.{n}", CALM_MS) for n in range(6)))
+        await asyncio.gather(*(cluster.serve(f"s{number}.{n}", REQUEST_MS) for n in range(6)))
 
 
 def _took_ms(cluster: Cluster, marker: str) -> float:
-    """Return the time that the target took for a request, in milliseconds."""
+    """Return the service time of a request at the target."""
     (start,) = cluster.seen("request_start", marker)
     (end,) = cluster.seen("request_end", marker)
     return float(end["clock"] - start["clock"]) * 1000
--- a/tests/sched/__init__.py
+++ b/tests/sched/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fleet on the users' platform: decisions on a paused clock, no network."""
+"""Tests of fleet scheduling: decisions on a simulated clock, without a network."""
