--- a/bench/bench_leader.py
+++ b/bench/bench_leader.py
@@ -53,7 +53,7 @@
 BACKLOG_CPU_INCREMENT: Final = 37
 BACKLOG_SIZES: Final = 80
 BACKLOG_ESTIMATE_MS: Final = 2800
-"""Steps of the backlog; their CPU requests differ in steps up to 5 cores."""
+"""Backlog of fill steps with different CPU requests, up to 5 cores."""
 
 ENCODER: Final = msgspec.msgpack.Encoder()
 DECODER: Final = msgspec.msgpack.Decoder(AnyNodeMessage)
--- a/bench/bench_routing.py
+++ b/bench/bench_routing.py
@@ -1,9 +1,9 @@
-"""Compares routing with its baselines on a simulated clock: random and least loaded.
+"""Compares routing with random choice and with the least loaded instance by the last report.
 
-Two entries share ten instances of eight slots in four zones.  Service times are lognormal; load is
-reported once a second and with each response.  A refused attempt (all slots taken) is retried on
-another instance, with three attempts in total; a request waits while no instance is available.
-All policies get the same arrivals and service times.
+A simulation on a virtual clock: two entries share ten instances of eight slots in four zones, with
+lognormal service times; load is reported once a second and with each response.  A refused attempt
+(all slots taken) is retried on another instance, with three attempts in total; a request waits
+while no instance is available.  All policies get the same arrivals and service times.
 
 Usage: python -m bench.bench_routing
 """
--- a/bench/fleet_simulation.py
+++ b/bench/fleet_simulation.py
@@ -3,8 +3,8 @@
 The real scheduler, planner, straggler review and pace control make the decisions.  The load of each
 serving job is a sine wave with a phase of its own and a random jitter for each task; a tail latency
 is that of a queue and approaches its steady state exponentially.  Pairs of images interfere by
-random weights, which the scheduler has to estimate; :class:`OracleModel` knows them, and so gives
-an upper bound for the quality of the estimates.
+random weights, which the scheduler has to estimate; :class:`OracleModel` knows them and serves as
+the reference for these estimates.
 """
 
 import math
