--- a/bench/bench_capacity.py
+++ b/bench/bench_capacity.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Testbed:
+class EntryTestbed:
     """A table, an entry, and further processes that a measurement starts."""
 
     folder: Path
@@ -124,7 +124,7 @@
 
 
 @contextlib.asynccontextmanager
-async def start_testbed() -> AsyncIterator[Testbed]:
+async def start_testbed() -> AsyncIterator[EntryTestbed]:
     """Start a table and an entry; kill all processes of the testbed on exit."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -147,7 +147,7 @@
         entry = await Proc.spawn("entry", folder, "sapphirelead", "entry", "--config", str(path))
         async with aiohttp.ClientSession() as http:
             url = f"http://127.0.0.1:{http_port}"
-            testbed = Testbed(folder, table_url, url, control, entry, table, [], http)
+            testbed = EntryTestbed(folder, table_url, url, control, entry, table, [], http)
             try:
                 await wait_until("entry ready", lambda: _ready(testbed))
                 yield testbed
@@ -161,7 +161,7 @@
     return [*args, "--settings", json.dumps(settings or {})]
 
 
-async def _ready(testbed: Testbed) -> bool:
+async def _ready(testbed: EntryTestbed) -> bool:
     try:
         async with testbed.http.get(f"{testbed.http_url}/readyz") as resp:
             return resp.status == 200
@@ -169,14 +169,14 @@
         return False
 
 
-async def _start_fake_agents(testbed: Testbed, count: int, run_ms: int = 0) -> None:
+async def _start_fake_agents(testbed: EntryTestbed, count: int, run_ms: int = 0) -> None:
     args = ["--host", "127.0.0.1", "--control", str(testbed.control), "--first", "0"]
     args += ["--count", str(count), "--run-ms", str(run_ms)]
     proc = await testbed.spawn("fakes", "bench.fake_agents", *args)
     await proc.printed("ready")
 
 
-async def _submit(testbed: Testbed, key: str) -> None:
+async def _submit(testbed: EntryTestbed, key: str) -> None:
     async with testbed.http.post(f"{testbed.http_url}/v1/jobs", json={"key": key, **SPEC}) as resp:
         if resp.status >= 300:
             raise AssertionError(await resp.text())
@@ -205,7 +205,7 @@
     return points
 
 
-async def _load(testbed: Testbed, rate: int) -> None:
+async def _load(testbed: EntryTestbed, rate: int) -> None:
     number = 0
     async with asyncio.TaskGroup() as group:
         while True:
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -28,7 +28,7 @@
 from docopt import docopt
 from hdrh.histogram import HdrHistogram
 
-from bench.bench_capacity import Testbed, start_testbed
+from bench.bench_capacity import EntryTestbed, start_testbed
 from bench.procs import Proc, to_toml, wait_until
 
 SERVICE: Final = "maturity-check"
@@ -60,7 +60,7 @@
 class PathSetup:
     """A testbed with one instance behind the entry, and how long its parts took to start."""
 
-    testbed: Testbed
+    testbed: EntryTestbed
     agent: Proc
     direct_url: str
     through_url: str
@@ -150,7 +150,7 @@
         yield PathSetup(testbed, agent, direct, through, entry_start_s, agent_start_s)
 
 
-async def _standin(testbed: Testbed, role: str, settings: dict[str, Any]) -> str:
+async def _standin(testbed: EntryTestbed, role: str, settings: dict[str, Any]) -> str:
     args = [role, "--port", "0", "--id", role, "--history", "/dev/null"]
     proc = await testbed.spawn(
         role, "sapphirelead.standin_main", *args, "--settings", json.dumps(settings)
@@ -158,7 +158,7 @@
     return "http://127.0.0.1:" + (await proc.printed("listening")).rsplit("=")[-1]
 
 
-async def _start_agent(testbed: Testbed, worker_url: str, target_url: str) -> Proc:
+async def _start_agent(testbed: EntryTestbed, worker_url: str, target_url: str) -> Proc:
     entry = testbed.folder / "entry.toml"
     ports = dict(line.split(" = ") for line in entry.read_text().splitlines() if "_port" in line)
     lanes = {lane: int(ports[lane]) for lane in ("control_port", "data_port", "bulk_port")}
@@ -178,7 +178,7 @@
     return await testbed.spawn("agent", "sapphirelead", "agent", "--config", str(file))
 
 
-async def _is_answered(testbed: Testbed, url: str) -> bool:
+async def _is_answered(testbed: EntryTestbed, url: str) -> bool:
     async with testbed.http.post(url, json={}) as response:
         return response.status == 200
 
