--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -42,7 +42,7 @@
 from sapphirelead.wire_messages import Nudge, Started
 
 TICK_S: Final = 0.25
-GATHER_S: Final = 0.005
+GROUPING_DELAY_S: Final = 0.005
 SCAN_S: Final = 5.0
 OFFERS_PER_TICK: Final = 200
 OFFERS_OPEN: Final = 400
@@ -138,7 +138,7 @@
                 async with asyncio.timeout(TICK_S):
                     await self._wake.wait()
                 # Jobs of one burst are ordered against each other rather than by arrival.
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(GROUPING_DELAY_S)
             except TimeoutError:
                 pass
             self._wake.clear()
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -24,23 +24,23 @@
 from sapphirelead.sched_room import Kind, Openings
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
 
-STARVING_S: Final = 1.5
+STARVATION_THRESHOLD_S: Final = 1.5
 """How long a job may wait with nothing running although its turn has come.  Callers are promised
 that no job stands still for 3 s while there is room for it."""
 
-GATHER_S: Final = 0.15
+GROUPING_DELAY_S: Final = 0.15
 """How long new lasting tasks wait for others.
 
 They often come together and stay for minutes; packed by size they leave whole workers to filling
 work."""
 
-LOOK_AGAIN_S: Final = 0.1
+RETRY_DELAY_S: Final = 0.1
 """Pause before filling work that found no room is looked at again; room comes a few times a second,
 rounds far more often."""
 
 
 @dataclass(slots=True)
-class Ready:
+class ReadyStep:
     """A step that may start, with its tasks that have no claim."""
 
     job: Job
@@ -69,11 +69,11 @@
             # The largest first: small tasks then fill the gaps, and whole workers stay free.
             return self.policy.priority, False, False, -float(self.step.cpu_millicores)
         if self.step.fills:
-            return self.policy.priority, True, self.slack_s < 0, self.left_core_s
+            return self.policy.priority, True, self.slack_s < 0, self.remaining_core_s
         return self.policy.priority, True, self.slack_s < 0, self.slack_s
 
     @property
-    def left_core_s(self) -> float:
+    def remaining_core_s(self) -> float:
         """Work left in the occurrence, in core-seconds by its estimates."""
         steps = self.job.spec.steps
         return sum(
@@ -82,7 +82,7 @@
         )
 
     @property
-    def new(self) -> bool:
+    def never_claimed(self) -> bool:
         """Whether none of its tasks has ever been claimed."""
         tasks = self.occurrence.tasks[self.number]
         return not any(task.attempts for task in tasks)
@@ -96,7 +96,7 @@
     :ivar starving: its job has had nothing running for a while.
     """
 
-    ready: Ready
+    ready: ReadyStep
     tickets: dict[str, str] | None
     starving: bool
 
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceAsk:
+class AdviceRequest:
     """A question to the advice service."""
 
     key: StepKey
@@ -131,7 +131,7 @@
     return (begin_ms + objective_ms - wall - rest[number]) / 1000
 
 
-def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[Ready]:
+def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[ReadyStep]:
     """Return the steps that may start, have tasks without a claim, and are to be looked at now.
 
     Those that found no room a moment ago are left out and stay known as ready; steps that are not
@@ -157,7 +157,7 @@
                 if tasks:
                     seen.add(key)
                     slack = slack_s(job, occurrence, number, policy, wall_ms)
-                    found.append(Ready(job, occurrence, number, step, policy, tasks, slack))
+                    found.append(ReadyStep(job, occurrence, number, step, policy, tasks, slack))
     for key in [key for key in sched.ready_since if key not in seen]:
         del sched.ready_since[key]
         sched.look_again_at.pop(key, None)
@@ -186,14 +186,14 @@
 
 def plan(
     sched: Scheduler, at: float, wall_ms: int, turn: PlanTurn | None = None
-) -> list[AdviceAsk]:
+) -> list[AdviceRequest]:
     """Claim whatever can start now; return the questions that the advice service should get.
 
     :param turn: limits the time; without it every step is looked at.
     """
     turn = turn or PlanTurn()
     bring_due(sched, wall_ms)
-    asks: list[AdviceAsk] = []
+    asks: list[AdviceRequest] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
@@ -208,7 +208,7 @@
         places = _places(sched, item, openings) if item.tickets is None else live
         if not places:
             if ready.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+                sched.look_again_at[ready.key] = at + RETRY_DELAY_S
             continue
         need = Need(
             ready.step,
@@ -236,12 +236,12 @@
         if since is None:
             since = sched.ready_since[ready.key] = at
             _log_ready(ready)
-        if ready.step.lasting and ready.new and at - since < GATHER_S:
+        if ready.step.lasting and ready.never_claimed and at - since < GROUPING_DELAY_S:
             continue
         tickets = None
         if ready.policy.advice is not None:
             tickets = sched.advice.valid(ready.key, at)
-        starving = at - since > STARVING_S and not _anything_runs(ready.occurrence)
+        starving = at - since > STARVATION_THRESHOLD_S and not _anything_runs(ready.occurrence)
         found.append(Candidate(ready, tickets, starving))
     return found
 
@@ -272,7 +272,7 @@
     return [place for place in places if can_take_work(place, need, at)]
 
 
-def _log_ready(ready: Ready) -> None:
+def _log_ready(ready: ReadyStep) -> None:
     log_event(
         "INFO",
         "step_ready",
@@ -306,7 +306,7 @@
     return waiting + paced
 
 
-def _ask(sched: Scheduler, ready: Ready, at: float) -> list[AdviceAsk]:
+def _ask(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceRequest]:
     workers = [
         instance.worker.worker
         for instance in sched.fleet.live()
@@ -315,12 +315,12 @@
         and not instance.worker.draining
     ]
     wanted = sched.advice.to_ask(ready.key, workers, at)
-    return [AdviceAsk(ready.key, wanted, ready.policy)] if wanted else []
+    return [AdviceRequest(ready.key, wanted, ready.policy)] if wanted else []
 
 
 def _place_tasks(
     sched: Scheduler,
-    ready: Ready,
+    ready: ReadyStep,
     places: list[Instance],
     need: Need,
     at: float,
@@ -336,7 +336,7 @@
         place = choice.take(sched.avoid.get(ref, frozenset()))
         if place is None:
             if need.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+                sched.look_again_at[ready.key] = at + RETRY_DELAY_S
             return False
         sched.claim(ready.job, ref, place, at)
         if need.starving:
@@ -350,7 +350,7 @@
 
 
 def _place_gang(
-    sched: Scheduler, ready: Ready, places: list[Instance], need: Need, at: float
+    sched: Scheduler, ready: ReadyStep, places: list[Instance], need: Need, at: float
 ) -> None:
     """Place all members or none; on one rack first where they work better together."""
     racks = sorted({place.rack for place in places}) if ready.step.same_rack else []
--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -4,7 +4,7 @@
 
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_planner import GATHER_S, plan
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -52,7 +52,7 @@
     )
     sched.submit(job("serve", spread), lambda *_: None)
     plan(sched, 0.0, 0)
-    plan(sched, 1.1 * GATHER_S, 0)
+    plan(sched, 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for name in names:
         report(agents, sched, name, 25, 0.2)
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -9,7 +9,7 @@
 from sapphirelead.sched_evacuation import evacuate
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_job import JobState
-from sapphirelead.sched_planner import GATHER_S, plan
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -89,7 +89,7 @@
         agents.report(at=1.0)
         submit(sched, job("a1", step))
         plan(sched, 1.0, 0)
-        plan(sched, 1.1 + GATHER_S, 0)
+        plan(sched, 1.1 + GROUPING_DELAY_S, 0)
         store(sched)
         run = only_run(sched)
         info = worker_info("w-g1", draining=True, remaining_ms=remaining_ms)
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -13,7 +13,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_place import has_room
-from sapphirelead.sched_planner import LOOK_AGAIN_S, plan
+from sapphirelead.sched_planner import RETRY_DELAY_S, plan
 from sapphirelead.sched_press import PressModel
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_spec import StepSpec
@@ -78,11 +78,11 @@
         sched.submit(job(f"later{number}", fill("a", FULL_MB)), lambda *_: None)
     plan(sched, 0.2, 0)
     assert tried == 4
-    plan(sched, 0.2 + 1.1 * LOOK_AGAIN_S, 0)
+    plan(sched, 0.2 + 1.1 * RETRY_DELAY_S, 0)
     assert tried == 4
     # Only a change of a worker can have brought room.
     sched.fleet.instance("g0").changes += 1
-    plan(sched, 0.2 + 2.2 * LOOK_AGAIN_S, 0)
+    plan(sched, 0.2 + 2.2 * RETRY_DELAY_S, 0)
     assert tried == 5
 
 
@@ -127,7 +127,7 @@
         large = StepSpec(cpu_millicores=31_000, estimate_ms=5000, image=f"i{number}", fills=True)
         sched.submit(job(f"j{number}", large), lambda *_: None)
     plan(sched, 0.3, 0)
-    plan(sched, 0.3 + 1.1 * LOOK_AGAIN_S, 0)
+    plan(sched, 0.3 + 1.1 * RETRY_DELAY_S, 0)
     assert looked <= workers
 
 
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -13,7 +13,7 @@
 from sapphirelead.sched_fleet import Phase
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_place import LEAST_PACE, Need, choose
-from sapphirelead.sched_planner import GATHER_S, plan, wanted_cpu
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan, wanted_cpu
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store
 from tests.sched.pressure import play_drift
@@ -138,7 +138,7 @@
         step = StepSpec(cpu_millicores=cpu, lasting=True, image="s", target_ms=100)
         sched.submit(job(f"s{number}", step), lambda *_: None)
         plan(sched, number * 0.01, 0)
-    plan(sched, 0.06 + GATHER_S, 0)
+    plan(sched, 0.06 + GROUPING_DELAY_S, 0)
     used = {run.agent for run in sched.fleet.runs.values()}
     assert len(sched.fleet.runs) == 6
     assert len(used) == 2
@@ -155,7 +155,7 @@
     free = StepSpec(cpu_millicores=8000, lasting=True, image="serve", target_ms=TARGET_MS)
     sched.submit(job("alone", free), lambda *_: None)
     plan(sched, 0.5, 0)
-    plan(sched, 0.5 + 1.1 * GATHER_S, 0)
+    plan(sched, 0.5 + 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for agent in ("g0", "g1", "g2"):
         report(agents, sched, agent, 80, 0.8)
@@ -177,7 +177,7 @@
     other = StepSpec(cpu_millicores=30_000, lasting=True, image="serve", target_ms=TARGET_MS)
     sched.submit(job("other", other), lambda *_: None)
     plan(sched, 0.0, 0)
-    plan(sched, 1.1 * GATHER_S, 0)
+    plan(sched, 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for agent in ("g0", "g1"):
         report(agents, sched, agent, 25, 0.4)
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -9,7 +9,7 @@
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_place import Need, can_take_work, choose
-from sapphirelead.sched_planner import STARVING_S, plan
+from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
 from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_room import MOST_KINDS, MOST_SIZES, Kind, NoRoom, Openings
 from sapphirelead.sched_spec import StepSpec
@@ -144,7 +144,7 @@
     small = StepSpec(cpu_millicores=500, memory_mb=1, estimate_ms=10)
     sched.submit(job("small", small, replace(small, tasks=12)), lambda *_: None)
     plan(sched, 0.0, 0)
-    at = 1.1 * STARVING_S
+    at = 1.1 * STARVATION_THRESHOLD_S
     for run in full:
         sched.fleet.drop(run)
     for number in range(2):
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -14,7 +14,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import EndKind, Job, JobState, TaskRef
-from sapphirelead.sched_planner import LOOK_AGAIN_S, plan
+from sapphirelead.sched_planner import RETRY_DELAY_S, plan
 from sapphirelead.sched_press import PressModel
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_timing import Bounds
@@ -77,10 +77,10 @@
     plan(sched, at, 0)
     assert judged <= workers * images
     judged = 0
-    at += 1.1 * LOOK_AGAIN_S
+    at += 1.1 * RETRY_DELAY_S
     plan(sched, at, 0)
     assert judged == 0
-    at += 1.1 * LOOK_AGAIN_S
+    at += 1.1 * RETRY_DELAY_S
     report(agents, sched, "g7", TARGET_MS - 5, at)
     plan(sched, at, 0)
     assert 0 < judged <= images
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -11,7 +11,7 @@
 from sapphirelead.policy_pressure_filter import MOST_IMAGES, PressureFilter
 from sapphirelead.policy_pressure_pair import HEAVY_SHARE, Belief, believe
 from sapphirelead.runner_pace import PaceControl, Tail
-from sapphirelead.sched_planner import GATHER_S, plan
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_press import PressModel
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
@@ -207,7 +207,7 @@
         step = StepSpec(tasks=4, cpu_millicores=cpu, lasting=True, image=name, target_ms=TARGET_MS)
         sched.submit(job(name, step), lambda *_: None)
     plan(sched, 0.0, 0)
-    plan(sched, 1.1 * GATHER_S, 0)
+    plan(sched, 1.1 * GROUPING_DELAY_S, 0)
     jobs_at: dict[str, set[str]] = {}
     for run in sched.fleet.runs.values():
         jobs_at.setdefault(run.agent, set()).add(run.ref.job_id)
