--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -28,7 +28,7 @@
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
 from sapphirelead.sched_press_guard import GuardedPress
-from sapphirelead.sched_room import NoRoom
+from sapphirelead.sched_room import InfeasibleCache
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
@@ -91,7 +91,7 @@
     _answers: dict[str, list[Answer]]
     ready_since: dict[tuple[str, int, int], float]
     look_again_at: dict[tuple[str, int, int], float]
-    no_room: NoRoom
+    no_room: InfeasibleCache
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
     press: GuardedPress
@@ -109,7 +109,7 @@
         self.shown = {}
         self.ready_since = {}
         self.look_again_at = {}
-        self.no_room = NoRoom()
+        self.no_room = InfeasibleCache()
         self.avoid = {}
         self.moves = {}
         self.press = GuardedPress()
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -21,7 +21,7 @@
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
 from sapphirelead.sched_place import Need, can_take_work, choose
 from sapphirelead.sched_plan_turn import Budget, PlanTurn
-from sapphirelead.sched_room import Kind, Openings
+from sapphirelead.sched_room import Kind, FeasibleWorkers
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
 
 STARVATION_THRESHOLD_S: Final = 1.5
@@ -199,13 +199,13 @@
     if candidates:
         sched.no_room.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
-    openings = Openings(sched.no_room, plain, sched.press, at)
-    for item in turn.order(candidates, sched.ready_since, at, partial(_has_new_room, openings)):
+    feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
+    for item in turn.order(candidates, sched.ready_since, at, partial(_has_new_room, feasible)):
         ready = item.ready
         turn.look(ready.key, at)
         if ready.policy.advice is not None:
             asks.extend(_ask(sched, ready, at))
-        places = _places(sched, item, openings) if item.tickets is None else live
+        places = _places(sched, item, feasible) if item.tickets is None else live
         if not places:
             if ready.step.fills:
                 sched.look_again_at[ready.key] = at + RETRY_DELAY_S
@@ -224,7 +224,7 @@
             able = _able(places, need, at)
             all_placed = _place_tasks(sched, ready, able, need, at, turn.budget)
             if not all_placed and item.tickets is None:
-                sched.no_room.note(item.kind, ready.step)
+                sched.no_room.record_infeasible(item.kind, ready.step)
     return asks
 
 
@@ -246,7 +246,7 @@
     return found
 
 
-def _has_new_room(openings: Openings, item: Candidate) -> bool:
+def _has_new_room(feasible: FeasibleWorkers, item: Candidate) -> bool:
     """Return whether a worker may have room for the step that has not been tried for it yet.
 
     It is ``False`` for steps with tickets, gangs and limits for each worker, of which that is not
@@ -255,17 +255,17 @@
     step = item.ready.step
     if item.tickets is not None or step.gang or step.per_worker:
         return False
-    return bool(openings.places(item.kind, step))
+    return bool(feasible.places(item.kind, step))
 
 
-def _places(sched: Scheduler, item: Candidate, openings: Openings) -> list[Instance]:
+def _places(sched: Scheduler, item: Candidate, feasible: FeasibleWorkers) -> list[Instance]:
     """Return the workers that may have room for a step's tasks, by whether it starves now."""
     if item.starving and _anything_runs(item.ready.occurrence):
         # An earlier step of the same job has been given room in this pass.  The openings of the
         # kind that it has now were judged without it.
         item.starving = False
         return sched.no_room.places(item.kind, item.ready.step)
-    return openings.places(item.kind, item.ready.step)
+    return feasible.places(item.kind, item.ready.step)
 
 
 def _able(places: list[Instance], need: Need, at: float) -> list[Instance]:
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -3,7 +3,7 @@
 Judging each waiting step on each worker in each pass costs more time than a pass has, and most
 workers have not changed since the pass before.
 
-Invariant: a task of which :meth:`NoRoom.places` leaves a worker out, or a smaller one of its kind,
+Invariant: a task of which :meth:`InfeasibleCache.places` leaves a worker out, or a smaller one of its kind,
 has found no room there, and since then nothing has changed there but by a task placed.  Of filling
 work a larger task may get a pace that a smaller one does not; it is left out as well until the
 worker's next report.
@@ -22,13 +22,13 @@
 from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_spec import StepSpec
 
-MOST_KINDS: Final = 512
+MAX_KINDS: Final = 512
 """Kinds of tasks kept.  The one that was noted longest ago gives way to a new one."""
 
-MOST_SIZES: Final = 16
+MAX_SIZES_PER_KIND: Final = 16
 """Sizes kept of a kind, none of which contains another.  The oldest gives way to a new one."""
 
-NO_TASK: Final = TaskRef("", 0, 0, 0)
+UNPLACED_TASK: Final = TaskRef("", 0, 0, 0)
 """Stands for a task that is not placed yet."""
 
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _WorkerVersion:
     """A worker at its newest change.
 
     :ivar number: place in the order of the fleet.
@@ -75,12 +75,12 @@
     version: int
 
 
-class NoRoom:
+class InfeasibleCache:
     """What has found no room on any worker, and which workers have changed since."""
 
     _version: int
-    _seen: dict[str, _Seen]
-    _newest: list[_Seen]
+    _seen: dict[str, _WorkerVersion]
+    _newest: list[_WorkerVersion]
     _failed: dict[Kind, dict[tuple[int, int], int]]
 
     def __init__(self) -> None:
@@ -102,16 +102,16 @@
             seen = before.get(instance.agent)
             same = seen is not None and seen.state == state
             version = seen.version if seen is not None and same else self._version
-            self._seen[instance.agent] = _Seen(instance, number, state, version)
+            self._seen[instance.agent] = _WorkerVersion(instance, number, state, version)
         self._newest = sorted(self._seen.values(), key=lambda seen: -seen.version)
 
     def places(self, kind: Kind, step: StepSpec) -> list[Instance]:
         """Return the workers that may have room for a task of the step, in the fleet's order."""
-        since = self._refused_at(kind, step)
+        since = self._infeasible_version(kind, step)
         changed = list(takewhile(lambda seen: seen.version > since, self._newest))
         return [seen.instance for seen in sorted(changed, key=lambda seen: seen.number)]
 
-    def note(self, kind: Kind, step: StepSpec) -> None:
+    def record_infeasible(self, kind: Kind, step: StepSpec) -> None:
         """Take note that a task of the step fits nowhere."""
         if step.per_worker:
             # Others of its step may have kept it out.
@@ -123,12 +123,12 @@
         sizes[step.cpu_millicores, step.memory_mb] = self._version
         self._failed[kind] = sizes
         # The order of the keys tells what was noted longest ago.
-        if len(sizes) > MOST_SIZES:
+        if len(sizes) > MAX_SIZES_PER_KIND:
             del sizes[next(iter(sizes))]
-        if len(self._failed) > MOST_KINDS:
+        if len(self._failed) > MAX_KINDS:
             del self._failed[next(iter(self._failed))]
 
-    def _refused_at(self, kind: Kind, step: StepSpec) -> int:
+    def _infeasible_version(self, kind: Kind, step: StepSpec) -> int:
         """Return the newest pass that found room for no task of this size; 0 where none has."""
         versions = (
             version
@@ -138,14 +138,14 @@
         return max(versions, default=0)
 
 
-class Openings:
+class FeasibleWorkers:
     """The workers with room for the smallest waiting task of each kind, in one pass.
 
     Where several steps of a kind wait, each worker that has changed is judged once for all of them;
     where it has no room for the smallest of their tasks, none of them looks at it.
     """
 
-    _no_room: NoRoom
+    _no_room: InfeasibleCache
     _smallest: dict[Kind, StepSpec]
     _press: GuardedPress
     _at: float
@@ -153,7 +153,7 @@
 
     def __init__(
         self,
-        no_room: NoRoom,
+        no_room: InfeasibleCache,
         waiting: Iterable[tuple[Kind, StepSpec]],
         press: GuardedPress,
         at: float,
@@ -182,19 +182,19 @@
             return places
         found = self._found.get(kind)
         if found is None:
-            found = self._found[kind] = self._look(kind)
+            found = self._found[kind] = self._find_feasible(kind)
         return [place for place in places if place.agent in found]
 
-    def _look(self, kind: Kind) -> set[str]:
+    def _find_feasible(self, kind: Kind) -> set[str]:
         smallest = self._smallest[kind]
         need = Need(smallest, kind.service, starving=kind.starving, press=self._press)
         found = {
             place.agent
             for place in self._no_room.places(kind, smallest)
-            if can_take_work(place, need, self._at) and has_room(place, need, NO_TASK)
+            if can_take_work(place, need, self._at) and has_room(place, need, UNPLACED_TASK)
         }
         if not found:
-            self._no_room.note(kind, smallest)
+            self._no_room.record_infeasible(kind, smallest)
         return found
 
 
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -216,5 +216,5 @@
         if best is None or instance.spare_cpu > best.spare_cpu:
             best = instance
     if tickets is None and not any_room:
-        sched.no_room.note(kind, run.step)
+        sched.no_room.record_infeasible(kind, run.step)
     return best
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -11,7 +11,7 @@
 from sapphirelead.sched_place import Need, can_take_work, choose
 from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
 from sapphirelead.sched_press_guard import GuardedPress
-from sapphirelead.sched_room import MOST_KINDS, MOST_SIZES, Kind, NoRoom, Openings
+from sapphirelead.sched_room import MAX_KINDS, MAX_SIZES_PER_KIND, Kind, InfeasibleCache, FeasibleWorkers
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -63,7 +63,7 @@
 def test_the_same_place_is_found_as_by_a_look_at_every_worker(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = NoRoom(), GuardedPress()
+    no_room, press = InfeasibleCache(), GuardedPress()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
@@ -72,17 +72,17 @@
         no_room.begin(live, at)
         steps = [random_step(rng) for _ in range(6)]
         kinds = [Kind.of(step, "svc", rng.random() < 0.2) for step in steps]
-        openings = Openings(no_room, zip(kinds, steps, strict=True), press, at)
+        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), press, at)
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
             need = Need(step, "svc", starving=kind.starving, press=press)
             expected = choose([item for item in live if can_take_work(item, need, at)], need, ref)
-            places = openings.places(kind, step)
+            places = feasible.places(kind, step)
             found = choose([item for item in places if can_take_work(item, need, at)], need, ref)
             assert found is expected
             if found is None:
-                no_room.note(kind, step)
+                no_room.record_infeasible(kind, step)
                 missed += 1
             else:
                 found.add(Run(ref, 1, found.agent, "w", step, claimed_at=at))
@@ -95,35 +95,35 @@
 
 
 def test_the_kind_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+    no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
-    steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MOST_KINDS + 1)]
+    steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MAX_KINDS + 1)]
     for step in steps:
-        no_room.note(Kind.of(step, "svc"), step)
+        no_room.record_infeasible(Kind.of(step, "svc"), step)
     tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_the_size_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+    no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
     steps = [
         StepSpec(cpu_millicores=100 + number, memory_mb=100 - number)
-        for number in range(MOST_SIZES + 1)
+        for number in range(MAX_SIZES_PER_KIND + 1)
     ]
     for step in steps:
-        no_room.note(Kind.of(step, "svc"), step)
+        no_room.record_infeasible(Kind.of(step, "svc"), step)
     tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_a_worker_that_is_gone_is_no_longer_kept() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+    no_room, fleet = InfeasibleCache(), one_worker()
     step = StepSpec()
     kind = Kind.of(step, "svc")
     no_room.begin(fleet, 0.0)
     assert no_room.places(kind, step) == fleet
-    no_room.note(kind, step)
+    no_room.record_infeasible(kind, step)
     no_room.begin([], 0.1)
     no_room.begin(fleet, 0.2)
     assert no_room.places(kind, step) == fleet
