--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -35,7 +35,7 @@
 from sapphirelead.sched_evacuation import evacuate
 from sapphirelead.sched_head import Head, HeadEnd
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
-from sapphirelead.sched_plan_turn import Budget, PlanTurn
+from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_planner import plan, wanted_cpu
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_stragglers import review
@@ -108,7 +108,7 @@
     _journal: Journal
     _patience: StorePatience
     _load: LoopLoad
-    _turn: PlanTurn
+    _turn: ScanOrder
     _decide_due: float
 
     def __init__(
@@ -146,7 +146,7 @@
         self._journal = Journal()
         self._patience = StorePatience()
         self._load = LoopLoad(self.metrics, now())
-        self._turn = PlanTurn()
+        self._turn = ScanOrder()
         self._decide_due = 0.0
 
     def set_config(self, config: QueueConfig) -> None:
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -13,7 +13,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
 from sapphirelead.sched_place import Need, can_take_work, has_room
-from sapphirelead.sched_plan_turn import Budget
+from sapphirelead.sched_scan_order import Budget
 
 MOST_SHARE: Final = 0.4
 """Share of a worker's processors that its lasting tasks may take for it to be emptied."""
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -5,7 +5,7 @@
 objective; a job that has begun goes before one that has not, because half-finished jobs earn
 nothing.  Within one pass every ready step is looked at once, so a wide step that does not fit
 holds nothing up.  Where a pass takes longer than its budget, it goes on over several calls, and new
-room is offered by that order first for half of each (:mod:`sapphirelead.sched_plan_turn`).
+room is offered by that order first for half of each (:mod:`sapphirelead.sched_scan_order`).
 """
 
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
 from sapphirelead.sched_place import Need, can_take_work, choose
-from sapphirelead.sched_plan_turn import Budget, PlanTurn
+from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_room import Kind, FeasibleWorkers
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
 
@@ -185,13 +185,13 @@
 
 
 def plan(
-    sched: Scheduler, at: float, wall_ms: int, turn: PlanTurn | None = None
+    sched: Scheduler, at: float, wall_ms: int, turn: ScanOrder | None = None
 ) -> list[AdviceRequest]:
     """Claim whatever can start now; return the questions that the advice service should get.
 
     :param turn: limits the time; without it every step is looked at.
     """
-    turn = turn or PlanTurn()
+    turn = turn or ScanOrder()
     bring_due(sched, wall_ms)
     asks: list[AdviceRequest] = []
     candidates = _candidates(sched, at, wall_ms)
@@ -202,7 +202,7 @@
     feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
     for item in turn.order(candidates, sched.ready_since, at, partial(_has_new_room, feasible)):
         ready = item.ready
-        turn.look(ready.key, at)
+        turn.mark_scanned(ready.key, at)
         if ready.policy.advice is not None:
             asks.extend(_ask(sched, ready, at))
         places = _places(sched, item, feasible) if item.tickets is None else live
--- a/sapphirelead/sched_plan_turn.py
+++ b/sapphirelead/sched_scan_order.py
@@ -17,7 +17,7 @@
 from sapphirelead.sched_advice import StepKey
 from sapphirelead.sched_timing import BEAT_S
 
-LOOK_EVERY_S: Final = BEAT_S
+RESCAN_INTERVAL_S: Final = BEAT_S
 """Time between two looks at a step by its rank while not all can be looked at."""
 
 
@@ -61,7 +61,7 @@
         return Budget(self._clock, at + max(0.0, self.until - at) / 2)
 
 
-class PlanTurn:
+class ScanOrder:
     """The order of looks over several calls of the planner.
 
     :ivar budget: of the call in progress.
@@ -71,19 +71,19 @@
 
     budget: Budget
     waited_s: float
-    _looked_at: dict[StepKey, float]
-    _looked: set[StepKey]
+    _scanned_at: dict[StepKey, float]
+    _scanned: set[StepKey]
 
     def __init__(self) -> None:
         self.budget = Budget.unlimited()
         self.waited_s = 0.0
-        self._looked_at = {}
-        self._looked = set()
+        self._scanned_at = {}
+        self._scanned = set()
 
     @property
     def behind(self) -> bool:
         """Whether the last call could not look at every step."""
-        return bool(self._looked_at)
+        return bool(self._scanned_at)
 
     def order(
         self,
@@ -100,34 +100,34 @@
         :param since: when each of them, and each that may not be looked at now, became ready.
         :param has_new_room: whether there may be room for a step that it has not been tried on.
         """
-        self._looked = set()
+        self._scanned = set()
         urgent = self.budget.half()
         for step in steps:
-            if self._looked and urgent.spent:
+            if self._scanned and urgent.spent:
                 break
-            looked_at = self._looked_at.get(step.key, -math.inf)
-            if at - looked_at >= LOOK_EVERY_S or has_new_room(step):
+            scanned_at = self._scanned_at.get(step.key, -math.inf)
+            if at - scanned_at >= RESCAN_INTERVAL_S or has_new_room(step):
                 yield step
-        by_rank = len(self._looked)
-        rest = [step for step in steps if step.key not in self._looked]
-        rest.sort(key=lambda step: (self._waits_since(step, since), step.key in self._looked_at))
+        by_rank = len(self._scanned)
+        rest = [step for step in steps if step.key not in self._scanned]
+        rest.sort(key=lambda step: (self._waits_since(step, since), step.key in self._scanned_at))
         for step in rest:
-            if len(self._looked) > by_rank and self.budget.spent:
+            if len(self._scanned) > by_rank and self.budget.spent:
                 self.waited_s = at - self._waits_since(step, since)
                 self._forget_others(since)
                 return
             yield step
         self.waited_s = 0.0
-        self._looked_at = {}
+        self._scanned_at = {}
 
     def _waits_since(self, step: Ranked, since: Mapping[StepKey, float]) -> float:
-        return self._looked_at.get(step.key, since[step.key])
+        return self._scanned_at.get(step.key, since[step.key])
 
     def _forget_others(self, since: Mapping[StepKey, float]) -> None:
-        for key in [key for key in self._looked_at if key not in since]:
-            del self._looked_at[key]
+        for key in [key for key in self._scanned_at if key not in since]:
+            del self._scanned_at[key]
 
-    def look(self, key: StepKey, at: float) -> None:
+    def mark_scanned(self, key: StepKey, at: float) -> None:
         """Take note of a look at a step; one that is only passed over does not count."""
-        self._looked.add(key)
-        self._looked_at[key] = at
+        self._scanned.add(key)
+        self._scanned_at[key] = at
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -13,7 +13,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
 from sapphirelead.sched_place import Need, can_take_work, has_room
-from sapphirelead.sched_plan_turn import Budget
+from sapphirelead.sched_scan_order import Budget
 from sapphirelead.sched_room import Kind
 from sapphirelead.sched_usual_speed import usual_speeds
 
--- a/tests/sched/test_plan_turn.py
+++ b/tests/sched/test_plan_turn.py
@@ -8,7 +8,7 @@
 from sapphirelead.sched_advice import StepKey
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Instance, Run
-from sapphirelead.sched_plan_turn import LOOK_EVERY_S, Budget, PlanTurn
+from sapphirelead.sched_scan_order import RESCAN_INTERVAL_S, Budget, ScanOrder
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_spec import QueuePolicy, StepSpec
 from sapphirelead.sched_stragglers import review
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.at = 0.0
-        self.turn = PlanTurn()
+        self.turn = ScanOrder()
         self.since: dict[StepKey, float] = {}
         self.looked: dict[int, list[float]] = {}
         self.new_room = False
@@ -52,7 +52,7 @@
         self.turn.budget = Budget(lambda: self.at, began + BUDGET_S)
         found = []
         for step in self.turn.order(steps, self.since, began, lambda _: self.new_room):
-            self.turn.look(step.key, began)
+            self.turn.mark_scanned(step.key, began)
             self.looked.setdefault(step.number, []).append(began)
             found.append(step.number)
             self.at += LOOK_S
@@ -92,7 +92,7 @@
     for _ in range(100):
         looks.call(range(500))
     times = looks.looked[0]
-    assert max(b - a for a, b in pairwise(times)) <= LOOK_EVERY_S + CALL_S
+    assert max(b - a for a, b in pairwise(times)) <= RESCAN_INTERVAL_S + CALL_S
 
 
 def test_each_step_is_reached_however_many_rank_before_it() -> None:
@@ -124,7 +124,7 @@
     since = {step.key: float(-step.number) for step in steps}
     found = []
     for step in looks.turn.order(steps, since, 1.0):
-        looks.turn.look(step.key, 1.0)
+        looks.turn.mark_scanned(step.key, 1.0)
         found.append(step.number)
     assert found == [0, 4]
 
@@ -134,7 +134,7 @@
     looks.call(range(100))
     looks.since.clear()
     looks.call(range(200, 300))
-    assert all(number >= 200 for _, _, number in looks.turn._looked_at)
+    assert all(number >= 200 for _, _, number in looks.turn._scanned_at)
 
 
 def test_a_step_that_may_not_be_looked_at_for_a_moment_does_not_count_as_never_looked_at() -> None:
@@ -142,7 +142,7 @@
     looks = Looks()
     first = looks.call(range(100))
     looks.call(range(len(first), 100))
-    looks.at = 0.9 * LOOK_EVERY_S
+    looks.at = 0.9 * RESCAN_INTERVAL_S
     assert not set(looks.call(range(100))) & set(first)
 
 
@@ -165,18 +165,18 @@
         policy = QueuePolicy("svc", priority=priority)
         sched.submit(job(f"{priority}.{number}", step, policy=policy), lambda *_: None)
     at = 0.0
-    look = PlanTurn.look
+    mark_scanned = ScanOrder.mark_scanned
 
-    def slow_look(turn: PlanTurn, key: StepKey, began: float) -> None:
+    def slow_look(turn: ScanOrder, key: StepKey, began: float) -> None:
         nonlocal at
         at += LOOK_S
-        look(turn, key, began)
+        mark_scanned(turn, key, began)
 
     def clock() -> float:
         return at
 
-    monkeypatch.setattr(PlanTurn, "look", slow_look)
-    turn = PlanTurn()
+    monkeypatch.setattr(ScanOrder, "look", slow_look)
+    turn = ScanOrder()
     started: list[str] = []
     for run in full:
         began = at
@@ -210,7 +210,7 @@
         return claim(*args)  # type: ignore[arg-type]
 
     monkeypatch.setattr(type(sched), "claim", slow_claim)
-    turn = PlanTurn()
+    turn = ScanOrder()
     calls = 0
     while len(sched.fleet.runs) < 200:
         began = at
