--- a/sapphirelead/sched_choice.py
+++ b/sapphirelead/sched_choice.py
@@ -14,7 +14,7 @@
 
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, has_room, score
+from sapphirelead.sched_place import PlacementRequest, has_room, score
 
 
 class _Place(NamedTuple):
@@ -25,24 +25,24 @@
     instance: Instance
 
 
-class Choice:
+class PlacementHeap:
     """The workers with room for one more task of a step."""
 
-    _need: Need
+    _need: PlacementRequest
     _ref: TaskRef
     _numbers: dict[str, int]
     _heap: list[_Place]
 
-    def __init__(self, instances: Iterable[Instance], need: Need, ref: TaskRef) -> None:
+    def __init__(self, instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef) -> None:
         """Judge ``instances``.
 
         :param ref: any task of the step.
         """
         listed = list(instances)
-        self._need = need
+        self._need = request
         self._ref = ref
         self._numbers = {instance.agent: number for number, instance in enumerate(listed)}
-        self._heap = [self._judge(item) for item in listed if has_room(item, need, ref)]
+        self._heap = [self._scored(item) for item in listed if has_room(item, request, ref)]
         heapify(self._heap)
 
     def take(self, avoid: frozenset[str] = frozenset()) -> Instance | None:
@@ -62,8 +62,8 @@
     def put_back(self, instance: Instance) -> None:
         """List a place again that has got a task, if there is room for one more."""
         if has_room(instance, self._need, self._ref):
-            heappush(self._heap, self._judge(instance))
+            heappush(self._heap, self._scored(instance))
 
-    def _judge(self, instance: Instance) -> _Place:
+    def _scored(self, instance: Instance) -> _Place:
         value = score(instance, self._need, self._ref)
         return _Place(-value, self._numbers[instance.agent], instance)
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -12,7 +12,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import Need, can_take_work, has_room
+from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
 from sapphirelead.sched_scan_order import Budget
 
 MOST_SHARE: Final = 0.4
@@ -124,11 +124,11 @@
     trials = []
     for run in sorted(runs, key=lambda item: -item.step.cpu_millicores):
         job = sched.jobs[run.ref.job_id]
-        need = Need(run.step, sched.policy_of(job).service)
+        request = PlacementRequest(run.step, sched.policy_of(job).service)
         places = [
             item
             for item in others
-            if can_take_work(item, need, at) and has_room(item, need, run.ref)
+            if is_eligible(item, request, at) and has_room(item, request, run.ref)
         ]
         if not places:
             break
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -22,38 +22,38 @@
 from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_spec import StepSpec
 
-SILENT_S: Final = 1.2
+REPORT_TIMEOUT_S: Final = 1.2
 """An agent that has not reported for this long (two reports missed) gets no new work."""
 
-LEAST_SHARE: Final = 0.7
+MIN_SPARE_SHARE: Final = 0.7
 """Share of its processors that a filling task must be likely to get."""
 
-LAST_RESORT_S: Final = 1.0
+UNSOUND_RETRY_INTERVAL_S: Final = 1.0
 """Time between two tries of an unsound worker for a job that has nothing running anywhere."""
 
-LEAST_PACE: Final = 0.8
+MIN_PACE: Final = 0.8
 """Pace that a filling task must be likely to get beside serving tasks; with less there are more
 runs beside each other and none ends sooner."""
 
-FULL_PACE: Final = 0.9
+LOW_INTERFERENCE_PACE: Final = 0.9
 """Filling work that is likely to get so much beside serving tasks goes there, and leaves the
 workers without them to what presses."""
 
-BESIDE_ITS_LIKE: Final = 4
-WHOLE: Final = 2
-"""Ranks of places for a lasting task, in units of :data:`SERVING_PENALTY`: where tasks of its job
+SAME_STEP_RANK: Final = 4
+WHOLE_STEP_RANK: Final = 2
+"""Ranks of places for a lasting task, in units of :data:`RANK_UNIT`: where tasks of its job
 are, and where all of them fit; a place that serves already counts one more."""
 
-FILLING_WEIGHT: Final = 10
+FILL_CPU_WEIGHT: Final = 10
 """Processors taken by filling work count so many times those that are free: a lasting task that
 comes takes room from each filling task there."""
 
-SERVING_PENALTY: Final = 1_000_000
+RANK_UNIT: Final = 1_000_000
 """Outweighs any difference in spare processors (thousandths of a core)."""
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class PlacementRequest:
     """What a step asks of a worker at a moment.
 
     :ivar service: service whose workers may run it.
@@ -77,23 +77,23 @@
             return 1.0
         return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
-    def gets_pace(self, instance: Instance, least: float) -> bool:
-        """Return whether one more task is likely to get a pace of ``least``."""
+    def expects_pace(self, instance: Instance, min_pace: float) -> bool:
+        """Return whether one more task is likely to get a pace of ``min_pace``."""
         if self.press is None or not instance.serving:
             return True
         step = self.step
-        return self.press.gives_pace(instance, step.image, step.cpu_millicores, least)
+        return self.press.allows_pace(instance, step.image, step.cpu_millicores, min_pace)
 
 
-def takes_work(instance: Instance, starving: bool, at: float) -> bool:
+def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
     """Return whether any task may go to ``instance`` now, by its reports and its record."""
     if instance.worker is None or instance.worker.draining:
         return False
-    if at - instance.heard_at > SILENT_S or not instance.reachable:
+    if at - instance.heard_at > REPORT_TIMEOUT_S or not instance.reachable:
         return False
     if starving:
         # Where every worker looks unsound the job still has to run somewhere.
-        return at - instance.track.bad_at >= LAST_RESORT_S
+        return at - instance.track.bad_at >= UNSOUND_RETRY_INTERVAL_S
     if not instance.track.sound(at):
         return False
     # One run at a time decides a trial, so that an unsound worker spoils little.
@@ -101,76 +101,76 @@
     return not (track.on_trial and instance.newest_claim_at >= track.paused_until)
 
 
-def can_take_work(instance: Instance, need: Need, at: float) -> bool:
+def is_eligible(instance: Instance, request: PlacementRequest, at: float) -> bool:
     """Return whether tasks of this kind may go to ``instance`` at all now."""
     worker = instance.worker
-    if worker is None or worker.service != need.service:
+    if worker is None or worker.service != request.service:
         return False
-    if need.step.label and need.step.label not in worker.labels:
+    if request.step.label and request.step.label not in worker.labels:
         return False
-    if need.tickets is not None and worker.worker not in need.tickets:
+    if request.tickets is not None and worker.worker not in request.tickets:
         return False
-    return takes_work(instance, need.starving, at)
+    return accepts_work(instance, request.starving, at)
 
 
-def has_room(instance: Instance, need: Need, ref: TaskRef) -> bool:
+def has_room(instance: Instance, request: PlacementRequest, ref: TaskRef) -> bool:
     """Return whether one more task of the step fits."""
-    step = need.step
+    step = request.step
     if not instance.fits(step):
         return False
-    if step.fills and not need.starving and not _has_spare(instance, need):
+    if step.fills and not request.starving and not _has_spare_cpu(instance, request):
         return False
     return not (step.per_worker and instance.of_step(ref) >= step.per_worker)
 
 
-def _has_spare(instance: Instance, need: Need) -> bool:
+def _has_spare_cpu(instance: Instance, request: PlacementRequest) -> bool:
     """Return whether a filling task would find processors without spoiling a tail."""
-    step = need.step
-    if instance.spare_cpu < step.cpu_millicores * LEAST_SHARE:
+    step = request.step
+    if instance.spare_cpu < step.cpu_millicores * MIN_SPARE_SHARE:
         return False
     if instance.serving and not instance.listed_at:
         # A new leader does not know the tails of the serving tasks yet.
         return False
-    return need.gets_pace(instance, LEAST_PACE)
+    return request.expects_pace(instance, MIN_PACE)
 
 
-def score(instance: Instance, need: Need, ref: TaskRef) -> float:
+def score(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
     """Return how good a place ``instance`` is; the highest wins."""
-    step = need.step
+    step = request.step
     if step.fills:
         value = float(instance.spare_cpu) * instance.track.speed
-        value += SERVING_PENALTY * _pace_rank(instance, need)
+        value += RANK_UNIT * _pace_rank(instance, request)
     elif step.lasting:
-        value = _lasting_value(instance, need, ref)
+        value = _lasting_value(instance, request, ref)
     else:
         value = float(instance.free_cpu) * 0.1 - instance.fill_cpu
         value *= instance.track.speed if value > 0 else 1.0
     if step.near_rack and instance.rack == step.near_rack:
-        value += 2 * SERVING_PENALTY
+        value += 2 * RANK_UNIT
     return value
 
 
-def _lasting_value(instance: Instance, need: Need, ref: TaskRef) -> float:
+def _lasting_value(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
     """Return how good a place is for a lasting task.
 
     The tasks of a job share their load: together they leave more room beside them than tasks of
     several jobs, of which one is always near its top.  So a job goes where its like is, else to the
     fullest worker that holds all of it.
     """
-    step = need.step
-    value = SERVING_PENALTY if instance.serving else 0
+    step = request.step
+    value = RANK_UNIT if instance.serving else 0
     if instance.of_step(ref):
-        return float(value + BESIDE_ITS_LIKE * SERVING_PENALTY - instance.free_cpu)
-    filling = FILLING_WEIGHT * instance.fill_cpu
-    whole = need.tasks * step.cpu_millicores <= instance.free_cpu
-    whole = whole and not 0 < step.per_worker < need.tasks
+        return float(value + SAME_STEP_RANK * RANK_UNIT - instance.free_cpu)
+    filling = FILL_CPU_WEIGHT * instance.fill_cpu
+    whole = request.tasks * step.cpu_millicores <= instance.free_cpu
+    whole = whole and not 0 < step.per_worker < request.tasks
     if whole:
-        return float(value + WHOLE * SERVING_PENALTY - instance.free_cpu - filling)
+        return float(value + WHOLE_STEP_RANK * RANK_UNIT - instance.free_cpu - filling)
     # No place holds all of them: the one that holds the most.
     return float(value + instance.free_cpu - filling)
 
 
-def _pace_rank(instance: Instance, need: Need) -> float:
+def _pace_rank(instance: Instance, request: PlacementRequest) -> float:
     """Return the order of places for filling work by the pace that it is likely to get there.
 
     First beside serving tasks that it is known to press on hardly, then where nothing serves, then
@@ -178,13 +178,13 @@
     """
     if not instance.serving:
         return 1.0
-    pace = min(need.pace(instance), FULL_PACE)
-    light = pace >= FULL_PACE and need.press is not None and need.press.knows(need.step.image)
+    pace = min(request.pace(instance), LOW_INTERFERENCE_PACE)
+    light = pace >= LOW_INTERFERENCE_PACE and request.press is not None and request.press.knows(request.step.image)
     return 2.0 if light else pace
 
 
 def choose(
-    instances: Iterable[Instance], need: Need, ref: TaskRef, avoid: frozenset[str] = frozenset()
+    instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef, avoid: frozenset[str] = frozenset()
 ) -> Instance | None:
     """Return the best instance for one more task.
 
@@ -193,11 +193,11 @@
     best: Instance | None = None
     best_value = 0.0
     for instance in instances:
-        if not has_room(instance, need, ref):
+        if not has_room(instance, request, ref):
             continue
-        value = score(instance, need, ref)
+        value = score(instance, request, ref)
         if instance.agent in avoid:
-            value -= 10 * SERVING_PENALTY
+            value -= 10 * RANK_UNIT
         if best is None or value > best_value:
             best, best_value = instance, value
     return best
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -15,11 +15,11 @@
 
 from sapphirelead.logs import log_event
 from sapphirelead.sched_advice import StepKey
-from sapphirelead.sched_choice import Choice
+from sapphirelead.sched_choice import PlacementHeap
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
-from sapphirelead.sched_place import Need, can_take_work, choose
+from sapphirelead.sched_place import PlacementRequest, is_eligible, choose
 from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_room import Kind, FeasibleWorkers
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
@@ -210,7 +210,7 @@
             if ready.step.fills:
                 sched.look_again_at[ready.key] = at + RETRY_DELAY_S
             continue
-        need = Need(
+        request = PlacementRequest(
             ready.step,
             ready.policy.service,
             item.tickets,
@@ -219,10 +219,10 @@
             len(ready.tasks),
         )
         if ready.step.gang:
-            _place_gang(sched, ready, _able(live, need, at), need, at)
+            _place_gang(sched, ready, _able(live, request, at), request, at)
         else:
-            able = _able(places, need, at)
-            all_placed = _place_tasks(sched, ready, able, need, at, turn.budget)
+            able = _able(places, request, at)
+            all_placed = _place_tasks(sched, ready, able, request, at, turn.budget)
             if not all_placed and item.tickets is None:
                 sched.no_room.record_infeasible(item.kind, ready.step)
     return asks
@@ -268,8 +268,8 @@
     return feasible.places(item.kind, item.ready.step)
 
 
-def _able(places: list[Instance], need: Need, at: float) -> list[Instance]:
-    return [place for place in places if can_take_work(place, need, at)]
+def _able(places: list[Instance], request: PlacementRequest, at: float) -> list[Instance]:
+    return [place for place in places if is_eligible(place, request, at)]
 
 
 def _log_ready(ready: ReadyStep) -> None:
@@ -322,7 +322,7 @@
     sched: Scheduler,
     ready: ReadyStep,
     places: list[Instance],
-    need: Need,
+    request: PlacementRequest,
     at: float,
     budget: Budget,
 ) -> bool:
@@ -330,27 +330,27 @@
 
     :return: ``False`` where one of them fits nowhere.
     """
-    choice = Choice(places, need, TaskRef(*ready.key, ready.tasks[0]))
+    heap = PlacementHeap(places, request, TaskRef(*ready.key, ready.tasks[0]))
     for index in ready.tasks:
         ref = TaskRef(*ready.key, index)
-        place = choice.take(sched.avoid.get(ref, frozenset()))
+        place = heap.take(sched.avoid.get(ref, frozenset()))
         if place is None:
-            if need.step.fills:
+            if request.step.fills:
                 sched.look_again_at[ready.key] = at + RETRY_DELAY_S
             return False
         sched.claim(ready.job, ref, place, at)
-        if need.starving:
+        if request.starving:
             # One task is enough for the job to go on; the others wait for real room.
             return True
         if budget.spent:
             return True
         if not place.track.on_trial:
-            choice.put_back(place)
+            heap.put_back(place)
     return True
 
 
 def _place_gang(
-    sched: Scheduler, ready: ReadyStep, places: list[Instance], need: Need, at: float
+    sched: Scheduler, ready: ReadyStep, places: list[Instance], request: PlacementRequest, at: float
 ) -> None:
     """Place all members or none; on one rack first where they work better together."""
     racks = sorted({place.rack for place in places}) if ready.step.same_rack else []
@@ -360,7 +360,7 @@
         runs = []
         for index in ready.tasks:
             ref = TaskRef(*ready.key, index)
-            place = choose(group, need, ref, sched.avoid.get(ref, frozenset()))
+            place = choose(group, request, ref, sched.avoid.get(ref, frozenset()))
             if place is None:
                 break
             runs.append(sched.trial_run(ready.job, ref, place, attempt))
--- a/sapphirelead/sched_press.py
+++ b/sapphirelead/sched_press.py
@@ -283,20 +283,20 @@
             pace = known.paces[image, cpu_millicores] = max(0.0, won) / share
         return pace
 
-    def gives_pace(self, instance: Instance, image: str, cpu_millicores: int, least: float) -> bool:
-        """Return whether one more filling task there is likely to get a pace of ``least``.
+    def allows_pace(self, instance: Instance, image: str, cpu_millicores: int, min_pace: float) -> bool:
+        """Return whether one more filling task there is likely to get a pace of ``min_pace``.
 
         The pace falls with the size of the task, except where a neighbour that presses harder loses
         all of its share.  So a size over one that was refused is refused too, until the worker's
         next report.
         """
         known = self._look_once(instance)
-        refused = known.refused.get((image, least))
+        refused = known.refused.get((image, min_pace))
         if refused is not None and cpu_millicores >= refused:
             return False
-        if self.pace_beside(instance, image, cpu_millicores) >= least:
+        if self.pace_beside(instance, image, cpu_millicores) >= min_pace:
             return True
-        known.refused[image, least] = cpu_millicores
+        known.refused[image, min_pace] = cpu_millicores
         return False
 
     def _look_once(self, instance: Instance) -> _Beside:
--- a/sapphirelead/sched_press_guard.py
+++ b/sapphirelead/sched_press_guard.py
@@ -50,11 +50,11 @@
             "pace_beside", lambda: self.model.pace_beside(instance, image, cpu_millicores), NO_PACE
         )
 
-    def gives_pace(self, instance: Instance, image: str, cpu_millicores: int, least: float) -> bool:
-        """Return whether one more filling task there is likely to get a pace of ``least``."""
+    def allows_pace(self, instance: Instance, image: str, cpu_millicores: int, min_pace: float) -> bool:
+        """Return whether one more filling task there is likely to get a pace of ``min_pace``."""
         return self._ask(
             "gives_pace",
-            lambda: self.model.gives_pace(instance, image, cpu_millicores, least),
+            lambda: self.model.allows_pace(instance, image, cpu_millicores, min_pace),
             False,
         )
 
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -18,7 +18,7 @@
 
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, can_take_work, has_room, takes_work
+from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room, accepts_work
 from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_spec import StepSpec
 
@@ -96,8 +96,8 @@
         for number, instance in enumerate(instances):
             state = _State(
                 instance.changes,
-                takes_work(instance, starving=False, at=at),
-                takes_work(instance, starving=True, at=at),
+                accepts_work(instance, starving=False, at=at),
+                accepts_work(instance, starving=True, at=at),
             )
             seen = before.get(instance.agent)
             same = seen is not None and seen.state == state
@@ -187,11 +187,11 @@
 
     def _find_feasible(self, kind: Kind) -> set[str]:
         smallest = self._smallest[kind]
-        need = Need(smallest, kind.service, starving=kind.starving, press=self._press)
+        request = PlacementRequest(smallest, kind.service, starving=kind.starving, press=self._press)
         found = {
             place.agent
             for place in self._no_room.places(kind, smallest)
-            if can_take_work(place, need, self._at) and has_room(place, need, UNPLACED_TASK)
+            if is_eligible(place, request, self._at) and has_room(place, request, UNPLACED_TASK)
         }
         if not found:
             self._no_room.record_infeasible(kind, smallest)
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -12,7 +12,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import Need, can_take_work, has_room
+from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
 from sapphirelead.sched_scan_order import Budget
 from sapphirelead.sched_room import Kind
 from sapphirelead.sched_usual_speed import usual_speeds
@@ -203,12 +203,12 @@
         tickets = sched.advice.valid(run.ref[:3], at)
     kind = Kind.of(run.step, policy.service)
     places = sched.no_room.places(kind, run.step) if tickets is None else sched.fleet.live()
-    need = Need(run.step, policy.service, tickets, press=sched.press)
+    request = PlacementRequest(run.step, policy.service, tickets, press=sched.press)
     avoid = sched.avoid.get(run.ref, frozenset())
     best: Instance | None = None
     any_room = False
     for instance in places:
-        if not can_take_work(instance, need, at) or not has_room(instance, need, run.ref):
+        if not is_eligible(instance, request, at) or not has_room(instance, request, run.ref):
             continue
         any_room = True
         if instance.agent == run.agent or instance.agent in avoid:
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -12,7 +12,7 @@
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Phase
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import LEAST_PACE, Need, choose
+from sapphirelead.sched_place import MIN_PACE, PlacementRequest, choose
 from sapphirelead.sched_planner import GROUPING_DELAY_S, plan, wanted_cpu
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store
@@ -108,16 +108,16 @@
                 report(agents, sched, agent, 26, 3.0 + number * 0.1)
     places = list(sched.fleet.live())
     for image, allowed in (("heavy", False), ("light", True)):
-        need = Need(fill(image), "svc", press=sched.press)
-        assert (choose(places, need, TaskRef("x", 0, 0, 0)) is not None) is allowed
-    assert sched.press.pace_beside(places[0], "heavy", 4000) < LEAST_PACE
+        request = PlacementRequest(fill(image), "svc", press=sched.press)
+        assert (choose(places, request, TaskRef("x", 0, 0, 0)) is not None) is allowed
+    assert sched.press.pace_beside(places[0], "heavy", 4000) < MIN_PACE
     # The agent there, told what the leader knows, would hold it back as much.
     control = PaceControl()
     weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
     control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
     wanted = {"heavy": USED_SHARE * 4000 / 32_000}
     control.update([Tail("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
-    assert control.percent("heavy") < 100 * LEAST_PACE
+    assert control.percent("heavy") < 100 * MIN_PACE
 
 
 def test_filling_work_goes_where_nothing_serves_first() -> None:
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -8,7 +8,7 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, can_take_work, choose
+from sapphirelead.sched_place import PlacementRequest, is_eligible, choose
 from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
 from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_room import MAX_KINDS, MAX_SIZES_PER_KIND, Kind, InfeasibleCache, FeasibleWorkers
@@ -76,10 +76,10 @@
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
-            need = Need(step, "svc", starving=kind.starving, press=press)
-            expected = choose([item for item in live if can_take_work(item, need, at)], need, ref)
+            request = PlacementRequest(step, "svc", starving=kind.starving, press=press)
+            expected = choose([item for item in live if is_eligible(item, request, at)], request, ref)
             places = feasible.places(kind, step)
-            found = choose([item for item in places if can_take_work(item, need, at)], need, ref)
+            found = choose([item for item in places if is_eligible(item, request, at)], request, ref)
             assert found is expected
             if found is None:
                 no_room.record_infeasible(kind, step)
