--- a/bench/bench_leader.py
+++ b/bench/bench_leader.py
@@ -175,7 +175,7 @@
         sched = self._sched
         instance = sched.fleet.instance(agent)
         starts, stops, stored = sched.orders_for(agent, self._at)
-        press = sched.press.press_on(instance)
+        press = sched.press.pair_weights_on(instance)
         orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, 1, press=press)
         ENCODER.encode(orders)
         return orders
--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -32,7 +32,7 @@
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_press import PressModel
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_stragglers import review
@@ -125,7 +125,7 @@
         return MEAN_LOAD * (1 + SWING * math.sin(angle))
 
 
-class TrueModel(PressModel):
+class TrueModel(InterferenceModel):
     """Knows all weights, and each load until two seconds from now."""
 
     def __init__(self, truth: Truth, clock: Callable[[], float]) -> None:
@@ -137,7 +137,7 @@
         """Return the true weight."""
         return self._truth.weights.get((serving, filling), 0.0)
 
-    def _own(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
+    def _user_load(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
         return max(self._truth.load(key[0], self._clock() + ahead) for ahead in (0.0, 1.0, 2.0))
 
 
@@ -291,7 +291,7 @@
 
     def _take_orders(self, worker: _Worker) -> None:
         starts, stops, stored = self._sched.orders_for(worker.name, self._at)
-        press = self._sched.press.press_on(self._sched.fleet.instance(worker.name))
+        press = self._sched.press.pair_weights_on(self._sched.fleet.instance(worker.name))
         orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, press=press)
         self._obey(worker, orders)
 
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -417,7 +417,7 @@
             stops,
             stored,
             instance.entries_version,
-            press=self.sched.press.press_on(instance) if beat or starts else [],
+            press=self.sched.press.pair_weights_on(instance) if beat or starts else [],
             number=instance.orders_sent,
         )
         if renews and beat:
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -27,7 +27,7 @@
 from sapphirelead.sched_cancels import CancelTimes
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
-from sapphirelead.sched_press_guard import GuardedPress
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_room import InfeasibleCache
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
@@ -94,7 +94,7 @@
     no_room: InfeasibleCache
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
-    press: GuardedPress
+    press: GuardedInterferenceModel
     cancels: CancelTimes
 
     def __init__(self, bounds: Bounds, at: float, cancels: CancelTimes | None = None) -> None:
@@ -112,7 +112,7 @@
         self.no_room = InfeasibleCache()
         self.avoid = {}
         self.moves = {}
-        self.press = GuardedPress()
+        self.press = GuardedInterferenceModel()
         self.cancels = cancels or CancelTimes(Metrics(lambda: at), lambda: at)
         self._dirty = {}
         self._fresh = set()
--- a/sapphirelead/sched_press.py
+++ b/sapphirelead/sched_interference.py
@@ -27,46 +27,46 @@
 from sapphirelead.policy_pressure_prior import PairPrior
 from sapphirelead.sched_fleet import Instance
 
-NOISE: Final = 0.03
+LOAD_NOISE: Final = 0.03
 """Load by which the tasks of one job differ between workers without any cause: by the median of a
 few tasks, up to half a second apart."""
 
-IDLE_SHARE: Final = 0.25
+INITIAL_IDLE_SHARE: Final = 0.25
 """Tail without any load, as a share of the target, until a lower one has been seen.  A leader that
 takes over while all loads are high would else take them for none."""
 
-PRIOR_S: Final = 1.0
+PRIOR_INTERVAL_S: Final = 1.0
 """Time between two looks at what the known pairs tell of others."""
 
-KNOWN: Final = 0.9
+KNOWN_PROBABILITY: Final = 0.9
 """Probability of either kind from which on a pair tells of others."""
 
-FRESH_S: Final = 1.6
+MAX_READING_AGE_S: Final = 1.6
 """A reading of another worker that is older says nothing of the load now: one full report and a
 half."""
 
-SETTLED_S: Final = 1.5
+WARMUP_S: Final = 1.5
 """A serving task that began after the others of its job starts up for so long: its tail is low,
 whatever is beside it."""
 
-TRANSIENT: Final = 0.2
+TRANSIENT_NOISE: Final = 0.2
 """Noise of a load for each share of the worker that its filling work has just taken up or given
 back: the tail is still on its way."""
 
-ASTRAY: Final = 0.25
+MAX_DEVIATION: Final = 0.25
 """A worker whose load, without filling work, is so far from what the others show has trouble of its
 own and is no measure for them."""
 
-LEAST_SHARE: Final = 0.001
+MIN_USED_SHARE: Final = 0.001
 """Least share of a worker that a filling task is taken to use."""
 
-AHEAD_S: Final = 2.0
+FORECAST_S: Final = 2.0
 """How far ahead a rising load is continued for placing: half of the time of most filling tasks."""
 
-TREND_S: Final = 2.5
+TREND_WINDOW_S: Final = 2.5
 """Time over which the trend of a job's load is taken."""
 
-MOST_RISE: Final = 0.2
+MAX_FORECAST_RISE: Final = 0.2
 """Most that is added for a rising load."""
 
 GroupKey = tuple[str, int, int]
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Beside:
+class _PaceCache:
     """The loads to expect on one instance, kept until its next report or change of runs.
 
     Each filling task that looks for a place asks about every worker, several times a second, and
@@ -107,7 +107,7 @@
     refused: dict[tuple[str, float], int] = field(default_factory=dict)
 
 
-class PressModel:
+class InterferenceModel:
     """Learnt pressure of filling images on serving images.
 
     :ivar idle_ms: tail of each serving image without any load: the lowest that was seen.
@@ -119,7 +119,7 @@
     _history: dict[GroupKey, deque[tuple[float, float]]]
     _began: dict[GroupKey, float]
     _shares: dict[str, Mapping[str, float]]
-    _beside: dict[str, _Beside]
+    _pace_caches: dict[str, _PaceCache]
     _prior: PairPrior
     _prior_at: float
     _beliefs: dict[str, dict[str, Belief]]
@@ -132,7 +132,7 @@
         self._history = {}
         self._began = {}
         self._shares = {}
-        self._beside = {}
+        self._pace_caches = {}
         self._prior = PairPrior({})
         self._prior_at = -math.inf
         self._beliefs = {}
@@ -140,15 +140,15 @@
 
     def learn(self, instance: Instance, at: float) -> None:
         """Take the tails of an instance's newest report."""
-        shares = _intensities(instance)
+        shares = _used_shares(instance)
         before = self._shares.get(instance.agent, shares)
         self._shares[instance.agent] = shares
         # A tail follows what is beside it within about a second, the time between two reports.
         images = shares.keys() | before.keys()
         lagged = {image: (shares.get(image, 0.0) + before.get(image, 0.0)) / 2 for image in images}
         moved = sum(abs(shares.get(image, 0.0) - before.get(image, 0.0)) for image in images)
-        noise = NOISE + TRANSIENT * moved
-        self._look_at_pairs(at)
+        noise = LOAD_NOISE + TRANSIENT_NOISE * moved
+        self._update_prior(at)
         for key, (image, tail_ms) in self._tails(instance, at).items():
             load = load_of(tail_ms, self.idle_ms[image])
             self._learn_group(key, image, instance.agent, _Reading(at, load, lagged, noise))
@@ -161,11 +161,11 @@
             if not run.shows_tail or run.figure == 0:
                 continue
             key, image = run.ref[:3], run.step.image
-            known = self.idle_ms.get(image, IDLE_SHARE * run.step.target_ms)
+            known = self.idle_ms.get(image, INITIAL_IDLE_SHARE * run.step.target_ms)
             self.idle_ms[image] = min(float(run.figure), known)
             run.load = load_of(run.figure, self.idle_ms[image])
             began = self._began.setdefault(key, run.running_at)
-            if run.running_at - began < SETTLED_S or at - run.running_at >= SETTLED_S:
+            if run.running_at - began < WARMUP_S or at - run.running_at >= WARMUP_S:
                 found.setdefault(key, []).append(run.figure)
                 images[key] = image
         return {key: (images[key], statistics.median(tails)) for key, tails in found.items()}
@@ -173,32 +173,32 @@
     def _learn_group(self, key: GroupKey, image: str, agent: str, reading: _Reading) -> None:
         readings = self._groups.setdefault(key, {})
         before = readings.pop(agent, None)
-        others = self._sound(image, readings.values(), reading.at)
+        others = self._consistent(image, readings.values(), reading.at)
         if not others and before is not None:
             # The job runs nowhere else; its load a second ago has to do.
-            others = self._sound(image, [before], reading.at)
+            others = self._consistent(image, [before], reading.at)
         if others:
             self._compare(image, reading, others)
         readings[agent] = reading
         history = self._history.setdefault(key, deque())
-        history.append((reading.at, self._without_filling(image, reading)))
-        while reading.at - history[0][0] > TREND_S:
+        history.append((reading.at, self._load_without_fill(image, reading)))
+        while reading.at - history[0][0] > TREND_WINDOW_S:
             history.popleft()
 
-    def _sound(self, image: str, readings: Iterable[_Reading], at: float) -> list[_Reading]:
+    def _consistent(self, image: str, readings: Iterable[_Reading], at: float) -> list[_Reading]:
         """Return the fresh readings that agree with most others on what the users bring."""
-        fresh = [reading for reading in readings if at - reading.at <= FRESH_S]
+        fresh = [reading for reading in readings if at - reading.at <= MAX_READING_AGE_S]
         if not fresh:
             return []
-        middle = statistics.median(self._without_filling(image, reading) for reading in fresh)
+        middle = statistics.median(self._load_without_fill(image, reading) for reading in fresh)
         return [
             reading
             for reading in fresh
-            if abs(self._without_filling(image, reading) - middle) <= ASTRAY
+            if abs(self._load_without_fill(image, reading) - middle) <= MAX_DEVIATION
         ]
 
-    def _without_filling(self, image: str, reading: _Reading) -> float:
-        return reading.load - added_load(image, reading.shares, self._learnt)
+    def _load_without_fill(self, image: str, reading: _Reading) -> float:
+        return reading.load - added_load(image, reading.shares, self._estimated_weight)
 
     def _compare(self, image: str, reading: _Reading, others: list[_Reading]) -> None:
         """Learn from the difference to the mean of other workers."""
@@ -208,20 +208,20 @@
         for other in others:
             for filling, share in other.shares.items():
                 shares[filling] = shares.get(filling, 0.0) - share / count
-        shares = {filling: share for filling, share in shares.items() if abs(share) > LEAST_SHARE}
+        shares = {filling: share for filling, share in shares.items() if abs(share) > MIN_USED_SHARE}
         if shares:
             noise = (reading.noise**2 + sum(other.noise**2 for other in others) / count**2) ** 0.5
             found = self._filters.get(image)
             if found is None:
                 found = self._filters[image] = PressureFilter(reading.at)
-            expected = partial(self._expect, image)
+            expected = partial(self._prior_belief, image)
             found.observe(reading.load - load, shares, noise, expected, reading.at)
             self._beliefs.pop(image, None)
 
-    def _expect(self, serving: str, filling: str) -> Belief:
+    def _prior_belief(self, serving: str, filling: str) -> Belief:
         return believe(self._prior.heavy(serving, filling))
 
-    def _believe(self, serving: str, filling: str) -> Belief:
+    def _belief(self, serving: str, filling: str) -> Belief:
         """Return what is believed of a pair, by what was seen of it and of others."""
         beliefs = self._beliefs.setdefault(serving, {})
         found = beliefs.get(filling)
@@ -230,17 +230,17 @@
             found = beliefs[filling] = believe(self._prior.heavy(serving, filling), seen)
         return found
 
-    def _look_at_pairs(self, at: float) -> None:
+    def _update_prior(self, at: float) -> None:
         """Take over which pairs are known, now and then."""
-        if at - self._prior_at < PRIOR_S:
+        if at - self._prior_at < PRIOR_INTERVAL_S:
             return
         self._prior_at = at
         beliefs = {
-            (serving, filling): self._believe(serving, filling).heavy
+            (serving, filling): self._belief(serving, filling).heavy
             for serving, found in self._filters.items()
             for filling in found.weights
         }
-        known = {pair: heavy for pair, heavy in beliefs.items() if max(heavy, 1 - heavy) >= KNOWN}
+        known = {pair: heavy for pair, heavy in beliefs.items() if max(heavy, 1 - heavy) >= KNOWN_PROBABILITY}
         self._prior = PairPrior(known)
         self._known = frozenset(filling for _, filling in known)
         self._beliefs = {}
@@ -255,12 +255,12 @@
         What is not known well is taken for more than it was seen to be: a tail over its target
         costs more than the filling work beside it earns.
         """
-        return self._believe(serving, filling).careful
+        return self._belief(serving, filling).careful
 
-    def _learnt(self, serving: str, filling: str) -> float:
-        return self._believe(serving, filling).weight
+    def _estimated_weight(self, serving: str, filling: str) -> float:
+        return self._belief(serving, filling).weight
 
-    def press_on(self, instance: Instance) -> list[ServingPress]:
+    def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
         """Return what is known or assumed of the pairs of images on an instance."""
         serving = {run.step.image for run in instance.runs.values() if run.step.target_ms}
         filling = {run.step.image for run in instance.runs.values() if run.step.fills}
@@ -275,10 +275,10 @@
 
         What it takes from other filling work there does not count.
         """
-        known = self._look_once(instance)
+        known = self._cached_paces(instance)
         pace = known.paces.get((image, cpu_millicores))
         if pace is None:
-            share = max(_share(cpu_millicores, instance), LEAST_SHARE)
+            share = max(_requested_share(cpu_millicores, instance), MIN_USED_SHARE)
             won = known.allotment.used_with(image, share) - known.allotment.used
             pace = known.paces[image, cpu_millicores] = max(0.0, won) / share
         return pace
@@ -290,7 +290,7 @@
         all of its share.  So a size over one that was refused is refused too, until the worker's
         next report.
         """
-        known = self._look_once(instance)
+        known = self._cached_paces(instance)
         refused = known.refused.get((image, min_pace))
         if refused is not None and cpu_millicores >= refused:
             return False
@@ -299,37 +299,37 @@
         known.refused[image, min_pace] = cpu_millicores
         return False
 
-    def _look_once(self, instance: Instance) -> _Beside:
-        """Return what :meth:`_look` says since the instance's newest change."""
-        known = self._beside.get(instance.agent)
+    def _cached_paces(self, instance: Instance) -> _PaceCache:
+        """Return what :meth:`_compute_paces` says since the instance's newest change."""
+        known = self._pace_caches.get(instance.agent)
         if known is None or known.changes != instance.changes:
-            known = self._beside[instance.agent] = self._look(instance)
+            known = self._pace_caches[instance.agent] = self._compute_paces(instance)
         return known
 
-    def _look(self, instance: Instance) -> _Beside:
+    def _compute_paces(self, instance: Instance) -> _PaceCache:
         """Work out what the newest report and the runs of an instance say of its tails."""
         wanted: dict[str, float] = {}
         rooms: dict[str, Room] = {}
         for run in instance.runs.values():
             image = run.step.image
             if run.step.fills:
-                share = _share(run.step.cpu_millicores, instance)
+                share = _requested_share(run.step.cpu_millicores, instance)
                 wanted[image] = wanted.get(image, 0.0) + share
             elif run.shows_tail and image in self.idle_ms:
                 most = load_of(run.step.target_ms, self.idle_ms[image])
-                room = Room(image, self._own(run.ref[:3], image, instance), most)
+                room = Room(image, self._user_load(run.ref[:3], image, instance), most)
                 known = rooms.get(image)
                 if known is None or room.most - room.own < known.most - known.own:
                     rooms[image] = room
-        return _Beside(instance.changes, Allotment(list(rooms.values()), wanted, self.weight))
+        return _PaceCache(instance.changes, Allotment(list(rooms.values()), wanted, self.weight))
 
-    def _own(self, key: GroupKey, image: str, instance: Instance) -> float:
+    def _user_load(self, key: GroupKey, image: str, instance: Instance) -> float:
         """Return the load that a job's users are likely to bring while a filling task works."""
         reading = self._groups.get(key, {}).get(instance.agent)
         if reading is None:
             return 0.0
-        own = self._without_filling(image, reading)
-        return max(own, 0.0) + _rise(self._history.get(key, deque()))
+        own = self._load_without_fill(image, reading)
+        return max(own, 0.0) + _forecast_rise(self._history.get(key, deque()))
 
     def forget(self, job_id: str) -> None:
         """Drop the readings of a job that is no longer kept."""
@@ -339,7 +339,7 @@
             self._began.pop(key, None)
 
 
-def _rise(history: Sequence[tuple[float, float]]) -> float:
+def _forecast_rise(history: Sequence[tuple[float, float]]) -> float:
     """Return by how much a load is likely to rise: its newer half against its older one."""
     half = len(history) // 2
     if half < 1:
@@ -347,17 +347,17 @@
     points = list(history)
     old_at, old = (statistics.fmean(column) for column in zip(*points[:half], strict=True))
     new_at, new = (statistics.fmean(column) for column in zip(*points[half:], strict=True))
-    if new_at - old_at < TREND_S / 4:
+    if new_at - old_at < TREND_WINDOW_S / 4:
         return 0.0
-    return min(max((new - old) / (new_at - old_at) * AHEAD_S, 0.0), MOST_RISE)
+    return min(max((new - old) / (new_at - old_at) * FORECAST_S, 0.0), MAX_FORECAST_RISE)
 
 
-def _share(cpu_millicores: int, instance: Instance) -> float:
+def _requested_share(cpu_millicores: int, instance: Instance) -> float:
     """Return the share of the worker's processors that a filling task uses at full pace."""
     return USED_SHARE * cpu_millicores / max(1, instance.capacity_cpu)
 
 
-def _intensities(instance: Instance) -> Mapping[str, float]:
+def _used_shares(instance: Instance) -> Mapping[str, float]:
     """Return the share of the worker's processors that each filling image used lately."""
     found: dict[str, float] = {}
     capacity = max(1, instance.capacity_cpu)
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -19,7 +19,7 @@
 
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_press_guard import GuardedPress
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_spec import StepSpec
 
 REPORT_TIMEOUT_S: Final = 1.2
@@ -68,7 +68,7 @@
     service: str
     tickets: dict[str, str] | None = None
     starving: bool = False
-    press: GuardedPress | None = None
+    press: GuardedInterferenceModel | None = None
     tasks: int = 1
 
     def pace(self, instance: Instance) -> float:
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -19,7 +19,7 @@
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room, accepts_work
-from sapphirelead.sched_press_guard import GuardedPress
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_spec import StepSpec
 
 MAX_KINDS: Final = 512
@@ -147,7 +147,7 @@
 
     _no_room: InfeasibleCache
     _smallest: dict[Kind, StepSpec]
-    _press: GuardedPress
+    _press: GuardedInterferenceModel
     _at: float
     _found: dict[Kind, set[str]]
 
@@ -155,7 +155,7 @@
         self,
         no_room: InfeasibleCache,
         waiting: Iterable[tuple[Kind, StepSpec]],
-        press: GuardedPress,
+        press: GuardedInterferenceModel,
         at: float,
     ) -> None:
         """Take note of what waits.
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -14,7 +14,7 @@
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_place import has_room
 from sapphirelead.sched_planner import RETRY_DELAY_S, plan
-from sapphirelead.sched_press import PressModel
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
@@ -115,14 +115,14 @@
     workers = 6
     sched, _ = serving_fleet(workers)
     looked = 0
-    look = PressModel._look
+    look = InterferenceModel._compute_paces
 
     def counting(*args: Any) -> Any:
         nonlocal looked
         looked += 1
         return look(*args)
 
-    monkeypatch.setattr(PressModel, "_look", counting)
+    monkeypatch.setattr(InterferenceModel, "_look", counting)
     for number in range(40):
         large = StepSpec(cpu_millicores=31_000, estimate_ms=5000, image=f"i{number}", fills=True)
         sched.submit(job(f"j{number}", large), lambda *_: None)
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -10,7 +10,7 @@
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_place import PlacementRequest, is_eligible, choose
 from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
-from sapphirelead.sched_press_guard import GuardedPress
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_room import MAX_KINDS, MAX_SIZES_PER_KIND, Kind, InfeasibleCache, FeasibleWorkers
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -63,7 +63,7 @@
 def test_the_same_place_is_found_as_by_a_look_at_every_worker(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = InfeasibleCache(), GuardedPress()
+    no_room, press = InfeasibleCache(), GuardedInterferenceModel()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -15,7 +15,7 @@
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import EndKind, Job, JobState, TaskRef
 from sapphirelead.sched_planner import RETRY_DELAY_S, plan
-from sapphirelead.sched_press import PressModel
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_timing import Bounds
 from tests.sched.fakes import Agents, job, scheduler, store
@@ -39,14 +39,14 @@
     sched = beside_filling(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     asked = 0
-    weight = PressModel.weight
+    weight = InterferenceModel.weight
 
     def counting(*args: Any) -> float:
         nonlocal asked
         asked += 1
         return weight(*args)
 
-    monkeypatch.setattr(PressModel, "weight", counting)
+    monkeypatch.setattr(InterferenceModel, "weight", counting)
     for number in range(40):
         model.pace_beside(instance, f"i{number % 8}", 1000 + number)
     assert asked <= 8
@@ -132,7 +132,7 @@
         worked_out.append(args)
         return 0.0
 
-    monkeypatch.setattr(PressModel, "pace_beside", counting)
+    monkeypatch.setattr(InterferenceModel, "pace_beside", counting)
     larger = [size for size in sizes if size >= first]
     assert not any(model.allows_pace(instance, "new", size, LEAST) for size in larger)
     assert not worked_out
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -12,7 +12,7 @@
 from sapphirelead.policy_pressure_pair import HEAVY_SHARE, Belief, believe
 from sapphirelead.runner_pace import PaceControl, Tail
 from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
-from sapphirelead.sched_press import PressModel
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store
@@ -118,7 +118,7 @@
 
     sched, agents = serving_fleet(2)
     learnt = sched.press.model
-    monkeypatch.setattr(PressModel, "learn", fails)
+    monkeypatch.setattr(InterferenceModel, "learn", fails)
     report(agents, sched, "g0", TARGET_MS // 2, 1.0)
     assert sched.fleet.instance("g0").heard_at == 1.0
     assert sched.press.model is not learnt
