--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -39,7 +39,7 @@
 from sapphirelead.sched_planner import plan, wanted_cpu
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_stragglers import review
-from sapphirelead.sched_survey import PERIOD_S, survey
+from sapphirelead.sched_survey import SURVEY_INTERVAL_S, survey
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
 RENEW_S: Final = 0.5
@@ -317,7 +317,7 @@
         return True
 
     def _log_survey(self, at: float) -> None:
-        if at - self._surveyed_at < PERIOD_S:
+        if at - self._surveyed_at < SURVEY_INTERVAL_S:
             return
         self._surveyed_at = at
         with self._load.held(Part.SURVEY):
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -12,7 +12,7 @@
 from sapphirelead.sched_fleet import Phase
 from sapphirelead.sched_planner import waiting_tasks
 
-PERIOD_S: Final = 1.0
+SURVEY_INTERVAL_S: Final = 1.0
 """Time between two lines."""
 
 
