--- a/sapphirelead/sched_usual_speed.py
+++ b/sapphirelead/sched_baseline_speed.py
@@ -8,7 +8,7 @@
 from sapphirelead.sched_fleet import Run
 
 
-def usual_speeds(sched: Scheduler, slow: list[Run], at: float) -> dict[Run, float]:
+def baseline_speeds(sched: Scheduler, slow: list[Run], at: float) -> dict[Run, float]:
     """Return for each of ``slow`` the speed that its step has at other sound workers, at most 1.
 
     A step that runs nowhere else is expected to be as fast as estimated.
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -15,30 +15,30 @@
 from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
 from sapphirelead.sched_scan_order import Budget
 from sapphirelead.sched_room import Kind
-from sapphirelead.sched_usual_speed import usual_speeds
+from sapphirelead.sched_baseline_speed import baseline_speeds
 
-SLOW_SPEED: Final = 0.4
+SLOW_SPEED_SHARE: Final = 0.4
 """Share of the expected speed under which a run is slow."""
-LOOK_AFTER_S: Final = 0.9
+MIN_OBSERVATION_S: Final = 0.9
 """A younger run is not judged: two reports after the first."""
-LOOK_SHARE: Final = 0.25
+MIN_OBSERVATION_SHARE: Final = 0.25
 """Share of the estimate for which a run is watched before it is judged."""
-GAIN: Final = 1.4
+MIN_MOVE_GAIN: Final = 1.4
 """Moving must end sooner by this factor: the estimate of either side is off by as much."""
-MOVES: Final = 3
+MAX_MOVES: Final = 3
 """Moves of one task; a task that crawls everywhere is not cured by a further one."""
-STOP_S: Final = 0.5
+RESTART_DELAY_S: Final = 0.5
 """Usual time from the decision to the start elsewhere: stop, report, claim, start."""
-HELD_BELOW: Final = 70
+LOW_PACE_PERCENT: Final = 70
 """Pace in percent under which a filling run is moved to a worker that gives it more.
 
 A run that is held back beside serving tasks whose load rises stays so for longer than most such
 tasks take."""
-HELD_STILL: Final = 25
+STALLED_PACE_PERCENT: Final = 25
 """Pace in percent under which one that saves no progress is moved if it has been slow so far."""
-HELD_MOVES: Final = 6
+MAX_THROTTLED_MOVES: Final = 6
 """Moves of one task that is held back; each costs it about half a second."""
-CRAWL: Final = 0.03
+MIN_SPEED: Final = 0.03
 """Least speed assumed, so that times stay finite."""
 
 
@@ -51,22 +51,22 @@
     if run.attempt > 1:
         # A run that resumes first spends this time on restoring what was saved.
         watched_s -= restore_s
-    if watched_s < max(LOOK_AFTER_S, LOOK_SHARE * estimate_s):
+    if watched_s < max(MIN_OBSERVATION_S, MIN_OBSERVATION_SHARE * estimate_s):
         return None
     return run.watch.gained / 100 * estimate_s / watched_s
 
 
-def ends_sooner_elsewhere(run: Run, speed: float, restore_s: float, usual: float = 1.0) -> bool:
+def ends_sooner_elsewhere(run: Run, speed: float, restore_s: float, baseline: float = 1.0) -> bool:
     """Return whether the run would end clearly sooner on a sound worker.
 
-    :param usual: speed of its step's runs at such workers.
+    :param baseline: speed of its step's runs at such workers.
     """
     estimate_s = run.step.estimate_ms / 1000
     left = (100 - run.percent) / 100
-    here_s = left * estimate_s / max(speed, CRAWL)
-    work_s = estimate_s / max(usual, CRAWL)
-    elsewhere_s = STOP_S + (left * work_s + restore_s if run.step.saves else work_s)
-    return here_s > GAIN * elsewhere_s
+    here_s = left * estimate_s / max(speed, MIN_SPEED)
+    work_s = estimate_s / max(baseline, MIN_SPEED)
+    elsewhere_s = RESTART_DELAY_S + (left * work_s + restore_s if run.step.saves else work_s)
+    return here_s > MIN_MOVE_GAIN * elsewhere_s
 
 
 def review(sched: Scheduler, at: float, budget: Budget | None = None) -> None:
@@ -95,7 +95,7 @@
         if number and budget is not None and budget.spent:
             return
         run.reviewed_at = sched.fleet.instance(run.agent).listed_at
-        _act(sched, run, speed, at)
+        _mitigate(sched, run, speed, at)
 
 
 def _worth_moving(
@@ -104,11 +104,11 @@
     """Return those that are slow beside their step's other runs and would end sooner elsewhere."""
     if not suspects:
         return []
-    usual = usual_speeds(sched, [run for run, _ in suspects], at)
+    baseline = baseline_speeds(sched, [run for run, _ in suspects], at)
     slow = []
     for run, speed in suspects:
-        beside = 1.0 if _held_back(run) else usual[run]
-        is_slow = _held_back(run) or speed < SLOW_SPEED * beside
+        beside = 1.0 if _throttled(run) else baseline[run]
+        is_slow = _throttled(run) or speed < SLOW_SPEED_SHARE * beside
         if is_slow and ends_sooner_elsewhere(run, speed, sched.bounds.restore_s, beside):
             slow.append((run, speed))
         else:
@@ -118,34 +118,34 @@
 
 def _slow_speed(run: Run, listed_at: float, restore_s: float) -> float | None:
     """Return the speed of a run that is slow now; ``None`` for others."""
-    if _held_back(run):
-        return run.paced / 100 if listed_at - run.running_at >= LOOK_AFTER_S else None
+    if _throttled(run):
+        return run.paced / 100 if listed_at - run.running_at >= MIN_OBSERVATION_S else None
     stalled = run.watch.stalled
     if run.step.fills and run.paced < 0 and not stalled:
         # Its agent has been restarted, or has got no answer: it may hold the run back.
         return None
-    if run.step.fills and HELD_STILL < run.paced < 100:
+    if run.step.fills and STALLED_PACE_PERCENT < run.paced < 100:
         # Its pace comes back as the tails beside it allow.
         return None
     speed = speed_of(run, restore_s)
     if speed is not None and stalled:
-        speed = min(speed, CRAWL)
-    return speed if speed is not None and speed < SLOW_SPEED else None
+        speed = min(speed, MIN_SPEED)
+    return speed if speed is not None and speed < SLOW_SPEED_SHARE else None
 
 
-def _held_back(run: Run) -> bool:
+def _throttled(run: Run) -> bool:
     """Whether its agent holds the run back, by the newest report.
 
     One that saves no progress is judged by its speed so far instead: moved, it would start anew.
     """
     running = run.phase is Phase.RUNNING and run.percent >= 0
     movable = run.step.fills and run.step.saves
-    return movable and running and 0 <= run.paced < HELD_BELOW
+    return movable and running and 0 <= run.paced < LOW_PACE_PERCENT
 
 
-def _act(sched: Scheduler, run: Run, speed: float, at: float) -> None:
+def _mitigate(sched: Scheduler, run: Run, speed: float, at: float) -> None:
     instance = sched.fleet.instance(run.agent)
-    if not run.slow_noted and _worker_is_to_blame(run, instance):
+    if not run.slow_noted and _worker_at_fault(run, instance):
         run.slow_noted = True
         instance.track.note_slow(at, speed)
     job = sched.jobs.get(run.ref.job_id)
@@ -154,10 +154,10 @@
         job is None
         or task is None
         or task.done
-        or sched.moves.get(run.ref, 0) >= (HELD_MOVES if _held_back(run) else MOVES)
+        or sched.moves.get(run.ref, 0) >= (MAX_THROTTLED_MOVES if _throttled(run) else MAX_MOVES)
     ):
         return
-    place = _elsewhere(sched, run, at)
+    place = _find_other_worker(sched, run, at)
     if place is None:
         return
     sched.avoid[run.ref] = sched.avoid.get(run.ref, frozenset()) | {run.agent}
@@ -185,14 +185,14 @@
     )
 
 
-def _worker_is_to_blame(run: Run, instance: Instance) -> bool:
+def _worker_at_fault(run: Run, instance: Instance) -> bool:
     """A filling run is slow also where it is paced, or where others leave little."""
     if not run.step.fills:
         return True
     return run.paced >= 100 and instance.spare_cpu >= 0
 
 
-def _elsewhere(sched: Scheduler, run: Run, at: float) -> Instance | None:
+def _find_other_worker(sched: Scheduler, run: Run, at: float) -> Instance | None:
     """Return another worker that would take the task now."""
     job = sched.jobs.get(run.ref.job_id)
     if job is None:
--- a/tests/sched/test_plan_turn.py
+++ b/tests/sched/test_plan_turn.py
@@ -245,7 +245,7 @@
         at += LOOK_S
         looked.append(run)
 
-    monkeypatch.setattr("sapphirelead.sched_stragglers._elsewhere", slow)
+    monkeypatch.setattr("sapphirelead.sched_stragglers._find_other_worker", slow)
     for number in range(4):
         for before in range(5 if number else 0, -1, -1):
             reported_at = 0.5 + 3 * number - 0.5 * before
