--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -15,22 +15,22 @@
 from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
 from sapphirelead.sched_scan_order import Budget
 
-MOST_SHARE: Final = 0.4
+MAX_LASTING_SHARE: Final = 0.4
 """Share of a worker's processors that its lasting tasks may take for it to be emptied."""
 
-MOST_TASKS: Final = 3
+MAX_LASTING_TASKS: Final = 3
 """Lasting tasks on a worker that is emptied; each is away for about a second."""
 
-WANTED_SHARE: Final = 0.15
+MIN_SHORTAGE_SHARE: Final = 0.15
 """Share of all processors that filling work has to lack for a worker to be emptied."""
 
-PAUSE_S: Final = 3.0
+COOLDOWN_S: Final = 3.0
 """Time between two emptied workers: the filling work has to have moved in to show its need."""
 
-STAY_S: Final = 12.0
+MIN_STAY_S: Final = 12.0
 """A lasting task that has been moved stays for this long."""
 
-AT_WORK: Final = 100
+READY_PERCENT: Final = 100
 
 
 class Consolidation:
@@ -53,10 +53,10 @@
         :param wanted_cpu: processors that waiting or paced filling work lacks, in thousandths.
         :param budget: limits the time; the next call goes on with the other workers.
         """
-        if at - self._acted_at < PAUSE_S:
+        if at - self._acted_at < COOLDOWN_S:
             return
         live = [instance for instance in sched.fleet.live() if instance.track.sound(at)]
-        if wanted_cpu < WANTED_SHARE * sum(instance.capacity_cpu for instance in live):
+        if wanted_cpu < MIN_SHORTAGE_SHARE * sum(instance.capacity_cpu for instance in live):
             self._tried.clear()
             return
         tried = 0
@@ -68,12 +68,12 @@
             tried += 1
             self._tried.add(instance.agent)
             runs = [run for run in instance.runs.values() if run.step.lasting]
-            if not runs or not self._may_empty(sched, instance, runs, at):
+            if not runs or not self._can_evict(sched, instance, runs, at):
                 continue
             if not _fits_elsewhere(sched, instance, runs, live, at):
                 continue
             self._acted_at = at
-            self._empty(sched, instance, runs, at)
+            self._evict(sched, instance, runs, at)
             log_event(
                 "INFO",
                 "worker_emptied",
@@ -84,14 +84,14 @@
             break
         self._tried.clear()
 
-    def _empty(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> None:
+    def _evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> None:
         for run in runs:
             self._moved[run.ref] = at
             sched.avoid[run.ref] = frozenset({instance.agent})
             sched.stop(run, "consolidate")
 
-    def _may_empty(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> bool:
-        if len(runs) > MOST_TASKS or instance.lasting_cpu > MOST_SHARE * instance.capacity_cpu:
+    def _can_evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> bool:
+        if len(runs) > MAX_LASTING_TASKS or instance.lasting_cpu > MAX_LASTING_SHARE * instance.capacity_cpu:
             return False
         steps = {run.ref[:3] for run in runs}
         if len(steps) < len(runs):
@@ -99,7 +99,7 @@
         return all(self._may_move(sched, run, at) for run in runs)
 
     def _may_move(self, sched: Scheduler, run: Run, at: float) -> bool:
-        if run.stop_wanted or at - self._moved.get(run.ref, -1e9) < STAY_S:
+        if run.stop_wanted or at - self._moved.get(run.ref, -1e9) < MIN_STAY_S:
             return False
         job = sched.jobs.get(run.ref.job_id)
         if job is None or not job.open:
@@ -111,7 +111,7 @@
             for other in sched.fleet.runs.values()
             if other.ref[:3] == run.ref[:3]
             and other.phase is Phase.RUNNING
-            and other.percent >= AT_WORK
+            and other.percent >= READY_PERCENT
         )
         return at_work == len(others)
 
--- a/sapphirelead/sched_evacuation.py
+++ b/sapphirelead/sched_evacuation.py
@@ -11,7 +11,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Phase, Run
 
-MARGIN_S: Final = 1.0
+STOP_MARGIN_S: Final = 1.0
 """Kept before the worker's end, besides the time of a stop: the order's way and one report."""
 
 
@@ -23,16 +23,16 @@
             continue
         left_s = instance.leaves_at - at
         for run in list(instance.runs.values()):
-            if not run.stop_wanted and _must_go(sched, run, left_s, at):
+            if not run.stop_wanted and _must_stop(sched, run, left_s, at):
                 sched.stop(run, "worker_leaving")
 
 
-def _must_go(sched: Scheduler, run: Run, left_s: float, at: float) -> bool:
+def _must_stop(sched: Scheduler, run: Run, left_s: float, at: float) -> bool:
     if run.step.lasting:
         return True
     if run.phase is not Phase.RUNNING or not run.step.saves:
         return False
-    if left_s > sched.bounds.kill_grace_s + MARGIN_S:
+    if left_s > sched.bounds.kill_grace_s + STOP_MARGIN_S:
         return False
     estimate_s = run.step.estimate_ms / 1000
     return (100 - max(run.percent, 0)) / 100 * estimate_s > left_s
