--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -82,11 +82,11 @@
                 continue
             tickets = found.ok_value.tickets
             log_event("INFO", "advice", step=name, asked=len(ask.workers), good=len(tickets))
-            self._sched.advice.answered(ask.key, tickets, began + policy.valid_ms / 1000)
+            self._sched.advice.add_tickets(ask.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
     async def _failed(self, ask: AdviceRequest, failure: Failure) -> None:
         log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
         await asyncio.sleep(FAILED_PAUSE_S)
-        self._sched.advice.unanswered(ask.key, ask.workers)
+        self._sched.advice.request_failed(ask.key, ask.workers)
         self._wake()
--- a/sapphirelead/sched_advice.py
+++ b/sapphirelead/sched_advice.py
@@ -17,7 +17,7 @@
 """A ticket that lapses sooner is not used: a claim, its order and a second try of the start take
 less."""
 
-ASK_AT_MOST: Final = 100
+MAX_WORKERS_PER_REQUEST: Final = 100
 """Workers in one question; the advice service's own bound."""
 
 
@@ -35,7 +35,7 @@
     times: Counter[str] = field(default_factory=Counter)
 
 
-class AdviceBook:
+class TicketTable:
     """The tickets of all steps."""
 
     _steps: dict[StepKey, StepAdvice]
@@ -55,32 +55,32 @@
             return {}
         return {
             worker: ticket
-            for worker, (ticket, lapses_at) in step.tickets.items()
-            if lapses_at - at > TICKET_MARGIN_S
+            for worker, (ticket, expires_at) in step.tickets.items()
+            if expires_at - at > TICKET_MARGIN_S
         }
 
-    def to_ask(self, key: StepKey, workers: list[str], at: float) -> list[str]:
+    def start_request(self, key: StepKey, workers: list[str], at: float) -> list[str]:
         """Return the workers that are to be asked about now, and note them as asked.
 
         Those asked about least often come first: tickets lapse, and the first workers of a large
         fleet would else be asked about again before the last ones for the first time.
         """
         step = self._steps.setdefault(key, StepAdvice())
-        for worker, (_, lapses_at) in list(step.tickets.items()):
-            if lapses_at - at <= TICKET_MARGIN_S:
+        for worker, (_, expires_at) in list(step.tickets.items()):
+            if expires_at - at <= TICKET_MARGIN_S:
                 del step.tickets[worker]
                 step.asked.discard(worker)
         wanted = [worker for worker in workers if worker not in step.asked]
-        wanted = sorted(wanted, key=lambda worker: step.times[worker])[:ASK_AT_MOST]
+        wanted = sorted(wanted, key=lambda worker: step.times[worker])[:MAX_WORKERS_PER_REQUEST]
         step.asked.update(wanted)
         step.times.update(wanted)
         return wanted
 
-    def answered(self, key: StepKey, good: dict[str, str], lapses_at: float) -> None:
+    def add_tickets(self, key: StepKey, good: dict[str, str], expires_at: float) -> None:
         """Take an answer: the workers that may run the step, with their tickets."""
         step = self._steps.setdefault(key, StepAdvice())
         for worker, ticket in good.items():
-            step.tickets[worker] = (ticket, lapses_at)
+            step.tickets[worker] = (ticket, expires_at)
 
     def refused(self, ref: TaskRef, worker: str) -> None:
         """Take note that a worker did not take its ticket."""
@@ -89,7 +89,7 @@
             step.tickets.pop(worker, None)
             step.asked.discard(worker)
 
-    def unanswered(self, key: StepKey, workers: list[str]) -> None:
+    def request_failed(self, key: StepKey, workers: list[str]) -> None:
         """Take note that a question got no answer; it may be asked again."""
         step = self._steps.get(key)
         if step is not None:
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -23,7 +23,7 @@
     StartOrder,
     StopOrder,
 )
-from sapphirelead.sched_advice import AdviceBook
+from sapphirelead.sched_advice import TicketTable
 from sapphirelead.sched_cancels import CancelTimes
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
@@ -76,7 +76,7 @@
     jobs: dict[str, Job]
     open_jobs: dict[str, Job]
     fleet: Fleet
-    advice: AdviceBook
+    advice: TicketTable
     bounds: Bounds
     policies: dict[str, QueuePolicy]
     outgoing: dict[str, Outgoing]
@@ -101,7 +101,7 @@
         self.jobs = {}
         self.open_jobs = {}
         self.fleet = Fleet()
-        self.advice = AdviceBook()
+        self.advice = TicketTable()
         self.bounds = bounds
         self.policies = {}
         self.outgoing = {}
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -314,7 +314,7 @@
         and instance.worker.service == ready.policy.service
         and not instance.worker.draining
     ]
-    wanted = sched.advice.to_ask(ready.key, workers, at)
+    wanted = sched.advice.start_request(ready.key, workers, at)
     return [AdviceRequest(ready.key, wanted, ready.policy)] if wanted else []
 
 
--- a/tests/sched/test_advice.py
+++ b/tests/sched/test_advice.py
@@ -4,13 +4,13 @@
 workers than one question may name.
 """
 
-from sapphirelead.sched_advice import ASK_AT_MOST, AdviceBook
+from sapphirelead.sched_advice import MAX_WORKERS_PER_REQUEST, TicketTable
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_spec import AdvicePolicy, QueuePolicy
 from tests.sched.fakes import Agents, job, scheduler
 
 KEY = ("a1", 0, 0)
-WORKERS = [f"w{number}" for number in range(ASK_AT_MOST + 60)]
+WORKERS = [f"w{number}" for number in range(MAX_WORKERS_PER_REQUEST + 60)]
 
 
 def test_every_worker_of_a_large_fleet_is_asked_about() -> None:
@@ -26,23 +26,23 @@
     policy = QueuePolicy("svc", advice=AdvicePolicy())
     sched.submit(job("a1", policy=policy), lambda *_: None)
     asked = [ask.workers for number in range(4) for ask in plan(sched, 0.1 * number, 0)]
-    assert all(len(workers) <= ASK_AT_MOST for workers in asked)
+    assert all(len(workers) <= MAX_WORKERS_PER_REQUEST for workers in asked)
     named = [worker for workers in asked for worker in workers]
     assert sorted(named) == sorted(f"w-{worker}" for worker in WORKERS)
 
 
 def test_workers_are_asked_about_for_the_first_time_before_others_for_the_second() -> None:
-    book = AdviceBook()
-    first = book.to_ask(KEY, WORKERS, 0.0)
-    book.answered(KEY, dict.fromkeys(first, "ticket"), lapses_at=2.0)
-    second = book.to_ask(KEY, WORKERS, 3.0)
-    assert set(second) >= set(WORKERS[ASK_AT_MOST:])
-    assert len(second) == ASK_AT_MOST
+    book = TicketTable()
+    first = book.start_request(KEY, WORKERS, 0.0)
+    book.add_tickets(KEY, dict.fromkeys(first, "ticket"), expires_at=2.0)
+    second = book.start_request(KEY, WORKERS, 3.0)
+    assert set(second) >= set(WORKERS[MAX_WORKERS_PER_REQUEST:])
+    assert len(second) == MAX_WORKERS_PER_REQUEST
 
 
 def test_a_worker_without_permission_is_not_asked_about_again() -> None:
-    book = AdviceBook()
-    book.to_ask(KEY, WORKERS[:3], 0.0)
-    book.answered(KEY, {"w1": "ticket"}, lapses_at=2.0)
-    assert book.to_ask(KEY, WORKERS[:3], 0.5) == []
-    assert book.to_ask(KEY, WORKERS[:3], 1.5) == ["w1"]
+    book = TicketTable()
+    book.start_request(KEY, WORKERS[:3], 0.0)
+    book.add_tickets(KEY, {"w1": "ticket"}, expires_at=2.0)
+    assert book.start_request(KEY, WORKERS[:3], 0.5) == []
+    assert book.start_request(KEY, WORKERS[:3], 1.5) == ["w1"]
