--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -13,7 +13,7 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_planner import AdviceRequest
+from sapphirelead.sched_planner import AdviceAsk
 
 AT_ONCE: Final = 2
 """Open questions to the service, which answers one after the other."""
@@ -60,7 +60,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def put(self, asks: Iterable[AdviceRequest]) -> None:
+    def put(self, asks: Iterable[AdviceAsk]) -> None:
         """Take new questions."""
         for ask in asks:
             self._number += 1
@@ -85,7 +85,7 @@
             self._sched.advice.add_tickets(ask.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
-    async def _failed(self, ask: AdviceRequest, failure: Failure) -> None:
+    async def _failed(self, ask: AdviceAsk, failure: Failure) -> None:
         log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
         await asyncio.sleep(FAILED_PAUSE_S)
         self._sched.advice.request_failed(ask.key, ask.workers)
--- a/sapphirelead/sched_choice.py
+++ b/sapphirelead/sched_choice.py
@@ -33,7 +33,9 @@
     _numbers: dict[str, int]
     _heap: list[_Place]
 
-    def __init__(self, instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef) -> None:
+    def __init__(
+        self, instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef
+    ) -> None:
         """Judge ``instances``.
 
         :param ref: any task of the step.
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -12,7 +12,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
+from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
 from sapphirelead.sched_scan_order import Budget
 
 MAX_LASTING_SHARE: Final = 0.4
@@ -91,7 +91,10 @@
             sched.stop(run, "consolidate")
 
     def _can_evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> bool:
-        if len(runs) > MAX_LASTING_TASKS or instance.lasting_cpu > MAX_LASTING_SHARE * instance.capacity_cpu:
+        if (
+            len(runs) > MAX_LASTING_TASKS
+            or instance.lasting_cpu > MAX_LASTING_SHARE * instance.capacity_cpu
+        ):
             return False
         steps = {run.ref[:3] for run in runs}
         if len(steps) < len(runs):
--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -208,7 +208,9 @@
         for other in others:
             for filling, share in other.shares.items():
                 shares[filling] = shares.get(filling, 0.0) - share / count
-        shares = {filling: share for filling, share in shares.items() if abs(share) > MIN_USED_SHARE}
+        shares = {
+            filling: share for filling, share in shares.items() if abs(share) > MIN_USED_SHARE
+        }
         if shares:
             noise = (reading.noise**2 + sum(other.noise**2 for other in others) / count**2) ** 0.5
             found = self._filters.get(image)
@@ -240,7 +242,11 @@
             for serving, found in self._filters.items()
             for filling in found.weights
         }
-        known = {pair: heavy for pair, heavy in beliefs.items() if max(heavy, 1 - heavy) >= KNOWN_PROBABILITY}
+        known = {
+            pair: heavy
+            for pair, heavy in beliefs.items()
+            if max(heavy, 1 - heavy) >= KNOWN_PROBABILITY
+        }
         self._prior = PairPrior(known)
         self._known = frozenset(filling for _, filling in known)
         self._beliefs = {}
@@ -283,7 +289,9 @@
             pace = known.paces[image, cpu_millicores] = max(0.0, won) / share
         return pace
 
-    def allows_pace(self, instance: Instance, image: str, cpu_millicores: int, min_pace: float) -> bool:
+    def gives_pace(
+        self, instance: Instance, image: str, cpu_millicores: int, min_pace: float
+    ) -> bool:
         """Return whether one more filling task there is likely to get a pace of ``min_pace``.
 
         The pace falls with the size of the task, except where a neighbour that presses harder loses
--- a/sapphirelead/sched_interference_guard.py
+++ b/sapphirelead/sched_interference_guard.py
@@ -50,11 +50,13 @@
             "pace_beside", lambda: self.model.pace_beside(instance, image, cpu_millicores), NO_PACE
         )
 
-    def allows_pace(self, instance: Instance, image: str, cpu_millicores: int, min_pace: float) -> bool:
+    def gives_pace(
+        self, instance: Instance, image: str, cpu_millicores: int, min_pace: float
+    ) -> bool:
         """Return whether one more filling task there is likely to get a pace of ``min_pace``."""
         return self._guard(
             "gives_pace",
-            lambda: self.model.allows_pace(instance, image, cpu_millicores, min_pace),
+            lambda: self.model.gives_pace(instance, image, cpu_millicores, min_pace),
             False,
         )
 
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -18,8 +18,8 @@
 from typing import Final
 
 from sapphirelead.sched_fleet import Instance
-from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_interference_guard import GuardedInterferenceModel
+from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_spec import StepSpec
 
 REPORT_TIMEOUT_S: Final = 1.2
@@ -77,12 +77,12 @@
             return 1.0
         return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
-    def expects_pace(self, instance: Instance, min_pace: float) -> bool:
+    def gets_pace(self, instance: Instance, min_pace: float) -> bool:
         """Return whether one more task is likely to get a pace of ``min_pace``."""
         if self.press is None or not instance.serving:
             return True
         step = self.step
-        return self.press.allows_pace(instance, step.image, step.cpu_millicores, min_pace)
+        return self.press.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
 
 
 def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
@@ -131,7 +131,7 @@
     if instance.serving and not instance.listed_at:
         # A new leader does not know the tails of the serving tasks yet.
         return False
-    return request.expects_pace(instance, MIN_PACE)
+    return request.gets_pace(instance, MIN_PACE)
 
 
 def score(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
@@ -179,12 +179,19 @@
     if not instance.serving:
         return 1.0
     pace = min(request.pace(instance), LOW_INTERFERENCE_PACE)
-    light = pace >= LOW_INTERFERENCE_PACE and request.press is not None and request.press.knows(request.step.image)
+    light = (
+        pace >= LOW_INTERFERENCE_PACE
+        and request.press is not None
+        and request.press.knows(request.step.image)
+    )
     return 2.0 if light else pace
 
 
 def choose(
-    instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef, avoid: frozenset[str] = frozenset()
+    instances: Iterable[Instance],
+    request: PlacementRequest,
+    ref: TaskRef,
+    avoid: frozenset[str] = frozenset(),
 ) -> Instance | None:
     """Return the best instance for one more task.
 
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -19,9 +19,9 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
-from sapphirelead.sched_place import PlacementRequest, is_eligible, choose
+from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
+from sapphirelead.sched_room import FeasibleWorkers, Kind
 from sapphirelead.sched_scan_order import Budget, ScanOrder
-from sapphirelead.sched_room import Kind, FeasibleWorkers
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
 
 STARVATION_THRESHOLD_S: Final = 1.5
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceRequest:
+class AdviceAsk:
     """A question to the advice service."""
 
     key: StepKey
@@ -185,26 +185,28 @@
 
 
 def plan(
-    sched: Scheduler, at: float, wall_ms: int, turn: ScanOrder | None = None
-) -> list[AdviceRequest]:
+    sched: Scheduler, at: float, wall_ms: int, scan_order: ScanOrder | None = None
+) -> list[AdviceAsk]:
     """Claim whatever can start now; return the questions that the advice service should get.
 
-    :param turn: limits the time; without it every step is looked at.
+    :param scan_order: limits the time; without it every step is looked at.
     """
-    turn = turn or ScanOrder()
+    scan_order = scan_order or ScanOrder()
     bring_due(sched, wall_ms)
-    asks: list[AdviceRequest] = []
+    questions: list[AdviceAsk] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
         sched.no_room.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
     feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
-    for item in turn.order(candidates, sched.ready_since, at, partial(_has_new_room, feasible)):
+    for item in scan_order.order(
+        candidates, sched.ready_since, at, partial(_has_new_room, feasible)
+    ):
         ready = item.ready
-        turn.mark_scanned(ready.key, at)
+        scan_order.mark_scanned(ready.key, at)
         if ready.policy.advice is not None:
-            asks.extend(_ask(sched, ready, at))
+            questions.extend(_advice_request(sched, ready, at))
         places = _places(sched, item, feasible) if item.tickets is None else live
         if not places:
             if ready.step.fills:
@@ -222,10 +224,10 @@
             _place_gang(sched, ready, _able(live, request, at), request, at)
         else:
             able = _able(places, request, at)
-            all_placed = _place_tasks(sched, ready, able, request, at, turn.budget)
+            all_placed = _place_tasks(sched, ready, able, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
                 sched.no_room.record_infeasible(item.kind, ready.step)
-    return asks
+    return questions
 
 
 def _candidates(sched: Scheduler, at: float, wall_ms: int) -> list[Candidate]:
@@ -306,7 +308,7 @@
     return waiting + paced
 
 
-def _ask(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceRequest]:
+def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceAsk]:
     workers = [
         instance.worker.worker
         for instance in sched.fleet.live()
@@ -315,7 +317,7 @@
         and not instance.worker.draining
     ]
     wanted = sched.advice.start_request(ready.key, workers, at)
-    return [AdviceRequest(ready.key, wanted, ready.policy)] if wanted else []
+    return [AdviceAsk(ready.key, wanted, ready.policy)] if wanted else []
 
 
 def _place_tasks(
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -17,9 +17,9 @@
 from msgspec.structs import replace
 
 from sapphirelead.sched_fleet import Instance
-from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room, accepts_work
 from sapphirelead.sched_interference_guard import GuardedInterferenceModel
+from sapphirelead.sched_job import TaskRef
+from sapphirelead.sched_place import PlacementRequest, accepts_work, has_room, is_eligible
 from sapphirelead.sched_spec import StepSpec
 
 MAX_KINDS: Final = 512
@@ -187,7 +187,9 @@
 
     def _find_feasible(self, kind: Kind) -> set[str]:
         smallest = self._smallest[kind]
-        request = PlacementRequest(smallest, kind.service, starving=kind.starving, press=self._press)
+        request = PlacementRequest(
+            smallest, kind.service, starving=kind.starving, press=self._press
+        )
         found = {
             place.agent
             for place in self._no_room.places(kind, smallest)
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -10,12 +10,12 @@
 from typing import Final
 
 from sapphirelead.logs import log_event
+from sapphirelead.sched_baseline_speed import baseline_speeds
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import PlacementRequest, is_eligible, has_room
-from sapphirelead.sched_scan_order import Budget
+from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
 from sapphirelead.sched_room import Kind
-from sapphirelead.sched_baseline_speed import baseline_speeds
+from sapphirelead.sched_scan_order import Budget
 
 SLOW_SPEED_SHARE: Final = 0.4
 """Share of the expected speed under which a run is slow."""
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -12,9 +12,9 @@
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_place import has_room
 from sapphirelead.sched_planner import RETRY_DELAY_S, plan
-from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_reports import take_report
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
@@ -122,7 +122,7 @@
         looked += 1
         return look(*args)
 
-    monkeypatch.setattr(InterferenceModel, "_look", counting)
+    monkeypatch.setattr(InterferenceModel, "_compute_paces", counting)
     for number in range(40):
         large = StepSpec(cpu_millicores=31_000, estimate_ms=5000, image=f"i{number}", fills=True)
         sched.submit(job(f"j{number}", large), lambda *_: None)
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -7,11 +7,17 @@
 
 from sapphirelead.model_resources import Resources
 from sapphirelead.sched_fleet import Instance, Run
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import PlacementRequest, is_eligible, choose
+from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
 from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
-from sapphirelead.sched_interference_guard import GuardedInterferenceModel
-from sapphirelead.sched_room import MAX_KINDS, MAX_SIZES_PER_KIND, Kind, InfeasibleCache, FeasibleWorkers
+from sapphirelead.sched_room import (
+    MAX_KINDS,
+    MAX_SIZES_PER_KIND,
+    FeasibleWorkers,
+    InfeasibleCache,
+    Kind,
+)
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -77,9 +83,13 @@
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
             request = PlacementRequest(step, "svc", starving=kind.starving, press=press)
-            expected = choose([item for item in live if is_eligible(item, request, at)], request, ref)
+            expected = choose(
+                [item for item in live if is_eligible(item, request, at)], request, ref
+            )
             places = feasible.places(kind, step)
-            found = choose([item for item in places if is_eligible(item, request, at)], request, ref)
+            found = choose(
+                [item for item in places if is_eligible(item, request, at)], request, ref
+            )
             assert found is expected
             if found is None:
                 no_room.record_infeasible(kind, step)
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -13,9 +13,9 @@
 from sapphirelead.policy_pressure import Allotment, Room
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Run
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_job import EndKind, Job, JobState, TaskRef
 from sapphirelead.sched_planner import RETRY_DELAY_S, plan
-from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_timing import Bounds
 from tests.sched.fakes import Agents, job, scheduler, store
@@ -125,7 +125,7 @@
     sizes = range(200, 32_000, 200)
     paces = {size: model.pace_beside(instance, "new", size) for size in sizes}
     first = next(size for size in sizes if paces[size] < LEAST)
-    assert not model.allows_pace(instance, "new", first, LEAST)
+    assert not model.gives_pace(instance, "new", first, LEAST)
     worked_out = []
 
     def counting(*args: Any) -> float:
@@ -134,18 +134,18 @@
 
     monkeypatch.setattr(InterferenceModel, "pace_beside", counting)
     larger = [size for size in sizes if size >= first]
-    assert not any(model.allows_pace(instance, "new", size, LEAST) for size in larger)
+    assert not any(model.gives_pace(instance, "new", size, LEAST) for size in larger)
     assert not worked_out
 
 
 def test_smaller_tasks_and_a_changed_worker_are_worked_out_again() -> None:
     sched = beside_filling(2)
     model, instance = sched.press.model, sched.fleet.instance("g0")
-    assert not model.allows_pace(instance, "new", 8000, LEAST)
-    assert model.allows_pace(instance, "new", 400, LEAST)
+    assert not model.gives_pace(instance, "new", 8000, LEAST)
+    assert model.gives_pace(instance, "new", 400, LEAST)
     for run in [run for run in instance.runs.values() if run.step.fills]:
         sched.fleet.drop(run)
-    assert model.allows_pace(instance, "new", 8000, LEAST)
+    assert model.gives_pace(instance, "new", 8000, LEAST)
 
 
 def test_each_round_goes_through_all_jobs_that_have_ended(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -11,8 +11,8 @@
 from sapphirelead.policy_pressure_filter import MOST_IMAGES, PressureFilter
 from sapphirelead.policy_pressure_pair import HEAVY_SHARE, Belief, believe
 from sapphirelead.runner_pace import PaceControl, Tail
-from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_interference import InterferenceModel
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store
--- a/tests/sched/test_plan_turn.py
+++ b/tests/sched/test_scan_order.py
@@ -8,8 +8,8 @@
 from sapphirelead.sched_advice import StepKey
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Instance, Run
-from sapphirelead.sched_scan_order import RESCAN_INTERVAL_S, Budget, ScanOrder
 from sapphirelead.sched_planner import plan
+from sapphirelead.sched_scan_order import RESCAN_INTERVAL_S, Budget, ScanOrder
 from sapphirelead.sched_spec import QueuePolicy, StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.at = 0.0
-        self.turn = ScanOrder()
+        self.scan_order = ScanOrder()
         self.since: dict[StepKey, float] = {}
         self.looked: dict[int, list[float]] = {}
         self.new_room = False
@@ -49,10 +49,10 @@
         steps = [Waiting(number) for number in numbers]
         for step in steps:
             self.since.setdefault(step.key, began)
-        self.turn.budget = Budget(lambda: self.at, began + BUDGET_S)
+        self.scan_order.budget = Budget(lambda: self.at, began + BUDGET_S)
         found = []
-        for step in self.turn.order(steps, self.since, began, lambda _: self.new_room):
-            self.turn.mark_scanned(step.key, began)
+        for step in self.scan_order.order(steps, self.since, began, lambda _: self.new_room):
+            self.scan_order.mark_scanned(step.key, began)
             self.looked.setdefault(step.number, []).append(began)
             found.append(step.number)
             self.at += LOOK_S
@@ -65,24 +65,24 @@
     looks = Looks()
     for _ in range(3):
         assert looks.call(range(5)) == [0, 1, 2, 3, 4]
-        assert not looks.turn.behind
-        assert looks.turn.waited_s == 0
+        assert not looks.scan_order.behind
+        assert looks.scan_order.waited_s == 0
 
 
 def test_it_tells_how_long_a_step_has_waited_for_a_look() -> None:
     looks = Looks()
     for _ in range(4):
         looks.call(range(500))
-    assert looks.turn.waited_s == pytest.approx(3 * CALL_S)
+    assert looks.scan_order.waited_s == pytest.approx(3 * CALL_S)
     looks.call(range(4))
-    assert looks.turn.waited_s == 0
+    assert looks.scan_order.waited_s == 0
 
 
 def test_a_new_step_of_a_higher_rank_does_not_wait_for_the_end_of_a_pass() -> None:
     """A service's task waits until five hundred filling steps have been tried."""
     looks = Looks()
     looks.call(range(1, 500))
-    assert looks.turn.behind
+    assert looks.scan_order.behind
     assert looks.call(range(500))[0] == 0
 
 
@@ -119,12 +119,12 @@
 
 def test_a_call_without_time_left_still_looks_at_the_first_and_at_the_oldest() -> None:
     looks = Looks()
-    looks.turn.budget = Budget(lambda: 1.0, 0.0)
+    looks.scan_order.budget = Budget(lambda: 1.0, 0.0)
     steps = [Waiting(number) for number in range(5)]
     since = {step.key: float(-step.number) for step in steps}
     found = []
-    for step in looks.turn.order(steps, since, 1.0):
-        looks.turn.mark_scanned(step.key, 1.0)
+    for step in looks.scan_order.order(steps, since, 1.0):
+        looks.scan_order.mark_scanned(step.key, 1.0)
         found.append(step.number)
     assert found == [0, 4]
 
@@ -134,7 +134,7 @@
     looks.call(range(100))
     looks.since.clear()
     looks.call(range(200, 300))
-    assert all(number >= 200 for _, _, number in looks.turn._scanned_at)
+    assert all(number >= 200 for _, _, number in looks.scan_order._scanned_at)
 
 
 def test_a_step_that_may_not_be_looked_at_for_a_moment_does_not_count_as_never_looked_at() -> None:
@@ -167,28 +167,28 @@
     at = 0.0
     mark_scanned = ScanOrder.mark_scanned
 
-    def slow_look(turn: ScanOrder, key: StepKey, began: float) -> None:
+    def slow_look(scan_order: ScanOrder, key: StepKey, began: float) -> None:
         nonlocal at
         at += LOOK_S
-        mark_scanned(turn, key, began)
+        mark_scanned(scan_order, key, began)
 
     def clock() -> float:
         return at
 
-    monkeypatch.setattr(ScanOrder, "look", slow_look)
-    turn = ScanOrder()
+    monkeypatch.setattr(ScanOrder, "mark_scanned", slow_look)
+    scan_order = ScanOrder()
     started: list[str] = []
     for run in full:
         began = at
-        turn.budget = Budget(clock, began + BUDGET_S)
-        plan(sched, began, 0, turn)
+        scan_order.budget = Budget(clock, began + BUDGET_S)
+        plan(sched, began, 0, scan_order)
         started += [key[0].job_id for key in sched.fleet.runs if key[0].job_id[0] in "01"]
         at = began + CALL_S
         store(sched)
         sched.fleet.drop(run)
         for instance in sched.fleet.live():
             instance.heard_at = at
-    assert turn.behind
+    assert scan_order.behind
     order = list(dict.fromkeys(started))
     assert [name[0] for name in order[:5]] == ["0"] * 5
     assert len(order) > 5, "the others get what is left"
@@ -210,12 +210,12 @@
         return claim(*args)  # type: ignore[arg-type]
 
     monkeypatch.setattr(type(sched), "claim", slow_claim)
-    turn = ScanOrder()
+    scan_order = ScanOrder()
     calls = 0
     while len(sched.fleet.runs) < 200:
         began = at
-        turn.budget = Budget(lambda: at, began + BUDGET_S)
-        plan(sched, 0.0, 0, turn)
+        scan_order.budget = Budget(lambda: at, began + BUDGET_S)
+        plan(sched, 0.0, 0, scan_order)
         assert began < at <= began + BUDGET_S + LOOK_S
         calls += 1
     assert calls >= 200 * LOOK_S / (BUDGET_S + LOOK_S)
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -472,7 +472,7 @@
     assert sorted(ask.workers) == ["w-g1", "w-g2"]
     assert plan(sched, 1.1, 0) == []
     assert runs(sched) == []
-    sched.advice.answered(ask.key, {"w-g2": "t2"}, 4.0)
+    sched.advice.add_tickets(ask.key, {"w-g2": "t2"}, 4.0)
     plan(sched, 1.2, 0)
     store(sched)
     (start,) = sched.orders_for("g2", 1.2)[0]
--- a/tests/sched/test_wide_steps.py
+++ b/tests/sched/test_wide_steps.py
@@ -30,11 +30,11 @@
     """Return workers of which some run tasks already."""
     places = []
     for number in range(30):
-        capacity = Resources(rng.heap((16_000, 32_000)), 16_000, 0)
+        capacity = Resources(rng.choice((16_000, 32_000)), 16_000, 0)
         info = worker_info(f"w{number}", capacity=capacity, labels=("a", f"r{number % 4}"))
         place = Instance(f"g{number}", worker=info, listed_at=1.0)
         for other in range(rng.randrange(4)):
-            step = rng.heap(STEPS)
+            step = rng.choice(STEPS)
             place.add(Run(TaskRef(f"j{other}", 0, 0, number), 1, place.agent, "w", step))
         places.append(place)
     return places
@@ -46,17 +46,17 @@
     rng = random.Random(seed)
     places = random_places(rng)
     request = PlacementRequest(step, "svc", tasks=step.tasks)
-    heap = PlacementHeap(places, request, TaskRef("a1", 0, 0, 0))
+    choice = PlacementHeap(places, request, TaskRef("a1", 0, 0, 0))
     for number in range(60):
         ref = TaskRef("a1", 0, 0, number)
-        avoid = frozenset(rng.sample([place.agent for place in places], rng.heap((0, 0, 3, 30))))
+        avoid = frozenset(rng.sample([place.agent for place in places], rng.choice((0, 0, 3, 30))))
         expected = choose(places, request, ref, avoid)
-        taken = heap.take(avoid)
+        taken = choice.take(avoid)
         assert taken is expected
         if taken is None:
             break
         taken.add(Run(ref, 1, taken.agent, "w", step))
-        heap.put_back(taken)
+        choice.put_back(taken)
 
 
 def test_a_wide_step_looks_at_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
