--- a/sapphirelead/sched_advice.py
+++ b/sapphirelead/sched_advice.py
@@ -1,8 +1,8 @@
-"""Permissions of the advice service: which workers may run a step, and the tickets for them.
+"""Permissions from the advice service: which workers may run a step, and the tickets for them.
 
-The service's word on a worker does not change, but a ticket lapses and holds for one life of the
-worker.  A worker is asked about once for each step; a ticket that is about to lapse is asked for
-again only when a start needs it.
+The service's decision on a worker is final, but a ticket expires and is valid for one lifetime of
+the worker.  Each worker is requested once per step; an expiring ticket is requested again only when
+a start needs it.
 """
 
 from collections import Counter
@@ -14,20 +14,19 @@
 StepKey = tuple[str, int, int]
 
 TICKET_MARGIN_S: Final = 1.0
-"""A ticket that lapses sooner is not used: a claim, its order and a second try of the start take
-less."""
+"""Tickets that expire sooner are not used, as a claim and its start take time."""
 
 MAX_WORKERS_PER_REQUEST: Final = 100
-"""Workers in one question; the advice service's own bound."""
+"""Limit of the advice service."""
 
 
 @dataclass(slots=True)
 class StepAdvice:
-    """What is known about one step.
+    """Answers and open requests of one step.
 
-    :ivar tickets: for each worker that may run it, the ticket and the time at which it lapses.
-    :ivar asked: workers with an answer, of whatever kind, or an open question.
-    :ivar times: how often each worker has been asked about.
+    :ivar tickets: ticket and its expiry time, by worker that may run the step.
+    :ivar asked: workers with an answer, positive or not, or an open request.
+    :ivar times: number of requests by worker.
     """
 
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
@@ -36,7 +35,7 @@
 
 
 class TicketTable:
-    """The tickets of all steps."""
+    """Tickets of all steps."""
 
     _steps: dict[StepKey, StepAdvice]
 
@@ -44,12 +43,12 @@
         self._steps = {}
 
     def ticket(self, ref: TaskRef, worker: str) -> str:
-        """Return the ticket for a start of ``ref`` on ``worker``; empty where there is none."""
+        """Return the ticket to start ``ref`` on ``worker``; empty if there is none."""
         step = self._steps.get(ref[:3])
         return step.tickets.get(worker, ("", 0.0))[0] if step is not None else ""
 
     def valid(self, key: StepKey, at: float) -> dict[str, str]:
-        """Return the tickets of a step that may be used now, by worker."""
+        """Return the usable tickets of a step by worker."""
         step = self._steps.get(key)
         if step is None:
             return {}
@@ -60,10 +59,10 @@
         }
 
     def start_request(self, key: StepKey, workers: list[str], at: float) -> list[str]:
-        """Return the workers that are to be asked about now, and note them as asked.
+        """Return the workers for the next request and mark them as asked.
 
-        Those asked about least often come first: tickets lapse, and the first workers of a large
-        fleet would else be asked about again before the last ones for the first time.
+        Workers with the fewest requests go first, so that renewals do not delay first requests on
+        a large fleet.
         """
         step = self._steps.setdefault(key, StepAdvice())
         for worker, (_, expires_at) in list(step.tickets.items()):
@@ -77,25 +76,25 @@
         return wanted
 
     def add_tickets(self, key: StepKey, good: dict[str, str], expires_at: float) -> None:
-        """Take an answer: the workers that may run the step, with their tickets."""
+        """Store the tickets of an answer by worker."""
         step = self._steps.setdefault(key, StepAdvice())
         for worker, ticket in good.items():
             step.tickets[worker] = (ticket, expires_at)
 
     def refused(self, ref: TaskRef, worker: str) -> None:
-        """Take note that a worker did not take its ticket."""
+        """Drop a ticket that its worker has rejected."""
         step = self._steps.get(ref[:3])
         if step is not None:
             step.tickets.pop(worker, None)
             step.asked.discard(worker)
 
     def request_failed(self, key: StepKey, workers: list[str]) -> None:
-        """Take note that a question got no answer; it may be asked again."""
+        """Allow workers of a failed request to be requested again."""
         step = self._steps.get(key)
         if step is not None:
             step.asked.difference_update(workers)
 
     def forget(self, job_id: str) -> None:
-        """Drop what is known about a job's steps."""
+        """Drop the tickets of a job's steps."""
         for key in [key for key in self._steps if key[0] == job_id]:
             del self._steps[key]
--- a/sapphirelead/sched_baseline_speed.py
+++ b/sapphirelead/sched_baseline_speed.py
@@ -1,7 +1,7 @@
-"""How fast the runs of a step are at other workers than the one in question.
+"""Baseline speeds of steps, measured on other workers than the suspected one.
 
-An estimate may be wrong.  A slow run is its worker's fault only where others of its step are faster
-elsewhere, or nothing is known of others.
+Tells a slow worker from a wrong estimate: a worker is slow only if other runs of the step are faster
+elsewhere, or if there are none to compare with.
 """
 
 from sapphirelead.sched_core import Scheduler
@@ -9,9 +9,9 @@
 
 
 def baseline_speeds(sched: Scheduler, slow: list[Run], at: float) -> dict[Run, float]:
-    """Return for each of ``slow`` the speed that its step has at other sound workers, at most 1.
+    """Return for each run the best speed of its step on other sound workers, at most 1.
 
-    A step that runs nowhere else is expected to be as fast as estimated.
+    It is 1 for steps that run nowhere else.
     """
     steps = {run.ref[:3] for run in slow}
     seen: dict[tuple[str, int, int], dict[str, float]] = {step: {} for step in steps}
@@ -27,7 +27,7 @@
 
 
 def _rough_speed(run: Run) -> float | None:
-    """Return the speed of a run that gets all of its worker, from the first progress on."""
+    """Return the speed of a run, ``None`` if it is throttled, stalled or without progress."""
     watch = run.watch
     paced = run.step.fills and run.paced < 100
     if paced or run.stop_wanted or not watch.gained or watch.stalled:
--- a/sapphirelead/sched_choice.py
+++ b/sapphirelead/sched_choice.py
@@ -1,11 +1,10 @@
-"""The places for the tasks of one step, best first.
+"""Heap of the workers for the tasks of one step, best first.
 
-The pattern that this answers: wide steps on a large fleet.  Looking at every worker for every task
-costs the product of both; but a task that is placed changes one worker only.  So each worker is
-judged once for the step, and again only after it has got a task.
+Handles wide steps on large fleets by scoring each worker once per step, and again only after it has
+got a task.
 
-Invariant: the place returned is the one that :func:`sapphirelead.sched_place.choose` would return,
-as long as nothing but the tasks placed here changes the workers meanwhile.
+Invariant: returns the worker that :func:`sapphirelead.sched_place.choose` would return, as long as
+only the tasks placed here change the workers.
 """
 
 from collections.abc import Iterable
@@ -18,7 +17,7 @@
 
 
 class _Place(NamedTuple):
-    """A worker with room; the smallest is the best, among equals the one that was listed first."""
+    """A worker with room; the smallest is the best, ties go to the lower number."""
 
     cost: float
     number: int
@@ -26,7 +25,7 @@
 
 
 class PlacementHeap:
-    """The workers with room for one more task of a step."""
+    """Workers with room for one more task of a step, ordered by score."""
 
     _need: PlacementRequest
     _ref: TaskRef
@@ -36,7 +35,7 @@
     def __init__(
         self, instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef
     ) -> None:
-        """Judge ``instances``.
+        """Score ``instances``.
 
         :param ref: any task of the step.
         """
@@ -48,10 +47,9 @@
         heapify(self._heap)
 
     def take(self, avoid: frozenset[str] = frozenset()) -> Instance | None:
-        """Return the best place, which is no longer listed until :meth:`put_back`.
+        """Remove and return the best worker; :meth:`put_back` adds it again.
 
-        :param avoid: agents on which the task has failed or crawled; taken only where nothing else
-            is.
+        :param avoid: agents on which the task has failed or was slow; used only as a last resort.
         """
         avoided: list[_Place] = []
         while self._heap and self._heap[0].instance.agent in avoid:
@@ -62,7 +60,7 @@
         return taken.instance if taken is not None else None
 
     def put_back(self, instance: Instance) -> None:
-        """List a place again that has got a task, if there is room for one more."""
+        """Add a worker again after it has got a task, if it has room for one more."""
         if has_room(instance, self._need, self._ref):
             heappush(self._heap, self._scored(instance))
 
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -1,10 +1,9 @@
-"""Frees whole workers for filling work by moving the few lasting tasks that stand in its way.
+"""Frees whole workers for best-effort tasks by consolidating long-running tasks.
 
-The pattern that this answers: lasting tasks come and go, and after a while a worker of 48 cores may
-serve with a single task of 8, beside which filling work has to be slowed.  A lasting task that is
-moved is away for about a second; a worker without serving tasks does several times the filling work
-of one that is paced.  A worker is emptied only while filling work wants room, only when all its
-lasting tasks fit on workers that serve already, and one task of a step at a time.
+Handles fragmentation, where a few small long-running tasks are spread over workers and throttle the
+best-effort tasks beside them.  A worker is emptied only while best-effort tasks lack CPU, only if
+all its long-running tasks fit on workers with latency-critical tasks, and with at most one task of
+a step away at a time.
 """
 
 from typing import Final
@@ -16,25 +15,25 @@
 from sapphirelead.sched_scan_order import Budget
 
 MAX_LASTING_SHARE: Final = 0.4
-"""Share of a worker's processors that its lasting tasks may take for it to be emptied."""
+"""Workers whose long-running tasks take a larger share of the CPU are not emptied."""
 
 MAX_LASTING_TASKS: Final = 3
-"""Lasting tasks on a worker that is emptied; each is away for about a second."""
+"""Workers with more long-running tasks are not emptied."""
 
 MIN_SHORTAGE_SHARE: Final = 0.15
-"""Share of all processors that filling work has to lack for a worker to be emptied."""
+"""Least share of the fleet's CPU that best-effort tasks must lack."""
 
 COOLDOWN_S: Final = 3.0
-"""Time between two emptied workers: the filling work has to have moved in to show its need."""
+"""Least time between emptying two workers."""
 
 MIN_STAY_S: Final = 12.0
-"""A lasting task that has been moved stays for this long."""
+"""Least time between two moves of a task."""
 
 READY_PERCENT: Final = 100
 
 
 class Consolidation:
-    """Chooses what to move; keeps when it last did, and which workers a cut review has tried."""
+    """Selects a worker to empty; a truncated review continues in the next call."""
 
     _acted_at: float
     _tried: set[str]
@@ -48,10 +47,10 @@
     def review(
         self, sched: Scheduler, wanted_cpu: int, at: float, budget: Budget | None = None
     ) -> None:
-        """Empty a worker if that is worth it.
+        """Empty one worker if best-effort tasks lack enough CPU.
 
-        :param wanted_cpu: processors that waiting or paced filling work lacks, in thousandths.
-        :param budget: limits the time; the next call goes on with the other workers.
+        :param wanted_cpu: CPU that waiting or throttled best-effort tasks lack, in millicores.
+        :param budget: time budget; the next call continues with the remaining workers.
         """
         if at - self._acted_at < COOLDOWN_S:
             return
@@ -107,7 +106,7 @@
         job = sched.jobs.get(run.ref.job_id)
         if job is None or not job.open:
             return False
-        # All others of the step have to be at work, so that no more than one is ever away.
+        # All tasks of the step have to be ready, so that at most one is away at a time.
         others = job.occurrences[run.ref.occurrence].tasks[run.ref.step]
         at_work = sum(
             1
@@ -122,7 +121,7 @@
 def _fits_elsewhere(
     sched: Scheduler, instance: Instance, runs: list[Run], live: list[Instance], at: float
 ) -> bool:
-    """Return whether all of ``runs`` fit on other workers that serve already."""
+    """Return whether all of ``runs`` fit on other workers with latency-critical tasks."""
     others = [item for item in live if item is not instance and item.serving]
     trials = []
     for run in sorted(runs, key=lambda item: -item.step.cpu_millicores):
--- a/sapphirelead/sched_evacuation.py
+++ b/sapphirelead/sched_evacuation.py
@@ -1,9 +1,8 @@
-"""What becomes of the runs on a worker that says it will leave.
+"""Evacuates workers that are about to leave the fleet.
 
-A leaving worker gives the least time that is left; when it is gone, everything that ran there is
-lost.  Tasks that last move at once.  A task that ends in time stays.  One that saves its progress
-is stopped as late as its stop still fits, so that most of its work is kept; one that saves nothing
-and will not end in time is left to its chance, because workers often stay longer than they say.
+A leaving worker announces the least time that it stays; its remaining runs are lost after that.
+Long-running tasks are stopped at once.  Tasks that save progress and will not end in time are
+stopped as late as possible.  Other tasks keep running, since the worker may stay longer.
 """
 
 from typing import Final
@@ -12,11 +11,11 @@
 from sapphirelead.sched_fleet import Phase, Run
 
 STOP_MARGIN_S: Final = 1.0
-"""Kept before the worker's end, besides the time of a stop: the order's way and one report."""
+"""Time reserved in addition to the kill grace period, for the order and one report."""
 
 
 def evacuate(sched: Scheduler, at: float) -> None:
-    """Stop what cannot stay on leaving workers."""
+    """Stop the runs that cannot stay on leaving workers."""
     for instance in sched.fleet.live():
         worker = instance.worker
         if worker is None or not worker.draining or not instance.runs:
--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -1,15 +1,9 @@
-"""How filling work presses on the tails of serving tasks, learnt over all workers.
-
-The pattern that this answers: nearly every worker serves, so filling work cannot be kept apart from
-serving tasks; but most pairs of images hardly disturb each other while some multiply a tail.  And
-the load of a serving job swings by three times within twenty seconds without any filling work.
-Judged on one worker alone, each rise of the load is laid at the door of whatever fills there.
-
-So tails are compared between workers.  The tasks of one serving job share its load wherever they
-run; what they differ by at a moment is the load that is added beside them
-(:mod:`sapphirelead.policy_pressure`).  Each report gives, for each serving job on the worker, the
-difference of its load to that of the same job on other workers, and the weights of the pairs are
-corrected by it (:mod:`sapphirelead.policy_pressure_filter`).
+"""Learns the interference of best-effort images with the tail latency of latency-critical ones.
+
+Handles swinging loads of latency-critical jobs by comparing workers: the tasks of one job share its
+load, so a difference in load between workers at one time is the interference of the best-effort
+tasks beside them (:mod:`sapphirelead.policy_pressure`).  Each report corrects the weights of the
+pairs of images by that difference (:mod:`sapphirelead.policy_pressure_filter`).
 """
 
 import math
@@ -28,58 +22,52 @@
 from sapphirelead.sched_fleet import Instance
 
 LOAD_NOISE: Final = 0.03
-"""Load by which the tasks of one job differ between workers without any cause: by the median of a
-few tasks, up to half a second apart."""
+"""Standard deviation of the load of one job's tasks between workers without interference."""
 
 INITIAL_IDLE_SHARE: Final = 0.25
-"""Tail without any load, as a share of the target, until a lower one has been seen.  A leader that
-takes over while all loads are high would else take them for none."""
+"""Initial estimate of the idle tail latency, as a share of the target."""
 
 PRIOR_INTERVAL_S: Final = 1.0
-"""Time between two looks at what the known pairs tell of others."""
+"""Time between two updates of the prior."""
 
 KNOWN_PROBABILITY: Final = 0.9
-"""Probability of either kind from which on a pair tells of others."""
+"""Probability of being heavy, or light, from which on a pair counts as known."""
 
 MAX_READING_AGE_S: Final = 1.6
-"""A reading of another worker that is older says nothing of the load now: one full report and a
-half."""
+"""Older readings of other workers are not compared with."""
 
 WARMUP_S: Final = 1.5
-"""A serving task that began after the others of its job starts up for so long: its tail is low,
-whatever is beside it."""
+"""Tail latencies of a task are ignored for this long if it started after others of its job."""
 
 TRANSIENT_NOISE: Final = 0.2
-"""Noise of a load for each share of the worker that its filling work has just taken up or given
-back: the tail is still on its way."""
+"""Additional noise of a load per change in the share that best-effort tasks use."""
 
 MAX_DEVIATION: Final = 0.25
-"""A worker whose load, without filling work, is so far from what the others show has trouble of its
-own and is no measure for them."""
+"""Readings whose load differs from the median by more, interference excluded, are outliers."""
 
 MIN_USED_SHARE: Final = 0.001
-"""Least share of a worker that a filling task is taken to use."""
+"""Least share of a worker that a best-effort task is assumed to use."""
 
 FORECAST_S: Final = 2.0
-"""How far ahead a rising load is continued for placing: half of the time of most filling tasks."""
+"""Time by which a rising load is extrapolated for placement."""
 
 TREND_WINDOW_S: Final = 2.5
-"""Time over which the trend of a job's load is taken."""
+"""Time over which the trend of a job's load is measured."""
 
 MAX_FORECAST_RISE: Final = 0.2
-"""Most that is added for a rising load."""
+"""Largest load added for a rising trend."""
 
 GroupKey = tuple[str, int, int]
-"""A step of one occurrence of a job: its tasks share their load."""
+"""A step of one occurrence of a job, whose tasks share one load."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
     """Load of a job's tasks on one worker.
 
-    :ivar load: by the median of their tails.
-    :ivar shares: by filling image beside them, the share of the worker that it uses.
-    :ivar noise: standard deviation of the load without any cause.
+    :ivar load: load by the median of their tail latencies.
+    :ivar shares: share of the worker's CPU in use, by best-effort image beside them.
+    :ivar noise: standard deviation of the load without interference.
     """
 
     at: float
@@ -90,15 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _PaceCache:
-    """The loads to expect on one instance, kept until its next report or change of runs.
-
-    Each filling task that looks for a place asks about every worker, several times a second, and
-    the answer takes a walk through the runs.
+    """Expected paces on one instance, valid until its next report or change of runs.
 
-    :ivar changes: the instance's count of changes at that time.
-    :ivar allotment: what its runs use beside each other.
-    :ivar paces: what has been worked out, by image and size.
-    :ivar refused: by image and least pace, the smallest size that would get less.
+    :ivar changes: the instance's change counter at the time of computation.
+    :ivar allotment: CPU shares that its runs get beside each other.
+    :ivar paces: computed paces, by image and millicores.
+    :ivar refused: smallest size in millicores that gets less than a pace, by image and pace.
     """
 
     changes: int
@@ -108,9 +93,9 @@
 
 
 class InterferenceModel:
-    """Learnt pressure of filling images on serving images.
+    """Learnt interference of best-effort images with latency-critical images.
 
-    :ivar idle_ms: tail of each serving image without any load: the lowest that was seen.
+    :ivar idle_ms: idle tail latency of each latency-critical image: the lowest one observed.
     """
 
     idle_ms: dict[str, float]
@@ -139,11 +124,11 @@
         self._known = frozenset()
 
     def learn(self, instance: Instance, at: float) -> None:
-        """Take the tails of an instance's newest report."""
+        """Learn from the tail latencies of an instance's newest report."""
         shares = _used_shares(instance)
         before = self._shares.get(instance.agent, shares)
         self._shares[instance.agent] = shares
-        # A tail follows what is beside it within about a second, the time between two reports.
+        # Tail latencies lag behind a change in interference by about one report.
         images = shares.keys() | before.keys()
         lagged = {image: (shares.get(image, 0.0) + before.get(image, 0.0)) / 2 for image in images}
         moved = sum(abs(shares.get(image, 0.0) - before.get(image, 0.0)) for image in images)
@@ -154,7 +139,7 @@
             self._learn_group(key, image, instance.agent, _Reading(at, load, lagged, noise))
 
     def _tails(self, instance: Instance, at: float) -> dict[GroupKey, tuple[str, float]]:
-        """Return for each serving step on an instance its image and the tail of its tasks."""
+        """Return the image and median tail latency of each latency-critical step."""
         found: dict[GroupKey, list[int]] = {}
         images: dict[GroupKey, str] = {}
         for run in instance.runs.values():
@@ -175,7 +160,7 @@
         before = readings.pop(agent, None)
         others = self._consistent(image, readings.values(), reading.at)
         if not others and before is not None:
-            # The job runs nowhere else; its load a second ago has to do.
+            # The job runs on no other worker: compare with its own previous reading.
             others = self._consistent(image, [before], reading.at)
         if others:
             self._compare(image, reading, others)
@@ -186,7 +171,7 @@
             history.popleft()
 
     def _consistent(self, image: str, readings: Iterable[_Reading], at: float) -> list[_Reading]:
-        """Return the fresh readings that agree with most others on what the users bring."""
+        """Return the recent readings without outliers, interference excluded."""
         fresh = [reading for reading in readings if at - reading.at <= MAX_READING_AGE_S]
         if not fresh:
             return []
@@ -201,7 +186,7 @@
         return reading.load - added_load(image, reading.shares, self._estimated_weight)
 
     def _compare(self, image: str, reading: _Reading, others: list[_Reading]) -> None:
-        """Learn from the difference to the mean of other workers."""
+        """Update the weights by the difference of a reading to the mean of other workers."""
         count = len(others)
         load = sum(other.load for other in others) / count
         shares = dict(reading.shares)
@@ -224,7 +209,7 @@
         return believe(self._prior.heavy(serving, filling))
 
     def _belief(self, serving: str, filling: str) -> Belief:
-        """Return what is believed of a pair, by what was seen of it and of others."""
+        """Return the belief about a pair, from its observations and the prior."""
         beliefs = self._beliefs.setdefault(serving, {})
         found = beliefs.get(filling)
         if found is None:
@@ -233,7 +218,7 @@
         return found
 
     def _update_prior(self, at: float) -> None:
-        """Take over which pairs are known, now and then."""
+        """Recompute the prior from the known pairs every :data:`PRIOR_INTERVAL_S`."""
         if at - self._prior_at < PRIOR_INTERVAL_S:
             return
         self._prior_at = at
@@ -252,14 +237,13 @@
         self._beliefs = {}
 
     def knows(self, filling: str) -> bool:
-        """Return whether a filling image is known beside some serving image."""
+        """Return whether the interference of a best-effort image is known for any image."""
         return filling in self._known
 
     def weight(self, serving: str, filling: str) -> float:
-        """Return the load to allow for if ``filling`` took the whole worker.
+        """Return a conservative estimate of the load that ``filling`` adds on a whole worker.
 
-        What is not known well is taken for more than it was seen to be: a tail over its target
-        costs more than the filling work beside it earns.
+        Uncertainty raises the estimate.
         """
         return self._belief(serving, filling).careful
 
@@ -267,7 +251,7 @@
         return self._belief(serving, filling).weight
 
     def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
-        """Return what is known or assumed of the pairs of images on an instance."""
+        """Return the weights of the pairs of images on an instance."""
         serving = {run.step.image for run in instance.runs.values() if run.step.target_ms}
         filling = {run.step.image for run in instance.runs.values() if run.step.fills}
         found = []
@@ -277,9 +261,9 @@
         return found
 
     def pace_beside(self, instance: Instance, image: str, cpu_millicores: int) -> float:
-        """Return the pace that is won by one more filling task there, from 0 to 1.
+        """Return the net pace of one more best-effort task on an instance, from 0 to 1.
 
-        What it takes from other filling work there does not count.
+        CPU that it takes from other best-effort tasks is subtracted.
         """
         known = self._cached_paces(instance)
         pace = known.paces.get((image, cpu_millicores))
@@ -292,11 +276,10 @@
     def gives_pace(
         self, instance: Instance, image: str, cpu_millicores: int, min_pace: float
     ) -> bool:
-        """Return whether one more filling task there is likely to get a pace of ``min_pace``.
+        """Return whether one more best-effort task is expected to get a pace of ``min_pace``.
 
-        The pace falls with the size of the task, except where a neighbour that presses harder loses
-        all of its share.  So a size over one that was refused is refused too, until the worker's
-        next report.
+        A larger size than a refused one is refused as well until the worker's next report, as the
+        pace usually falls with the size.
         """
         known = self._cached_paces(instance)
         refused = known.refused.get((image, min_pace))
@@ -308,14 +291,14 @@
         return False
 
     def _cached_paces(self, instance: Instance) -> _PaceCache:
-        """Return what :meth:`_compute_paces` says since the instance's newest change."""
+        """Return the result of :meth:`_compute_paces` for the instance's newest change."""
         known = self._pace_caches.get(instance.agent)
         if known is None or known.changes != instance.changes:
             known = self._pace_caches[instance.agent] = self._compute_paces(instance)
         return known
 
     def _compute_paces(self, instance: Instance) -> _PaceCache:
-        """Work out what the newest report and the runs of an instance say of its tails."""
+        """Return a new cache for the runs and the newest report of an instance."""
         wanted: dict[str, float] = {}
         rooms: dict[str, Room] = {}
         for run in instance.runs.values():
@@ -332,7 +315,7 @@
         return _PaceCache(instance.changes, Allotment(list(rooms.values()), wanted, self.weight))
 
     def _user_load(self, key: GroupKey, image: str, instance: Instance) -> float:
-        """Return the load that a job's users are likely to bring while a filling task works."""
+        """Return the load expected from a job's users in the next :data:`FORECAST_S`."""
         reading = self._groups.get(key, {}).get(instance.agent)
         if reading is None:
             return 0.0
@@ -340,7 +323,7 @@
         return max(own, 0.0) + _forecast_rise(self._history.get(key, deque()))
 
     def forget(self, job_id: str) -> None:
-        """Drop the readings of a job that is no longer kept."""
+        """Drop the readings of a job."""
         for key in [key for key in self._groups if key[0] == job_id]:
             del self._groups[key]
             self._history.pop(key, None)
@@ -348,7 +331,7 @@
 
 
 def _forecast_rise(history: Sequence[tuple[float, float]]) -> float:
-    """Return by how much a load is likely to rise: its newer half against its older one."""
+    """Return the expected rise of a load, from the means of its older and newer half."""
     half = len(history) // 2
     if half < 1:
         return 0.0
@@ -361,12 +344,12 @@
 
 
 def _requested_share(cpu_millicores: int, instance: Instance) -> float:
-    """Return the share of the worker's processors that a filling task uses at full pace."""
+    """Return the share of the worker's CPU that a best-effort task uses at full pace."""
     return USED_SHARE * cpu_millicores / max(1, instance.capacity_cpu)
 
 
 def _used_shares(instance: Instance) -> Mapping[str, float]:
-    """Return the share of the worker's processors that each filling image used lately."""
+    """Return the share of the worker's CPU in use by each best-effort image."""
     found: dict[str, float] = {}
     capacity = max(1, instance.capacity_cpu)
     for run in instance.runs.values():
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -1,16 +1,12 @@
-"""Where a task runs: pure choices over the leader's view of the workers.
+"""Chooses the worker for a task from the leader's view of the fleet.  No I/O.
 
-The pattern that this answers: lasting tasks that serve users share workers with tasks that fill
-what is left, and filling tasks press on the tail of the serving ones beside them by amounts that
-nobody declares.  So the two kinds are kept apart first:
+Limits interference of best-effort tasks with the tail latency of latency-critical ones:
 
-- tasks that serve go together onto workers that already serve and hold the least filling work;
-- tasks that fill go beside serving tasks that they hardly press on, others where nothing serves,
-  to the worker with the most spare processors;
-- other tasks go beside those that serve, which leaves the workers without them to filling work.
-
-Where every worker serves, filling work goes where it is likely to get the most of its pace; the
-agent paces it by what it measures.
+- long-running tasks go to workers that run tasks of the same step, or can hold the whole step, and
+  preferably to those that run latency-critical tasks already;
+- best-effort tasks go beside latency-critical tasks that they are known to interfere with little,
+  else to workers without any, else to where they are expected to be throttled least;
+- other tasks go to workers with little best-effort work.
 """
 
 from collections.abc import Iterable
@@ -23,45 +19,44 @@
 from sapphirelead.sched_spec import StepSpec
 
 REPORT_TIMEOUT_S: Final = 1.2
-"""An agent that has not reported for this long (two reports missed) gets no new work."""
+"""An agent that has not reported for this long gets no new work."""
 
 MIN_SPARE_SHARE: Final = 0.7
-"""Share of its processors that a filling task must be likely to get."""
+"""Share of its requested CPU that must be spare for a best-effort task."""
 
 UNSOUND_RETRY_INTERVAL_S: Final = 1.0
-"""Time between two tries of an unsound worker for a job that has nothing running anywhere."""
+"""Time after a failure before a starving job may use an unsound worker."""
 
 MIN_PACE: Final = 0.8
-"""Pace that a filling task must be likely to get beside serving tasks; with less there are more
-runs beside each other and none ends sooner."""
+"""Least expected pace at which a best-effort task is placed beside latency-critical tasks."""
 
 LOW_INTERFERENCE_PACE: Final = 0.9
-"""Filling work that is likely to get so much beside serving tasks goes there, and leaves the
-workers without them to what presses."""
+"""Expected pace from which on a best-effort task is preferably placed beside latency-critical
+tasks."""
 
 SAME_STEP_RANK: Final = 4
 WHOLE_STEP_RANK: Final = 2
-"""Ranks of places for a lasting task, in units of :data:`RANK_UNIT`: where tasks of its job
-are, and where all of them fit; a place that serves already counts one more."""
+"""Ranks of a worker for a long-running task, in units of :data:`RANK_UNIT`: a task of the same step
+runs there, or all tasks of the step fit.  A worker that runs latency-critical tasks ranks one
+higher."""
 
 FILL_CPU_WEIGHT: Final = 10
-"""Processors taken by filling work count so many times those that are free: a lasting task that
-comes takes room from each filling task there."""
+"""Weight of CPU used by best-effort tasks against free CPU when placing a long-running task."""
 
 RANK_UNIT: Final = 1_000_000
-"""Outweighs any difference in spare processors (thousandths of a core)."""
+"""Score of one rank; exceeds any difference in CPU, in millicores."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What a step asks of a worker at a moment.
-
-    :ivar service: service whose workers may run it.
-    :ivar tickets: workers that the advice service allows, or ``None`` where none is needed.
-    :ivar starving: the job has had nothing running for a while; filling work then goes wherever its
-        memory fits, and the agent paces it.
-    :ivar press: what is known of the pressure of filling work.
-    :ivar tasks: tasks of the step that look for a place now.
+    """What a step requires of a worker.
+
+    :ivar service: service whose workers may run the step.
+    :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
+    :ivar starving: the job has had nothing running for a while; best-effort tasks then need no
+        spare CPU.
+    :ivar press: interference model, or ``None`` to ignore interference.
+    :ivar tasks: number of tasks of the step to place.
     """
 
     step: StepSpec
@@ -72,13 +67,13 @@
     tasks: int = 1
 
     def pace(self, instance: Instance) -> float:
-        """Return the pace that one more task is likely to get, from 0 to 1."""
+        """Return the expected pace of one more task on ``instance``, from 0 to 1."""
         if self.press is None or not instance.serving:
             return 1.0
         return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
     def gets_pace(self, instance: Instance, min_pace: float) -> bool:
-        """Return whether one more task is likely to get a pace of ``min_pace``."""
+        """Return whether the expected pace of one more task is at least ``min_pace``."""
         if self.press is None or not instance.serving:
             return True
         step = self.step
@@ -86,23 +81,23 @@
 
 
 def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
-    """Return whether any task may go to ``instance`` now, by its reports and its record."""
+    """Return whether ``instance`` accepts tasks, by its reports and its failure record."""
     if instance.worker is None or instance.worker.draining:
         return False
     if at - instance.heard_at > REPORT_TIMEOUT_S or not instance.reachable:
         return False
     if starving:
-        # Where every worker looks unsound the job still has to run somewhere.
+        # The job has to run somewhere even if every worker is unsound.
         return at - instance.track.bad_at >= UNSOUND_RETRY_INTERVAL_S
     if not instance.track.sound(at):
         return False
-    # One run at a time decides a trial, so that an unsound worker spoils little.
+    # A worker on trial gets one run at a time.
     track = instance.track
     return not (track.on_trial and instance.newest_claim_at >= track.paused_until)
 
 
 def is_eligible(instance: Instance, request: PlacementRequest, at: float) -> bool:
-    """Return whether tasks of this kind may go to ``instance`` at all now."""
+    """Return whether tasks of the request may run on ``instance``, regardless of room."""
     worker = instance.worker
     if worker is None or worker.service != request.service:
         return False
@@ -124,18 +119,18 @@
 
 
 def _has_spare_cpu(instance: Instance, request: PlacementRequest) -> bool:
-    """Return whether a filling task would find processors without spoiling a tail."""
+    """Return whether a best-effort task gets enough CPU without raising tail latencies."""
     step = request.step
     if instance.spare_cpu < step.cpu_millicores * MIN_SPARE_SHARE:
         return False
     if instance.serving and not instance.listed_at:
-        # A new leader does not know the tails of the serving tasks yet.
+        # The tail latencies there are not known to a new leader yet.
         return False
     return request.gets_pace(instance, MIN_PACE)
 
 
 def score(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
-    """Return how good a place ``instance`` is; the highest wins."""
+    """Return the score of ``instance`` for one more task; the highest is best."""
     step = request.step
     if step.fills:
         value = float(instance.spare_cpu) * instance.track.speed
@@ -151,11 +146,10 @@
 
 
 def _lasting_value(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
-    """Return how good a place is for a lasting task.
+    """Return the score of ``instance`` for a long-running task.
 
-    The tasks of a job share their load: together they leave more room beside them than tasks of
-    several jobs, of which one is always near its top.  So a job goes where its like is, else to the
-    fullest worker that holds all of it.
+    Tasks of one job peak together, so mixing jobs on a worker leaves less room for best-effort
+    work.  Prefers workers that run the step already, then the fullest one that holds all of it.
     """
     step = request.step
     value = RANK_UNIT if instance.serving else 0
@@ -166,15 +160,15 @@
     whole = whole and not 0 < step.per_worker < request.tasks
     if whole:
         return float(value + WHOLE_STEP_RANK * RANK_UNIT - instance.free_cpu - filling)
-    # No place holds all of them: the one that holds the most.
+    # Not all of the step's tasks fit here: prefer the worker with the most free CPU.
     return float(value + instance.free_cpu - filling)
 
 
 def _pace_rank(instance: Instance, request: PlacementRequest) -> float:
-    """Return the order of places for filling work by the pace that it is likely to get there.
+    """Return the rank of ``instance`` for a best-effort task.
 
-    First beside serving tasks that it is known to press on hardly, then where nothing serves, then
-    where it gets the most.
+    Workers where it is known to interfere little rank first, then workers without latency-critical
+    tasks, then the others by expected pace.
     """
     if not instance.serving:
         return 1.0
@@ -195,7 +189,7 @@
 ) -> Instance | None:
     """Return the best instance for one more task.
 
-    :param avoid: agents on which the task has failed or crawled; taken only where nothing else is.
+    :param avoid: agents on which the task has failed or was slow; used only as a last resort.
     """
     best: Instance | None = None
     best_value = 0.0
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -1,11 +1,12 @@
-"""Which tasks start now, in which order, and on which workers.
-
-The pattern that this answers: a burst of wide jobs next to a steady flow of small ones.  Room is
-given by the queue's priority first, then by how little slack a step has left against its job's
-objective; a job that has begun goes before one that has not, because half-finished jobs earn
-nothing.  Within one pass every ready step is looked at once, so a wide step that does not fit
-holds nothing up.  Where a pass takes longer than its budget, it goes on over several calls, and new
-room is offered by that order first for half of each (:mod:`sapphirelead.sched_scan_order`).
+"""Selects the tasks to start, their order and their workers.
+
+Ready steps are placed by queue priority, then by the slack left against the job's objective.  Each
+pass tries every ready step once, so a wide step that does not fit does not block smaller ones.
+A pass that exceeds its time budget continues in later calls
+(:mod:`sapphirelead.sched_scan_order`).
+
+Best-effort tasks are those of steps with ``fills``, long-running tasks those of steps with
+``lasting``.
 """
 
 from collections.abc import Iterator
@@ -25,23 +26,21 @@
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
 
 STARVATION_THRESHOLD_S: Final = 1.5
-"""How long a job may wait with nothing running although its turn has come.  Callers are promised
-that no job stands still for 3 s while there is room for it."""
+"""Time after which a ready job with nothing running counts as starving.
 
-GROUPING_DELAY_S: Final = 0.15
-"""How long new lasting tasks wait for others.
+Must stay below the 3 s for which a job may be idle while there is room for it."""
 
-They often come together and stay for minutes; packed by size they leave whole workers to filling
-work."""
+GROUPING_DELAY_S: Final = 0.15
+"""Delay before new long-running tasks are placed, so that those submitted together are packed by
+size."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Pause before filling work that found no room is looked at again; room comes a few times a second,
-rounds far more often."""
+"""Delay before a best-effort step that found no room is tried again."""
 
 
 @dataclass(slots=True)
 class ReadyStep:
-    """A step that may start, with its tasks that have no claim."""
+    """A step that may start, with its unclaimed tasks."""
 
     job: Job
     occurrence: Occurrence
@@ -58,15 +57,13 @@
 
     @property
     def rank(self) -> tuple[int, bool, bool, float]:
-        """Order in which steps are given room.
+        """Placement order; lower goes first.
 
-        Lasting tasks go first in their priority.  A job that can no longer meet its objective
-        earns little however soon it ends: it goes behind those that still can.  Filling work shares
-        what is left, and often there is less than it asks for; the job with the least left to do
-        goes first, since by deadline all would be late together.
+        Within a priority, long-running tasks go first, and jobs that can no longer meet their
+        objective go last.  Best-effort steps are ordered by remaining work, other steps by slack.
         """
         if self.step.lasting:
-            # The largest first: small tasks then fill the gaps, and whole workers stay free.
+            # Largest first, so that small tasks fill the gaps and whole workers stay free.
             return self.policy.priority, False, False, -float(self.step.cpu_millicores)
         if self.step.fills:
             return self.policy.priority, True, self.slack_s < 0, self.remaining_core_s
@@ -74,7 +71,7 @@
 
     @property
     def remaining_core_s(self) -> float:
-        """Work left in the occurrence, in core-seconds by its estimates."""
+        """Estimated work left in the occurrence, in core-seconds."""
         steps = self.job.spec.steps
         return sum(
             left * step.cpu_millicores * step.estimate_ms / 1e6
@@ -83,17 +80,17 @@
 
     @property
     def never_claimed(self) -> bool:
-        """Whether none of its tasks has ever been claimed."""
+        """Whether no task of the step has ever been claimed."""
         tasks = self.occurrence.tasks[self.number]
         return not any(task.attempts for task in tasks)
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A step that may be given room in a pass.
+    """A step to be placed in the current pass.
 
-    :ivar tickets: workers that the advice service allows, or ``None`` where none is needed.
-    :ivar starving: its job has had nothing running for a while.
+    :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
+    :ivar starving: its job has had nothing running for :data:`STARVATION_THRESHOLD_S`.
     """
 
     ready: ReadyStep
@@ -107,13 +104,13 @@
 
     @property
     def kind(self) -> Kind:
-        """What decides where its tasks find room, but for their size."""
+        """Kind of the step's tasks: all that decides where they fit, except their size."""
         return Kind.of(self.ready.step, self.ready.policy.service, self.starving)
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceAsk:
-    """A question to the advice service."""
+    """A request to the advice service for tickets of a step."""
 
     key: StepKey
     workers: list[str]
@@ -121,7 +118,7 @@
 
 
 def slack_s(job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall: int) -> float:
-    """Return how long the step can still wait within its job's objective, in seconds."""
+    """Return how long the step can wait without missing its job's objective, in seconds."""
     spec = job.spec
     begin_ms = spec.accepted_ms
     if spec.occurrences:
@@ -132,10 +129,10 @@
 
 
 def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[ReadyStep]:
-    """Return the steps that may start, have tasks without a claim, and are to be looked at now.
+    """Return the steps that may start and have unclaimed tasks.
 
-    Those that found no room a moment ago are left out and stay known as ready; steps that are not
-    ready any more are forgotten.
+    Steps waiting for a retry are skipped but stay registered as ready.  Steps that are no longer
+    ready are removed from ``sched.ready_since``.
     """
     found = []
     seen: set[StepKey] = set()
@@ -172,13 +169,13 @@
     tasks = occurrence.tasks[number]
     free = [index for index, task in enumerate(tasks) if not task.done and not task.claims]
     if step.gang and len(free) < len(tasks):
-        # A gang starts as a whole, once every member of the run before is seen to be over.
+        # A gang starts as a whole, after every member of its previous run has ended.
         return []
     return free
 
 
 def bring_due(sched: Scheduler, wall_ms: int) -> None:
-    """Let occurrences begin that are due; never early, whatever the clock's error."""
+    """Start the occurrences that are due, never early."""
     for job in sched.open_jobs.values():
         if job.spec.occurrences and job.open:
             job.bring_due(wall_ms)
@@ -187,9 +184,9 @@
 def plan(
     sched: Scheduler, at: float, wall_ms: int, scan_order: ScanOrder | None = None
 ) -> list[AdviceAsk]:
-    """Claim whatever can start now; return the questions that the advice service should get.
+    """Claim workers for the tasks that can start; return requests for the advice service.
 
-    :param scan_order: limits the time; without it every step is looked at.
+    :param scan_order: holds the time budget; without it every step is scanned.
     """
     scan_order = scan_order or ScanOrder()
     bring_due(sched, wall_ms)
@@ -221,17 +218,17 @@
             len(ready.tasks),
         )
         if ready.step.gang:
-            _place_gang(sched, ready, _able(live, request, at), request, at)
+            _place_gang(sched, ready, _eligible(live, request, at), request, at)
         else:
-            able = _able(places, request, at)
-            all_placed = _place_tasks(sched, ready, able, request, at, scan_order.budget)
+            eligible = _eligible(places, request, at)
+            all_placed = _place_tasks(sched, ready, eligible, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
                 sched.no_room.record_infeasible(item.kind, ready.step)
     return questions
 
 
 def _candidates(sched: Scheduler, at: float, wall_ms: int) -> list[Candidate]:
-    """Return the steps to look at, in the order in which they are given room."""
+    """Return the steps to scan, in placement order."""
     found = []
     for ready in sorted(ready_steps(sched, at, wall_ms), key=lambda item: item.rank):
         since = sched.ready_since.get(ready.key)
@@ -249,10 +246,10 @@
 
 
 def _has_new_room(feasible: FeasibleWorkers, item: Candidate) -> bool:
-    """Return whether a worker may have room for the step that has not been tried for it yet.
+    """Return whether an untried worker may have room for the step.
 
-    It is ``False`` for steps with tickets, gangs and limits for each worker, of which that is not
-    kept.
+    Always ``False`` for steps with tickets, gangs and per-worker limits, whose failures are not
+    cached.
     """
     step = item.ready.step
     if item.tickets is not None or step.gang or step.per_worker:
@@ -261,16 +258,16 @@
 
 
 def _places(sched: Scheduler, item: Candidate, feasible: FeasibleWorkers) -> list[Instance]:
-    """Return the workers that may have room for a step's tasks, by whether it starves now."""
+    """Return the workers that may have room; updates whether the step is still starving."""
     if item.starving and _anything_runs(item.ready.occurrence):
-        # An earlier step of the same job has been given room in this pass.  The openings of the
-        # kind that it has now were judged without it.
+        # A step of the same job was placed earlier in this pass, which ended the starvation.
+        # ``feasible`` was computed without this step among those of its new kind.
         item.starving = False
         return sched.no_room.places(item.kind, item.ready.step)
     return feasible.places(item.kind, item.ready.step)
 
 
-def _able(places: list[Instance], request: PlacementRequest, at: float) -> list[Instance]:
+def _eligible(places: list[Instance], request: PlacementRequest, at: float) -> list[Instance]:
     return [place for place in places if is_eligible(place, request, at)]
 
 
@@ -288,7 +285,7 @@
 
 
 def waiting_tasks(sched: Scheduler) -> Iterator[tuple[StepSpec, int]]:
-    """Yield each step that could start, with the number of its tasks that have no claim."""
+    """Yield each ready step with the number of its unclaimed tasks."""
     for job_id, occurrence_number, number in sched.ready_since:
         job = sched.jobs.get(job_id)
         occurrence = job.occurrences.get(occurrence_number) if job is not None else None
@@ -298,7 +295,7 @@
 
 
 def wanted_cpu(sched: Scheduler) -> int:
-    """Return the processors that filling work lacks, waiting or paced, in thousandths."""
+    """Return the CPU that best-effort tasks lack, waiting or throttled, in millicores."""
     waiting = sum(step.cpu_millicores * tasks for step, tasks in waiting_tasks(sched) if step.fills)
     paced = sum(
         run.step.cpu_millicores * (100 - max(0, run.paced)) // 100
@@ -328,9 +325,9 @@
     at: float,
     budget: Budget,
 ) -> bool:
-    """Claim places for the step's tasks while there is time, for one at least.
+    """Claim workers for the step's tasks until the budget is spent; tries at least one task.
 
-    :return: ``False`` where one of them fits nowhere.
+    :returns: ``False`` if a task fits on no worker.
     """
     heap = PlacementHeap(places, request, TaskRef(*ready.key, ready.tasks[0]))
     for index in ready.tasks:
@@ -342,7 +339,7 @@
             return False
         sched.claim(ready.job, ref, place, at)
         if request.starving:
-            # One task is enough for the job to go on; the others wait for real room.
+            # One task ends the starvation; the others wait for regular room.
             return True
         if budget.spent:
             return True
@@ -354,7 +351,7 @@
 def _place_gang(
     sched: Scheduler, ready: ReadyStep, places: list[Instance], request: PlacementRequest, at: float
 ) -> None:
-    """Place all members or none; on one rack first where they work better together."""
+    """Place all members or none; with ``same_rack``, tries each single rack first."""
     racks = sorted({place.rack for place in places}) if ready.step.same_rack else []
     groups = [[place for place in places if place.rack == rack] for rack in racks]
     attempt = 1 + max(task.attempts for task in ready.occurrence.tasks[ready.number])
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -1,12 +1,9 @@
-"""What has found no room, kept until a worker changes.
+"""Cache of tasks that fit on no worker, so that only changed workers are tried again.
 
-Judging each waiting step on each worker in each pass costs more time than a pass has, and most
-workers have not changed since the pass before.
-
-Invariant: a task of which :meth:`InfeasibleCache.places` leaves a worker out, or a smaller one of its kind,
-has found no room there, and since then nothing has changed there but by a task placed.  Of filling
-work a larger task may get a pace that a smaller one does not; it is left out as well until the
-worker's next report.
+Invariant: if :meth:`InfeasibleCache.places` omits a worker for a task, then that task or a smaller
+one of its kind did not fit there, and the worker has not changed since except by tasks placed on
+it.  A larger best-effort task that would fit although a smaller one does not is tried only after
+the worker's next report.
 """
 
 from collections.abc import Iterable
@@ -23,20 +20,20 @@
 from sapphirelead.sched_spec import StepSpec
 
 MAX_KINDS: Final = 512
-"""Kinds of tasks kept.  The one that was noted longest ago gives way to a new one."""
+"""Kinds of tasks in the cache; the least recently recorded one is evicted."""
 
 MAX_SIZES_PER_KIND: Final = 16
-"""Sizes kept of a kind, none of which contains another.  The oldest gives way to a new one."""
+"""Sizes in the cache per kind, none of which contains another; the oldest one is evicted."""
 
 UNPLACED_TASK: Final = TaskRef("", 0, 0, 0)
-"""Stands for a task that is not placed yet."""
+"""Placeholder for a task that is not placed yet."""
 
 
 class Kind(NamedTuple):
-    """Tasks that differ in size only.
+    """Tasks that differ only in size.
 
-    :ivar image: of filling tasks; others of all images find the same room.
-    :ivar starving: the agents pace it, so it needs less room.
+    :ivar image: image of best-effort tasks; empty for others, whose placement ignores it.
+    :ivar starving: whether the job is starving, so that best-effort tasks need no spare CPU.
     """
 
     service: str
@@ -54,7 +51,7 @@
 
 
 class _State(NamedTuple):
-    """What decides whether a worker may have more room than before."""
+    """State of a worker whose change may mean new room."""
 
     changes: int
     takes: bool
@@ -63,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _WorkerVersion:
-    """A worker at its newest change.
+    """A worker with the pass in which it last changed.
 
-    :ivar number: place in the order of the fleet.
-    :ivar version: of the pass that noticed the change.
+    :ivar number: position in the order of the fleet.
+    :ivar version: number of the pass that detected the change.
     """
 
     instance: Instance
@@ -76,7 +73,7 @@
 
 
 class InfeasibleCache:
-    """What has found no room on any worker, and which workers have changed since."""
+    """Cache of task sizes that fit on no worker, with the changes of workers since."""
 
     _version: int
     _seen: dict[str, _WorkerVersion]
@@ -90,7 +87,7 @@
         self._failed = {}
 
     def begin(self, instances: Iterable[Instance], at: float) -> None:
-        """Begin a pass: notice which workers have changed since the one before."""
+        """Begin a pass: detect the workers that have changed since the previous one."""
         self._version += 1
         before, self._seen = self._seen, {}
         for number, instance in enumerate(instances):
@@ -112,9 +109,9 @@
         return [seen.instance for seen in sorted(changed, key=lambda seen: seen.number)]
 
     def record_infeasible(self, kind: Kind, step: StepSpec) -> None:
-        """Take note that a task of the step fits nowhere."""
+        """Record that a task of the step fits on no worker."""
         if step.per_worker:
-            # Others of its step may have kept it out.
+            # The per-worker limit may have excluded workers with room.
             return
         sizes = self._failed.pop(kind, {})
         for cpu, memory in list(sizes):
@@ -122,14 +119,14 @@
                 del sizes[cpu, memory]
         sizes[step.cpu_millicores, step.memory_mb] = self._version
         self._failed[kind] = sizes
-        # The order of the keys tells what was noted longest ago.
+        # Dicts keep insertion order, so the first key is the oldest.
         if len(sizes) > MAX_SIZES_PER_KIND:
             del sizes[next(iter(sizes))]
         if len(self._failed) > MAX_KINDS:
             del self._failed[next(iter(self._failed))]
 
     def _infeasible_version(self, kind: Kind, step: StepSpec) -> int:
-        """Return the newest pass that found room for no task of this size; 0 where none has."""
+        """Return the newest pass in which no task of this size fitted; 0 if there is none."""
         versions = (
             version
             for (cpu, memory), version in self._failed.get(kind, {}).items()
@@ -139,10 +136,10 @@
 
 
 class FeasibleWorkers:
-    """The workers with room for the smallest waiting task of each kind, in one pass.
+    """Workers with room for the smallest waiting task of each kind, in one pass.
 
-    Where several steps of a kind wait, each worker that has changed is judged once for all of them;
-    where it has no room for the smallest of their tasks, none of them looks at it.
+    If several steps of a kind wait, each changed worker is tested once for the smallest of their
+    tasks and skipped for all of them if that does not fit.
     """
 
     _no_room: InfeasibleCache
@@ -158,7 +155,7 @@
         press: GuardedInterferenceModel,
         at: float,
     ) -> None:
-        """Take note of what waits.
+        """Find the smallest task of each kind for which several steps wait.
 
         :param at: time of the pass that ``no_room`` has begun.
         """
@@ -201,7 +198,7 @@
 
 
 def _smaller(one: StepSpec, other: StepSpec) -> StepSpec:
-    """Return a step whose tasks find room wherever those of either do."""
+    """Return a step whose tasks fit wherever those of either step fit."""
     return replace(
         one,
         cpu_millicores=min(one.cpu_millicores, other.cpu_millicores),
--- a/sapphirelead/sched_scan_order.py
+++ b/sapphirelead/sched_scan_order.py
@@ -1,13 +1,9 @@
-"""Planning under a budget of time: which steps are looked at now, and which in a later call.
+"""Order in which planning passes scan ready steps under a time budget.
 
-The pattern that this answers: more steps wait than the leader can look at between two heartbeats.
-Half of a call's budget goes by rank, to steps for which there may be new room, and to others that
-have not been looked at for a moment, so that urgent steps do not wait behind a long pass.  The
-other half goes to those that have waited longest for a look, so that each step is reached, however
-many rank before it.
-
-So new room is offered by rank first, to as many steps as half of the budget lasts for; only what
-these leave may go to a step that ranks behind another.
+Handles more ready steps than the leader can scan between two heartbeats.  Half of each call's
+budget goes to steps in rank order that may have new room or were not scanned within
+:data:`RESCAN_INTERVAL_S`.  The other half goes to the steps that have waited longest for a scan, so
+that every step is eventually scanned.
 """
 
 import math
@@ -18,11 +14,11 @@
 from sapphirelead.sched_timing import BEAT_S
 
 RESCAN_INTERVAL_S: Final = BEAT_S
-"""Time between two looks at a step by its rank while not all can be looked at."""
+"""Least time between two scans of a step in rank order while passes are truncated."""
 
 
 class Ranked(Protocol):
-    """A step that may start."""
+    """A ready step, ordered by rank."""
 
     @property
     def key(self) -> StepKey:
@@ -33,9 +29,9 @@
 
 
 class Budget:
-    """A deadline on a clock, until which work may go on.
+    """A time budget: a deadline on a clock.
 
-    :ivar until: when it is spent.
+    :ivar until: time at which the budget is spent, on that clock.
     """
 
     until: float
@@ -47,26 +43,26 @@
 
     @classmethod
     def unlimited(cls) -> "Budget":
-        """Make a budget that is never spent."""
+        """Return a budget that is never spent."""
         return cls(lambda: 0.0, math.inf)
 
     @property
     def spent(self) -> bool:
-        """Whether there is none left."""
+        """Whether the deadline has passed."""
         return self._clock() >= self.until
 
     def half(self) -> "Budget":
-        """Return half of what is left."""
+        """Return a budget of half the remaining time."""
         at = self._clock()
         return Budget(self._clock, at + max(0.0, self.until - at) / 2)
 
 
 class ScanOrder:
-    """The order of looks over several calls of the planner.
+    """Scan order of ready steps over several calls of the planner.
 
-    :ivar budget: of the call in progress.
-    :ivar waited_s: longest time that a step had waited for a look when the last call was cut; 0
-        where it was not.
+    :ivar budget: budget of the current call.
+    :ivar waited_s: longest time that a step had waited for a scan when the last call was truncated,
+        in seconds; 0 if it was not truncated.
     """
 
     budget: Budget
@@ -82,7 +78,7 @@
 
     @property
     def behind(self) -> bool:
-        """Whether the last call could not look at every step."""
+        """Whether the last call was truncated before it had scanned every step."""
         return bool(self._scanned_at)
 
     def order(
@@ -92,13 +88,13 @@
         at: float,
         has_new_room: Callable[[R], bool] = lambda _: False,
     ) -> Iterator[R]:
-        """Yield the steps to look at until the budget is spent.
+        """Yield the steps to scan until the budget is spent.
 
-        One is yielded at least, and one of each half of the budget where both have any.
+        Yields at least one step of each half of the budget, if there is one.
 
-        :param steps: by rank.
-        :param since: when each of them, and each that may not be looked at now, became ready.
-        :param has_new_room: whether there may be room for a step that it has not been tried on.
+        :param steps: steps in rank order.
+        :param since: time at which each ready step became ready, also those not in ``steps``.
+        :param has_new_room: whether a step may fit on a worker that it has not been tried on.
         """
         self._scanned = set()
         urgent = self.budget.half()
@@ -128,6 +124,6 @@
             del self._scanned_at[key]
 
     def mark_scanned(self, key: StepKey, at: float) -> None:
-        """Take note of a look at a step; one that is only passed over does not count."""
+        """Record that a step has been scanned; the caller skips this for steps it passes over."""
         self._scanned.add(key)
         self._scanned_at[key] = at
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -1,10 +1,9 @@
-"""Runs that crawl or stand still: found by their progress, moved or doubled.
+"""Detects stragglers, runs that are slow or stalled, and moves or duplicates them.
 
-The pattern that this answers: a worker turns several times slower, or what it runs stands still,
-while it answers every call well.  One such run keeps its whole job waiting, and a job that is late
-by three times its objective earns nothing.  A run is judged by the progress that its worker reports
-against its estimate; it is moved only where starting over elsewhere ends clearly sooner.  Where the
-runs of its step are no faster at other sound workers, the estimate is wrong and no worker is slow.
+Handles workers that become slow while they still answer calls, by comparing the reported progress
+of each run with its estimate.  A run is moved only if starting over on another worker would end
+clearly sooner.  If other runs of its step are as slow on sound workers, the estimate is considered
+wrong instead.
 """
 
 from typing import Final
@@ -18,38 +17,35 @@
 from sapphirelead.sched_scan_order import Budget
 
 SLOW_SPEED_SHARE: Final = 0.4
-"""Share of the expected speed under which a run is slow."""
+"""A run is slow below this share of its expected speed."""
 MIN_OBSERVATION_S: Final = 0.9
-"""A younger run is not judged: two reports after the first."""
+"""Least time for which a run is observed before its speed is judged."""
 MIN_OBSERVATION_SHARE: Final = 0.25
-"""Share of the estimate for which a run is watched before it is judged."""
+"""Least share of its estimate for which a run is observed."""
 MIN_MOVE_GAIN: Final = 1.4
-"""Moving must end sooner by this factor: the estimate of either side is off by as much."""
+"""Factor by which a move must shorten the remaining time."""
 MAX_MOVES: Final = 3
-"""Moves of one task; a task that crawls everywhere is not cured by a further one."""
+"""Most moves of one slow task."""
 RESTART_DELAY_S: Final = 0.5
-"""Usual time from the decision to the start elsewhere: stop, report, claim, start."""
+"""Typical time from the decision to the start on another worker."""
 LOW_PACE_PERCENT: Final = 70
-"""Pace in percent under which a filling run is moved to a worker that gives it more.
-
-A run that is held back beside serving tasks whose load rises stays so for longer than most such
-tasks take."""
+"""A best-effort run that saves progress counts as throttled below this pace."""
 STALLED_PACE_PERCENT: Final = 25
-"""Pace in percent under which one that saves no progress is moved if it has been slow so far."""
+"""A best-effort run between this pace and full pace is not judged by its speed."""
 MAX_THROTTLED_MOVES: Final = 6
-"""Moves of one task that is held back; each costs it about half a second."""
+"""Most moves of one throttled task."""
 MIN_SPEED: Final = 0.03
-"""Least speed assumed, so that times stay finite."""
+"""Lower bound of the speed in divisions."""
 
 
 def speed_of(run: Run, restore_s: float) -> float | None:
-    """Return the run's speed against its estimate; ``None`` while too little has been seen."""
+    """Return the run's speed relative to its estimate, ``None`` if observed too briefly."""
     estimate_s = run.step.estimate_ms / 1000
     watched_s = run.watch.watched_s
     if run.phase is not Phase.RUNNING or estimate_s <= 0 or run.percent < 0:
         return None
     if run.attempt > 1:
-        # A run that resumes first spends this time on restoring what was saved.
+        # A resumed run restores its saved progress first.
         watched_s -= restore_s
     if watched_s < max(MIN_OBSERVATION_S, MIN_OBSERVATION_SHARE * estimate_s):
         return None
@@ -59,7 +55,7 @@
 def ends_sooner_elsewhere(run: Run, speed: float, restore_s: float, baseline: float = 1.0) -> bool:
     """Return whether the run would end clearly sooner on a sound worker.
 
-    :param baseline: speed of its step's runs at such workers.
+    :param baseline: speed of the step's runs on sound workers.
     """
     estimate_s = run.step.estimate_ms / 1000
     left = (100 - run.percent) / 100
@@ -70,9 +66,9 @@
 
 
 def review(sched: Scheduler, at: float, budget: Budget | None = None) -> None:
-    """Move or double the runs that crawl or stand still.
+    """Move or duplicate slow and stalled runs.
 
-    :param budget: limits the time; what it leaves out is judged first in the next call.
+    :param budget: time budget; runs that are left out go first in the next call.
     """
     suspects: list[tuple[Run, float]] = []
     for run in sched.fleet.runs.values():
@@ -80,7 +76,7 @@
             continue
         listed_at = sched.fleet.instance(run.agent).listed_at
         if listed_at <= run.reviewed_at:
-            # Nothing new is known of it.
+            # No new report since its last review.
             continue
         speed = _slow_speed(run, listed_at, sched.bounds.restore_s)
         if speed is not None:
@@ -101,7 +97,7 @@
 def _worth_moving(
     sched: Scheduler, suspects: list[tuple[Run, float]], at: float
 ) -> list[tuple[Run, float]]:
-    """Return those that are slow beside their step's other runs and would end sooner elsewhere."""
+    """Return the runs below their step's baseline that would end sooner on another worker."""
     if not suspects:
         return []
     baseline = baseline_speeds(sched, [run for run, _ in suspects], at)
@@ -117,15 +113,15 @@
 
 
 def _slow_speed(run: Run, listed_at: float, restore_s: float) -> float | None:
-    """Return the speed of a run that is slow now; ``None`` for others."""
+    """Return the speed of a run if it is slow, else ``None``."""
     if _throttled(run):
         return run.paced / 100 if listed_at - run.running_at >= MIN_OBSERVATION_S else None
     stalled = run.watch.stalled
     if run.step.fills and run.paced < 0 and not stalled:
-        # Its agent has been restarted, or has got no answer: it may hold the run back.
+        # The pace is unknown after an agent's restart or a missing answer: it may be throttled.
         return None
     if run.step.fills and STALLED_PACE_PERCENT < run.paced < 100:
-        # Its pace comes back as the tails beside it allow.
+        # Mildly throttled: the agent restores the pace when tail latencies allow it.
         return None
     speed = speed_of(run, restore_s)
     if speed is not None and stalled:
@@ -134,9 +130,10 @@
 
 
 def _throttled(run: Run) -> bool:
-    """Whether its agent holds the run back, by the newest report.
+    """Return whether the agent throttles the run, by the newest report.
 
-    One that saves no progress is judged by its speed so far instead: moved, it would start anew.
+    Always ``False`` for runs that save no progress: they would start anew if moved, and are judged
+    by their speed instead.
     """
     running = run.phase is Phase.RUNNING and run.percent >= 0
     movable = run.step.fills and run.step.saves
@@ -186,14 +183,14 @@
 
 
 def _worker_at_fault(run: Run, instance: Instance) -> bool:
-    """A filling run is slow also where it is paced, or where others leave little."""
+    """Return whether the worker is at fault, not throttling or contention of best-effort tasks."""
     if not run.step.fills:
         return True
     return run.paced >= 100 and instance.spare_cpu >= 0
 
 
 def _find_other_worker(sched: Scheduler, run: Run, at: float) -> Instance | None:
-    """Return another worker that would take the task now."""
+    """Return the best other worker with room for the task."""
     job = sched.jobs.get(run.ref.job_id)
     if job is None:
         return None
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -1,8 +1,7 @@
-"""One line a second on what waits, what runs and what holds it back.
+"""Periodic summary of waiting and running tasks, for the log.
 
-The pattern that this answers: jobs end late although no call failed and no worker was lost.  The
-line tells which of the usual causes it was: no room, workers not taken, filling work held back
-beside serving tasks, or tails of these over their targets.
+Shows why jobs end late: no room, unsound workers, best-effort tasks throttled beside
+latency-critical ones, or tail latencies over their targets.
 """
 
 from dataclasses import dataclass
@@ -13,24 +12,24 @@
 from sapphirelead.sched_planner import waiting_tasks
 
 SURVEY_INTERVAL_S: Final = 1.0
-"""Time between two lines."""
+"""Time between two summaries."""
 
 
 @dataclass(frozen=True, slots=True)
 class Survey:
-    """The state of a fleet at a moment; processors in whole cores.
+    """State of the fleet; CPU in whole cores.
 
     :ivar workers: live workers.
-    :ivar unsound: of these, such as get no work because runs failed or crawled there.
-    :ivar serving: of these, such as run a task with a target.
-    :ivar fills_waiting: filling tasks that could start and have no claim.
-    :ivar others_waiting: other tasks that could start and have no claim.
-    :ivar fills_running: filling tasks that a worker runs.
-    :ivar fill_cores: processors that they ask for.
-    :ivar used_cores: processors that they used by the newest reports.
-    :ivar paced: mean share in percent at which their agents let them work.
-    :ivar over_target: serving tasks whose tail is over its target.
-    :ivar tails: mean tail of the serving tasks as a share of its target, in percent.
+    :ivar unsound: live workers that get no work because runs failed or were slow there.
+    :ivar serving: live workers that run a latency-critical task.
+    :ivar fills_waiting: best-effort tasks that are ready and unclaimed.
+    :ivar others_waiting: other tasks that are ready and unclaimed.
+    :ivar fills_running: running best-effort tasks.
+    :ivar fill_cores: cores that running best-effort tasks request.
+    :ivar used_cores: cores that they used by the newest reports.
+    :ivar paced: mean pace that their agents allow them, in percent.
+    :ivar over_target: latency-critical tasks whose tail latency is over its target.
+    :ivar tails: mean tail latency of these tasks as a share of its target, in percent.
     """
 
     workers: int
@@ -47,7 +46,7 @@
 
 
 def survey(sched: Scheduler, at: float) -> Survey:
-    """Sum up what ``sched`` knows at ``at``."""
+    """Return a summary of the scheduler's state."""
     live = list(sched.fleet.live())
     running = [run for run in sched.fleet.runs.values() if run.phase is Phase.RUNNING]
     fills = [run for run in running if run.step.fills]
