--- a/sapphirelead/sched_baseline_speed.py
+++ b/sapphirelead/sched_baseline_speed.py
@@ -1,6 +1,6 @@
 """Baseline speeds of steps, measured on other workers than the suspected one.
 
-Tells a slow worker from a wrong estimate: a worker is slow only if other runs of the step are faster
+Tells slow workers from wrong estimates: a worker is slow only if other runs of the step are faster
 elsewhere, or if there are none to compare with.
 """
 
--- a/tests/sched/pressure.py
+++ b/tests/sched/pressure.py
@@ -17,8 +17,8 @@
 TARGET_MS: Final = 50
 CORES: Final = 64.0
 TICK_S: Final = 0.05
-LIST_S: Final = 0.45
-HALF_WAY_S: Final = 0.4
+REPORT_INTERVAL_S: Final = 0.45
+TAIL_HALF_LIFE_S: Final = 0.4
 
 
 class Drift:
@@ -33,13 +33,13 @@
 
     def step(self) -> float:
         """Return the factor one tick later."""
-        push = math.sqrt(1 - self._keep**2) * self._rng.gauss(0, self._spread)
-        self._at = self._keep * self._at + push
+        noise = math.sqrt(1 - self._keep**2) * self._rng.gauss(0, self._spread)
+        self._at = self._keep * self._at + noise
         return math.exp(self._middle + self._at)
 
 
 @dataclass(slots=True)
-class Filling:
+class FillTask:
     """A filling task that works."""
 
     image: str
@@ -48,32 +48,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class DriftResult:
     """Means over the time played: cores used by filling work, serving tasks over target."""
 
     used_cores: float
     over_target: float
 
 
-def play_drift(seed: int, seconds: float = 60.0) -> Played:
+def simulate_drift(seed: int, seconds: float = 60.0) -> DriftResult:
     """Let a control pace filling work on such a worker."""
     rng = random.Random(seed)
     control = PaceControl()
     serving = [f"s{rng.randrange(3)}" for _ in range(5)]
     base_ms = {f"s{number}": rng.uniform(10, 15) for number in range(3)}
     images = [f"f{number}" for number in range(8)]
-    press = {(s, f): Drift(rng, 1.2, 1.3, 8.0) for s in base_ms for f in images}
+    drifts = {(s, f): Drift(rng, 1.2, 1.3, 8.0) for s in base_ms for f in images}
     loads = [Drift(rng, 0.0, 0.3, 4.0) for _ in serving]
     tails = [base_ms[image] for image in serving]
 
-    def next_task() -> Filling:
-        return Filling(rng.choice(images), rng.uniform(4, 8), rng.uniform(3, 7))
+    def next_task() -> FillTask:
+        return FillTask(rng.choice(images), rng.uniform(4, 8), rng.uniform(3, 7))
 
     tasks = [next_task() for _ in range(4)]
     paces: dict[str, float] = {}
     used = over = 0.0
     for tick in range(int(seconds / TICK_S)):
-        pressing = {pair: drift.step() for pair, drift in press.items()}
+        weights = {pair: drift.step() for pair, drift in drifts.items()}
         using: dict[str, float] = {}
         for number, task in enumerate(tasks):
             pace = paces.get(task.image, FIRST)
@@ -83,11 +83,11 @@
             if task.left_s <= 0:
                 tasks[number] = next_task()
         for number, image in enumerate(serving):
-            growth = 1 + sum(pressing[image, filling] * share for filling, share in using.items())
-            settles = base_ms[image] * loads[number].step() * growth
-            tails[number] += (settles - tails[number]) * (1 - 0.5 ** (TICK_S / HALF_WAY_S))
+            growth = 1 + sum(weights[image, filling] * share for filling, share in using.items())
+            settled = base_ms[image] * loads[number].step() * growth
+            tails[number] += (settled - tails[number]) * (1 - 0.5 ** (TICK_S / TAIL_HALF_LIFE_S))
             over += tails[number] > TARGET_MS
-        if tick % round(LIST_S / TICK_S) == 0:
+        if tick % round(REPORT_INTERVAL_S / TICK_S) == 0:
             seen = [
                 Tail(str(number), image, round(tails[number]), TARGET_MS)
                 for number, image in enumerate(serving)
@@ -95,4 +95,4 @@
             control.update(seen, using, tick * TICK_S)
             paces = {task.image: control.percent(task.image) / 100 for task in tasks}
     ticks = seconds / TICK_S
-    return Played(used / ticks, over / ticks)
+    return DriftResult(used / ticks, over / ticks)
--- a/tests/sched/test_advice.py
+++ b/tests/sched/test_advice.py
@@ -13,7 +13,7 @@
 WORKERS = [f"w{number}" for number in range(MAX_WORKERS_PER_REQUEST + 60)]
 
 
-def test_every_worker_of_a_large_fleet_is_asked_about() -> None:
+def test_advice_is_requested_for_every_worker_of_a_large_fleet() -> None:
     """A job waits for ever, although sixty workers may run it and stand empty.
 
     The list of workers was cut to what one question may name before those with an answer were taken
@@ -31,18 +31,18 @@
     assert sorted(named) == sorted(f"w-{worker}" for worker in WORKERS)
 
 
-def test_workers_are_asked_about_for_the_first_time_before_others_for_the_second() -> None:
-    book = TicketTable()
-    first = book.start_request(KEY, WORKERS, 0.0)
-    book.add_tickets(KEY, dict.fromkeys(first, "ticket"), expires_at=2.0)
-    second = book.start_request(KEY, WORKERS, 3.0)
+def test_first_requests_go_before_renewals() -> None:
+    table = TicketTable()
+    first = table.start_request(KEY, WORKERS, 0.0)
+    table.add_tickets(KEY, dict.fromkeys(first, "ticket"), expires_at=2.0)
+    second = table.start_request(KEY, WORKERS, 3.0)
     assert set(second) >= set(WORKERS[MAX_WORKERS_PER_REQUEST:])
     assert len(second) == MAX_WORKERS_PER_REQUEST
 
 
-def test_a_worker_without_permission_is_not_asked_about_again() -> None:
-    book = TicketTable()
-    book.start_request(KEY, WORKERS[:3], 0.0)
-    book.add_tickets(KEY, {"w1": "ticket"}, expires_at=2.0)
-    assert book.start_request(KEY, WORKERS[:3], 0.5) == []
-    assert book.start_request(KEY, WORKERS[:3], 1.5) == ["w1"]
+def test_refused_worker_is_not_requested_again() -> None:
+    table = TicketTable()
+    table.start_request(KEY, WORKERS[:3], 0.0)
+    table.add_tickets(KEY, {"w1": "ticket"}, expires_at=2.0)
+    assert table.start_request(KEY, WORKERS[:3], 0.5) == []
+    assert table.start_request(KEY, WORKERS[:3], 1.5) == ["w1"]
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -21,7 +21,7 @@
 
     STEP = StepSpec(cpu_millicores=1000, estimate_ms=4000, saves=True)
 
-    def running(self, step: StepSpec) -> tuple[Scheduler, Agents, Run]:
+    def start_run(self, step: StepSpec) -> tuple[Scheduler, Agents, Run]:
         """Let one run of ``step`` run at one of two workers."""
         sched = scheduler()
         agents = Agents(sched)
@@ -34,7 +34,7 @@
         agents.report(run.agent, runs=[(run.ref.text(), 1)], percent=0, at=1.1)
         return sched, agents, run
 
-    def comes_to(self, agents: Agents, run: Run, percent: int, until: float) -> None:
+    def report_until(self, agents: Agents, run: Run, percent: int, until: float) -> None:
         """Let the run's agent report in time from 1.1 on, the run at ``percent`` in the end."""
         reports = math.ceil((until - 1.1) / REPORT_S)
         for number in range(1, reports + 1):
@@ -44,11 +44,11 @@
             agents.report(run.agent, runs=[(run.ref.text(), 1)], percent=done, at=at)
 
     @pytest.mark.parametrize(("percent", "stopped"), [(3, True), (40, False)])
-    def test_a_run_that_crawls_is_stopped_and_moved(self, percent: int, stopped: bool) -> None:
-        sched, agents, run = self.running(self.STEP)
+    def test_slow_run_is_stopped_and_moved(self, percent: int, stopped: bool) -> None:
+        sched, agents, run = self.start_run(self.STEP)
         other = "g2" if run.agent == "g1" else "g1"
         agents.report(other, at=3.0)
-        self.comes_to(agents, run, percent, 3.0)
+        self.report_until(agents, run, percent, 3.0)
         review(sched, 3.0)
         assert run.stop_wanted is stopped
         if stopped:
@@ -56,13 +56,13 @@
             plan(sched, 3.2, 0)
             assert only_run(sched).agent == other
 
-    def test_a_run_that_may_have_copies_is_doubled_and_the_first_end_counts(self) -> None:
-        sched, agents, run = self.running(
+    def test_slow_run_with_copies_is_duplicated_and_the_first_end_counts(self) -> None:
+        sched, agents, run = self.start_run(
             StepSpec(cpu_millicores=1000, estimate_ms=4000, copies=True)
         )
         other = "g2" if run.agent == "g1" else "g1"
         agents.report(other, at=3.0)
-        self.comes_to(agents, run, 2, 3.0)
+        self.report_until(agents, run, 2, 3.0)
         review(sched, 3.0)
         store(sched)
         assert runs(sched) == [("a1.0.0.0", 1), ("a1.0.0.0", 2)]
@@ -72,9 +72,9 @@
         assert sched.state("a1") is JobState.COMPLETED
         assert run.stop_wanted
 
-    def test_a_run_is_not_stopped_where_no_other_worker_could_take_it(self) -> None:
-        sched, agents, run = self.running(self.STEP)
-        self.comes_to(agents, run, 1, 4.0)
+    def test_run_is_not_stopped_without_another_worker(self) -> None:
+        sched, agents, run = self.start_run(self.STEP)
+        self.report_until(agents, run, 1, 4.0)
         review(sched, 4.0)
         assert not run.stop_wanted
 
@@ -82,7 +82,7 @@
 class TestLeavingWorkers:
     """Workers that say that they will leave."""
 
-    def on_leaving(self, step: StepSpec, percent: int, remaining_ms: int) -> Run:
+    def run_on_leaving_worker(self, step: StepSpec, percent: int, remaining_ms: int) -> Run:
         """Let a run go on at a worker that leaves; return it after the leader has looked."""
         sched = scheduler()
         agents = Agents(sched)
@@ -110,10 +110,10 @@
             (StepSpec(estimate_ms=8000), 20, 1500, False),
         ],
     )
-    def test_what_cannot_stay_is_stopped_in_time(
+    def test_runs_that_cannot_stay_are_stopped_in_time(
         self, step: StepSpec, percent: int, remaining_ms: int, stopped: bool
     ) -> None:
-        assert self.on_leaving(step, percent, remaining_ms).stop_wanted is stopped
+        assert self.run_on_leaving_worker(step, percent, remaining_ms).stop_wanted is stopped
 
 
 class TestJobsThatWaitForRoom:
@@ -121,7 +121,7 @@
 
     FILL = StepSpec(tasks=4, cpu_millicores=6000, estimate_ms=5000, image="f", fills=True)
 
-    def test_a_job_does_not_stand_still_for_long_where_its_memory_fits(self) -> None:
+    def test_starving_job_starts_where_its_memory_fits(self) -> None:
         """Earlier jobs have taken all processors that filling work may ask for.
 
         A later job would wait until one of them ends, with most of the workers' room free by what
@@ -144,7 +144,7 @@
         started = [run for run in sched.fleet.runs.values() if run.ref.job_id == "a2"]
         assert len(started) == 1
 
-    def test_a_job_runs_somewhere_also_where_every_worker_looks_unsound(self) -> None:
+    def test_job_runs_even_if_every_worker_is_unsound(self) -> None:
         sched = scheduler()
         agents = Agents(sched)
         agents.report(at=1.0)
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -55,7 +55,7 @@
     return sum(1 for run in sched.fleet.runs.values() if run.ref.job_id == job_id)
 
 
-def test_a_burst_without_room_is_not_tried_on_every_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_burst_without_room_is_not_retried_on_every_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     """Jobs are accepted late, cancelled late, and the lead moves from entry to entry.
 
     Each pass tried each waiting job on each worker; with 60 such jobs and 53 workers a pass took
@@ -86,7 +86,7 @@
     assert tried == 5
 
 
-def test_smaller_tasks_and_other_images_still_find_what_is_left() -> None:
+def test_smaller_tasks_and_other_images_use_remaining_room() -> None:
     sched = fleet(1)
     sched.submit(job("large", fill("a", FULL_MB + 1, tasks=1)), lambda *_: None)
     sched.submit(job("small", fill("a", FULL_MB // 2, tasks=1)), lambda *_: None)
@@ -95,7 +95,7 @@
     assert [claimed(sched, name) for name in ("large", "small", "other")] == [0, 1, 1]
 
 
-def test_a_step_kept_out_by_its_own_spread_keeps_nobody_else_out() -> None:
+def test_per_worker_limit_of_a_step_does_not_block_others() -> None:
     sched = fleet(1)
     sched.submit(job("a", fill("a", 100, tasks=2, per_worker=1)), lambda *_: None)
     sched.submit(job("b", fill("a", 100, tasks=2)), lambda *_: None)
@@ -103,7 +103,7 @@
     assert (claimed(sched, "a"), claimed(sched, "b")) == (1, 2)
 
 
-def test_waiting_work_goes_through_the_tails_of_a_worker_once_a_report(
+def test_paces_of_a_worker_are_computed_once_per_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Quick jobs end late and the lead moves from entry to entry after a burst of filling work.
@@ -114,13 +114,13 @@
     """
     workers = 6
     sched, _ = serving_fleet(workers)
-    looked = 0
-    look = InterferenceModel._compute_paces
+    computed = 0
+    compute_paces = InterferenceModel._compute_paces
 
     def counting(*args: Any) -> Any:
-        nonlocal looked
-        looked += 1
-        return look(*args)
+        nonlocal computed
+        computed += 1
+        return compute_paces(*args)
 
     monkeypatch.setattr(InterferenceModel, "_compute_paces", counting)
     for number in range(40):
@@ -128,10 +128,10 @@
         sched.submit(job(f"j{number}", large), lambda *_: None)
     plan(sched, 0.3, 0)
     plan(sched, 0.3 + 1.1 * RETRY_DELAY_S, 0)
-    assert looked <= workers
+    assert computed <= workers
 
 
-def test_runs_that_crawl_are_not_tried_on_every_worker_again_and_again(
+def test_throttled_runs_are_not_retried_on_every_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Reports, calls and answers of the store wait while a leader looks for places.
@@ -148,12 +148,12 @@
 
     def report(at: float) -> None:
         for run in runs:
-            held = RunStatus(run.ref.text(), 1, RunPhase.RUNNING, 1, 10, 0)
+            status = RunStatus(run.ref.text(), 1, RunPhase.RUNNING, 1, 10, 0)
             instance = sched.fleet.instance(run.agent)
-            word = AgentReport(
-                run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [held], []
+            agent_report = AgentReport(
+                run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [status], []
             )
-            assert take_report(sched, word, 1, at)
+            assert take_report(sched, agent_report, 1, at)
 
     for number in range(1, 9):
         report(0.5 * number)
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -16,11 +16,11 @@
 from sapphirelead.sched_planner import GROUPING_DELAY_S, plan, wanted_cpu
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store
-from tests.sched.pressure import play_drift
+from tests.sched.pressure import simulate_drift
 from tests.sched.serving import TARGET_MS, fill, report, serving_fleet
 
 BASE_MS = 25.0
-PRESS = {"heavy": 20.0, "light": 0.2}
+TAIL_GROWTH = {"heavy": 20.0, "light": 0.2}
 """Growth of the tail if the image took the whole worker."""
 
 
@@ -32,8 +32,10 @@
 
     def step(self, using: dict[str, float], load: float = 1.0) -> int:
         """Return the tail after half a second with these shares of the worker in use."""
-        aim = BASE_MS * load * (1 + sum(PRESS[image] * share for image, share in using.items()))
-        self.tail += 0.7 * (aim - self.tail)
+        settled = (
+            BASE_MS * load * (1 + sum(TAIL_GROWTH[image] * share for image, share in using.items()))
+        )
+        self.tail += 0.7 * (settled - self.tail)
         return round(self.tail)
 
 
@@ -58,19 +60,19 @@
     assert used >= 0.35
 
 
-def test_heavy_work_alone_is_held_at_the_aim_and_still_goes_on() -> None:
+def test_heavy_work_alone_is_throttled_but_progresses() -> None:
     over, used = play({"heavy": 0.4}, swing=0.3)
     assert over <= 4
     assert used >= 0.05
 
 
-def test_without_serving_tasks_nothing_is_paced() -> None:
+def test_nothing_is_throttled_without_latency_critical_tasks() -> None:
     control = PaceControl()
     control.update([], {"heavy": 0.5}, 0.0)
     assert control.percent("heavy") == 100
 
 
-def test_a_tail_far_over_its_target_is_cut_at_once() -> None:
+def test_pace_is_cut_at_once_when_a_tail_is_far_over_its_target() -> None:
     control = PaceControl()
     control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
     before = control.percent("heavy")
@@ -78,7 +80,7 @@
     assert control.percent("heavy") <= before * 0.2
 
 
-def test_what_was_slowed_comes_back_within_seconds() -> None:
+def test_throttled_work_recovers_within_seconds() -> None:
     control = PaceControl()
     control.update([Tail("s.0.0.0", "serve", 300, TARGET_MS)], {"light": 0.3}, 0.0)
     steps = 0
@@ -88,7 +90,7 @@
     assert steps * 0.45 <= 4
 
 
-def test_an_image_that_has_pressed_hard_goes_elsewhere() -> None:
+def test_image_with_high_interference_is_placed_elsewhere() -> None:
     """A filling image drives the tail beside it to three times its target within a report.
 
     The next task of that image must not go beside the same serving image again, while an image
@@ -120,7 +122,7 @@
     assert control.percent("heavy") < 100 * MIN_PACE
 
 
-def test_filling_work_goes_where_nothing_serves_first() -> None:
+def test_best_effort_work_prefers_workers_without_latency_critical_tasks() -> None:
     sched, agents = serving_fleet(2)
     report(agents, sched, "free", 25, 0.25)
     sched.submit(job("f1", fill("light", tasks=6)), lambda *_: None)
@@ -129,7 +131,7 @@
     assert filling == ["free"] * 6
 
 
-def test_lasting_tasks_that_come_together_are_packed_and_leave_workers_free() -> None:
+def test_long_running_tasks_submitted_together_are_packed() -> None:
     sched = scheduler()
     agents = Agents(sched)
     for number in range(4):
@@ -145,7 +147,7 @@
 
 
 @pytest.mark.parametrize("wants_room", [True, False])
-def test_a_worker_that_serves_little_is_emptied_only_for_work_that_waits(wants_room: bool) -> None:
+def test_worker_is_emptied_only_if_best_effort_work_waits(wants_room: bool) -> None:
     sched, agents = serving_fleet(3)
     for agent in ("g0", "g1", "g2"):
         report(agents, sched, agent, 80, 0.4)
@@ -167,7 +169,7 @@
         assert stopped == []
 
 
-def test_emptying_never_takes_two_tasks_of_a_step_at_once() -> None:
+def test_consolidation_never_moves_two_tasks_of_a_step_at_once() -> None:
     sched = scheduler()
     agents = Agents(sched)
     for agent in ("g0", "g1"):
@@ -186,7 +188,7 @@
     assert not any(run.stop_wanted for run in sched.fleet.runs.values())
 
 
-def test_a_tail_on_its_way_up_is_met_before_it_is_over_its_target() -> None:
+def test_pace_falls_before_a_rising_tail_exceeds_its_target() -> None:
     """A tail of 34, then 60 of 100 ms: half a second later it stands over its aim.
 
     Judged by the figure alone the filling work got more room just then, and the serving task's
@@ -200,7 +202,7 @@
     assert control.percent("heavy") < before
 
 
-def test_a_tail_on_its_way_down_is_not_cut_for_again() -> None:
+def test_pace_is_not_cut_again_for_a_falling_tail() -> None:
     """The first report after a cut shows a tail that is still over its target, but falls fast."""
     control = PaceControl()
     control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
@@ -210,7 +212,7 @@
     assert control.percent("heavy") >= cut > 0
 
 
-def test_over_the_target_a_new_image_does_not_shield_the_one_that_presses() -> None:
+def test_new_image_does_not_shield_the_interfering_one() -> None:
     """A filling image that has pressed for seconds drives a tail over its target.
 
     Another image begins in the same second.  Only the new one was blamed, was slowed to nothing,
@@ -226,8 +228,8 @@
     assert control.percent("heavy") < before * 0.6
 
 
-def test_drifting_pressure_is_met_and_filling_work_goes_on() -> None:
-    played = [play_drift(seed) for seed in range(6)]
+def test_drifting_interference_is_controlled_while_work_progresses() -> None:
+    played = [simulate_drift(seed) for seed in range(6)]
     over = sum(item.over_target for item in played) / len(played)
     used = sum(item.used_cores for item in played) / len(played)
     assert over < 0.06
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_same_place_is_found_as_by_a_look_at_every_worker(seed: int) -> None:
+def test_cache_finds_the_same_worker_as_a_full_scan(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
     no_room, press = InfeasibleCache(), GuardedInterferenceModel()
@@ -104,7 +104,7 @@
     return [Instance("g1", worker=worker_info())]
 
 
-def test_the_kind_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
+def test_oldest_kind_is_evicted_from_a_full_cache() -> None:
     no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
     steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MAX_KINDS + 1)]
@@ -114,7 +114,7 @@
     assert tried == steps[:1]
 
 
-def test_the_size_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
+def test_oldest_size_is_evicted_from_a_full_cache() -> None:
     no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
     steps = [
@@ -127,7 +127,7 @@
     assert tried == steps[:1]
 
 
-def test_a_worker_that_is_gone_is_no_longer_kept() -> None:
+def test_removed_worker_is_not_kept() -> None:
     no_room, fleet = InfeasibleCache(), one_worker()
     step = StepSpec()
     kind = Kind.of(step, "svc")
@@ -139,7 +139,7 @@
     assert no_room.places(kind, step) == fleet
 
 
-def test_a_step_that_stops_starving_in_a_pass_leaves_free_workers_unused() -> None:
+def test_step_that_stops_starving_in_a_pass_uses_free_workers() -> None:
     """Tasks of a job wait beside free workers once another step of it has begun."""
     sched = scheduler()
     agents = Agents(sched)
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -21,10 +21,10 @@
 from tests.sched.fakes import Agents, job, scheduler, store
 from tests.sched.serving import TARGET_MS, fill, report, serving_fleet
 
-LEAST = 0.8
+MIN_PACE = 0.8
 
 
-def beside_filling(images: int) -> Scheduler:
+def mixed_fleet(images: int) -> Scheduler:
     """Return a fleet of one worker that serves and runs a task of each of ``images``."""
     sched, _ = serving_fleet(1)
     for number in range(images):
@@ -32,11 +32,11 @@
     return sched
 
 
-def test_each_further_size_of_waiting_work_asks_for_all_pairs_of_images_again(
+def test_pair_weights_are_not_recomputed_for_each_task_size(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A leader spends half of its processor on the weights of pairs that have not changed."""
-    sched = beside_filling(6)
+    sched = mixed_fleet(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     asked = 0
     weight = InterferenceModel.weight
@@ -52,7 +52,7 @@
     assert asked <= 8
 
 
-def test_waiting_work_is_judged_on_workers_that_are_as_they_were_when_it_found_no_room(
+def test_waiting_steps_are_not_retried_on_unchanged_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Cancels wait for seconds while hundreds of filling tasks find no room, plan after plan."""
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_one_more_task_gets_what_it_gets_where_all_is_shared_out_anew(seed: int) -> None:
+def test_incremental_allotment_equals_full_allotment(seed: int) -> None:
     rng = random.Random(seed)
     rooms, weights = random_rooms(rng)
 
@@ -113,42 +113,42 @@
     known = Allotment(rooms, wanted, weight)
     for number in range(12):
         image, share = f"f{number}", rng.uniform(0.001, 0.2)
-        anew = Allotment(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
-        assert known.used_with(image, share) == pytest.approx(anew.used, abs=1e-12)
+        full = Allotment(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
+        assert known.used_with(image, share) == pytest.approx(full.used, abs=1e-12)
 
 
-def test_a_larger_task_than_one_that_was_refused_is_not_worked_out(
+def test_pace_of_larger_tasks_than_a_refused_one_is_not_computed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sched = beside_filling(6)
+    sched = mixed_fleet(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     sizes = range(200, 32_000, 200)
     paces = {size: model.pace_beside(instance, "new", size) for size in sizes}
-    first = next(size for size in sizes if paces[size] < LEAST)
-    assert not model.gives_pace(instance, "new", first, LEAST)
-    worked_out = []
+    first = next(size for size in sizes if paces[size] < MIN_PACE)
+    assert not model.gives_pace(instance, "new", first, MIN_PACE)
+    computed = []
 
     def counting(*args: Any) -> float:
-        worked_out.append(args)
+        computed.append(args)
         return 0.0
 
     monkeypatch.setattr(InterferenceModel, "pace_beside", counting)
     larger = [size for size in sizes if size >= first]
-    assert not any(model.gives_pace(instance, "new", size, LEAST) for size in larger)
-    assert not worked_out
+    assert not any(model.gives_pace(instance, "new", size, MIN_PACE) for size in larger)
+    assert not computed
 
 
-def test_smaller_tasks_and_a_changed_worker_are_worked_out_again() -> None:
-    sched = beside_filling(2)
+def test_pace_is_recomputed_for_smaller_tasks_and_changed_workers() -> None:
+    sched = mixed_fleet(2)
     model, instance = sched.press.model, sched.fleet.instance("g0")
-    assert not model.gives_pace(instance, "new", 8000, LEAST)
-    assert model.gives_pace(instance, "new", 400, LEAST)
+    assert not model.gives_pace(instance, "new", 8000, MIN_PACE)
+    assert model.gives_pace(instance, "new", 400, MIN_PACE)
     for run in [run for run in instance.runs.values() if run.step.fills]:
         sched.fleet.drop(run)
-    assert model.gives_pace(instance, "new", 8000, LEAST)
+    assert model.gives_pace(instance, "new", 8000, MIN_PACE)
 
 
-def test_each_round_goes_through_all_jobs_that_have_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planning_does_not_scan_ended_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader gets slower with each job that ends, until callers may no longer ask for them."""
     sched = scheduler(Bounds(keep_ended_s=120.0))
     for number in range(300):
@@ -157,12 +157,12 @@
     for number in range(299):
         sched.cancel(f"j{number}", lambda *_: None)
     store(sched)
-    looked = 0
+    visited = 0
     state = vars(Job)["state"]
 
     def counting(self: Job) -> JobState:
-        nonlocal looked
-        looked += 1
+        nonlocal visited
+        visited += 1
         found: JobState = state.fget(self)
         return found
 
@@ -170,10 +170,10 @@
     sched.forget_ended(0)
     plan(sched, 0.0, 0)
     assert sched.waiting("q") == 1
-    assert looked <= 3
+    assert visited <= 3
 
 
-def test_a_job_that_still_runs_is_kept_and_keeps_no_other_job() -> None:
+def test_running_job_is_kept_without_delaying_removal_of_others() -> None:
     sched = scheduler(Bounds(keep_ended_s=1.0))
     Agents(sched).report()
     for name in ("runs", "waits"):
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -21,7 +21,7 @@
 IDLE_MS = 25.0
 
 
-def test_filling_jobs_end_in_time_beside_swinging_loads() -> None:
+def test_best_effort_jobs_end_in_time_beside_swinging_loads() -> None:
     """Members' pages are quick, yet nearly every filling job ends late.
 
     Each rise of a serving job's load was taken for pressure of whatever filled beside it, so light
@@ -33,7 +33,7 @@
     assert all(item.over_target < 1.0 for item in played)
 
 
-def test_two_images_that_run_together_are_told_apart() -> None:
+def test_effects_of_two_images_on_one_worker_are_separated() -> None:
     """A light image is held back for minutes because a heavy one once ran beside it.
 
     Both ran on one worker first, which says nothing of either alone; later the light one runs alone
@@ -48,7 +48,7 @@
     assert found.weights["heavy"] > 1.5
 
 
-def test_one_report_of_a_slow_worker_does_not_make_a_light_image_heavy() -> None:
+def test_single_outlier_report_does_not_make_a_light_image_heavy() -> None:
     found = PressureFilter()
     for _ in range(20):
         found.observe(0.02, {"light": 0.2}, 0.03, unknown, 0.0)
@@ -56,7 +56,7 @@
     assert found.weights["light"] < 0.8
 
 
-def test_images_that_are_no_longer_seen_give_way_to_new_ones() -> None:
+def test_images_no_longer_seen_are_evicted() -> None:
     """A leader gets slower from week to week: each release of a program is an image of its own.
 
     An observation goes through all images that were ever seen beside the serving one.
@@ -68,7 +68,7 @@
     assert {"stays", f"f{3 * MOST_IMAGES - 1}"} <= found.weights.keys()
 
 
-def test_an_image_of_the_observation_in_hand_does_not_give_way_to_its_neighbour() -> None:
+def test_images_of_the_current_observation_are_not_evicted() -> None:
     """A fleet whose jobs bring ever new images loses its leader every few seconds.
 
     A worker runs an image that no other has shown for long beside one that is new.  The first was
@@ -82,14 +82,14 @@
     assert len(found.weights) == MOST_IMAGES
 
 
-def test_an_observation_of_more_images_than_are_kept_counts_the_largest() -> None:
+def test_observation_of_too_many_images_keeps_the_largest() -> None:
     found = PressureFilter()
     shares = {f"f{number}": 0.001 * (number + 1) for number in range(2 * MOST_IMAGES)}
     found.observe(0.1, shares, 0.03, unknown, 0.0)
     assert found.weights.keys() == {f"f{n}" for n in range(MOST_IMAGES, 2 * MOST_IMAGES)}
 
 
-def test_what_is_known_of_an_image_outlasts_many_observations_of_others() -> None:
+def test_estimate_of_an_image_survives_observations_of_others() -> None:
     """On a large fleet light work is held back again each time that it comes.
 
     Hundreds of workers report each second.  Each report aged what was known of all images, so a
@@ -104,7 +104,7 @@
     assert believe(HEAVY_SHARE, found.seen("light")).careful - known < 0.25
 
 
-def test_a_fault_in_what_is_learnt_costs_the_estimates_and_not_the_leader(
+def test_model_fault_resets_the_model_and_keeps_the_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A report leads the learning into a fault that nobody thought of.
@@ -143,7 +143,7 @@
         assert control.percent("light") == 100
 
 
-def test_a_known_image_begins_at_the_pace_that_the_tails_bear() -> None:
+def test_known_image_starts_at_the_pace_that_tail_latencies_allow() -> None:
     control = PaceControl()
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05, "heavy": 3.0})])
     control.update([Tail("s.0.0.0", "serve", 60, TARGET_MS)], {}, 0.0, {})
@@ -153,7 +153,7 @@
     assert control.percent("heavy") < 25
 
 
-def test_a_pair_that_was_learnt_wrong_gives_way_to_what_is_measured() -> None:
+def test_measurements_override_a_wrong_pair_weight() -> None:
     """A tail stays at twice its target for seconds beside an image that was called light."""
     control = PaceControl()
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.0})])
@@ -167,7 +167,7 @@
     assert control.percent("light") < 10
 
 
-def test_a_held_back_run_goes_where_it_gets_its_pace_unless_it_would_start_anew() -> None:
+def test_throttled_run_is_moved_only_if_it_saves_progress() -> None:
     """A filling job of four seconds ends after fifteen: one of its tasks stood still for ten.
 
     The load of the serving task beside it rose, its agent held it back, and other workers were
@@ -194,7 +194,7 @@
         assert run.stop_wanted is moved
 
 
-def test_the_serving_tasks_of_a_job_go_together() -> None:
+def test_latency_critical_tasks_of_a_job_are_packed_together() -> None:
     """Two jobs of four tasks, two workers: mixed, one of them is always near the top of its load.
 
     What fills beside both jobs has room only while both are low.
--- a/tests/sched/test_scan_order.py
+++ b/tests/sched/test_scan_order.py
@@ -15,7 +15,7 @@
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 from tests.sched.serving import report, serving_fleet
 
-LOOK_S = 0.02
+SCAN_S = 0.02
 BUDGET_S = 0.1
 CALL_S = 0.2
 """Time from one call of the planner to the next."""
@@ -33,14 +33,14 @@
         return "j", 0, self.number
 
 
-class Looks:
-    """Calls of a planner that never finds room, each look of which takes :data:`LOOK_S`."""
+class PlannerCalls:
+    """Calls of a planner that never finds room, each look of which takes :data:`SCAN_S`."""
 
     def __init__(self) -> None:
         self.at = 0.0
         self.scan_order = ScanOrder()
         self.since: dict[StepKey, float] = {}
-        self.looked: dict[int, list[float]] = {}
+        self.scanned: dict[int, list[float]] = {}
         self.new_room = False
 
     def call(self, numbers: range) -> list[int]:
@@ -53,100 +53,100 @@
         found = []
         for step in self.scan_order.order(steps, self.since, began, lambda _: self.new_room):
             self.scan_order.mark_scanned(step.key, began)
-            self.looked.setdefault(step.number, []).append(began)
+            self.scanned.setdefault(step.number, []).append(began)
             found.append(step.number)
-            self.at += LOOK_S
-        assert self.at - began <= BUDGET_S + LOOK_S
+            self.at += SCAN_S
+        assert self.at - began <= BUDGET_S + SCAN_S
         self.at = max(self.at, began + CALL_S)
         return found
 
 
-def test_what_fits_into_the_budget_is_looked_at_by_rank_in_each_call() -> None:
-    looks = Looks()
+def test_steps_within_the_budget_are_scanned_by_rank_in_each_call() -> None:
+    planner = PlannerCalls()
     for _ in range(3):
-        assert looks.call(range(5)) == [0, 1, 2, 3, 4]
-        assert not looks.scan_order.behind
-        assert looks.scan_order.waited_s == 0
+        assert planner.call(range(5)) == [0, 1, 2, 3, 4]
+        assert not planner.scan_order.behind
+        assert planner.scan_order.waited_s == 0
 
 
-def test_it_tells_how_long_a_step_has_waited_for_a_look() -> None:
-    looks = Looks()
+def test_longest_wait_for_a_scan_is_reported() -> None:
+    planner = PlannerCalls()
     for _ in range(4):
-        looks.call(range(500))
-    assert looks.scan_order.waited_s == pytest.approx(3 * CALL_S)
-    looks.call(range(4))
-    assert looks.scan_order.waited_s == 0
+        planner.call(range(500))
+    assert planner.scan_order.waited_s == pytest.approx(3 * CALL_S)
+    planner.call(range(4))
+    assert planner.scan_order.waited_s == 0
 
 
-def test_a_new_step_of_a_higher_rank_does_not_wait_for_the_end_of_a_pass() -> None:
+def test_new_high_rank_step_does_not_wait_for_the_end_of_a_pass() -> None:
     """A service's task waits until five hundred filling steps have been tried."""
-    looks = Looks()
-    looks.call(range(1, 500))
-    assert looks.scan_order.behind
-    assert looks.call(range(500))[0] == 0
+    planner = PlannerCalls()
+    planner.call(range(1, 500))
+    assert planner.scan_order.behind
+    assert planner.call(range(500))[0] == 0
 
 
-def test_urgent_steps_are_looked_at_again_and_again_while_a_long_pass_goes_on() -> None:
+def test_urgent_steps_are_rescanned_during_a_long_pass() -> None:
     """Room for a service's task comes while five hundred filling steps wait."""
-    looks = Looks()
+    planner = PlannerCalls()
     for _ in range(100):
-        looks.call(range(500))
-    times = looks.looked[0]
+        planner.call(range(500))
+    times = planner.scanned[0]
     assert max(b - a for a, b in pairwise(times)) <= RESCAN_INTERVAL_S + CALL_S
 
 
-def test_each_step_is_reached_however_many_rank_before_it() -> None:
+def test_every_step_is_scanned_regardless_of_rank() -> None:
     """Those that rank first take all the time that a leader has, and the last never start."""
-    looks = Looks()
+    planner = PlannerCalls()
     for _ in range(300):
-        looks.call(range(500))
-    assert len(looks.looked) == 500
+        planner.call(range(500))
+    assert len(planner.scanned) == 500
     # Steps that come later and rank first do not change that.
-    late = Looks()
+    late = PlannerCalls()
     for number in range(300):
         late.call(range(200 - number, 400) if number < 200 else range(400))
-    assert set(range(200, 400)) <= late.looked.keys()
+    assert set(range(200, 400)) <= late.scanned.keys()
 
 
-def test_each_step_is_reached_although_there_is_new_room_for_those_before_it() -> None:
+def test_every_step_is_scanned_while_earlier_ranks_have_new_room() -> None:
     """Steps that rank first and fit nowhere are tried on each worker that reports."""
-    looks = Looks()
-    looks.new_room = True
+    planner = PlannerCalls()
+    planner.new_room = True
     for _ in range(300):
-        assert looks.call(range(500))[0] == 0
-    assert len(looks.looked) == 500
+        assert planner.call(range(500))[0] == 0
+    assert len(planner.scanned) == 500
 
 
-def test_a_call_without_time_left_still_looks_at_the_first_and_at_the_oldest() -> None:
-    looks = Looks()
-    looks.scan_order.budget = Budget(lambda: 1.0, 0.0)
+def test_call_with_spent_budget_scans_the_first_and_the_oldest_step() -> None:
+    planner = PlannerCalls()
+    planner.scan_order.budget = Budget(lambda: 1.0, 0.0)
     steps = [Waiting(number) for number in range(5)]
     since = {step.key: float(-step.number) for step in steps}
     found = []
-    for step in looks.scan_order.order(steps, since, 1.0):
-        looks.scan_order.mark_scanned(step.key, 1.0)
+    for step in planner.scan_order.order(steps, since, 1.0):
+        planner.scan_order.mark_scanned(step.key, 1.0)
         found.append(step.number)
     assert found == [0, 4]
 
 
-def test_steps_that_are_gone_are_forgotten_while_planning_is_behind() -> None:
-    looks = Looks()
-    looks.call(range(100))
-    looks.since.clear()
-    looks.call(range(200, 300))
-    assert all(number >= 200 for _, _, number in looks.scan_order._scanned_at)
+def test_removed_steps_are_forgotten_while_passes_are_truncated() -> None:
+    planner = PlannerCalls()
+    planner.call(range(100))
+    planner.since.clear()
+    planner.call(range(200, 300))
+    assert all(number >= 200 for _, _, number in planner.scan_order._scanned_at)
 
 
-def test_a_step_that_may_not_be_looked_at_for_a_moment_does_not_count_as_never_looked_at() -> None:
+def test_step_waiting_for_a_retry_does_not_count_as_never_scanned() -> None:
     """The same few steps without room take the time of all others, each time their pause ends."""
-    looks = Looks()
-    first = looks.call(range(100))
-    looks.call(range(len(first), 100))
-    looks.at = 0.9 * RESCAN_INTERVAL_S
-    assert not set(looks.call(range(100))) & set(first)
+    planner = PlannerCalls()
+    first = planner.call(range(100))
+    planner.call(range(len(first), 100))
+    planner.at = 0.9 * RESCAN_INTERVAL_S
+    assert not set(planner.call(range(100))) & set(first)
 
 
-def test_room_that_comes_free_while_planning_is_behind_goes_to_low_priorities(
+def test_freed_room_goes_to_high_priorities_while_passes_are_truncated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Five steps of a high priority wait while others of a low one get what becomes free."""
@@ -167,15 +167,15 @@
     at = 0.0
     mark_scanned = ScanOrder.mark_scanned
 
-    def slow_look(scan_order: ScanOrder, key: StepKey, began: float) -> None:
+    def slow_scan(scan_order: ScanOrder, key: StepKey, began: float) -> None:
         nonlocal at
-        at += LOOK_S
+        at += SCAN_S
         mark_scanned(scan_order, key, began)
 
     def clock() -> float:
         return at
 
-    monkeypatch.setattr(ScanOrder, "mark_scanned", slow_look)
+    monkeypatch.setattr(ScanOrder, "mark_scanned", slow_scan)
     scan_order = ScanOrder()
     started: list[str] = []
     for run in full:
@@ -194,7 +194,7 @@
     assert len(order) > 5, "the others get what is left"
 
 
-def test_a_wide_step_is_placed_over_several_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wide_step_is_placed_over_several_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     """One job of a thousand tasks holds the leader for as long as all of them take."""
     sched = scheduler()
     agents = Agents(sched)
@@ -206,7 +206,7 @@
 
     def slow_claim(*args: object) -> object:
         nonlocal at
-        at += LOOK_S
+        at += SCAN_S
         return claim(*args)  # type: ignore[arg-type]
 
     monkeypatch.setattr(type(sched), "claim", slow_claim)
@@ -216,12 +216,12 @@
         began = at
         scan_order.budget = Budget(lambda: at, began + BUDGET_S)
         plan(sched, 0.0, 0, scan_order)
-        assert began < at <= began + BUDGET_S + LOOK_S
+        assert began < at <= began + BUDGET_S + SCAN_S
         calls += 1
-    assert calls >= 200 * LOOK_S / (BUDGET_S + LOOK_S)
+    assert calls >= 200 * SCAN_S / (BUDGET_S + SCAN_S)
 
 
-def test_a_review_that_is_cut_goes_on_with_the_runs_that_it_left_out(
+def test_truncated_review_continues_with_the_remaining_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A hundred runs crawl, and the leader looks for other places for all of them at once."""
@@ -238,12 +238,12 @@
     runs = list(sched.fleet.runs.values())
     assert len(runs) == 20
     at = 0.0
-    looked: list[Run] = []
+    scanned: list[Run] = []
 
     def slow(_: object, run: Run, *others: object) -> None:
         nonlocal at
-        at += LOOK_S
-        looked.append(run)
+        at += SCAN_S
+        scanned.append(run)
 
     monkeypatch.setattr("sapphirelead.sched_stragglers._find_other_worker", slow)
     for number in range(4):
@@ -253,11 +253,11 @@
                 agents.report(run.agent, runs=[(run.ref.text(), 1)], at=reported_at)
         began = at
         review(sched, 0.6 + 3 * number, Budget(lambda: at, began + BUDGET_S))
-        assert at <= began + BUDGET_S + LOOK_S
-    assert len({run.key for run in looked}) == len(looked) > 10
+        assert at <= began + BUDGET_S + SCAN_S
+    assert len({run.key for run in scanned}) == len(scanned) > 10
 
 
-def test_a_search_for_a_worker_to_empty_goes_on_where_it_was_cut(
+def test_truncated_consolidation_continues_with_the_remaining_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Whether each of the lasting tasks fits elsewhere is asked of the whole fleet at once."""
@@ -269,7 +269,7 @@
 
     def slow(_: object, instance: Instance, *others: object) -> bool:
         nonlocal at
-        at += LOOK_S
+        at += SCAN_S
         tried.append(instance.agent)
         return False
 
@@ -278,7 +278,7 @@
     for _ in range(3):
         began = at
         consolidation.review(sched, 10**9, 0.9, Budget(lambda: at, began + BUDGET_S))
-        assert at <= began + BUDGET_S + LOOK_S
+        assert at <= began + BUDGET_S + SCAN_S
     assert len(set(tried)) == len(tried) == 12
     consolidation.review(sched, 10**9, 0.9)
     assert len(tried) == 24, "a new search asks all of them again"
--- a/tests/sched/test_survey.py
+++ b/tests/sched/test_survey.py
@@ -6,7 +6,7 @@
 from tests.sched.serving import fill, report, serving_fleet
 
 
-def test_it_tells_filling_work_that_is_held_back_from_work_without_room() -> None:
+def test_summary_separates_throttled_work_from_work_without_room() -> None:
     """A user's bulk job ends late, and nothing was lost or refused.
 
     The line has to tell that filling tasks ran at a tenth of their pace, and how many more wait.
@@ -31,7 +31,7 @@
     assert seen.tails == 120
 
 
-def test_a_fleet_that_does_nothing_has_a_line_too() -> None:
+def test_summary_of_an_idle_fleet() -> None:
     sched = scheduler()
     Agents(sched)
     seen = survey(sched, 0.0)
--- a/tests/sched/test_wide_steps.py
+++ b/tests/sched/test_wide_steps.py
@@ -42,24 +42,24 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("seed", range(20))
-def test_the_same_places_are_chosen_as_by_a_look_at_every_worker(step: StepSpec, seed: int) -> None:
+def test_heap_returns_the_same_workers_as_a_full_scan(step: StepSpec, seed: int) -> None:
     rng = random.Random(seed)
     places = random_places(rng)
     request = PlacementRequest(step, "svc", tasks=step.tasks)
-    choice = PlacementHeap(places, request, TaskRef("a1", 0, 0, 0))
+    heap = PlacementHeap(places, request, TaskRef("a1", 0, 0, 0))
     for number in range(60):
         ref = TaskRef("a1", 0, 0, number)
         avoid = frozenset(rng.sample([place.agent for place in places], rng.choice((0, 0, 3, 30))))
         expected = choose(places, request, ref, avoid)
-        taken = choice.take(avoid)
+        taken = heap.take(avoid)
         assert taken is expected
         if taken is None:
             break
         taken.add(Run(ref, 1, taken.agent, "w", step))
-        choice.put_back(taken)
+        heap.put_back(taken)
 
 
-def test_a_wide_step_looks_at_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wide_step_checks_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Work starts seconds late on a fleet of hundreds of workers, and the leader is never idle.
 
     Each of a step's tasks was tried on every worker, forty tasks on two hundred workers eight
@@ -70,15 +70,15 @@
     for number in range(200):
         agents.report(f"g{number}")
     fits = Instance.fits
-    looks = 0
+    checks = 0
 
     def counting(self: Instance, step: StepSpec) -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return fits(self, step)
 
     monkeypatch.setattr(Instance, "fits", counting)
     sched.submit(job("a1", StepSpec(tasks=40, cpu_millicores=1000)), lambda *_: None)
     plan(sched, 1.0, 0)
     assert len(sched.fleet.runs) == 40
-    assert looks <= 200 + 40
+    assert checks <= 200 + 40
