--- a/tests/sched/pressure.py
+++ b/tests/sched/pressure.py
@@ -1,10 +1,7 @@
-"""A worker whose serving and filling tasks disturb each other by amounts that drift.
+"""Simulates a worker on which the interference between tasks drifts.
 
-The load that this stands for, as traces of played days showed it: five serving tasks of three
-images at a quarter of their targets, four filling tasks of 4 to 8 of 64 cores; how much a pair of
-images disturbs each other spans from hardly to tenfold and moves within seconds, like the load of
-each serving task; a tail goes half of its way to a new value in 0.4 s; the agent sees it each
-0.45 s.
+Runs five latency-critical tasks of three images and four best-effort tasks of 4 to 8 of 64 cores.
+The weight of each pair of images and the load of each latency-critical task drift within seconds.
 """
 
 import math
@@ -22,7 +19,7 @@
 
 
 class Drift:
-    """A positive factor that wanders around its middle."""
+    """Positive factor that follows a mean-reverting random walk."""
 
     def __init__(self, rng: random.Random, middle: float, spread: float, time_s: float) -> None:
         self._rng = rng
@@ -40,7 +37,7 @@
 
 @dataclass(slots=True)
 class FillTask:
-    """A filling task that works."""
+    """A running best-effort task."""
 
     image: str
     cores: float
@@ -49,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DriftResult:
-    """Means over the time played: cores used by filling work, serving tasks over target."""
+    """Means over time: cores used by best-effort tasks, latency-critical tasks over target."""
 
     used_cores: float
     over_target: float
 
 
 def simulate_drift(seed: int, seconds: float = 60.0) -> DriftResult:
-    """Let a control pace filling work on such a worker."""
+    """Simulate ``seconds`` of pacing on the worker."""
     rng = random.Random(seed)
     control = PaceControl()
     serving = [f"s{rng.randrange(3)}" for _ in range(5)]
--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -1,4 +1,4 @@
-"""A fleet whose workers all serve, and filling work beside it."""
+"""Fleet with a latency-critical task on each worker, and best-effort steps for it."""
 
 from typing import Final
 
@@ -10,11 +10,11 @@
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
 TARGET_MS: Final = 100
-"""Target of the serving tasks' tails."""
+"""Tail latency target of the latency-critical tasks."""
 
 
 def report(agents: Agents, sched: Scheduler, agent: str, tail: int, at: float) -> None:
-    """Report every run of an agent, serving ones with ``tail``."""
+    """Report every run of an agent, latency-critical ones with ``tail``."""
     instance = sched.fleet.instance(agent)
     agents.beats[agent] = agents.beats.get(agent, 0) + 1
     statuses = [
@@ -35,7 +35,7 @@
 
 
 def serving_fleet(workers: int) -> tuple[Scheduler, Agents]:
-    """Return a fleet in which one task serves on each of ``workers``."""
+    """Return a fleet of ``workers`` with one latency-critical task on each."""
     sched = scheduler()
     agents = Agents(sched)
     names = [f"g{number}" for number in range(workers)]
@@ -60,7 +60,7 @@
 
 
 def fill(image: str, tasks: int = 1) -> StepSpec:
-    """Return a filling step."""
+    """Return a best-effort step."""
     return StepSpec(
         tasks=tasks, cpu_millicores=4000, estimate_ms=5000, saves=True, image=image, fills=True
     )
--- a/tests/sched/test_advice.py
+++ b/tests/sched/test_advice.py
@@ -1,8 +1,4 @@
-"""Which workers the advice service is asked about; no network.
-
-The load that these tests stand for: a queue whose steps need permissions, on a fleet with more
-workers than one question may name.
-"""
+"""Requests to the advice service on fleets with more workers than one request may name."""
 
 from sapphirelead.sched_advice import MAX_WORKERS_PER_REQUEST, TicketTable
 from sapphirelead.sched_planner import plan
@@ -14,11 +10,7 @@
 
 
 def test_advice_is_requested_for_every_worker_of_a_large_fleet() -> None:
-    """A job waits for ever, although sixty workers may run it and stand empty.
-
-    The list of workers was cut to what one question may name before those with an answer were taken
-    out, so that the same hundred were looked at each time.
-    """
+    """Guards against truncating the list of workers before answered ones are removed."""
     sched = scheduler()
     agents = Agents(sched)
     for worker in WORKERS:
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -1,4 +1,4 @@
-"""Work on workers that crawl, leave, have no room, or look unsound; no network, no clock."""
+"""Tasks on workers that are slow, leaving, full or unsound; no network, no clock."""
 
 import math
 
@@ -17,12 +17,12 @@
 
 
 class TestStragglers:
-    """Runs that crawl or stand still."""
+    """Slow and stalled runs."""
 
     STEP = StepSpec(cpu_millicores=1000, estimate_ms=4000, saves=True)
 
     def start_run(self, step: StepSpec) -> tuple[Scheduler, Agents, Run]:
-        """Let one run of ``step`` run at one of two workers."""
+        """Start one run of ``step`` on one of two workers."""
         sched = scheduler()
         agents = Agents(sched)
         for agent in ("g1", "g2"):
@@ -35,7 +35,7 @@
         return sched, agents, run
 
     def report_until(self, agents: Agents, run: Run, percent: int, until: float) -> None:
-        """Let the run's agent report in time from 1.1 on, the run at ``percent`` in the end."""
+        """Report the run's progress in time from 1.1 on, up to ``percent`` at ``until``."""
         reports = math.ceil((until - 1.1) / REPORT_S)
         for number in range(1, reports + 1):
             share = number / reports
@@ -80,10 +80,10 @@
 
 
 class TestLeavingWorkers:
-    """Workers that say that they will leave."""
+    """Workers that are about to leave the fleet."""
 
     def run_on_leaving_worker(self, step: StepSpec, percent: int, remaining_ms: int) -> Run:
-        """Let a run go on at a worker that leaves; return it after the leader has looked."""
+        """Return a run on a leaving worker after evacuation and planning."""
         sched = scheduler()
         agents = Agents(sched)
         agents.report(at=1.0)
@@ -117,15 +117,14 @@
 
 
 class TestJobsThatWaitForRoom:
-    """Filling work that finds no processors, and workers that all look unsound."""
+    """Best-effort tasks without spare CPU, and fleets of unsound workers."""
 
     FILL = StepSpec(tasks=4, cpu_millicores=6000, estimate_ms=5000, image="f", fills=True)
 
     def test_starving_job_starts_where_its_memory_fits(self) -> None:
-        """Earlier jobs have taken all processors that filling work may ask for.
+        """Guards against a job that starves because earlier jobs use all spare CPU.
 
-        A later job would wait until one of them ends, with most of the workers' room free by what
-        counts against them.  One of its tasks starts after a moment and shares what there is.
+        One of its tasks starts after the starvation threshold and shares the CPU.
         """
         sched = scheduler()
         agents = Agents(sched)
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -1,8 +1,4 @@
-"""A burst of large jobs on a fleet without room for them: what planning costs, and whom it skips.
-
-The load that these tests stand for: dozens of jobs with many filling tasks of a few images arrive
-within seconds while every worker is full, on an entry with a third of a core.
-"""
+"""Burst of large jobs on a full fleet: cost of planning, and which steps it skips."""
 
 from typing import Any
 
@@ -38,7 +34,7 @@
 
 
 def fill(image: str, memory_mb: int, tasks: int = 8, per_worker: int = 0) -> StepSpec:
-    """Return a filling step."""
+    """Return a best-effort step."""
     return StepSpec(
         tasks=tasks,
         cpu_millicores=1000,
@@ -56,11 +52,7 @@
 
 
 def test_burst_without_room_is_not_retried_on_every_worker(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Jobs are accepted late, cancelled late, and the lead moves from entry to entry.
-
-    Each pass tried each waiting job on each worker; with 60 such jobs and 53 workers a pass took
-    over half a second, in which no report, no call and no answer of the store was looked at.
-    """
+    """Guards against passes that try each waiting job on each worker and delay the leader."""
     sched = fleet(4)
     sched.submit(job("first", fill("a", FULL_MB, tasks=4)), lambda *_: None)
     plan(sched, 0.1, 0)
@@ -80,7 +72,7 @@
     assert tried == 4
     plan(sched, 0.2 + 1.1 * RETRY_DELAY_S, 0)
     assert tried == 4
-    # Only a change of a worker can have brought room.
+    # Only changed workers are tried again.
     sched.fleet.instance("g0").changes += 1
     plan(sched, 0.2 + 2.2 * RETRY_DELAY_S, 0)
     assert tried == 5
@@ -106,12 +98,7 @@
 def test_paces_of_a_worker_are_computed_once_per_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Quick jobs end late and the lead moves from entry to entry after a burst of filling work.
-
-    Forty steps of different images wait while every worker serves.  For each of them the tails of
-    each worker were worked out anew from its runs, several times a second, which took more of the
-    leader's processor than all reports together.
-    """
+    """Guards against recomputing the paces of an unchanged worker for each waiting step."""
     workers = 6
     sched, _ = serving_fleet(workers)
     computed = 0
@@ -134,12 +121,7 @@
 def test_throttled_runs_are_not_retried_on_every_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reports, calls and answers of the store wait while a leader looks for places.
-
-    A hundred runs are held back on full workers.  Four times a second each of them was tried on
-    each worker, although nothing new had been reported of it and a run of the same image had
-    found no room just before.
-    """
+    """Guards against reviews that retry unchanged runs on each worker and delay the leader."""
     sched = fleet(4)
     sched.submit(job("held", fill("a", FULL_MB, tasks=4)), lambda *_: None)
     plan(sched, 0.0, 0)
--- a/tests/sched/test_gaps.py
+++ b/tests/sched/test_gaps.py
@@ -1,4 +1,4 @@
-"""Runs that nobody reported for a while, or whose estimate is wrong; no network, no clock."""
+"""Straggler detection with gaps in reports or wrong estimates; no network, no clock."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class ObservedFleet:
-    """Workers that run the tasks that they were given, one job of one step."""
+    """Workers that run one job of one step, with their reports."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.runs: list[Run] = list(self.sched.fleet.runs.values())
 
     def report(self, percents: dict[str, int], after_s: float = REPORT_S, paced: int = 100) -> None:
-        """Let time pass, then let the agents named report how far their runs are."""
+        """Advance the time, report the progress of runs by agent, and review."""
         self.at += after_s
         for agent, percent in percents.items():
             runs = [(run.ref.text(), run.attempt) for run in self.runs if run.agent == agent]
@@ -54,18 +54,18 @@
 
     @property
     def other(self) -> str:
-        """The worker that runs nothing."""
+        """The idle worker."""
         return "g2" if self.run.agent == "g1" else "g1"
 
     def report_progress(self, percents: list[int], paced: int = 100) -> None:
-        """Let both agents report in time, the run at each of ``percents``."""
+        """Report the run at each of ``percents``, in time."""
         for percent in percents:
             self.report({self.run.agent: percent, self.other: 0}, paced=paced)
 
 
 @pytest.mark.parametrize("restarted", [True, False])
 def test_run_is_not_slow_for_time_without_reports(restarted: bool) -> None:
-    """Guards against a run that is stopped as slow because its agent was away, or was cut off."""
+    """Guards against stopping a run as slow because its agent was down or disconnected."""
     observed = ObservedFleet(STEP)
     observed.report_progress([0, 14])
     observed.at += 4.0
@@ -76,7 +76,7 @@
 
 
 def test_agent_restart_does_not_mark_a_run_as_stalled() -> None:
-    """Guards against a run that is stopped for the second in which its agent was started again."""
+    """Guards against stopping a run as stalled while its agent restarts."""
     observed = ObservedFleet(STEP)
     observed.report_progress([0, 14])
     observed.boots[observed.run.agent] = "b2"
@@ -86,7 +86,7 @@
 
 
 def test_late_processing_of_reports_does_not_mark_runs_as_slow() -> None:
-    """Guards against a leader that stops sound runs because its own reports waited."""
+    """Guards against stopping sound runs because the leader processed reports late."""
     observed = ObservedFleet(STEP)
     observed.report_progress([0, 14])
     observed.report({observed.run.agent: 15, observed.other: 0}, after_s=2.4)
@@ -95,7 +95,7 @@
 
 
 def test_stalled_run_is_moved_after_an_agent_restart() -> None:
-    """Guards against a restart that hides for good that a run stands still."""
+    """Guards against an agent restart that hides a stalled run."""
     observed = ObservedFleet(STEP)
     observed.report_progress([0, 14])
     observed.boots[observed.run.agent] = "b2"
@@ -104,14 +104,14 @@
 
 
 def test_new_leader_judges_only_progress_that_it_observed() -> None:
-    """Guards against a run that is first seen at 59 percent and is stopped at the first looks."""
+    """Guards against stopping a run because its earlier progress was not observed."""
     observed = ObservedFleet(STEP)
     observed.report_progress([59, 73, 87, 99])
     assert not observed.run.stop_wanted
 
 
 def test_run_of_unknown_pace_is_not_judged_by_its_speed() -> None:
-    """Guards against a filling run that is moved as slow before its agent has found its pace."""
+    """Guards against moving a best-effort run as slow before its pace is known."""
     observed = ObservedFleet(StepSpec(cpu_millicores=1000, estimate_ms=4000, fills=True, image="f"))
     observed.report_progress([0, 4, 8, 12], paced=40)
     observed.boots[observed.run.agent] = "b2"
@@ -121,7 +121,7 @@
 
 @pytest.mark.looptime
 async def test_run_is_not_moved_to_an_unreachable_agent() -> None:
-    """Guards against a run that is stopped for a place whose agent is away."""
+    """Guards against stopping a run to move it to an unreachable agent."""
     async with leading(SlowTable()) as leader:
         observed = ObservedFleet(STEP, leader.sched)
         observed.report_progress([0, 1])
@@ -134,7 +134,7 @@
 
 
 def test_runs_are_not_moved_if_the_estimate_is_too_low() -> None:
-    """Guards against work thrown away for an estimate that is too low."""
+    """Guards against discarding work because the estimate is too low."""
     observed = ObservedFleet(StepSpec(tasks=2, cpu_millicores=3000, estimate_ms=200))
     for percent in (0, 22, 44, 66, 88):
         observed.report({"g1": percent, "g2": percent})
@@ -143,7 +143,7 @@
 
 
 def test_slow_worker_is_detected_if_the_estimate_is_too_low() -> None:
-    """Guards against a worker that crawls unseen because its step's estimate is wrong."""
+    """Guards against missing a slow worker because the estimate is wrong."""
     step = StepSpec(tasks=3, cpu_millicores=3000, estimate_ms=400)
     observed = ObservedFleet(step, workers=("g1", "g2", "g3"))
     for number in range(5):
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -1,7 +1,6 @@
-"""Filling work beside serving tasks: pressure that differs by pair, on a model without network.
+"""Best-effort work beside latency-critical tasks, with interference that differs by pair of images.
 
-The load that these tests stand for: a few serving images, of which one filling image presses hard
-and another hardly; every worker serves; tails lag by half a second.
+Uses a model of tail latencies, without network.
 """
 
 import pytest
@@ -21,17 +20,17 @@
 
 BASE_MS = 25.0
 TAIL_GROWTH = {"heavy": 20.0, "light": 0.2}
-"""Growth of the tail if the image took the whole worker."""
+"""Growth of the tail latency if the image uses the whole worker."""
 
 
 class TailModel:
-    """A serving task's tail beside filling images; it moves half of the way in each report."""
+    """Tail latency of a task beside best-effort images; it lags behind by about one report."""
 
     def __init__(self) -> None:
         self.tail = BASE_MS
 
     def step(self, using: dict[str, float], load: float = 1.0) -> int:
-        """Return the tail after half a second with these shares of the worker in use."""
+        """Return the tail latency half a second later, at these CPU shares by image."""
         settled = (
             BASE_MS * load * (1 + sum(TAIL_GROWTH[image] * share for image, share in using.items()))
         )
@@ -40,7 +39,7 @@
 
 
 def play(demand: dict[str, float], reports: int = 60, swing: float = 0.0) -> tuple[int, float]:
-    """Let a control pace ``demand``; return reports over target and the mean use."""
+    """Simulate pacing of ``demand``; return the reports over target and the mean use."""
     control, model = PaceControl(), TailModel()
     using = dict.fromkeys(demand, 0.0)
     over, used = 0, 0.0
@@ -91,11 +90,7 @@
 
 
 def test_image_with_high_interference_is_placed_elsewhere() -> None:
-    """A filling image drives the tail beside it to three times its target within a report.
-
-    The next task of that image must not go beside the same serving image again, while an image
-    that showed no effect may.
-    """
+    """Guards against placing an image again beside one that it is known to interfere with."""
     sched, agents = serving_fleet(2)
     for image, tail in (("heavy", 200), ("light", 26)):
         sched.submit(job(f"job-{image}", fill(image)), lambda *_: None)
@@ -113,7 +108,7 @@
         request = PlacementRequest(fill(image), "svc", press=sched.press)
         assert (choose(places, request, TaskRef("x", 0, 0, 0)) is not None) is allowed
     assert sched.press.pace_beside(places[0], "heavy", 4000) < MIN_PACE
-    # The agent there, told what the leader knows, would hold it back as much.
+    # The agent throttles it as well, given the same weights.
     control = PaceControl()
     weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
     control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
@@ -163,7 +158,7 @@
         report(agents, sched, agent, 80, 0.8)
     Consolidation().review(sched, wanted_cpu(sched), 0.9)
     stopped = [run for run in sched.fleet.runs.values() if run.stop_wanted]
-    # Two of the three serve one task that may not share a worker with its like: they stay.
+    # The step "serve" allows one task per worker, so its tasks have to stay.
     assert all(run.ref.job_id == "alone" for run in stopped)
     if not wants_room:
         assert stopped == []
@@ -189,11 +184,7 @@
 
 
 def test_pace_falls_before_a_rising_tail_exceeds_its_target() -> None:
-    """A tail of 34, then 60 of 100 ms: half a second later it stands over its aim.
-
-    Judged by the figure alone the filling work got more room just then, and the serving task's
-    users waited two reports longer than they had to.
-    """
+    """Guards against a control that ignores the trend of the tail latency."""
     control = PaceControl()
     for number in range(6):
         control.update([Tail("s.0.0.0", "serve", 34, TARGET_MS)], {"heavy": 0.1}, number * 0.5)
@@ -203,7 +194,7 @@
 
 
 def test_pace_is_not_cut_again_for_a_falling_tail() -> None:
-    """The first report after a cut shows a tail that is still over its target, but falls fast."""
+    """Guards against a second cut for a tail that is over its target but falling."""
     control = PaceControl()
     control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
     control.update([Tail("s.0.0.0", "serve", 160, TARGET_MS)], {"heavy": 0.3}, 0.5)
@@ -213,11 +204,7 @@
 
 
 def test_new_image_does_not_shield_the_interfering_one() -> None:
-    """A filling image that has pressed for seconds drives a tail over its target.
-
-    Another image begins in the same second.  Only the new one was blamed, was slowed to nothing,
-    and the tail went on to twice its target.
-    """
+    """Guards against throttling only a newly started image while another one interferes."""
     control = PaceControl()
     for number, tail in enumerate((25, 40, 55, 65)):
         level = 0.05 * (number + 1)
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -1,4 +1,4 @@
-"""What has found no room and is not tried again before a worker changes; no network."""
+"""Cache of tasks that fit on no worker until a worker changes; no network."""
 
 import random
 
@@ -54,7 +54,7 @@
 
 
 def change(rng: random.Random, places: list[Instance], at: float) -> None:
-    """Let something happen to some of the workers."""
+    """Apply random changes to some of the workers."""
     for place in places:
         place.heard_at = at if rng.random() < 0.97 else place.heard_at
         if place.runs and rng.random() < 0.2:
@@ -100,7 +100,7 @@
 
 
 def one_worker() -> list[Instance]:
-    """Return a fleet of one worker that takes work."""
+    """Return a fleet of one worker that accepts work."""
     return [Instance("g1", worker=worker_info())]
 
 
@@ -140,7 +140,7 @@
 
 
 def test_step_that_stops_starving_in_a_pass_uses_free_workers() -> None:
-    """Tasks of a job wait beside free workers once another step of it has begun."""
+    """Guards against tasks that wait beside free workers after another step has started."""
     sched = scheduler()
     agents = Agents(sched)
     sizes = (500, 2000, 3000)
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -1,8 +1,4 @@
-"""A backlog of filling work on a fleet that serves: what planning costs; no network.
-
-The load that these tests stand for: hundreds of filling tasks of some twenty images and many sizes
-wait on dozens of workers, and the leader's entry has a third of a core.
-"""
+"""Cost of planning a backlog of best-effort tasks beside latency-critical ones; no network."""
 
 import random
 from typing import Any
@@ -25,7 +21,7 @@
 
 
 def mixed_fleet(images: int) -> Scheduler:
-    """Return a fleet of one worker that serves and runs a task of each of ``images``."""
+    """Return one worker with a latency-critical task and a best-effort task per image."""
     sched, _ = serving_fleet(1)
     for number in range(images):
         sched.fleet.add(Run(TaskRef(f"f{number}", 0, 0, 0), 1, "g0", "w-g0", fill(f"i{number}")))
@@ -35,7 +31,7 @@
 def test_pair_weights_are_not_recomputed_for_each_task_size(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A leader spends half of its processor on the weights of pairs that have not changed."""
+    """Guards against recomputing unchanged pair weights."""
     sched = mixed_fleet(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     asked = 0
@@ -55,7 +51,7 @@
 def test_waiting_steps_are_not_retried_on_unchanged_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cancels wait for seconds while hundreds of filling tasks find no room, plan after plan."""
+    """Guards against slow passes that retry waiting tasks on unchanged workers."""
     workers, images, steps = 53, 18, 40
     sched, agents = serving_fleet(workers)
     for number in range(workers):
@@ -88,7 +84,7 @@
 
 
 def random_rooms(rng: random.Random) -> tuple[list[Room], dict[tuple[str, str], float]]:
-    """Return serving tasks, and the weights of twelve filling images beside them."""
+    """Return latency-critical tasks and the weights of twelve best-effort images."""
     rooms = [
         Room(f"s{number}", rng.uniform(0.0, 0.75), rng.uniform(0.7, 0.9))
         for number in range(rng.randint(0, 4))
@@ -149,7 +145,7 @@
 
 
 def test_planning_does_not_scan_ended_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader gets slower with each job that ends, until callers may no longer ask for them."""
+    """Guards against rounds whose cost grows with the number of ended jobs."""
     sched = scheduler(Bounds(keep_ended_s=120.0))
     for number in range(300):
         sched.submit(job(f"j{number}"), lambda *_: None)
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -1,8 +1,4 @@
-"""Pressure learnt by comparing workers, and filling work placed and paced by it; no network.
-
-The load that these tests stand for: every worker serves, the load of each serving job swings by
-three times within twenty seconds, and of the filling images some press hard and most hardly.
-"""
+"""Interference learnt by comparing workers, and placement and pacing by it; no network."""
 
 import pytest
 
@@ -22,11 +18,9 @@
 
 
 def test_best_effort_jobs_end_in_time_beside_swinging_loads() -> None:
-    """Members' pages are quick, yet nearly every filling job ends late.
+    """Guards against a rise of a job's own load that is attributed to best-effort tasks beside it.
 
-    Each rise of a serving job's load was taken for pressure of whatever filled beside it, so light
-    work was held back with the heavy.  Most jobs have to end in time, and of the 40 serving tasks
-    not one in 40 may be over its target.
+    Most jobs must end in time, with fewer than one of 40 latency-critical tasks over its target.
     """
     played = [play(seed, seconds=40.0) for seed in range(3)]
     assert sum(item.in_time for item in played) / len(played) > 0.75
@@ -34,10 +28,9 @@
 
 
 def test_effects_of_two_images_on_one_worker_are_separated() -> None:
-    """A light image is held back for minutes because a heavy one once ran beside it.
+    """Guards against a light image that stays throttled for the effect of a heavy one.
 
-    Both ran on one worker first, which says nothing of either alone; later the light one runs alone
-    on another.  That has to clear it, and with it charge the heavy one.
+    The images run together first; then the light image runs alone, which separates their effects.
     """
     found = PressureFilter()
     for _ in range(4):
@@ -57,10 +50,7 @@
 
 
 def test_images_no_longer_seen_are_evicted() -> None:
-    """A leader gets slower from week to week: each release of a program is an image of its own.
-
-    An observation goes through all images that were ever seen beside the serving one.
-    """
+    """Guards against a filter that grows with each new image."""
     found = PressureFilter()
     for number in range(3 * MOST_IMAGES):
         found.observe(0.1, {"stays": 0.1, f"f{number}": 0.1}, 0.03, unknown, 0.0)
@@ -69,11 +59,7 @@
 
 
 def test_images_of_the_current_observation_are_not_evicted() -> None:
-    """A fleet whose jobs bring ever new images loses its leader every few seconds.
-
-    A worker runs an image that no other has shown for long beside one that is new.  The first was
-    the one to drop when the second came, and its weight was asked for a line later.
-    """
+    """Guards against a crash of the leader when a new image evicts one of the same observation."""
     found = PressureFilter()
     for number in range(MOST_IMAGES):
         found.observe(0.1, {f"f{number}": 0.1}, 0.03, unknown, 0.0)
@@ -90,11 +76,7 @@
 
 
 def test_estimate_of_an_image_survives_observations_of_others() -> None:
-    """On a large fleet light work is held back again each time that it comes.
-
-    Hundreds of workers report each second.  Each report aged what was known of all images, so a
-    pair that had been told light was taken for unknown half a minute later.
-    """
+    """Guards against observations that age the estimates of images that are not part of them."""
     found = PressureFilter()
     for _ in range(20):
         found.observe(0.01, {"light": 0.1}, 0.03, unknown, 0.0)
@@ -107,11 +89,7 @@
 def test_model_fault_resets_the_model_and_keeps_the_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A report leads the learning into a fault that nobody thought of.
-
-    It ended the process that leads, and the next leader, which got the same reports, after it.
-    The model begins anew instead, and the report itself counts.
-    """
+    """Guards against an exception in the model that ends the leader and its successors."""
 
     def fails(*_: object) -> None:
         raise KeyError("f0")
@@ -125,12 +103,12 @@
 
 
 def unknown(_: str) -> Belief:
-    """Expect of every image what is expected of one of which nothing is known."""
+    """Return the belief about an image without observations."""
     return believe(HEAVY_SHARE)
 
 
 def test_known_light_work_keeps_its_pace_while_the_load_rises() -> None:
-    """A serving task's load goes up by itself; what fills beside it is known to press hardly."""
+    """Guards against throttling of light work when a latency-critical task's own load rises."""
     control = PaceControl()
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05})])
     for number, tail in enumerate((33, 36, 41, 48, 56, 64)):
@@ -154,7 +132,7 @@
 
 
 def test_measurements_override_a_wrong_pair_weight() -> None:
-    """A tail stays at twice its target for seconds beside an image that was called light."""
+    """Guards against a tail latency that stays over its target because of a wrong weight."""
     control = PaceControl()
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.0})])
     for number in range(5):
@@ -168,10 +146,9 @@
 
 
 def test_throttled_run_is_moved_only_if_it_saves_progress() -> None:
-    """A filling job of four seconds ends after fifteen: one of its tasks stood still for ten.
+    """Guards against a best-effort task that stays throttled while other workers are free.
 
-    The load of the serving task beside it rose, its agent held it back, and other workers were
-    free.  One that saves its progress has to move; one that saves none has done half and stays.
+    A task that saves no progress stays, since it would start anew.
     """
     for saves, moved in ((True, True), (False, False)):
         sched = scheduler()
@@ -195,10 +172,7 @@
 
 
 def test_latency_critical_tasks_of_a_job_are_packed_together() -> None:
-    """Two jobs of four tasks, two workers: mixed, one of them is always near the top of its load.
-
-    What fills beside both jobs has room only while both are low.
-    """
+    """Guards against mixing jobs on workers, which leaves less room for best-effort tasks."""
     sched = scheduler()
     agents = Agents(sched)
     for agent in ("g0", "g1"):
--- a/tests/sched/test_scan_order.py
+++ b/tests/sched/test_scan_order.py
@@ -1,4 +1,4 @@
-"""Planning and reviews under a budget of time: what comes first, and what is never left out."""
+"""Planning and reviews under a time budget: order of scans, and starvation of low ranks."""
 
 from dataclasses import dataclass
 from itertools import pairwise
@@ -18,12 +18,12 @@
 SCAN_S = 0.02
 BUDGET_S = 0.1
 CALL_S = 0.2
-"""Time from one call of the planner to the next."""
+"""Time between two calls of the planner."""
 
 
 @dataclass(frozen=True)
 class Waiting:
-    """A step that may start."""
+    """A ready step."""
 
     number: int
 
@@ -34,7 +34,7 @@
 
 
 class PlannerCalls:
-    """Calls of a planner that never finds room, each look of which takes :data:`SCAN_S`."""
+    """Calls of a planner that never finds room; each scan of a step takes :data:`SCAN_S`."""
 
     def __init__(self) -> None:
         self.at = 0.0
@@ -44,7 +44,7 @@
         self.new_room = False
 
     def call(self, numbers: range) -> list[int]:
-        """Plan steps whose numbers are their ranks; return those looked at."""
+        """Plan steps whose numbers are their ranks; return the scanned ones."""
         began = self.at
         steps = [Waiting(number) for number in numbers]
         for step in steps:
@@ -79,7 +79,7 @@
 
 
 def test_new_high_rank_step_does_not_wait_for_the_end_of_a_pass() -> None:
-    """A service's task waits until five hundred filling steps have been tried."""
+    """Guards against an urgent step that waits for the end of a long pass."""
     planner = PlannerCalls()
     planner.call(range(1, 500))
     assert planner.scan_order.behind
@@ -87,7 +87,7 @@
 
 
 def test_urgent_steps_are_rescanned_during_a_long_pass() -> None:
-    """Room for a service's task comes while five hundred filling steps wait."""
+    """Guards against an urgent step that is not retried while many others wait."""
     planner = PlannerCalls()
     for _ in range(100):
         planner.call(range(500))
@@ -96,12 +96,12 @@
 
 
 def test_every_step_is_scanned_regardless_of_rank() -> None:
-    """Those that rank first take all the time that a leader has, and the last never start."""
+    """Guards against starvation of steps with a low rank."""
     planner = PlannerCalls()
     for _ in range(300):
         planner.call(range(500))
     assert len(planner.scanned) == 500
-    # Steps that come later and rank first do not change that.
+    # Also while steps of a higher rank keep arriving.
     late = PlannerCalls()
     for number in range(300):
         late.call(range(200 - number, 400) if number < 200 else range(400))
@@ -109,7 +109,7 @@
 
 
 def test_every_step_is_scanned_while_earlier_ranks_have_new_room() -> None:
-    """Steps that rank first and fit nowhere are tried on each worker that reports."""
+    """Guards against starvation by high-ranked steps that are retried on each changed worker."""
     planner = PlannerCalls()
     planner.new_room = True
     for _ in range(300):
@@ -138,7 +138,7 @@
 
 
 def test_step_waiting_for_a_retry_does_not_count_as_never_scanned() -> None:
-    """The same few steps without room take the time of all others, each time their pause ends."""
+    """Guards against steps without room that take the scan time of all others."""
     planner = PlannerCalls()
     first = planner.call(range(100))
     planner.call(range(len(first), 100))
@@ -149,7 +149,7 @@
 def test_freed_room_goes_to_high_priorities_while_passes_are_truncated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Five steps of a high priority wait while others of a low one get what becomes free."""
+    """Guards against low-priority steps that get freed room before high-priority ones."""
     sched = scheduler()
     agents = Agents(sched)
     step = StepSpec(cpu_millicores=8000)
@@ -195,7 +195,7 @@
 
 
 def test_wide_step_is_placed_over_several_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One job of a thousand tasks holds the leader for as long as all of them take."""
+    """Guards against one job with many tasks that exceeds the time budget."""
     sched = scheduler()
     agents = Agents(sched)
     for number in range(4):
@@ -224,7 +224,7 @@
 def test_truncated_review_continues_with_the_remaining_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A hundred runs crawl, and the leader looks for other places for all of them at once."""
+    """Guards against a review of many slow runs that exceeds the time budget."""
     sched = scheduler()
     agents = Agents(sched)
     names = [f"g{number}" for number in range(20)]
@@ -260,7 +260,7 @@
 def test_truncated_consolidation_continues_with_the_remaining_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whether each of the lasting tasks fits elsewhere is asked of the whole fleet at once."""
+    """Guards against a consolidation review that exceeds the time budget."""
     sched, agents = serving_fleet(12)
     for number in range(12):
         report(agents, sched, f"g{number}", 80, 0.8)
--- a/tests/sched/test_survey.py
+++ b/tests/sched/test_survey.py
@@ -1,4 +1,4 @@
-"""The line a second that tells why jobs wait."""
+"""Periodic summary of the fleet."""
 
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_survey import survey
@@ -7,10 +7,7 @@
 
 
 def test_summary_separates_throttled_work_from_work_without_room() -> None:
-    """A user's bulk job ends late, and nothing was lost or refused.
-
-    The line has to tell that filling tasks ran at a tenth of their pace, and how many more wait.
-    """
+    """Guards against late jobs whose cause, throttling or lack of room, the log does not show."""
     sched, agents = serving_fleet(2)
     sched.submit(job("f1", fill("light", tasks=30)), lambda *_: None)
     plan(sched, 0.3, 0)
--- a/tests/sched/test_wide_steps.py
+++ b/tests/sched/test_wide_steps.py
@@ -1,8 +1,4 @@
-"""Wide steps on a large fleet: what a plan costs, and that it chooses as before; no network.
-
-The load that these tests stand for: a step of dozens of tasks comes to hundreds of workers, many
-times a second.
-"""
+"""Wide steps on a large fleet: cost of placement and equality with a full scan; no network."""
 
 import random
 
@@ -27,7 +23,7 @@
 
 
 def random_places(rng: random.Random) -> list[Instance]:
-    """Return workers of which some run tasks already."""
+    """Return workers, some of which run tasks."""
     places = []
     for number in range(30):
         capacity = Resources(rng.choice((16_000, 32_000)), 16_000, 0)
@@ -60,11 +56,7 @@
 
 
 def test_wide_step_checks_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Work starts seconds late on a fleet of hundreds of workers, and the leader is never idle.
-
-    Each of a step's tasks was tried on every worker, forty tasks on two hundred workers eight
-    thousand times, and all other reports and calls waited meanwhile.
-    """
+    """Guards against testing every task of a step on every worker."""
     sched = scheduler()
     agents = Agents(sched)
     for number in range(200):
