--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -265,12 +265,12 @@
 
         CPU that it takes from other best-effort tasks is subtracted.
         """
-        known = self._cached_paces(instance)
-        pace = known.paces.get((image, cpu_millicores))
+        cache = self._cached_paces(instance)
+        pace = cache.paces.get((image, cpu_millicores))
         if pace is None:
             share = max(_requested_share(cpu_millicores, instance), MIN_USED_SHARE)
-            won = known.allotment.used_with(image, share) - known.allotment.used
-            pace = known.paces[image, cpu_millicores] = max(0.0, won) / share
+            gained = cache.allotment.used_with(image, share) - cache.allotment.used
+            pace = cache.paces[image, cpu_millicores] = max(0.0, gained) / share
         return pace
 
     def gives_pace(
@@ -278,24 +278,24 @@
     ) -> bool:
         """Return whether one more best-effort task is expected to get a pace of ``min_pace``.
 
-        A larger size than a refused one is refused as well until the worker's next report, as the
+        A larger size than a refused one is refused as well until the worker's next change, as the
         pace usually falls with the size.
         """
-        known = self._cached_paces(instance)
-        refused = known.refused.get((image, min_pace))
+        cache = self._cached_paces(instance)
+        refused = cache.refused.get((image, min_pace))
         if refused is not None and cpu_millicores >= refused:
             return False
         if self.pace_beside(instance, image, cpu_millicores) >= min_pace:
             return True
-        known.refused[image, min_pace] = cpu_millicores
+        cache.refused[image, min_pace] = cpu_millicores
         return False
 
     def _cached_paces(self, instance: Instance) -> _PaceCache:
         """Return the result of :meth:`_compute_paces` for the instance's newest change."""
-        known = self._pace_caches.get(instance.agent)
-        if known is None or known.changes != instance.changes:
-            known = self._pace_caches[instance.agent] = self._compute_paces(instance)
-        return known
+        cache = self._pace_caches.get(instance.agent)
+        if cache is None or cache.changes != instance.changes:
+            cache = self._pace_caches[instance.agent] = self._compute_paces(instance)
+        return cache
 
     def _compute_paces(self, instance: Instance) -> _PaceCache:
         """Return a new cache for the runs and the newest report of an instance."""
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -103,9 +103,9 @@
     baseline = baseline_speeds(sched, [run for run, _ in suspects], at)
     slow = []
     for run, speed in suspects:
-        beside = 1.0 if _throttled(run) else baseline[run]
-        is_slow = _throttled(run) or speed < SLOW_SPEED_SHARE * beside
-        if is_slow and ends_sooner_elsewhere(run, speed, sched.bounds.restore_s, beside):
+        expected = 1.0 if _throttled(run) else baseline[run]
+        is_slow = _throttled(run) or speed < SLOW_SPEED_SHARE * expected
+        if is_slow and ends_sooner_elsewhere(run, speed, sched.bounds.restore_s, expected):
             slow.append((run, speed))
         else:
             run.reviewed_at = sched.fleet.instance(run.agent).listed_at
@@ -163,11 +163,11 @@
             return
         sched.moves[run.ref] = sched.moves.get(run.ref, 0) + 1
         sched.claim(job, run.ref, place, at)
-        what = "copied"
+        action = "copied"
     else:
         sched.moves[run.ref] = sched.moves.get(run.ref, 0) + 1
         sched.stop(run, "slow")
-        what = "stopped"
+        action = "stopped"
     log_event(
         "INFO",
         "run_slow",
@@ -177,7 +177,7 @@
         speed=speed,
         percent=run.percent,
         paced=run.paced,
-        action=what,
+        action=action,
         to=place.agent,
     )
 
