--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -34,7 +34,7 @@
 """Probability of being heavy, or light, from which on a pair counts as known."""
 
 MAX_READING_AGE_S: Final = 1.6
-"""Older readings of other workers are not compared with."""
+"""Older readings are excluded from comparisons."""
 
 WARMUP_S: Final = 1.5
 """Tail latencies of a task are ignored for this long if it started after others of its job."""
