--- a/sapphirelead/policy_ejection.py
+++ b/sapphirelead/policy_ejection.py
@@ -17,7 +17,11 @@
 from typing import Final
 
 from sapphirelead.model_config import EjectionPolicy
-from sapphirelead.policy_routing_records import SETTLED_ATTEMPTS, RoutedInstance, ServicePool
+from sapphirelead.policy_routing_records import (
+    MIN_ATTEMPTS_FOR_FAILURE_SHARE,
+    RoutedInstance,
+    ServicePool,
+)
 
 FAILURE_SHARE_LIMIT: Final = 0.5
 PROBE_SUCCESSES: Final = 3
@@ -49,14 +53,14 @@
 
     def eject_if_failing(self, inst: RoutedInstance, at: float) -> None:
         """Eject an instance that has just failed, where its record and the share allow it."""
-        in_row = inst.failures_in_row >= self._policy.consecutive_failures
+        consecutive = inst.failures_in_row >= self._policy.consecutive_failures
         # A share of fewer attempts says little: one bad start ejects no new instance.
-        settled = inst.attempts >= SETTLED_ATTEMPTS
-        often = settled and inst.failure_share > FAILURE_SHARE_LIMIT
-        if (in_row or often or inst.probes_left) and self._may_eject(inst):
+        enough_attempts = inst.attempts >= MIN_ATTEMPTS_FOR_FAILURE_SHARE
+        frequent = enough_attempts and inst.failure_share > FAILURE_SHARE_LIMIT
+        if (consecutive or frequent or inst.probes_left) and self._may_eject(inst):
             self._eject(inst, at)
 
-    def bring_back(self, at: float) -> list[RoutedInstance]:
+    def reinstate(self, at: float) -> list[RoutedInstance]:
         """Return the instances whose time is over; from now on they are tried one at a time."""
         back: list[RoutedInstance] = []
         while self._returns and self._returns[0][0] <= at:
--- a/sapphirelead/policy_routing.py
+++ b/sapphirelead/policy_routing.py
@@ -38,11 +38,11 @@
 FAILURE_COST: Final = 20.0
 TIMEOUT_FACTOR: Final = 3.0
 SPILL_LOAD: Final = 0.75
-SPILL_LATENCY: Final = 2.0
-SPILL_FAILURES: Final = 0.1
-SPILL_GAIN: Final = 0.75
+SPILL_LATENCY_FACTOR: Final = 2.0
+SPILL_FAILURE_SHARE: Final = 0.1
+SPILL_COST_RATIO: Final = 0.75
 SPILL_ZONES: Final = 2
-DRAWS: Final = 6
+MAX_DRAWS: Final = 6
 
 
 class AttemptEnd(StrEnum):
@@ -99,13 +99,13 @@
         """Take a new view of an instance."""
         inst = self._instances.get(view.id)
         if inst is None or inst.zone != view.zone or inst.services != view.services:
-            inst = self._enrol(view)
+            inst = self._register(view)
         elif inst.incarnation != view.incarnation:
             self._restart(inst, view)
         inst.slots = view.slots
         inst.connections = view.connections
         self._set_live(inst, live)
-        self._take_latency(inst, view, at)
+        self._seed_latency(inst, view, at)
         self._report(inst, view.slots_used, at)
 
     def report(self, instance: str, slots_used: int, slots: int, at: float) -> None:
@@ -129,26 +129,26 @@
         :param zones: zones to prefer over the entry's own, best first.
         :param spill: whether other zones may be used at all.
         """
-        for inst in self._ejections.bring_back(at):
+        for inst in self._ejections.reinstate(at):
             self._refresh(inst, at)
         pool = self._pools.get(service)
         if pool is None:
             return None
         preferred = tuple(zones) or (self._zone,)
         best = self._draw_first(pool, service, preferred, at, excluded)
-        if not spill or (best is not None and not self._strained(best, service, at)):
+        if not spill or (best is not None and not self._should_spill(best, service, at)):
             return best.id if best else None
         other = self._draw_elsewhere(pool, service, preferred, at, excluded)
         if other is None or best is None:
             chosen = best or other
             return chosen.id if chosen else None
-        cheaper = self._cost(other, service, at) < SPILL_GAIN * self._cost(best, service, at)
+        cheaper = self._cost(other, service, at) < SPILL_COST_RATIO * self._cost(best, service, at)
         return other.id if cheaper else best.id
 
     def begin(self, instance: str, at: float) -> None:
         """Count an attempt that is being sent."""
         if inst := self._instances.get(instance):
-            inst.own += 1
+            inst.own_in_flight += 1
             self._refresh(inst, at)
 
     def end(
@@ -158,14 +158,16 @@
         inst = self._instances.get(instance)
         if inst is None:
             return
-        inst.own = max(0, inst.own - 1)
+        inst.own_in_flight = max(0, inst.own_in_flight - 1)
         if end is AttemptEnd.SUCCESS:
             self._succeeded(inst, service, latency_s, at)
         elif self._counts_as_failure(end, service, latency_s):
             inst.failed(at)
             self._ejections.eject_if_failing(inst, at)
         elif end is AttemptEnd.REFUSED:
-            inst.others = max(inst.others, float(inst.slots - inst.own))
+            inst.others_in_flight = max(
+                inst.others_in_flight, float(inst.slots - inst.own_in_flight)
+            )
             inst.reported_at = at
         self._refresh(inst, at)
 
@@ -222,8 +224,10 @@
         at: float,
         excluded: Collection[str],
     ) -> RoutedInstance | None:
-        others = [zone for zone in pool.zones if zone not in preferred and pool.zones[zone].items]
-        drawn = self._rng.sample(others, min(SPILL_ZONES, len(others)))
+        other_zones = [
+            zone for zone in pool.zones if zone not in preferred and pool.zones[zone].items
+        ]
+        drawn = self._rng.sample(other_zones, min(SPILL_ZONES, len(other_zones)))
         found = [self._draw(pool.zones[zone], service, at, excluded) for zone in drawn]
         known = [inst for inst in found if inst is not None]
         return min(known, key=lambda inst: self._cost(inst, service, at), default=None)
@@ -243,9 +247,9 @@
         return min(drawn, key=lambda inst: self._cost(inst, service, at), default=None)
 
     def _candidates(self, items: list[str]) -> list[str]:
-        if len(items) <= DRAWS:
+        if len(items) <= MAX_DRAWS:
             return self._rng.sample(items, len(items))
-        return [items[int(self._rng.random() * len(items))] for _ in range(DRAWS)]
+        return [items[int(self._rng.random() * len(items))] for _ in range(MAX_DRAWS)]
 
     def _cost(self, inst: RoutedInstance, service: str, at: float) -> float:
         load = (inst.used(at) + 1.0) / max(1, inst.slots)
@@ -253,14 +257,17 @@
         return self._latency(inst, service, at) * load * failures
 
     def _latency(self, inst: RoutedInstance, service: str, at: float) -> float:
-        usual = self._pools[service].latency_s
-        own = inst.latency.get(service)
-        if own is None:
-            return usual
-        age = max(0.0, at - own.at)
-        return float(usual + (own.value_s - usual) * 0.5 ** (age / LATENCY_HALF_LIFE_S))
-
-    def _strained(self, inst: RoutedInstance, service: str, at: float) -> bool:
+        pool_latency_s = self._pools[service].latency_s
+        estimate = inst.latency.get(service)
+        if estimate is None:
+            return pool_latency_s
+        age = max(0.0, at - estimate.at)
+        return float(
+            pool_latency_s
+            + (estimate.value_s - pool_latency_s) * 0.5 ** (age / LATENCY_HALF_LIFE_S)
+        )
+
+    def _should_spill(self, inst: RoutedInstance, service: str, at: float) -> bool:
         """Whether the best of the zone is poor enough to look further.
 
         The case: all but one instance of the zone are full, and the one with room is the one that
@@ -268,25 +275,27 @@
         """
         if inst.used(at) >= SPILL_LOAD * inst.slots:
             return True
-        slow = self._latency(inst, service, at) > SPILL_LATENCY * self._pools[service].latency_s
-        return slow or inst.recent_failures(at) > SPILL_FAILURES
+        slow = (
+            self._latency(inst, service, at) > SPILL_LATENCY_FACTOR * self._pools[service].latency_s
+        )
+        return slow or inst.recent_failures(at) > SPILL_FAILURE_SHARE
 
     # Estimates.
 
     def _report(self, inst: RoutedInstance, slots_used: int, at: float) -> None:
-        inst.others = max(0.0, float(slots_used - inst.own))
+        inst.others_in_flight = max(0.0, float(slots_used - inst.own_in_flight))
         inst.reported_at = at
         self._refresh(inst, at)
 
-    def _take_latency(self, inst: RoutedInstance, view: InstanceView, at: float) -> None:
+    def _seed_latency(self, inst: RoutedInstance, view: InstanceView, at: float) -> None:
         for sample in view.latency:
             if sample.count and sample.service not in inst.latency:
                 inst.latency[sample.service] = LatencyEstimate(sample.p50_ms / 1000.0, at)
 
     def _succeeded(self, inst: RoutedInstance, service: str, latency_s: float, at: float) -> None:
         inst.succeeded(at)
-        own = inst.latency.setdefault(service, LatencyEstimate(latency_s, at))
-        own.add(latency_s, at)
+        estimate = inst.latency.setdefault(service, LatencyEstimate(latency_s, at))
+        estimate.add(latency_s, at)
         if pool := self._pools.get(service):
             pool.add_latency(latency_s)
 
@@ -298,7 +307,7 @@
 
     # Sets.
 
-    def _enrol(self, view: InstanceView) -> RoutedInstance:
+    def _register(self, view: InstanceView) -> RoutedInstance:
         self.forget(view.id)
         inst = RoutedInstance(view.id, view.incarnation, view.zone, view.services)
         self._instances[view.id] = inst
--- a/sapphirelead/policy_routing_records.py
+++ b/sapphirelead/policy_routing_records.py
@@ -20,9 +20,9 @@
 FAILURE_HALF_LIFE_S: Final = 10.0
 FASTER_WEIGHT: Final = 0.2
 SLOWER_WEIGHT: Final = 0.5
-USUAL_WEIGHT: Final = 0.05
+POOL_LATENCY_WEIGHT: Final = 0.05
 FAILURE_WEIGHT: Final = 0.1
-SETTLED_ATTEMPTS: Final = round(1 / FAILURE_WEIGHT)
+MIN_ATTEMPTS_FOR_FAILURE_SHARE: Final = round(1 / FAILURE_WEIGHT)
 """Attempts from which on the share of failures follows the newest ones alone."""
 DEFAULT_LATENCY_S: Final = 0.01
 
@@ -72,8 +72,8 @@
 class RoutedInstance:
     """What one instance can take, by estimate, and how its attempts ended.
 
-    :ivar own: attempts that this entry has in flight there.
-    :ivar others: slots that others used when it last reported, before fading.
+    :ivar own_in_flight: attempts that this entry has in flight there.
+    :ivar others_in_flight: slots that others_in_flight used when it last reported, before fading.
     :ivar counted_used: used slots that the sums of its pools hold for it.
     :ivar counted_slots: slots that the sums of its pools hold for it.
     :ivar attempts: attempts that have ended well or badly.
@@ -87,8 +87,8 @@
     slots: int = 0
     connections: int = 0
     live: bool = False
-    own: int = 0
-    others: float = 0.0
+    own_in_flight: int = 0
+    others_in_flight: float = 0.0
     reported_at: float = 0.0
     counted_used: float = 0.0
     counted_slots: int = 0
@@ -105,15 +105,15 @@
     def used(self, at: float) -> float:
         """Return the slots in use, by estimate."""
         age = max(0.0, at - self.reported_at)
-        return float(self.own + self.others * 0.5 ** (age / LOAD_HALF_LIFE_S))
+        return float(self.own_in_flight + self.others_in_flight * 0.5 ** (age / LOAD_HALF_LIFE_S))
 
     def room(self, at: float) -> bool:
         """Return whether it can take another attempt."""
         if not self.live or self.ejected:
             return False
         if self.probes_left:
-            return self.own == 0
-        return self.own < self.connections and self.used(at) + 0.5 < self.slots
+            return self.own_in_flight == 0
+        return self.own_in_flight < self.connections and self.used(at) + 0.5 < self.slots
 
     def recent_failures(self, at: float) -> float:
         """Return the share of failed attempts, 0 to 1, faded with age."""
@@ -164,5 +164,5 @@
     def add_latency(self, sample_s: float) -> None:
         """Average the first samples plainly, so that the default is forgotten at once."""
         self.samples += 1
-        weight = max(USUAL_WEIGHT, 1.0 / self.samples)
+        weight = max(POOL_LATENCY_WEIGHT, 1.0 / self.samples)
         self.latency_s += weight * (sample_s - self.latency_s)
