--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -125,7 +125,7 @@
         """
         at = now()
         needed_s = self.needed_s(state)
-        for late in state.queue.drop_late(at):
+        for late in state.queue.drop_expired(at):
             _give(late, None)
         while (last := state.queue.last()) is not None:
             place, waiter = last
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -8,7 +8,7 @@
 from sapphirelead.entry_ports import Stamp
 from sapphirelead.errors import Failure, Outcome
 from sapphirelead.model_config import ConfigDocument, RetryPolicy, ServicePolicy
-from sapphirelead.policy_limits import ConcurrencyLimit, DeadlineQueue, Pressure
+from sapphirelead.policy_limits import ConcurrencyLimit, DeadlineQueue, RetryAfterEstimator
 from sapphirelead.policy_retry import LatencyWindow, RetryBudget
 from sapphirelead.policy_rules import Decision
 from sapphirelead.wire_messages import ServiceAnswer
@@ -114,7 +114,7 @@
     policy: ServicePolicy
     queue: DeadlineQueue[Waiter]
     limit: ConcurrencyLimit
-    pressure: Pressure
+    pressure: RetryAfterEstimator
     window: LatencyWindow
     budget: RetryBudget
 
@@ -129,7 +129,7 @@
             policy,
             DeadlineQueue(policy.queue_length),
             ConcurrencyLimit(at),
-            Pressure(rng),
+            RetryAfterEstimator(rng),
             LatencyWindow(at),
             RetryBudget(document.retries.budget_share),
         )
--- a/sapphirelead/policy_limits.py
+++ b/sapphirelead/policy_limits.py
@@ -25,25 +25,25 @@
 T = TypeVar("T")
 
 WINDOW_S: Final = 0.5
-WINDOW_SAMPLES: Final = 10
-TOLERANCE: Final = 2.0
-SMOOTHING: Final = 0.3
-FLOOR_DRIFT: Final = 1.01
+MIN_WINDOW_SAMPLES: Final = 10
+LATENCY_TOLERANCE: Final = 2.0
+LIMIT_SMOOTHING: Final = 0.3
+LATENCY_FLOOR_DRIFT: Final = 1.01
 MIN_LIMIT: Final = 4.0
 MAX_LIMIT: Final = 4096.0
-START_LIMIT: Final = 1024.0
-SHARE_WEIGHT: Final = 0.02
+INITIAL_LIMIT: Final = 1024.0
+REFUSED_SHARE_WEIGHT: Final = 0.02
 MAX_RETRY_AFTER_S: Final = 60.0
 MIN_RETRY_AFTER_S: Final = 0.5
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class QueuePosition:
     """Position in the queue; smaller is served earlier."""
 
     rank: int
     deadline: float
-    number: int
+    sequence: int
 
 
 class DeadlineQueue(Generic[T]):
@@ -53,70 +53,70 @@
     """
 
     bound: int
-    _places: list[Place]
-    _items: dict[Place, T]
-    _number: int
+    _positions: list[QueuePosition]
+    _items: dict[QueuePosition, T]
+    _sequence: int
 
     def __init__(self, bound: int) -> None:
         self.bound = bound
-        self._places = []
+        self._positions = []
         self._items = {}
-        self._number = 0
+        self._sequence = 0
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     def ahead(self, priority: int, deadline: float) -> int:
         """Return how many entries would be served before such a one."""
-        return bisect_left(self._places, Place(-priority, deadline, self._number + 1))
+        return bisect_left(self._positions, QueuePosition(-priority, deadline, self._sequence + 1))
 
-    def put(self, item: T, priority: int, deadline: float) -> tuple[Place, T | None]:
+    def put(self, item: T, priority: int, deadline: float) -> tuple[QueuePosition, T | None]:
         """Add an entry; return its place and the one that lost its place, if any.
 
         The one that lost may be ``item`` itself.
         """
-        self._number += 1
-        place = Place(-priority, deadline, self._number)
-        insort(self._places, place)
-        self._items[place] = item
-        if len(self._places) <= self.bound:
-            return place, None
-        return place, self._items.pop(self._places.pop())
-
-    def drop_late(self, at: float) -> list[T]:
+        self._sequence += 1
+        position = QueuePosition(-priority, deadline, self._sequence)
+        insort(self._positions, position)
+        self._items[position] = item
+        if len(self._positions) <= self.bound:
+            return position, None
+        return position, self._items.pop(self._positions.pop())
+
+    def drop_expired(self, at: float) -> list[T]:
         """Give up and return the entries whose deadline has passed.
 
         Each rank is ordered by deadline, so only the front of the queue is looked at; late entries
         of a lower rank are found when they come to the front.
         """
-        late = 0
-        while late < len(self._places) and self._places[late].deadline < at:
-            late += 1
-        dropped = [self._items.pop(place) for place in self._places[:late]]
-        del self._places[:late]
+        expired = 0
+        while expired < len(self._positions) and self._positions[expired].deadline < at:
+            expired += 1
+        dropped = [self._items.pop(position) for position in self._positions[:expired]]
+        del self._positions[:expired]
         return dropped
 
-    def last(self) -> tuple[Place, T] | None:
+    def last(self) -> tuple[QueuePosition, T] | None:
         """Return the entry that would be served last, leaving it in the queue."""
-        return (self._places[-1], self._items[self._places[-1]]) if self._places else None
+        return (self._positions[-1], self._items[self._positions[-1]]) if self._positions else None
 
-    def first(self, count: int) -> list[tuple[Place, T]]:
+    def first(self, count: int) -> list[tuple[QueuePosition, T]]:
         """Return the next entries in order, leaving them in the queue."""
-        return [(place, self._items[place]) for place in self._places[:count]]
+        return [(position, self._items[position]) for position in self._positions[:count]]
 
-    def withdraw(self, place: Place) -> bool:
+    def withdraw(self, position: QueuePosition) -> bool:
         """Remove an entry whose caller left; return whether it was still queued."""
-        if self._items.pop(place, None) is None:
+        if self._items.pop(position, None) is None:
             return False
-        del self._places[bisect_left(self._places, place)]
+        del self._positions[bisect_left(self._positions, position)]
         return True
 
     def resize(self, bound: int) -> list[T]:
         """Change the bound and return the entries that lost their places."""
         self.bound = bound
-        lost = self._places[bound:]
-        del self._places[bound:]
-        return [self._items.pop(place) for place in lost]
+        displaced = self._positions[bound:]
+        del self._positions[bound:]
+        return [self._items.pop(position) for position in displaced]
 
 
 class ConcurrencyLimit:
@@ -135,7 +135,7 @@
     _window_at: float
 
     def __init__(self, at: float) -> None:
-        self.limit = START_LIMIT
+        self.limit = INITIAL_LIMIT
         self.in_flight = 0
         self._floor_s = 0.0
         self._open_window(at)
@@ -157,7 +157,7 @@
             return
         self._sum_s += latency_s
         self._count += 1
-        if self._count >= WINDOW_SAMPLES and at - self._window_at >= WINDOW_S:
+        if self._count >= MIN_WINDOW_SAMPLES and at - self._window_at >= WINDOW_S:
             self._close_window(at)
 
     def _open_window(self, at: float) -> None:
@@ -170,21 +170,23 @@
         mean_s = self._sum_s / self._count
         # The floor drifts up slowly: a service that became slower for good would otherwise be
         # held at the smallest limit for ever.
-        self._floor_s = min(mean_s, self._floor_s * FLOOR_DRIFT) if self._floor_s else mean_s
-        gradient = min(1.0, max(0.5, TOLERANCE * self._floor_s / mean_s))
+        self._floor_s = (
+            min(mean_s, self._floor_s * LATENCY_FLOOR_DRIFT) if self._floor_s else mean_s
+        )
+        gradient = min(1.0, max(0.5, LATENCY_TOLERANCE * self._floor_s / mean_s))
         if gradient < 1.0:
             # A limit far above what was in use, as at the start, would have to fall for many
             # windows before it bound anything.
             self.limit = min(self.limit, max(MIN_LIMIT, 2.0 * self._peak))
-        wanted = self.limit * gradient + self.limit**0.5
+        next_limit = self.limit * gradient + self.limit**0.5
         if gradient == 1.0 and self._peak < self.limit / 2:
-            wanted = self.limit
-        moved = self.limit + SMOOTHING * (wanted - self.limit)
-        self.limit = min(MAX_LIMIT, max(MIN_LIMIT, moved))
+            next_limit = self.limit
+        smoothed = self.limit + LIMIT_SMOOTHING * (next_limit - self.limit)
+        self.limit = min(MAX_LIMIT, max(MIN_LIMIT, smoothed))
         self._open_window(at)
 
 
-class Pressure:
+class RetryAfterEstimator:
     """How hard a service is pressed, for telling refused callers when to come back."""
 
     _refused_share: float
@@ -196,22 +198,22 @@
 
     def served(self) -> None:
         """Count a request that got its answer."""
-        self._refused_share -= SHARE_WEIGHT * self._refused_share
+        self._refused_share -= REFUSED_SHARE_WEIGHT * self._refused_share
 
     def refused(self) -> None:
         """Count a request that was given up."""
-        self._refused_share += SHARE_WEIGHT * (1.0 - self._refused_share)
+        self._refused_share += REFUSED_SHARE_WEIGHT * (1.0 - self._refused_share)
 
-    def retry_after_s(self, backlog_s: float, least_s: float = MIN_RETRY_AFTER_S) -> float:
+    def retry_after_s(self, backlog_s: float, min_delay_s: float = MIN_RETRY_AFTER_S) -> float:
         """Return seconds until a refused caller should ask again.
 
         :param backlog_s: time that the queue needs to drain.
-        :param least_s: lower end of the range at no pressure.
+        :param min_delay_s: lower end of the range at no pressure.
         """
         # With a share r refused, offered load is 1/(1-r) times what is served; spreading the
         # return over as many times the base keeps the returning load near what can be served.
         offered = 1.0 / max(0.05, 1.0 - self._refused_share)
-        base_s = (least_s + backlog_s) * offered
+        base_s = (min_delay_s + backlog_s) * offered
         return min(MAX_RETRY_AFTER_S, base_s * (1.0 + self._rng.random()))
 
 
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -7,7 +7,12 @@
 from hypothesis import strategies as st
 
 from bench.bench_overload import percentile_ms, run
-from sapphirelead.policy_limits import ConcurrencyLimit, DeadlineQueue, Pressure, expected_wait_s
+from sapphirelead.policy_limits import (
+    ConcurrencyLimit,
+    DeadlineQueue,
+    RetryAfterEstimator,
+    expected_wait_s,
+)
 
 
 def taken(queue: DeadlineQueue[str]) -> list[str]:
@@ -55,7 +60,7 @@
         if drop and queue.withdraw(place):
             left.append(number)
         if number % 7 == 0:
-            left.extend(queue.drop_late(deadline / 2))
+            left.extend(queue.drop_expired(deadline / 2))
         assert len(queue) <= 5
     left.extend(queue.resize(0))
     assert sorted(left) == list(range(len(steps)))
@@ -109,7 +114,7 @@
 
     With one fixed delay they would come back together; with a short one the load would not fall.
     """
-    pressure = Pressure(random.Random(1))
+    pressure = RetryAfterEstimator(random.Random(1))
     calm = [pressure.retry_after_s(0.0) for _ in range(100)]
     for _ in range(500):
         pressure.refused()
