--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -20,7 +20,7 @@
 from sapphirelead.entry_watch import WatchTails, mark_of
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_job import Job, JobSpec
-from sapphirelead.policy_placement import could_ever_run
+from sapphirelead.policy_placement import fits_any_instance
 from sapphirelead.wire_messages import WatchEvent
 
 POLL_MIN_S: Final = 0.2
@@ -61,7 +61,7 @@
     async def submit(self, spec: JobSpec, rule: str) -> Result[Job, Failure]:
         """Commit a new row, or join the job that already has this key."""
         views = self._members.live()
-        if views and not could_ever_run(spec.resources, views):
+        if views and not fits_any_instance(spec.resources, views):
             return Err(_impossible(spec))
         if not self._table.up:
             return Err(Failure(Code.STORE_UNAVAILABLE, "the table is down", "submit again later"))
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -32,8 +32,8 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.policy_order import QueuedJob, TeamShare, order
 from sapphirelead.policy_placement import (
-    Wanted,
-    could_ever_run,
+    PlacementRequest,
+    fits_any_instance,
     place,
     place_by_eviction,
     total_capacity,
@@ -237,7 +237,7 @@
         """Give up on a job that no known instance, even empty, would hold for some time."""
         known = self._members.all()
         spec = stored.job.spec
-        if at - since < IMPOSSIBLE_AFTER_S or could_ever_run(spec.resources, known):
+        if at - since < IMPOSSIBLE_AFTER_S or fits_any_instance(spec.resources, known):
             return
         self._moves.once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
 
@@ -298,8 +298,8 @@
         }
 
 
-def _wanted(job: Job, then: Then) -> Wanted:
-    return Wanted(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
+def _wanted(job: Job, then: Then) -> PlacementRequest:
+    return PlacementRequest(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
 def _bare_situation(spec: JobSpec) -> Situation:
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -100,9 +100,9 @@
         """Drop offers that the instance's newest report already counts."""
         for view in views:
             record = self.records.setdefault(view.id, InstanceRecord())
-            if view.counter == record.beat:
+            if view.counter == record.heartbeat:
                 continue
-            record.beat = view.counter
+            record.heartbeat = view.counter
             if record.offered:
                 still = self._offers.keys()
                 record.offered = {k: v for k, v in record.offered.items() if k in still}
--- a/sapphirelead/policy_order.py
+++ b/sapphirelead/policy_order.py
@@ -80,7 +80,7 @@
     )
 
 
-def pressure(queued: QueuedJob, at: float) -> float:
+def urgency(queued: QueuedJob, at: float) -> float:
     """Return how much waiting and a near deadline press a job forward, 0 for not at all.
 
     Waiting counts 1 per :data:`AGEING_S`.  A deadline counts from 0 at :data:`DEADLINE_HORIZON_S`
@@ -110,27 +110,27 @@
     :param used: what each team holds now, everywhere.
     :param total: capacity over which shares are taken.
     """
-    lines = _lines(queued, at)
-    holding = dict(used)
-    heap = [_rank(line[0], holding, shares, total, at) for line in lines.values()]
+    queues = _group_by_key(queued, at)
+    allocated = dict(used)
+    heap = [_rank(queue[0], allocated, shares, total, at) for queue in queues.values()]
     heapq.heapify(heap)
     picked: list[QueuedJob] = []
     while heap and len(picked) < limit:
-        line = lines[heapq.heappop(heap).line]
-        item = line.popleft()
+        queue = queues[heapq.heappop(heap).queue]
+        item = queue.popleft()
         want = item.job.spec.resources
         team = item.job.spec.team
-        held = holding.get(team, NOTHING)
+        held = allocated.get(team, NOTHING)
         if within_quota(held, want, shares.get(team, TeamShare()).quota):
             picked.append(item)
-            holding[team] = held + want
-        if line:
-            heapq.heappush(heap, _rank(line[0], holding, shares, total, at))
+            allocated[team] = held + want
+        if queue:
+            heapq.heappush(heap, _rank(queue[0], allocated, shares, total, at))
     return picked
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class _Line:
+class _QueueKey:
     """Jobs that are ordered among themselves by waiting and deadline alone."""
 
     team: str
@@ -145,20 +145,20 @@
     not_urgent: bool
     priority: int
     share: float
-    line: _Line
+    queue: _QueueKey
 
 
-def _lines(queued: list[QueuedJob], at: float) -> dict[_Line, deque[QueuedJob]]:
-    lines: dict[_Line, list[QueuedJob]] = {}
+def _group_by_key(queued: list[QueuedJob], at: float) -> dict[_QueueKey, deque[QueuedJob]]:
+    queues: dict[_QueueKey, list[QueuedJob]] = {}
     for item in queued:
-        lines.setdefault(_line_of(item), []).append(item)
-    for line in lines.values():
-        line.sort(key=lambda item: (-pressure(item, at), item.since, item.job.spec.key))
-    return {name: deque(line) for name, line in lines.items()}
+        queues.setdefault(_queue_key(item), []).append(item)
+    for queue in queues.values():
+        queue.sort(key=lambda item: (-urgency(item, at), item.since, item.job.spec.key))
+    return {name: deque(queue) for name, queue in queues.items()}
 
 
-def _line_of(item: QueuedJob) -> _Line:
-    return _Line(item.job.spec.team, item.urgent, item.priority)
+def _queue_key(item: QueuedJob) -> _QueueKey:
+    return _QueueKey(item.job.spec.team, item.urgent, item.priority)
 
 
 def _rank(
@@ -171,4 +171,4 @@
     team = item.job.spec.team
     weight = shares.get(team, TeamShare()).weight
     share = dominant_share(used.get(team, NOTHING), total) / weight
-    return _Rank(not item.urgent, -item.priority, share - pressure(item, at), _line_of(item))
+    return _Rank(not item.urgent, -item.priority, share - urgency(item, at), _queue_key(item))
--- a/sapphirelead/policy_placement.py
+++ b/sapphirelead/policy_placement.py
@@ -26,11 +26,11 @@
 from sapphirelead.model_resources import NOTHING, Resources
 from sapphirelead.policy_order import dominant_share
 
-ZONE_COST: Final = 0.5
-FAILURES_TO_AVOID: Final = 2
-FORGET_FAILURES_S: Final = 60.0
+OTHER_ZONE_COST: Final = 0.5
+MIN_FAILURES_TO_AVOID: Final = 2
+FAILURE_RETENTION_S: Final = 60.0
 
-SlowdownOf = Callable[[str, str], float]
+SlowdownEstimator = Callable[[str, str], float]
 
 
 @dataclass(slots=True)
@@ -42,24 +42,24 @@
     """
 
     offered: dict[str, Resources] = field(default_factory=dict)
-    beat: int = 0
+    heartbeat: int = 0
     failures: int = 0
     failed_at: float = 0.0
 
-    def room(self, view: InstanceView) -> Resources:
+    def headroom(self, view: InstanceView) -> Resources:
         """Return the estimate of what the instance would still admit."""
-        room = view.free
+        headroom = view.free
         for amount in self.offered.values():
-            room = room - amount
-        return room
+            headroom = headroom - amount
+        return headroom
 
     def failing(self, at: float) -> bool:
         """Whether the instance fails what it starts."""
-        return self.failures >= FAILURES_TO_AVOID and at - self.failed_at < FORGET_FAILURES_S
+        return self.failures >= MIN_FAILURES_TO_AVOID and at - self.failed_at < FAILURE_RETENTION_S
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlacementRequest:
     """What placement looks at besides the instances.
 
     :ivar zones: preferred zones, or empty for none.
@@ -74,29 +74,32 @@
 
 
 def place(
-    wanted: Wanted,
+    request: PlacementRequest,
     views: list[InstanceView],
     records: Mapping[str, InstanceRecord],
-    slowdown: SlowdownOf,
+    slowdown: SlowdownEstimator,
     weights: Weights,
     at: float,
 ) -> InstanceView | None:
-    """Return the instance to offer the job to, or ``None`` where none has room."""
-    suspects = _suspects(wanted, views, records, at)
+    """Return the instance to offer the job to, or ``None`` where none has headroom."""
+    avoided = _instances_to_avoid(request, views, records, at)
     best: tuple[float, str] | None = None
     found: InstanceView | None = None
     for view in views:
         record = records.get(view.id) or InstanceRecord()
-        if view.id in suspects or not _allowed(wanted, view, record):
+        if view.id in avoided or not _allowed(request, view, record):
             continue
-        cost = (_cost(wanted, view, record, slowdown, weights), view.id)
+        cost = (_cost(request, view, record, slowdown, weights), view.id)
         if best is None or cost < best:
             best, found = cost, view
     return found
 
 
 def place_by_eviction(
-    wanted: Wanted, views: list[InstanceView], records: Mapping[str, InstanceRecord], at: float
+    request: PlacementRequest,
+    views: list[InstanceView],
+    records: Mapping[str, InstanceRecord],
+    at: float,
 ) -> InstanceView | None:
     """Return the instance whose agent should evict batch for an urgent job that fits nowhere.
 
@@ -104,37 +107,39 @@
     the fewest tasks' worth of processors has to go, by the last report, and that does not fail
     what it starts.
     """
-    able = [view for view in views if _room_after_eviction(wanted, view)]
-    return min(able, key=lambda view: _eviction_cost(wanted, view, records, at), default=None)
+    candidates = [view for view in views if _fits_after_eviction(request, view)]
+    return min(
+        candidates, key=lambda view: _eviction_cost(request, view, records, at), default=None
+    )
 
 
-def _room_after_eviction(wanted: Wanted, view: InstanceView) -> bool:
-    spec = wanted.job.spec
+def _fits_after_eviction(request: PlacementRequest, view: InstanceView) -> bool:
+    spec = request.job.spec
     running = sum(sample.cpu_millicores for sample in view.classes)
     enough = spec.resources.cpu_millicores <= view.free.cpu_millicores + running
     return enough and spec.resources.fits_in(view.capacity) and not view.draining
 
 
 def _eviction_cost(
-    wanted: Wanted, view: InstanceView, records: Mapping[str, InstanceRecord], at: float
+    request: PlacementRequest, view: InstanceView, records: Mapping[str, InstanceRecord], at: float
 ) -> tuple[bool, int, str]:
     record = records.get(view.id) or InstanceRecord()
-    missing = wanted.job.spec.resources - record.room(view)
+    missing = request.job.spec.resources - record.headroom(view)
     return (_failing(records, view.id, at), max(missing.cpu_millicores, missing.memory_mb), view.id)
 
 
-def _suspects(
-    wanted: Wanted,
+def _instances_to_avoid(
+    request: PlacementRequest,
     views: list[InstanceView],
     records: Mapping[str, InstanceRecord],
     at: float,
 ) -> set[str]:
     """Return instances to wait past; none where every instance that could hold the job is one."""
-    suspects = set(wanted.job.tried)
-    suspects |= {view.id for view in views if _failing(records, view.id, at)}
-    resources = wanted.job.spec.resources
-    others = [view for view in views if view.id not in suspects]
-    return suspects if could_ever_run(resources, others) else set()
+    avoided = set(request.job.tried)
+    avoided |= {view.id for view in views if _failing(records, view.id, at)}
+    resources = request.job.spec.resources
+    others = [view for view in views if view.id not in avoided]
+    return avoided if fits_any_instance(resources, others) else set()
 
 
 def _failing(records: Mapping[str, InstanceRecord], instance: str, at: float) -> bool:
@@ -142,35 +147,35 @@
     return record is not None and record.failing(at)
 
 
-def could_ever_run(resources: Resources, views: list[InstanceView]) -> bool:
+def fits_any_instance(resources: Resources, views: list[InstanceView]) -> bool:
     """Return whether any known instance, empty, would hold the job."""
     return any(resources.fits_in(view.capacity) for view in views)
 
 
-def _allowed(wanted: Wanted, view: InstanceView, record: InstanceRecord) -> bool:
-    if not wanted.job.spec.resources.fits_in(record.room(view)):
+def _allowed(request: PlacementRequest, view: InstanceView, record: InstanceRecord) -> bool:
+    if not request.job.spec.resources.fits_in(record.headroom(view)):
         return False
-    if wanted.zones and not wanted.spill and view.zone not in wanted.zones:
+    if request.zones and not request.spill and view.zone not in request.zones:
         return False
-    return wanted.avoid_services.isdisjoint(view.services)
+    return request.avoid_services.isdisjoint(view.services)
 
 
 def _cost(
-    wanted: Wanted,
+    request: PlacementRequest,
     view: InstanceView,
     record: InstanceRecord,
-    slowdown: SlowdownOf,
+    slowdown: SlowdownEstimator,
     weights: Weights,
 ) -> float:
-    spec = wanted.job.spec
+    spec = request.job.spec
     harm = max((slowdown(service, spec.job_class) for service in view.services), default=1.0) - 1.0
     busy = view.slots_used / view.slots if view.slots else 0.0
-    left = record.room(view) - spec.resources
+    left = record.headroom(view) - spec.resources
     fullness = 1.0 - dominant_share(left, view.capacity)
     cost = weights.tail_latency * (harm * (0.5 + busy) + 0.3 * busy)
     cost += weights.batch_throughput * 0.2 * fullness
-    if wanted.zones and view.zone not in wanted.zones:
-        cost += ZONE_COST
+    if request.zones and view.zone not in request.zones:
+        cost += OTHER_ZONE_COST
     return cost
 
 
--- a/tests/unit/test_order_placement.py
+++ b/tests/unit/test_order_placement.py
@@ -10,7 +10,7 @@
 from sapphirelead.policy_order import QueuedJob, TeamShare, order
 from sapphirelead.policy_placement import (
     InstanceRecord,
-    Wanted,
+    PlacementRequest,
     place,
     place_by_eviction,
 )
@@ -100,7 +100,7 @@
     assert len(order([queued(f"j{n}") for n in range(50)], {}, {}, TOTAL, 100.0, 7)) == 7
 
 
-WANTED = Wanted(queued("j").job)
+WANTED = PlacementRequest(queued("j").job)
 
 
 @pytest.mark.parametrize(
@@ -140,13 +140,13 @@
         ("failing long ago", WANTED, {"a": InstanceRecord(failures=2, failed_at=1.0)}, {}, "a"),
         ("zone preferred", replace(WANTED, zones=("z2",)), {}, {}, "b"),
         ("avoided service", replace(WANTED, avoid_services=frozenset({"s-a"})), {}, {}, "b"),
-        ("fits nowhere", Wanted(queued("j", cpu=9000).job), {}, {}, None),
+        ("fits nowhere", PlacementRequest(queued("j", cpu=9000).job), {}, {}, None),
         ("no spill", replace(WANTED, zones=("z9",), spill=False), {}, {}, None),
     ],
 )
 def test_place(
     name: str,
-    wanted: Wanted,
+    wanted: PlacementRequest,
     records: dict[str, InstanceRecord],
     slowdowns: dict[str, float],
     expected: str | None,
