--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -26,7 +26,7 @@
     RunStatus,
     WorkerInfo,
 )
-from sapphirelead.policy_pressure import USED_SHARE, tail_at
+from sapphirelead.policy_pressure import CPU_USED_SHARE, tail_at_load
 from sapphirelead.runner_pace import PaceControl, Tail
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
@@ -316,7 +316,7 @@
         wanted: dict[str, float] = {}
         for run in worker.runs.values():
             if run.step.fills:
-                share = USED_SHARE * run.step.cpu_millicores / self._size.cpu
+                share = CPU_USED_SHARE * run.step.cpu_millicores / self._size.cpu
                 wanted[run.step.image] = wanted.get(run.step.image, 0.0) + share
         return wanted
 
@@ -324,7 +324,7 @@
         using: dict[str, float] = {}
         for run in worker.runs.values():
             if run.step.fills:
-                share = USED_SHARE * run.step.cpu_millicores * run.pace / 100 / self._size.cpu
+                share = CPU_USED_SHARE * run.step.cpu_millicores * run.pace / 100 / self._size.cpu
                 using[run.step.image] = using.get(run.step.image, 0.0) + share
         return using
 
@@ -342,7 +342,7 @@
             )
             jump = math.exp(self._rng.gauss(0, JUMP))
             load = (self._truth.load(run.ref.job_id, self._at) + added) * jump
-            settles = tail_at(load, IDLE_MS)
+            settles = tail_at_load(load, IDLE_MS)
             run.tail_ms += (settles - run.tail_ms) * (1 - 0.5 ** (TICK_S / HALF_WAY_S))
             self._over += TICK_S * (run.tail_ms > TARGET_MS)
 
@@ -379,7 +379,7 @@
                 (
                     round(run.tail_ms)
                     if run.step.lasting
-                    else round(USED_SHARE * run.step.cpu_millicores * run.pace / 100)
+                    else round(CPU_USED_SHARE * run.step.cpu_millicores * run.pace / 100)
                 ),
                 run.pace,
                 str(int(run.percent)) if run.step.saves else "",
--- a/sapphirelead/policy_pressure.py
+++ b/sapphirelead/policy_pressure.py
@@ -15,17 +15,17 @@
 from dataclasses import dataclass
 from typing import Final
 
-MOST_LOAD: Final = 0.98
+MAX_LOAD: Final = 0.98
 """Load at which a tail is 50 times its idle one; more shows no better."""
 
-LEAST_LEVEL: Final = 0.04
+MIN_LEVEL: Final = 0.04
 """A lower level stops the work altogether; the memory stays allocated."""
 
-USED_SHARE: Final = 0.85
+CPU_USED_SHARE: Final = 0.85
 """Processors that a filling task uses at full pace, as a share of what it asks for."""
 
-MARGIN: Final = 0.15
-MARGIN_SLOPE: Final = 0.075
+LOAD_MARGIN: Final = 0.15
+LOAD_MARGIN_SLOPE: Final = 0.075
 """Distance that filling work keeps from the load at which a tail reaches its target, for a weight
 of 1 and by the logarithm of the weight.
 
@@ -33,38 +33,38 @@
 a second over the target costs a serving task several times what the filling work beside it earns.
 The heavier an image, the less it does for the load that it adds, and the more distance it keeps."""
 
-LEAST_MARGIN: Final = 0.04
-MOST_MARGIN: Final = 0.4
+MIN_LOAD_MARGIN: Final = 0.04
+MAX_LOAD_MARGIN: Final = 0.4
 """Bounds of that distance; the least covers the figures' rounding."""
 
-LEAST_PRESS: Final = 0.01
+MIN_WEIGHT: Final = 0.01
 """Least weight assumed, so that its logarithm stays finite."""
 
-Weight = Callable[[str, str], float]
+WeightLookup = Callable[[str, str], float]
 """Load that a filling image adds to a serving one if it took the whole worker."""
 
 
-def load_of(tail_ms: float, idle_ms: float) -> float:
+def load_from_tail(tail_ms: float, idle_ms: float) -> float:
     """Return the load that a tail shows.
 
-    >>> round(load_of(100.0, 25.0), 2), load_of(20.0, 25.0)
+    >>> round(load_from_tail(100.0, 25.0), 2), load_from_tail(20.0, 25.0)
     (0.75, 0.0)
     """
     if tail_ms <= idle_ms:
         return 0.0
-    return min(1 - idle_ms / tail_ms, MOST_LOAD)
+    return min(1 - idle_ms / tail_ms, MAX_LOAD)
 
 
-def tail_at(load: float, idle_ms: float) -> float:
+def tail_at_load(load: float, idle_ms: float) -> float:
     """Return the tail at a load.
 
-    >>> tail_at(0.75, 25.0)
+    >>> tail_at_load(0.75, 25.0)
     100.0
     """
-    return idle_ms / (1 - min(load, MOST_LOAD))
+    return idle_ms / (1 - min(load, MAX_LOAD))
 
 
-def added_load(serving: str, shares: Mapping[str, float], weight: Weight) -> float:
+def added_load(serving: str, shares: Mapping[str, float], weight: WeightLookup) -> float:
     """Return the load that filling images add to a serving one.
 
     :param shares: by filling image, the share of the worker's processors that it uses.
@@ -73,40 +73,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class LoadBudget:
     """A serving task beside which filling work is to find room.
 
-    :ivar own: load that its own users bring.
-    :ivar most: load at which its tail reaches the target.
+    :ivar own_load: load that its own_load users bring.
+    :ivar max_load: load at which its tail reaches the target.
     """
 
     image: str
-    own: float
-    most: float
+    own_load: float
+    max_load: float
 
-    def left(self, press: float) -> float:
-        """Return the load that is left to an image of this weight."""
-        margin = MARGIN + MARGIN_SLOPE * math.log(max(press, LEAST_PRESS))
-        return self.most / (1 + min(max(margin, LEAST_MARGIN), MOST_MARGIN)) - self.own
+    def remaining_load(self, weight: float) -> float:
+        """Return the load left for a filling image of this weight."""
+        margin = LOAD_MARGIN + LOAD_MARGIN_SLOPE * math.log(max(weight, MIN_WEIGHT))
+        return (
+            self.max_load / (1 + min(max(margin, MIN_LOAD_MARGIN), MAX_LOAD_MARGIN)) - self.own_load
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class _Press:
+class _ImageImpact:
     """What a filling image presses on the rooms.
 
-    :ivar most: the largest of the weights.
+    :ivar max_weight: the largest of the weights.
     :ivar pairs: for each room the weight, and the load that is left to an image of this weight.
     """
 
     image: str
-    most: float
+    max_weight: float
     pairs: list[tuple[float, float]]
 
     @classmethod
-    def from_rooms(cls, image: str, rooms: list[Room], weight: Weight) -> "_Press":
+    def from_budgets(
+        cls, image: str, budgets: list[LoadBudget], weight: WeightLookup
+    ) -> "_ImageImpact":
         """Look the weights up."""
-        weights = [weight(room.image, image) for room in rooms]
-        pairs = [(one, room.left(one)) for one, room in zip(weights, rooms, strict=True)]
+        weights = [weight(budget.image, image) for budget in budgets]
+        pairs = [
+            (pair_weight, budget.remaining_load(pair_weight))
+            for pair_weight, budget in zip(weights, budgets, strict=True)
+        ]
         return cls(image, max(weights, default=0.0), pairs)
 
     def level(self, wanted: float, added: list[float]) -> float:
@@ -115,11 +122,11 @@
         :param added: load that others have added to each room.
         """
         level = 1.0
-        for (weight, left), so_far in zip(self.pairs, added, strict=True):
-            more = weight * wanted
-            if more > 0:
-                level = min(level, (left - so_far) / more)
-        return level if level >= LEAST_LEVEL else 0.0
+        for (weight, remaining_load), so_far in zip(self.pairs, added, strict=True):
+            full_load = weight * wanted
+            if full_load > 0:
+                level = min(level, (remaining_load - so_far) / full_load)
+        return level if level >= MIN_LEVEL else 0.0
 
     def add(self, used: float, added: list[float]) -> list[float]:
         """Return the load added to each room once the image uses a share of the worker."""
@@ -128,7 +135,7 @@
         ]
 
 
-class Allotment:
+class LevelAllocation:
     """The levels of the filling images on one worker that the tails bear.
 
     The images that press least come first: for the same load they do the most work.  So one more
@@ -140,69 +147,75 @@
 
     levels: dict[str, float]
     used: float
-    _rooms: list[Room]
+    _budgets: list[LoadBudget]
     _wanted: Mapping[str, float]
-    _weight: Weight
-    _order: list[_Press]
-    _before: list[tuple[list[float], float]]
-    _others: dict[str, _Press]
-
-    def __init__(self, rooms: list[Room], wanted: Mapping[str, float], weight: Weight) -> None:
+    _weight: WeightLookup
+    _order: list[_ImageImpact]
+    _state_before: list[tuple[list[float], float]]
+    _unplaced: dict[str, _ImageImpact]
+
+    def __init__(
+        self, budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
+    ) -> None:
         """Share the rooms out.
 
         :param wanted: by filling image, the share of the processors that it would use at full pace.
         """
-        self._rooms = rooms
+        self._budgets = budgets
         self._wanted = wanted
         self._weight = weight
-        presses = [_Press.from_rooms(image, rooms, weight) for image in wanted]
-        self._order = sorted(presses, key=lambda press: press.most)
-        self._others = {}
-        self._before = []
+        impacts = [_ImageImpact.from_budgets(image, budgets, weight) for image in wanted]
+        self._order = sorted(impacts, key=lambda impact: impact.max_weight)
+        self._unplaced = {}
+        self._state_before = []
         self.levels = {}
         self.used = 0.0
-        added = [0.0] * len(rooms)
-        for press in self._order:
-            self._before.append((added, self.used))
-            share = wanted[press.image]
-            level = press.level(share, added)
-            self.levels[press.image] = round(level, 2)
+        added = [0.0] * len(budgets)
+        for impact in self._order:
+            self._state_before.append((added, self.used))
+            share = wanted[impact.image]
+            level = impact.level(share, added)
+            self.levels[impact.image] = round(level, 2)
             self.used += level * share
-            added = press.add(level * share, added)
-        self._before.append((added, self.used))
+            added = impact.add(level * share, added)
+        self._state_before.append((added, self.used))
 
     def used_with(self, image: str, share: float) -> float:
-        """Return the share of the worker that all use once ``image`` wants ``share`` more."""
-        number, press, behind = self._position(image)
-        added, used = self._before[number]
+        """Return the share of the worker that all use once ``image`` wants ``share`` full_load."""
+        number, impact, later = self._position(image)
+        added, used = self._state_before[number]
         share += self._wanted.get(image, 0.0)
-        for one in (press, *behind):
-            wanted = share if one is press else self._wanted[one.image]
-            taken = one.level(wanted, added) * wanted
+        for current in (impact, *later):
+            wanted = share if current is impact else self._wanted[current.image]
+            taken = current.level(wanted, added) * wanted
             used += taken
-            added = one.add(taken, added)
+            added = current.add(taken, added)
         return used
 
-    def _position(self, image: str) -> tuple[int, _Press, list[_Press]]:
+    def _position(self, image: str) -> tuple[int, _ImageImpact, list[_ImageImpact]]:
         """Return the place of an image in the order, the image, and those behind it."""
         if image in self._wanted:
-            number = next(n for n, press in enumerate(self._order) if press.image == image)
+            number = next(n for n, impact in enumerate(self._order) if impact.image == image)
             return number, self._order[number], self._order[number + 1 :]
-        found = self._others.get(image)
+        found = self._unplaced.get(image)
         if found is None:
-            found = self._others[image] = _Press.from_rooms(image, self._rooms, self._weight)
-        number = bisect_right(self._order, found.most, key=lambda press: press.most)
+            found = self._unplaced[image] = _ImageImpact.from_budgets(
+                image, self._budgets, self._weight
+            )
+        number = bisect_right(self._order, found.max_weight, key=lambda impact: impact.max_weight)
         return number, found, self._order[number:]
 
 
-def allot(rooms: list[Room], wanted: Mapping[str, float], weight: Weight) -> dict[str, float]:
+def allocate_levels(
+    budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
+) -> dict[str, float]:
     """Return the level of each filling image that the tails bear, from 0 to 1.
 
     :param wanted: by filling image, the share of the processors that it would use at full pace.
 
-    >>> presses = {"heavy": 2.0, "light": 0.2}
-    >>> levels = allot([Room("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}, lambda _, i: presses[i])
+    >>> weights = {"heavy": 2.0, "light": 0.2}
+    >>> levels = allocate_levels([LoadBudget("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}, lambda _, i: weights[i])
     >>> levels
     {'light': 1.0, 'heavy': 0.41}
     """
-    return Allotment(rooms, wanted, weight).levels
+    return LevelAllocation(budgets, wanted, weight).levels
--- a/sapphirelead/policy_pressure_filter.py
+++ b/sapphirelead/policy_pressure_filter.py
@@ -19,25 +19,25 @@
 
 from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, Evidence
 
-DRIFT_VARIANCE: Final = 0.003
+DRIFT_VARIANCE_PER_S: Final = 0.003
 """Variance that each weight gains in a second, so that it follows a changed program.  By time, not
 by observation: a large fleet has many of these a second, and would forget what it knows of an image
 while that is not there."""
 
-SURPRISE: Final = 3.0
+MAX_ERROR_SIGMAS: Final = 3.0
 """Standard deviations up to which an observation counts: a worker that turns slow multiplies its
 tails, and one such report must not make light images heavy."""
 
-NEW_VARIANCE: Final = 1.5
+MIN_INITIAL_VARIANCE: Final = 1.5
 """Least variance of an image that is new, however sure its neighbours make it seem: its own first
 observations decide."""
 
-LEAST_VARIANCE: Final = 1e-6
+MIN_VARIANCE: Final = 1e-6
 
-LEAST_PRECISION: Final = 1e-3
+MIN_PRECISION: Final = 1e-3
 """Precision of the observations below which they say nothing."""
 
-MOST_IMAGES: Final = 24
+MAX_IMAGES: Final = 24
 """Images kept, because an observation costs the square of their number.  The one that was seen
 longest ago gives way to a new one."""
 
@@ -52,14 +52,14 @@
     weights: dict[str, float]
     reports: dict[str, int]
     _cov: dict[str, dict[str, float]]
-    _begun: dict[str, Evidence]
+    _priors: dict[str, Evidence]
     _at: float
 
     def __init__(self, at: float = 0.0) -> None:
         self.weights = {}
         self.reports = {}
         self._cov = {}
-        self._begun = {}
+        self._priors = {}
         self._at = at
 
     def observe(
@@ -78,74 +78,76 @@
         :param expected: what to begin with for an image that is new.
         :param at: time of the observation in seconds.
         """
-        drift = DRIFT_VARIANCE * max(at - self._at, 0.0)
+        drift = DRIFT_VARIANCE_PER_S * max(at - self._at, 0.0)
         self._at = max(at, self._at)
         for image, row in self._cov.items():
             row[image] += drift
         shares = _largest(shares)
         for image in shares:
             if image not in self.weights:
-                self._make_room(shares)
+                self._evict_if_full(shares)
                 self._add(image, expected(image))
-        along = {
+        cross_covariance = {
             image: sum(row[other] * share for other, share in shares.items())
             for image, row in self._cov.items()
         }
-        variance: float = noise**2 + sum(along[image] * share for image, share in shares.items())
+        variance: float = noise**2 + sum(
+            cross_covariance[image] * share for image, share in shares.items()
+        )
         error = difference - sum(self.weights[image] * share for image, share in shares.items())
-        most = SURPRISE * variance**0.5
-        error = min(max(error, -most), most)
-        for image, part in along.items():
-            self.weights[image] = max(0.0, self.weights[image] + part / variance * error)
+        max_error = MAX_ERROR_SIGMAS * variance**0.5
+        error = min(max(error, -max_error), max_error)
+        for image, covariance in cross_covariance.items():
+            self.weights[image] = max(0.0, self.weights[image] + covariance / variance * error)
             row = self._cov[image]
             for other in row:
-                row[other] -= part * along[other] / variance
-            row[image] = max(row[image], LEAST_VARIANCE)
+                row[other] -= covariance * cross_covariance[other] / variance
+            row[image] = max(row[image], MIN_VARIANCE)
         for image in shares:
             # The order of the keys tells which image was seen longest ago.
             self.reports[image] = self.reports.pop(image) + 1
 
-    def seen(self, image: str) -> Evidence:
+    def evidence(self, image: str) -> Evidence:
         """Return what the observations alone say of an image, without what it began with."""
-        begun = self._begun.get(image)
-        if begun is None:
+        prior = self._priors.get(image)
+        if prior is None:
             return NO_EVIDENCE
-        now = 1 / self._cov[image][image]
-        precision = now - begun.precision
-        if precision <= LEAST_PRECISION:
+        posterior_precision = 1 / self._cov[image][image]
+        precision = posterior_precision - prior.precision
+        if precision <= MIN_PRECISION:
             return NO_EVIDENCE
-        weighed = self.weights[image] * now - begun.weight * begun.precision
+        weighed = self.weights[image] * posterior_precision - prior.weight * prior.precision
         return Evidence(weighed / precision, precision)
 
     def _add(self, image: str, expected: Belief) -> None:
         self.weights[image] = expected.weight
         self.reports[image] = 0
-        variance = max(expected.variance, NEW_VARIANCE)
-        self._begun[image] = Evidence(expected.weight, 1 / variance)
+        variance = max(expected.variance, MIN_INITIAL_VARIANCE)
+        self._priors[image] = Evidence(expected.weight, 1 / variance)
         for row in self._cov.values():
             row[image] = 0.0
         self._cov[image] = {**dict.fromkeys(self._cov, 0.0), image: variance}
 
-    def _make_room(self, needed: Mapping[str, float]) -> None:
+    def _evict_if_full(self, observed: Mapping[str, float]) -> None:
         """Drop the image that was seen longest ago, where there are too many.
 
         An observation of one kept image and one new one would else drop the first for the second,
         and then ask for the weight of both.
 
-        :param needed: images of the observation in hand, which stay.
+        :param observed: images of the observation in hand, which stay.
         """
-        if len(self.weights) >= MOST_IMAGES:
-            self._drop(next(image for image in self.reports if image not in needed))
+        if len(self.weights) >= MAX_IMAGES:
+            self._drop(next(image for image in self.reports if image not in observed))
 
     def _drop(self, image: str) -> None:
-        del self.weights[image], self.reports[image], self._cov[image], self._begun[image]
+        del self.weights[image], self.reports[image], self._cov[image], self._priors[image]
         for row in self._cov.values():
             del row[image]
 
 
 def _largest(shares: Mapping[str, float]) -> Mapping[str, float]:
     """Return as many shares as there are images kept; what the small ones add counts as noise."""
-    if len(shares) <= MOST_IMAGES:
+    if len(shares) <= MAX_IMAGES:
         return shares
     ranked = sorted(shares, key=lambda image: -abs(shares[image]))
-    return {image: shares[image] for image in ranked[:MOST_IMAGES]}
+    return {image: shares[image] for image in ranked[:MAX_IMAGES]}
--- a/sapphirelead/policy_pressure_pair.py
+++ b/sapphirelead/policy_pressure_pair.py
@@ -25,16 +25,16 @@
     variance: float
 
 
-LIGHT: Final = Kind(0.12, 0.12**2)
-HEAVY: Final = Kind(1.7, 1.0)
+LIGHT_KIND: Final = Kind(0.12, 0.12**2)
+HEAVY_KIND: Final = Kind(1.7, 1.0)
 
-HEAVY_SHARE: Final = 0.35
+HEAVY_PRIOR: Final = 0.35
 """Probability that a pair of which nothing is known is heavy."""
 
-SURE: Final = 0.02
+MIN_KIND_PROBABILITY: Final = 0.02
 """Probability that is left to either kind before there is evidence."""
 
-CARE: Final = 2.0
+UPPER_BOUND_SIGMAS: Final = 2.0
 """Standard deviations that are added to a weight for what is not known of it: a tail over its
 target costs more than the filling work beside it earns."""
 
@@ -62,53 +62,57 @@
     variance: float
 
     @property
-    def careful(self) -> float:
+    def upper_bound(self) -> float:
         """The weight to allow for."""
-        return self.weight + CARE * math.sqrt(self.variance)
+        return self.weight + UPPER_BOUND_SIGMAS * math.sqrt(self.variance)
 
 
-def believe(heavy: float, seen: Evidence = NO_EVIDENCE) -> Belief:
+def pair_belief(heavy: float, evidence: Evidence = NO_EVIDENCE) -> Belief:
     """Return the belief in a pair.
 
     :param heavy: probability that it is heavy, without the evidence.
 
-    >>> nothing = believe(HEAVY_SHARE)
-    >>> round(nothing.weight, 2), round(nothing.careful, 2)
+    >>> nothing = pair_belief(HEAVY_PRIOR)
+    >>> round(nothing.weight, 2), round(nothing.upper_bound, 2)
     (0.67, 2.6)
-    >>> doubtful = believe(HEAVY_SHARE, Evidence(0.4, 1 / 0.5**2))
+    >>> doubtful = pair_belief(HEAVY_PRIOR, Evidence(0.4, 1 / 0.5**2))
     >>> round(doubtful.heavy, 2), round(doubtful.weight, 2)
     (0.13, 0.2)
-    >>> round(believe(HEAVY_SHARE, Evidence(0.8, 1 / 0.05**2)).weight, 2)
+    >>> round(pair_belief(HEAVY_PRIOR, Evidence(0.8, 1 / 0.05**2)).weight, 2)
     0.8
     """
-    heavy = min(max(heavy, SURE), 1 - SURE)
-    if seen.precision <= 0:
-        return _mix(heavy, LIGHT, HEAVY)
-    variance = 1 / seen.precision
-    odds = math.log(heavy / (1 - heavy)) + _fit(HEAVY, seen.weight, variance)
-    odds -= _fit(LIGHT, seen.weight, variance)
-    return _mix(_probability(odds), _towards(LIGHT, seen), _towards(HEAVY, seen))
-
-
-def _fit(kind: Kind, weight: float, variance: float) -> float:
+    heavy = min(max(heavy, MIN_KIND_PROBABILITY), 1 - MIN_KIND_PROBABILITY)
+    if evidence.precision <= 0:
+        return _mixture(heavy, LIGHT_KIND, HEAVY_KIND)
+    variance = 1 / evidence.precision
+    log_odds = math.log(heavy / (1 - heavy)) + _log_likelihood(
+        HEAVY_KIND, evidence.weight, variance
+    )
+    log_odds -= _log_likelihood(LIGHT_KIND, evidence.weight, variance)
+    return _mixture(
+        _logistic(log_odds), _posterior(LIGHT_KIND, evidence), _posterior(HEAVY_KIND, evidence)
+    )
+
+
+def _log_likelihood(kind: Kind, weight: float, variance: float) -> float:
     """Return the logarithm of a measurement's likelihood under a kind."""
-    spread = kind.variance + variance
-    return -0.5 * ((weight - kind.weight) ** 2 / spread + math.log(spread))
+    total_variance = kind.variance + variance
+    return -0.5 * ((weight - kind.weight) ** 2 / total_variance + math.log(total_variance))
 
 
-def _towards(kind: Kind, seen: Evidence) -> Kind:
+def _posterior(kind: Kind, evidence: Evidence) -> Kind:
     """Return a kind's distribution after the evidence."""
-    precision = 1 / kind.variance + seen.precision
-    weight = (kind.weight / kind.variance + seen.weight * seen.precision) / precision
+    precision = 1 / kind.variance + evidence.precision
+    weight = (kind.weight / kind.variance + evidence.weight * evidence.precision) / precision
     return Kind(max(weight, 0.0), 1 / precision)
 
 
-def _probability(odds: float) -> float:
+def _logistic(log_odds: float) -> float:
     """Return the probability of logarithmic odds."""
-    return 1 / (1 + math.exp(-max(-50.0, min(50.0, odds))))
+    return 1 / (1 + math.exp(-max(-50.0, min(50.0, log_odds))))
 
 
-def _mix(heavy: float, light_kind: Kind, heavy_kind: Kind) -> Belief:
+def _mixture(heavy: float, light_kind: Kind, heavy_kind: Kind) -> Belief:
     weight = (1 - heavy) * light_kind.weight + heavy * heavy_kind.weight
     variance = (1 - heavy) * (light_kind.variance + (light_kind.weight - weight) ** 2)
     variance += heavy * (heavy_kind.variance + (heavy_kind.weight - weight) ** 2)
--- a/sapphirelead/policy_pressure_prior.py
+++ b/sapphirelead/policy_pressure_prior.py
@@ -18,18 +18,18 @@
 from collections.abc import Mapping
 from typing import Final
 
-from sapphirelead.policy_pressure_pair import HEAVY_SHARE
+from sapphirelead.policy_pressure_pair import HEAVY_PRIOR
 
 Pair = tuple[str, str]
 """A serving image and a filling one."""
 
-ANY_VOTE: Final = 0.5
+GLOBAL_PRIOR_WEIGHT: Final = 0.5
 """Vote of what holds for all pairs; an image that agrees fully has a vote of up to 1."""
 
-UNLIKE: Final = 0.2
+DIFFERENCE_SCALE: Final = 0.2
 """Sum of squared differences at which the vote of two images falls to a third."""
 
-COMMON: Final = 4.0
+HALF_SIMILARITY_PAIRS: Final = 4.0
 """Pairs known of both images at which the vote of two images that agree is a half."""
 
 
@@ -38,16 +38,16 @@
 
     _rows: Mapping[str, Mapping[str, float]]
     _columns: Mapping[str, Mapping[str, float]]
-    _votes: dict[tuple[str, str, bool], float]
+    _similarities: dict[tuple[str, str, bool], float]
     _expected: dict[Pair, float]
 
     def __init__(self, known: Mapping[Pair, float]) -> None:
         """Take the probabilities that pairs are heavy, of those that are known well.
 
         >>> prior = PairPrior({("s1", "f1"): 0.9, ("s2", "f1"): 0.9, ("s1", "f2"): 0.0})
-        >>> prior.heavy("s2", "f2") < HEAVY_SHARE
+        >>> prior.heavy("s2", "f2") < HEAVY_PRIOR
         True
-        >>> prior.heavy("s3", "f3") == HEAVY_SHARE
+        >>> prior.heavy("s3", "f3") == HEAVY_PRIOR
         True
         """
         rows: dict[str, dict[str, float]] = {}
@@ -57,38 +57,48 @@
             columns.setdefault(filling, {})[serving] = heavy
         self._rows = rows
         self._columns = columns
-        self._votes = {}
+        self._similarities = {}
         self._expected = {}
 
     def heavy(self, serving: str, filling: str) -> float:
         """Return the probability that a pair is heavy, without what has been seen of it."""
         found = self._expected.get((serving, filling))
         if found is None:
-            found = self._expected[serving, filling] = self._work_out(serving, filling)
+            found = self._expected[serving, filling] = self._estimate(serving, filling)
         return found
 
-    def _work_out(self, serving: str, filling: str) -> float:
-        votes = [(HEAVY_SHARE, ANY_VOTE)]
+    def _estimate(self, serving: str, filling: str) -> float:
+        neighbours = [(HEAVY_PRIOR, GLOBAL_PRIOR_WEIGHT)]
         for other, heavy in self._columns.get(filling, {}).items():
             if other != serving:
-                votes.append((heavy, self._vote(self._rows, serving, other, True)))
+                neighbours.append(
+                    (heavy, self._cached_similarity(self._rows, serving, other, True))
+                )
         for other, heavy in self._rows.get(serving, {}).items():
             if other != filling:
-                votes.append((heavy, self._vote(self._columns, filling, other, False)))
-        return sum(heavy * vote for heavy, vote in votes) / sum(vote for _, vote in votes)
-
-    def _vote(
+                neighbours.append(
+                    (heavy, self._cached_similarity(self._columns, filling, other, False))
+                )
+        return sum(heavy * similarity for heavy, similarity in neighbours) / sum(
+            similarity for _, similarity in neighbours
+        )
+
+    def _cached_similarity(
         self, table: Mapping[str, Mapping[str, float]], one: str, other: str, rows: bool
     ) -> float:
         """Return how much a pair of ``other`` says of ``one``, from 0 to 1."""
         key = (one, other, rows) if one < other else (other, one, rows)
-        vote = self._votes.get(key)
-        if vote is None:
-            vote = self._votes[key] = _alike(table.get(one, {}), table.get(other, {}))
-        return vote
+        similarity = self._similarities.get(key)
+        if similarity is None:
+            similarity = self._similarities[key] = _similarity(
+                table.get(one, {}), table.get(other, {})
+            )
+        return similarity
 
 
-def _alike(one: Mapping[str, float], other: Mapping[str, float]) -> float:
+def _similarity(one: Mapping[str, float], other: Mapping[str, float]) -> float:
     common = one.keys() & other.keys()
     squares = sum((one[key] - other[key]) ** 2 for key in common)
-    return math.exp(-squares / UNLIKE) * len(common) / (len(common) + COMMON)
+    return (
+        math.exp(-squares / DIFFERENCE_SCALE) * len(common) / (len(common) + HALF_SIMILARITY_PAIRS)
+    )
--- a/sapphirelead/runner_book.py
+++ b/sapphirelead/runner_book.py
@@ -17,7 +17,7 @@
     WorkerInfo,
 )
 from sapphirelead.node_ports import WorkerView
-from sapphirelead.policy_pressure import USED_SHARE
+from sapphirelead.policy_pressure import CPU_USED_SHARE
 from sapphirelead.sched_job import EndKind
 
 RunName = tuple[str, int]
@@ -117,7 +117,7 @@
         wanted: dict[str, float] = {}
         for run in self.runs.values():
             if run.order is not None and run.order.fills and run.phase is not RunPhase.STOPPING:
-                share = USED_SHARE * run.order.cpu_millicores / capacity
+                share = CPU_USED_SHARE * run.order.cpu_millicores / capacity
                 wanted[run.order.image] = wanted.get(run.order.image, 0.0) + share
         return wanted
 
--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -24,7 +24,13 @@
 
 from sapphirelead.node_messages import ServingPress
 from sapphirelead.policy_interference import InterferenceModel, ServiceReport
-from sapphirelead.policy_pressure import Room, Weight, added_load, allot, load_of
+from sapphirelead.policy_pressure import (
+    LoadBudget,
+    WeightLookup,
+    added_load,
+    allocate_levels,
+    load_from_tail,
+)
 
 AIM: Final = 0.75
 """Share of its target at which the worst tail is held.  Load swings by half within seconds; a task
@@ -108,7 +114,7 @@
         loads: Mapping[str, float],
         images: Mapping[str, str],
         filling: Mapping[str, float],
-        weight: Weight,
+        weight: WeightLookup,
         at: float,
     ) -> None:
         """Take the newest loads and the shares that filling images used."""
@@ -158,7 +164,7 @@
     _idle_ms: dict[str, float]
     _own: OwnLoads
     _known: dict[str, float]
-    _rooms: list[Room]
+    _rooms: list[LoadBudget]
     _over_since: float
     _model: InterferenceModel
     _levels: dict[str, float]
@@ -193,7 +199,9 @@
         if image in self._known or image in self._levels or not self._rooms:
             return
         if all((room.image, image) in self._told for room in self._rooms):
-            self._known[image] = allot(self._rooms, wanted, self._weight).get(image, FIRST)
+            self._known[image] = allocate_levels(self._rooms, wanted, self._weight).get(
+                image, FIRST
+            )
 
     def learn(self, press: Sequence[ServingPress]) -> None:
         """Take over what the fleet has learnt of pairs of images."""
@@ -253,14 +261,15 @@
         """Give the images whose pressure on all tails here is known what these bear."""
         told = {tail.task: tail for tail in tails if tail.image in self._idle_ms}
         loads = {
-            task: load_of(tail.figure_ms, self._idle_ms[tail.image]) for task, tail in told.items()
+            task: load_from_tail(tail.figure_ms, self._idle_ms[tail.image])
+            for task, tail in told.items()
         }
         images = {task: tail.image for task, tail in told.items()}
         self._own.see(loads, images, filling, self._weight, at)
         self._rooms = []
         for task, tail in told.items():
-            most = load_of(tail.target_ms, self._idle_ms[tail.image])
-            self._rooms.append(Room(tail.image, self._own.ahead(task), most))
+            most = load_from_tail(tail.target_ms, self._idle_ms[tail.image])
+            self._rooms.append(LoadBudget(tail.image, self._own.ahead(task), most))
         known = {
             image: share
             for image, share in wanted.items()
@@ -268,7 +277,7 @@
         }
         before = self._known
         over_s = at - self._over_since if self.worst >= OVER else 0.0
-        self._known = allot(self._rooms, known, self._weight)
+        self._known = allocate_levels(self._rooms, known, self._weight)
         for image, level in self._known.items():
             # A tail follows within a second, so a level comes back in steps.
             level = min(level, before.get(image, 1.0) + RISE)
--- a/sapphirelead/sched_press.py
+++ b/sapphirelead/sched_press.py
@@ -21,9 +21,15 @@
 from typing import Final
 
 from sapphirelead.node_messages import ServingPress
-from sapphirelead.policy_pressure import USED_SHARE, Allotment, Room, added_load, load_of
+from sapphirelead.policy_pressure import (
+    CPU_USED_SHARE,
+    LevelAllocation,
+    LoadBudget,
+    added_load,
+    load_from_tail,
+)
 from sapphirelead.policy_pressure_filter import PressureFilter
-from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, believe
+from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, pair_belief
 from sapphirelead.policy_pressure_prior import PairPrior
 from sapphirelead.sched_fleet import Instance
 
@@ -102,7 +108,7 @@
     """
 
     changes: int
-    allotment: Allotment
+    allotment: LevelAllocation
     paces: dict[tuple[str, int], float] = field(default_factory=dict)
     refused: dict[tuple[str, float], int] = field(default_factory=dict)
 
@@ -150,7 +156,7 @@
         noise = NOISE + TRANSIENT * moved
         self._look_at_pairs(at)
         for key, (image, tail_ms) in self._tails(instance, at).items():
-            load = load_of(tail_ms, self.idle_ms[image])
+            load = load_from_tail(tail_ms, self.idle_ms[image])
             self._learn_group(key, image, instance.agent, _Reading(at, load, lagged, noise))
 
     def _tails(self, instance: Instance, at: float) -> dict[GroupKey, tuple[str, float]]:
@@ -163,7 +169,7 @@
             key, image = run.ref[:3], run.step.image
             known = self.idle_ms.get(image, IDLE_SHARE * run.step.target_ms)
             self.idle_ms[image] = min(float(run.figure), known)
-            run.load = load_of(run.figure, self.idle_ms[image])
+            run.load = load_from_tail(run.figure, self.idle_ms[image])
             began = self._began.setdefault(key, run.running_at)
             if run.running_at - began < SETTLED_S or at - run.running_at >= SETTLED_S:
                 found.setdefault(key, []).append(run.figure)
@@ -219,15 +225,19 @@
             self._beliefs.pop(image, None)
 
     def _expect(self, serving: str, filling: str) -> Belief:
-        return believe(self._prior.heavy(serving, filling))
+        return pair_belief(self._prior.heavy(serving, filling))
 
     def _believe(self, serving: str, filling: str) -> Belief:
         """Return what is believed of a pair, by what was seen of it and of others."""
         beliefs = self._beliefs.setdefault(serving, {})
         found = beliefs.get(filling)
         if found is None:
-            seen = self._filters[serving].seen(filling) if serving in self._filters else NO_EVIDENCE
-            found = beliefs[filling] = believe(self._prior.heavy(serving, filling), seen)
+            evidence = (
+                self._filters[serving].evidence(filling)
+                if serving in self._filters
+                else NO_EVIDENCE
+            )
+            found = beliefs[filling] = pair_belief(self._prior.heavy(serving, filling), evidence)
         return found
 
     def _look_at_pairs(self, at: float) -> None:
@@ -255,7 +265,7 @@
         What is not known well is taken for more than it was seen to be: a tail over its target
         costs more than the filling work beside it earns.
         """
-        return self._believe(serving, filling).careful
+        return self._believe(serving, filling).upper_bound
 
     def _learnt(self, serving: str, filling: str) -> float:
         return self._believe(serving, filling).weight
@@ -309,27 +319,27 @@
     def _look(self, instance: Instance) -> _Beside:
         """Work out what the newest report and the runs of an instance say of its tails."""
         wanted: dict[str, float] = {}
-        rooms: dict[str, Room] = {}
+        rooms: dict[str, LoadBudget] = {}
         for run in instance.runs.values():
             image = run.step.image
             if run.step.fills:
                 share = _share(run.step.cpu_millicores, instance)
                 wanted[image] = wanted.get(image, 0.0) + share
             elif run.shows_tail and image in self.idle_ms:
-                most = load_of(run.step.target_ms, self.idle_ms[image])
-                room = Room(image, self._own(run.ref[:3], image, instance), most)
+                max_load = load_from_tail(run.step.target_ms, self.idle_ms[image])
+                room = LoadBudget(image, self._own(run.ref[:3], image, instance), max_load)
                 known = rooms.get(image)
-                if known is None or room.most - room.own < known.most - known.own:
+                if known is None or room.max_load - room.own_load < known.max_load - known.own_load:
                     rooms[image] = room
-        return _Beside(instance.changes, Allotment(list(rooms.values()), wanted, self.weight))
+        return _Beside(instance.changes, LevelAllocation(list(rooms.values()), wanted, self.weight))
 
     def _own(self, key: GroupKey, image: str, instance: Instance) -> float:
         """Return the load that a job's users are likely to bring while a filling task works."""
         reading = self._groups.get(key, {}).get(instance.agent)
         if reading is None:
             return 0.0
-        own = self._without_filling(image, reading)
-        return max(own, 0.0) + _rise(self._history.get(key, deque()))
+        own_load = self._without_filling(image, reading)
+        return max(own_load, 0.0) + _rise(self._history.get(key, deque()))
 
     def forget(self, job_id: str) -> None:
         """Drop the readings of a job that is no longer kept."""
@@ -354,7 +364,7 @@
 
 def _share(cpu_millicores: int, instance: Instance) -> float:
     """Return the share of the worker's processors that a filling task uses at full pace."""
-    return USED_SHARE * cpu_millicores / max(1, instance.capacity_cpu)
+    return CPU_USED_SHARE * cpu_millicores / max(1, instance.capacity_cpu)
 
 
 def _intensities(instance: Instance) -> Mapping[str, float]:
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sapphirelead.node_messages import ServingPress
-from sapphirelead.policy_pressure import USED_SHARE
+from sapphirelead.policy_pressure import CPU_USED_SHARE
 from sapphirelead.runner_pace import PaceControl, Tail
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Phase
@@ -115,7 +115,7 @@
     control = PaceControl()
     weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
     control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
-    wanted = {"heavy": USED_SHARE * 4000 / 32_000}
+    wanted = {"heavy": CPU_USED_SHARE * 4000 / 32_000}
     control.update([Tail("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
     assert control.percent("heavy") < 100 * LEAST_PACE
 
--- a/tests/sched/test_pair_prior.py
+++ b/tests/sched/test_pair_prior.py
@@ -9,13 +9,13 @@
 import pytest
 
 from sapphirelead.policy_pressure_pair import (
-    HEAVY,
-    HEAVY_SHARE,
-    LIGHT,
+    HEAVY_KIND,
+    HEAVY_PRIOR,
+    LIGHT_KIND,
+    MIN_KIND_PROBABILITY,
     NO_EVIDENCE,
-    SURE,
     Evidence,
-    believe,
+    pair_belief,
 )
 from sapphirelead.policy_pressure_prior import PairPrior
 
@@ -41,8 +41,8 @@
     light = [prior.heavy(*pair) for pair in new if not is_heavy(*pair)]
     heavy = [prior.heavy(*pair) for pair in new if is_heavy(*pair)]
     assert light and heavy
-    assert sum(light) / len(light) < HEAVY_SHARE / 2
-    assert min(heavy) > 2 * HEAVY_SHARE
+    assert sum(light) / len(light) < HEAVY_PRIOR / 2
+    assert min(heavy) > 2 * HEAVY_PRIOR
 
 
 def test_an_image_that_behaves_unlike_all_others_is_expected_like_any() -> None:
@@ -52,8 +52,8 @@
         for filling in FILLING[:6]
     }
     prior = PairPrior({**known, **{("odd", filling): 1.0 for filling in FILLING[:5]}})
-    assert prior.heavy("odd", FILLING[5]) > HEAVY_SHARE / 2
-    assert prior.heavy("never seen", "never seen") == HEAVY_SHARE
+    assert prior.heavy("odd", FILLING[5]) > HEAVY_PRIOR / 2
+    assert prior.heavy("never seen", "never seen") == HEAVY_PRIOR
 
 
 def test_expectations_stay_within_what_is_known() -> None:
@@ -66,7 +66,7 @@
             if rng.random() < rng.random()
         }
         prior = PairPrior(known)
-        least, most = min([*known.values(), HEAVY_SHARE]), max([*known.values(), HEAVY_SHARE])
+        least, most = min([*known.values(), HEAVY_PRIOR]), max([*known.values(), HEAVY_PRIOR])
         for serving in SERVING:
             for filling in FILLING:
                 assert least - 1e-9 <= prior.heavy(serving, filling) <= most + 1e-9
@@ -78,26 +78,26 @@
     Its weight was left wide open by itself, though hardly any pair lies between the two kinds.
     """
     rough = 1 / 0.5**2
-    light, heavy = believe(HEAVY_SHARE, Evidence(0.2, rough)), believe(
-        HEAVY_SHARE, Evidence(1.8, rough)
+    light, heavy = pair_belief(HEAVY_PRIOR, Evidence(0.2, rough)), pair_belief(
+        HEAVY_PRIOR, Evidence(1.8, rough)
     )
-    assert light.careful < 1.0
+    assert light.upper_bound < 1.0
     assert light.weight < 0.3
     assert heavy.weight > 1.3
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.3, 0.6, 1.0, 2.0, 4.0])
-@pytest.mark.parametrize("heavy", [0.0, HEAVY_SHARE, 1.0])
+@pytest.mark.parametrize("heavy", [0.0, HEAVY_PRIOR, 1.0])
 def test_precise_evidence_decides_whatever_was_expected(weight: float, heavy: float) -> None:
-    believed = believe(heavy, Evidence(weight, 1 / 0.02**2))
+    believed = pair_belief(heavy, Evidence(weight, 1 / 0.02**2))
     assert believed.weight == pytest.approx(weight, abs=0.05)
-    assert believed.careful < weight + 0.2
+    assert believed.upper_bound < weight + 0.2
 
 
 def test_without_evidence_the_belief_is_what_was_expected() -> None:
-    assert believe(0.0).heavy == SURE
-    assert believe(1.0).heavy == 1 - SURE
-    for heavy in (0.1, HEAVY_SHARE, 0.8):
-        believed = believe(heavy, NO_EVIDENCE)
+    assert pair_belief(0.0).heavy == MIN_KIND_PROBABILITY
+    assert pair_belief(1.0).heavy == 1 - MIN_KIND_PROBABILITY
+    for heavy in (0.1, HEAVY_PRIOR, 0.8):
+        believed = pair_belief(heavy, NO_EVIDENCE)
         assert believed.heavy == heavy
-        assert LIGHT.weight < believed.weight < HEAVY.weight
+        assert LIGHT_KIND.weight < believed.weight < HEAVY_KIND.weight
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace
 
-from sapphirelead.policy_pressure import Allotment, Room
+from sapphirelead.policy_pressure import LevelAllocation, LoadBudget
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import EndKind, Job, JobState, TaskRef
@@ -87,10 +87,10 @@
     assert len(sched.fleet.runs) == running
 
 
-def random_rooms(rng: random.Random) -> tuple[list[Room], dict[tuple[str, str], float]]:
+def random_rooms(rng: random.Random) -> tuple[list[LoadBudget], dict[tuple[str, str], float]]:
     """Return serving tasks, and the weights of twelve filling images beside them."""
     rooms = [
-        Room(f"s{number}", rng.uniform(0.0, 0.75), rng.uniform(0.7, 0.9))
+        LoadBudget(f"s{number}", rng.uniform(0.0, 0.75), rng.uniform(0.7, 0.9))
         for number in range(rng.randint(0, 4))
     ]
     weights = {
@@ -110,10 +110,10 @@
         return weights[serving, filling]
 
     wanted = {f"f{number}": rng.uniform(0.01, 0.3) for number in rng.sample(range(12), 6)}
-    known = Allotment(rooms, wanted, weight)
+    known = LevelAllocation(rooms, wanted, weight)
     for number in range(12):
         image, share = f"f{number}", rng.uniform(0.001, 0.2)
-        anew = Allotment(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
+        anew = LevelAllocation(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
         assert known.used_with(image, share) == pytest.approx(anew.used, abs=1e-12)
 
 
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -8,8 +8,8 @@
 
 from bench.pressure_world import play
 from sapphirelead.node_messages import ServingPress
-from sapphirelead.policy_pressure_filter import MOST_IMAGES, PressureFilter
-from sapphirelead.policy_pressure_pair import HEAVY_SHARE, Belief, believe
+from sapphirelead.policy_pressure_filter import MAX_IMAGES, PressureFilter
+from sapphirelead.policy_pressure_pair import HEAVY_PRIOR, Belief, pair_belief
 from sapphirelead.runner_pace import PaceControl, Tail
 from sapphirelead.sched_planner import GATHER_S, plan
 from sapphirelead.sched_press import PressModel
@@ -62,10 +62,10 @@
     An observation goes through all images that were ever seen beside the serving one.
     """
     found = PressureFilter()
-    for number in range(3 * MOST_IMAGES):
+    for number in range(3 * MAX_IMAGES):
         found.observe(0.1, {"stays": 0.1, f"f{number}": 0.1}, 0.03, unknown, 0.0)
-    assert len(found.weights) == MOST_IMAGES
-    assert {"stays", f"f{3 * MOST_IMAGES - 1}"} <= found.weights.keys()
+    assert len(found.weights) == MAX_IMAGES
+    assert {"stays", f"f{3 * MAX_IMAGES - 1}"} <= found.weights.keys()
 
 
 def test_an_image_of_the_observation_in_hand_does_not_give_way_to_its_neighbour() -> None:
@@ -75,18 +75,18 @@
     the one to drop when the second came, and its weight was asked for a line later.
     """
     found = PressureFilter()
-    for number in range(MOST_IMAGES):
+    for number in range(MAX_IMAGES):
         found.observe(0.1, {f"f{number}": 0.1}, 0.03, unknown, 0.0)
     found.observe(0.1, {"f0": 0.1, "new": 0.1}, 0.03, unknown, 0.0)
     assert {"f0", "new"} <= found.weights.keys()
-    assert len(found.weights) == MOST_IMAGES
+    assert len(found.weights) == MAX_IMAGES
 
 
 def test_an_observation_of_more_images_than_are_kept_counts_the_largest() -> None:
     found = PressureFilter()
-    shares = {f"f{number}": 0.001 * (number + 1) for number in range(2 * MOST_IMAGES)}
+    shares = {f"f{number}": 0.001 * (number + 1) for number in range(2 * MAX_IMAGES)}
     found.observe(0.1, shares, 0.03, unknown, 0.0)
-    assert found.weights.keys() == {f"f{n}" for n in range(MOST_IMAGES, 2 * MOST_IMAGES)}
+    assert found.weights.keys() == {f"f{n}" for n in range(MAX_IMAGES, 2 * MAX_IMAGES)}
 
 
 def test_what_is_known_of_an_image_outlasts_many_observations_of_others() -> None:
@@ -98,10 +98,10 @@
     found = PressureFilter()
     for _ in range(20):
         found.observe(0.01, {"light": 0.1}, 0.03, unknown, 0.0)
-    known = believe(HEAVY_SHARE, found.seen("light")).careful
+    known = pair_belief(HEAVY_PRIOR, found.evidence("light")).upper_bound
     for number in range(2_000):
         found.observe(0.1, {"other": 0.1}, 0.03, unknown, number / 100)
-    assert believe(HEAVY_SHARE, found.seen("light")).careful - known < 0.25
+    assert pair_belief(HEAVY_PRIOR, found.evidence("light")).upper_bound - known < 0.25
 
 
 def test_a_fault_in_what_is_learnt_costs_the_estimates_and_not_the_leader(
@@ -126,7 +126,7 @@
 
 def unknown(_: str) -> Belief:
     """Expect of every image what is expected of one of which nothing is known."""
-    return believe(HEAVY_SHARE)
+    return pair_belief(HEAVY_PRIOR)
 
 
 def test_known_light_work_keeps_its_pace_while_the_load_rises() -> None:
