--- a/sapphirelead/agent_pressure.py
+++ b/sapphirelead/agent_pressure.py
@@ -114,10 +114,10 @@
 
     def _log_unblamed(self, tasks: dict[str, int], occupancy: float) -> None:
         """Log what a slowdown was judged by on which nothing is done."""
-        worst, harms = self._controller.worst, self._controller.harms
+        worst, contributions = self._controller.worst, self._controller.contributions
         if worst is None:
             return
-        suspect = max(harms, key=lambda name: harms[name], default="")
+        suspect = max(contributions, key=lambda name: contributions[name], default="")
         log_event(
             "INFO",
             "slowdown_unblamed",
@@ -129,7 +129,7 @@
             requests=worst.report.count,
             occupancy=occupancy,
             suspect=suspect or "-",
-            harm=harms.get(suspect, 0.0),
+            harm=contributions.get(suspect, 0.0),
             share=self._controller.share(suspect),
             running=sum(tasks.values()),
         )
--- a/sapphirelead/policy_interference.py
+++ b/sapphirelead/policy_interference.py
@@ -29,17 +29,17 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-NEW_VARIANCE: Final = 25.0
+INITIAL_VARIANCE: Final = 25.0
 DRIFT_VARIANCE: Final = 0.002
-NOISE_SHARE: Final = 0.1
-SURPRISE: Final = 3.0
-BASELINE_RATE: Final = 0.2
-BASELINE_DRIFT: Final = 0.002
+RELATIVE_NOISE: Final = 0.1
+OUTLIER_SIGMAS: Final = 3.0
+BASELINE_LEARNING_RATE: Final = 0.2
+BASELINE_DRIFT_RATE: Final = 0.002
 HISTORY_REPORTS: Final = 120
-DECILE: Final = 0.1
-EPSILON: Final = 1e-3
+BASELINE_QUANTILE: Final = 0.1
+MIN_RATE: Final = 1e-3
 MIN_INTENSITY: Final = 0.01
-MAX_RATIO: Final = 50.0
+MAX_SLOWDOWN: Final = 50.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 @dataclass(slots=True)
 class _Estimate:
     weight: float = 0.0
-    variance: float = NEW_VARIANCE
+    variance: float = INITIAL_VARIANCE
 
 
 @dataclass(slots=True)
@@ -96,22 +96,22 @@
 
         :param intensities: by job class, its mean intensity over the interval of the report.
         """
-        present = {c: x for c, x in intensities.items() if x >= MIN_INTENSITY}
+        active = {c: x for c, x in intensities.items() if x >= MIN_INTENSITY}
         baseline = self._baselines.setdefault(report.service, _Baseline())
         baseline.history.append(report.tail_ms)
-        if not present:
+        if not active:
             self._learn_baseline(baseline, report)
         reference = self._reference(baseline, report)
-        ratio = min(report.tail_ms / reference, MAX_RATIO) if reference > 0 else 1.0
+        ratio = min(report.tail_ms / reference, MAX_SLOWDOWN) if reference > 0 else 1.0
         self._drift(report.service)
-        self._correct(report.service, present, ratio)
+        self._correct(report.service, active, ratio)
         return ratio
 
     def predict(self, service: str, intensities: Mapping[str, float]) -> float:
         """Return the slowdown expected of ``service`` beside ``intensities``."""
         return 1.0 + sum(self.weight(service, c) * x for c, x in intensities.items())
 
-    def harm(self, reports: list[ServiceReport], job_class: str, intensity: float) -> float:
+    def contribution(self, reports: list[ServiceReport], job_class: str, intensity: float) -> float:
         """Return the slowdown that a class causes now, averaged over the requests measured."""
         total = sum(report.count for report in reports)
         if not total:
@@ -122,7 +122,7 @@
     def _learn_baseline(self, baseline: _Baseline, report: ServiceReport) -> None:
         bucket = _bucket(report.rate)
         known = baseline.by_rate.get(bucket)
-        step = BASELINE_RATE * (report.tail_ms - known) if known is not None else 0.0
+        step = BASELINE_LEARNING_RATE * (report.tail_ms - known) if known is not None else 0.0
         baseline.by_rate[bucket] = (known if known is not None else report.tail_ms) + step
 
     def _reference(self, baseline: _Baseline, report: ServiceReport) -> float:
@@ -135,7 +135,7 @@
         if nearest == bucket and lowest > known:
             # The service itself has become slower (a release, more data): without this drift its
             # neighbours would be throttled for good.
-            known += BASELINE_DRIFT * (lowest - known)
+            known += BASELINE_DRIFT_RATE * (lowest - known)
             baseline.by_rate[bucket] = known
         return known
 
@@ -144,34 +144,34 @@
             if key[0] == service:
                 estimate.variance += self._drift_variance
 
-    def _correct(self, service: str, present: Mapping[str, float], ratio: float) -> None:
-        if not present:
+    def _correct(self, service: str, active: Mapping[str, float], ratio: float) -> None:
+        if not active:
             return
-        expected = self.predict(service, present)
+        expected = self.predict(service, active)
         error = ratio - expected
-        own = {c: self._estimates.setdefault((service, c), _Estimate()) for c in present}
-        noise = (NOISE_SHARE * expected) ** 2
-        total = noise + _spread(own, present)
-        if error * error > SURPRISE * SURPRISE * total:
-            reopened = (error / sum(present.values())) ** 2
-            for estimate in own.values():
-                estimate.variance = max(estimate.variance, reopened)
-            total = noise + _spread(own, present)
-        for job_class, intensity in present.items():
-            estimate = own[job_class]
+        estimates = {c: self._estimates.setdefault((service, c), _Estimate()) for c in active}
+        noise = (RELATIVE_NOISE * expected) ** 2
+        total = noise + _weighted_variance(estimates, active)
+        if error * error > OUTLIER_SIGMAS * OUTLIER_SIGMAS * total:
+            inflated = (error / sum(active.values())) ** 2
+            for estimate in estimates.values():
+                estimate.variance = max(estimate.variance, inflated)
+            total = noise + _weighted_variance(estimates, active)
+        for job_class, intensity in active.items():
+            estimate = estimates[job_class]
             gain = estimate.variance * intensity / total
             estimate.weight = max(0.0, estimate.weight + gain * error)
             estimate.variance *= 1.0 - gain * intensity
 
 
-def _spread(estimates: Mapping[str, _Estimate], present: Mapping[str, float]) -> float:
-    return sum(estimates[c].variance * x * x for c, x in present.items())
+def _weighted_variance(estimates: Mapping[str, _Estimate], active: Mapping[str, float]) -> float:
+    return sum(estimates[c].variance * x * x for c, x in active.items())
 
 
 def _bucket(rate: float) -> int:
-    return round(math.log2(max(rate, EPSILON)))
+    return round(math.log2(max(rate, MIN_RATE)))
 
 
 def _lowest_decile(values: deque[float]) -> float:
     ordered = sorted(values)
-    return ordered[int(len(ordered) * DECILE)]
+    return ordered[int(len(ordered) * BASELINE_QUANTILE)]
--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -28,18 +28,18 @@
 from sapphirelead.model_config import ConfigDocument, Weights
 from sapphirelead.policy_interference import InterferenceModel, ServiceReport
 
-LARGEST_STEP: Final = 0.4
+MIN_STEP_RATIO: Final = 0.4
 RELEASE_FACTOR: Final = 2.0
-RELEASE_BAND: Final = 0.6
-AIM: Final = 0.8
-MEASURED_PART: Final = 0.3
-CALM_REPORTS: Final = 2
-SMALLEST_STEP: Final = 0.02
-PATIENCE_FACTOR_MAX: Final = 2.0
-THROTTLE_WORTH: Final = 0.1
-EVICTION_WORTH: Final = 0.3
-HARMED: Final = 1.05
-SATURATED: Final = 0.95
+RELEASE_BAND_SHARE: Final = 0.6
+AIM_SHARE: Final = 0.8
+MEASURED_WEIGHT: Final = 0.3
+REPORTS_BEFORE_RELEASE: Final = 2
+MIN_STEP: Final = 0.02
+MAX_EVICTION_DELAY_FACTOR: Final = 2.0
+MIN_THROTTLE_CONTRIBUTION: Final = 0.1
+MIN_EVICTION_CONTRIBUTION: Final = 0.3
+MIN_DISTURBED_SLOWDOWN: Final = 1.05
+SATURATED_OCCUPANCY: Final = 0.95
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
 
     :ivar target: slowdown that services may have.
     :ivar floor: smallest share that a class is throttled to.
-    :ivar patience: reports above the target, with all at the floor, before an eviction.
+    :ivar eviction_delay_reports: reports above the target, with all at the floor, before an eviction.
     """
 
     target: float
     floor: float
-    patience: int
+    eviction_delay_reports: int
 
     @classmethod
     def from_config(cls, document: ConfigDocument) -> "Tuning":
@@ -64,8 +64,8 @@
         """
         policy, weights = document.interference, document.weights
         floor = max(policy.throttle_floor_share, policy.batch_floor_share)
-        patience = policy.evict_after_reports * _patience_factor(weights)
-        return cls(policy.target_slowdown, floor, round(patience))
+        eviction_delay_reports = policy.evict_after_reports * _eviction_delay_factor(weights)
+        return cls(policy.target_slowdown, floor, round(eviction_delay_reports))
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class AssessedReport:
     """A report and what it was judged to show.
 
     :ivar measured: slowdown by its tail alone.
@@ -105,7 +105,7 @@
         """Undisturbed tail at the report's rate in milliseconds; too large where the slowdown was
         capped.
         """
-        return self.report.tail_ms / max(self.measured, SMALLEST_STEP)
+        return self.report.tail_ms / max(self.measured, MIN_STEP)
 
 
 class ThrottleController:
@@ -115,18 +115,18 @@
     :ivar slowdown: worst slowdown of a service in the last interval, 1.0 for none.
     :ivar over_target: whether that, or the load of the slots, was above the target.
     :ivar worst: the report behind it, ``None`` where there was none.
-    :ivar harms: by job class, the slowdown that it was held to cause in the last interval above the
+    :ivar contributions: by job class, the slowdown that it was held to cause in the last interval above the
         target.
     """
 
     shares: dict[str, float]
     slowdown: float
     over_target: bool
-    worst: Judged | None
-    harms: dict[str, float]
+    worst: AssessedReport | None
+    contributions: dict[str, float]
     _model: InterferenceModel
-    _stuck: int
-    _calm: int
+    _reports_at_floor: int
+    _reports_below_band: int
 
     def __init__(self, model: InterferenceModel) -> None:
         self._model = model
@@ -134,9 +134,9 @@
         self.slowdown = 1.0
         self.over_target = False
         self.worst = None
-        self.harms = {}
-        self._stuck = 0
-        self._calm = 0
+        self.contributions = {}
+        self._reports_at_floor = 0
+        self._reports_below_band = 0
 
     def share(self, job_class: str) -> float:
         """Return the share that tasks of ``job_class`` may use."""
@@ -156,26 +156,26 @@
         :param tasks: by job class, how many of its tasks run now.
         :param occupancy: mean share of the service slots that were taken over the interval.
         """
-        judged = [self._judge(report, intensities) for report in reports]
-        self.worst = max(judged, key=lambda item: item.slowdown, default=None)
+        assessed = [self._assess(report, intensities) for report in reports]
+        self.worst = max(assessed, key=lambda item: item.slowdown, default=None)
         self.slowdown = self.worst.slowdown if self.worst else 1.0
         slowdown = _with_saturation(self.slowdown, occupancy, tuning.target)
         self.over_target = slowdown > tuning.target
         if self.over_target:
-            self._calm = 0
+            self._reports_below_band = 0
             return self._tighten(tuning, slowdown, reports, intensities, tasks)
-        self._stuck = 0
-        if slowdown > _within(tuning.target, RELEASE_BAND):
-            self._calm = 0
+        self._reports_at_floor = 0
+        if slowdown > _scaled_target(tuning.target, RELEASE_BAND_SHARE):
+            self._reports_below_band = 0
             return None
-        self._calm += 1
-        if self._calm < CALM_REPORTS:
+        self._reports_below_band += 1
+        if self._reports_below_band < REPORTS_BEFORE_RELEASE:
             return None
         # What the callers' queue bears: a release must not fill the slots either.
-        ceiling = min(tuning.target, slowdown * SATURATED / max(occupancy, SMALLEST_STEP))
+        ceiling = min(tuning.target, slowdown * SATURATED_OCCUPANCY / max(occupancy, MIN_STEP))
         return self._release(ceiling, slowdown, reports, intensities, tasks)
 
-    def _judge(self, report: ServiceReport, intensities: Mapping[str, float]) -> Judged:
+    def _assess(self, report: ServiceReport, intensities: Mapping[str, float]) -> AssessedReport:
         """Learn from a report and tell the slowdown without most of its noise.
 
         The tail of some tens of requests scatters by several per cent, which is a good part of the
@@ -183,8 +183,8 @@
         """
         measured = self._model.learn(report, intensities)
         expected = self._model.predict(report.service, intensities)
-        slowdown = MEASURED_PART * measured + (1.0 - MEASURED_PART) * expected
-        return Judged(report, measured, slowdown)
+        slowdown = MEASURED_WEIGHT * measured + (1.0 - MEASURED_WEIGHT) * expected
+        return AssessedReport(report, measured, slowdown)
 
     def _tighten(
         self,
@@ -194,32 +194,49 @@
         intensities: Mapping[str, float],
         tasks: Mapping[str, int],
     ) -> Action | None:
-        harms = self.harms = self._harms(reports, intensities)
+        contributions = self.contributions = self._contributions(reports, intensities)
         # Squeezing a class that hardly takes part in the excess costs work and helps nobody.
-        worth = (slowdown - tuning.target) * THROTTLE_WORTH
-        for job_class in sorted(harms, key=lambda c: -harms[c]):
-            share = self._tightened(tuning, slowdown, job_class, harms[job_class])
-            if harms[job_class] > worth and self.share(job_class) - share >= SMALLEST_STEP:
+        min_contribution = (slowdown - tuning.target) * MIN_THROTTLE_CONTRIBUTION
+        for job_class in sorted(contributions, key=lambda c: -contributions[c]):
+            share = self._tightened_share(tuning, slowdown, job_class, contributions[job_class])
+            if (
+                contributions[job_class] > min_contribution
+                and self.share(job_class) - share >= MIN_STEP
+            ):
                 self.shares[job_class] = share
-                self._stuck = 0
+                self._reports_at_floor = 0
                 return Throttle(job_class, share, slowdown)
-        return self._evict(tuning, slowdown, harms, tasks)
+        return self._evict(tuning, slowdown, contributions, tasks)
 
-    def _tightened(self, tuning: Tuning, slowdown: float, job_class: str, harm: float) -> float:
+    def _tightened_share(
+        self, tuning: Tuning, slowdown: float, job_class: str, contribution: float
+    ) -> float:
         share = self.share(job_class)
-        excess = slowdown - _within(tuning.target, AIM)
-        wanted = share * (1.0 - excess / harm) if harm > 0 else share
-        return max(wanted, share * LARGEST_STEP, tuning.floor)
+        excess = slowdown - _scaled_target(tuning.target, AIM_SHARE)
+        wanted = share * (1.0 - excess / contribution) if contribution > 0 else share
+        return max(wanted, share * MIN_STEP_RATIO, tuning.floor)
 
     def _evict(
-        self, tuning: Tuning, slowdown: float, harms: Mapping[str, float], tasks: Mapping[str, int]
+        self,
+        tuning: Tuning,
+        slowdown: float,
+        contributions: Mapping[str, float],
+        tasks: Mapping[str, int],
     ) -> Action | None:
-        self._stuck += 1
-        worth = (slowdown - tuning.target) * EVICTION_WORTH
-        running = {c: harm for c, harm in harms.items() if tasks.get(c, 0) and harm > worth}
-        if self._stuck < tuning.patience or not running or sum(tasks.values()) < 2:
+        self._reports_at_floor += 1
+        min_contribution = (slowdown - tuning.target) * MIN_EVICTION_CONTRIBUTION
+        running = {
+            c: contribution
+            for c, contribution in contributions.items()
+            if tasks.get(c, 0) and contribution > min_contribution
+        }
+        if (
+            self._reports_at_floor < tuning.eviction_delay_reports
+            or not running
+            or sum(tasks.values()) < 2
+        ):
             return None
-        self._stuck = 0
+        self._reports_at_floor = 0
         return Evict(max(running, key=lambda c: running[c]), slowdown)
 
     def _release(
@@ -233,11 +250,13 @@
         # A class that does not run keeps its share: its next wave would otherwise start at full
         # speed, and every wave would be noticed by the callers anew.
         throttled = [c for c in self.shares if tasks.get(c, 0)]
-        harms = self._harms(reports, {**dict.fromkeys(throttled, 0.0), **intensities})
-        for job_class in sorted(throttled, key=lambda c: harms[c]):
+        contributions = self._contributions(
+            reports, {**dict.fromkeys(throttled, 0.0), **intensities}
+        )
+        for job_class in sorted(throttled, key=lambda c: contributions[c]):
             share = min(1.0, self.shares[job_class] * RELEASE_FACTOR)
-            grown = harms[job_class] * (share / self.shares[job_class] - 1.0)
-            if slowdown + grown > ceiling:
+            added_slowdown = contributions[job_class] * (share / self.shares[job_class] - 1.0)
+            if slowdown + added_slowdown > ceiling:
                 continue
             self.shares[job_class] = share
             if share >= 1.0:
@@ -245,22 +264,22 @@
             return Throttle(job_class, share, slowdown)
         return None
 
-    def _harms(
+    def _contributions(
         self, reports: list[ServiceReport], intensities: Mapping[str, float]
     ) -> dict[str, float]:
-        return {c: self._model.harm(reports, c, x) for c, x in intensities.items()}
+        return {c: self._model.contribution(reports, c, x) for c, x in intensities.items()}
 
 
-def _within(target: float, part: float) -> float:
-    return 1.0 + (target - 1.0) * part
+def _scaled_target(target: float, share_of_excess: float) -> float:
+    return 1.0 + (target - 1.0) * share_of_excess
 
 
 def _with_saturation(slowdown: float, occupancy: float, target: float) -> float:
-    if slowdown < HARMED:
+    if slowdown < MIN_DISTURBED_SLOWDOWN:
         return slowdown
-    return max(slowdown, target * occupancy / SATURATED)
+    return max(slowdown, target * occupancy / SATURATED_OCCUPANCY)
 
 
-def _patience_factor(weights: Weights) -> float:
+def _eviction_delay_factor(weights: Weights) -> float:
     ratio: float = weights.evictions / weights.tail_latency
-    return min(PATIENCE_FACTOR_MAX, max(1.0, ratio))
+    return min(MAX_EVICTION_DELAY_FACTOR, max(1.0, ratio))
--- a/tests/unit/test_interference.py
+++ b/tests/unit/test_interference.py
@@ -7,7 +7,7 @@
 from sapphirelead.policy_throttle import Action, Evict, Throttle, ThrottleController, Tuning
 from tests.unit.interference_model import WAVES, run
 
-TUNING = Tuning(target=1.3, floor=0.25, patience=3)
+TUNING = Tuning(target=1.3, floor=0.25, eviction_delay_reports=3)
 
 
 def report(tail_ms: float, rate: float = 100.0) -> ServiceReport:
@@ -97,16 +97,18 @@
 
 
 @pytest.mark.parametrize(
-    ("weights", "floor", "patience"),
+    ("weights", "floor", "eviction_delay_reports"),
     [
         ({}, 0.25, 5),
         ({"batch_throughput": 3.0, "evictions": 2.0}, 0.25, 10),
         ({"tail_latency": 3.0}, 0.25, 5),
     ],
 )
-def test_weights_shape_the_policy(weights: dict[str, float], floor: float, patience: int) -> None:
+def test_weights_shape_the_policy(
+    weights: dict[str, float], floor: float, eviction_delay_reports: int
+) -> None:
     tuning = Tuning.from_config(ConfigDocument.model_validate({"weights": weights}))
-    assert (tuning.floor, tuning.patience) == (floor, patience)
+    assert (tuning.floor, tuning.eviction_delay_reports) == (floor, eviction_delay_reports)
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_retry.py
+++ b/tests/unit/test_retry.py
@@ -6,7 +6,7 @@
 
 from sapphirelead.model_config import RetryPolicy
 from sapphirelead.policy_retry import (
-    ADVANCE_TOKENS,
+    INITIAL_TOKENS,
     AttemptState,
     LatencyWindow,
     RetryBudget,
@@ -39,7 +39,7 @@
     for number, retries in enumerate(wanted, start=1):
         budget.request()
         granted += sum(budget.take() for _ in range(retries))
-        assert granted <= max(ADVANCE_TOKENS if share else 0, share * number + 1e-6)
+        assert granted <= max(INITIAL_TOKENS if share else 0, share * number + 1e-6)
 
 
 def test_hedge_waits_for_the_measured_percentile() -> None:
