--- a/sapphirelead/policy_budget.py
+++ b/sapphirelead/policy_budget.py
@@ -17,12 +17,12 @@
 
     rate: float
     _tokens: float
-    _at: float
+    _refilled_at: float
 
     def __init__(self, rate: float, at: float) -> None:
         self.rate = rate
         self._tokens = self._burst()
-        self._at = at
+        self._refilled_at = at
 
     def set_rate(self, rate: float) -> None:
         """Change the rate, in calls a second."""
@@ -40,9 +40,9 @@
         return max(1.0, self.rate * BURST_SECONDS)
 
     def _refill(self, at: float) -> None:
-        elapsed = max(0.0, at - self._at)
+        elapsed = max(0.0, at - self._refilled_at)
         self._tokens = min(self._burst(), self._tokens + elapsed * self.rate)
-        self._at = at
+        self._refilled_at = at
 
 
 async def take(bucket: TokenBucket) -> None:
--- a/sapphirelead/policy_retry.py
+++ b/sapphirelead/policy_retry.py
@@ -22,13 +22,13 @@
 
 from sapphirelead.model_config import RetryPolicy
 
-ADVANCE_TOKENS: Final = 3.0
+INITIAL_TOKENS: Final = 3.0
 MAX_TOKENS: Final = 50.0
 MIN_SAMPLES: Final = 50
 REFRESH_S: Final = 0.5
 WINDOW_S: Final = 15.0
 MAX_LATENCY_US: Final = 600_000_000
-DIGITS: Final = 2
+SIGNIFICANT_DIGITS: Final = 2
 MIN_HEDGE_S: Final = 0.002
 
 
@@ -41,17 +41,17 @@
 
     share: float
     _tokens: float
-    _owed: float
+    _unpaid_advance: float
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self._tokens = ADVANCE_TOKENS if share else 0.0
-        self._owed = self._tokens
+        self._tokens = INITIAL_TOKENS if share else 0.0
+        self._unpaid_advance = self._tokens
 
     def request(self) -> None:
         """Pay in for one request."""
-        if self._owed > 0.0:
-            self._owed -= self.share
+        if self._unpaid_advance > 0.0:
+            self._unpaid_advance -= self.share
             return
         self._tokens = min(MAX_TOKENS, self._tokens + self.share)
 
@@ -131,4 +131,4 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, MAX_LATENCY_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
--- a/sapphirelead/policy_rules.py
+++ b/sapphirelead/policy_rules.py
@@ -61,7 +61,7 @@
         return Failure(Code.REFUSED_BY_RULE, f"rule {self.rule!r} refuses this {work} now")
 
 
-Test = Callable[[Situation], bool]
+Predicate = Callable[[Situation], bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 
     field: str
     text: str
-    holds: Test
+    holds: Predicate
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,12 +88,12 @@
     """Compiled rules of one configuration version."""
 
     rules: tuple[CompiledRule, ...]
-    _tests: tuple[tuple[tuple[Test, ...], Decision], ...]
+    _predicates: tuple[tuple[tuple[Predicate, ...], Decision], ...]
     _default: Decision
 
     def __init__(self, rules: tuple[RuleModel, ...]) -> None:
         self.rules = tuple(_compile(rule) for rule in rules)
-        self._tests = tuple(
+        self._predicates = tuple(
             (tuple(condition.holds for condition in rule.conditions), rule.decision)
             for rule in self.rules
         )
@@ -106,10 +106,10 @@
 
     def decide(self, situation: Situation) -> Decision:
         """Return the decision of the first rule that matches."""
-        for tests, decision in self._tests:
+        for predicates, decision in self._predicates:
             # A plain loop: a generator in all() costs twice the comparison itself.
-            for test in tests:
-                if not test(situation):
+            for predicate in predicates:
+                if not predicate(situation):
                     break
             else:
                 return decision
@@ -128,7 +128,9 @@
 def _conditions(name: str, matcher: Matcher) -> list[Condition]:
     found: list[Condition] = []
     if matcher.eq is not None:
-        found.append(Condition(name, f"{name} eq {_shown(matcher.eq)}", _equals(name, matcher.eq)))
+        found.append(
+            Condition(name, f"{name} eq {_format_value(matcher.eq)}", _equals(name, matcher.eq))
+        )
     if matcher.one_of is not None:
         text = f"{name} in [{', '.join(matcher.one_of)}]"
         found.append(Condition(name, text, _one_of(name, frozenset(matcher.one_of))))
@@ -141,25 +143,25 @@
     return found
 
 
-def _equals(name: str, wanted: str | float | bool) -> Test:
+def _equals(name: str, wanted: str | float | bool) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) == wanted)
 
 
-def _one_of(name: str, wanted: frozenset[str]) -> Test:
+def _one_of(name: str, wanted: frozenset[str]) -> Predicate:
     get = attrgetter(name)
     return lambda situation: get(situation) in wanted
 
 
-def _at_least(name: str, bound: float) -> Test:
+def _at_least(name: str, bound: float) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) >= bound)
 
 
-def _below(name: str, bound: float) -> Test:
+def _below(name: str, bound: float) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) < bound)
 
 
-def _shown(value: str | float | bool) -> str:
+def _format_value(value: str | float | bool) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/sapphirelead/policy_rules_check.py
+++ b/sapphirelead/policy_rules_check.py
@@ -28,8 +28,15 @@
     values_of,
 )
 
-FLAGS: Final = frozenset({"urgent", "idempotent", "store_up"})
-ONLY_ADMITTED: Final = ("zones", "priority", "hedge", "urgent", "max_queue_ms", "throttle_share")
+FLAG_FIELDS: Final = frozenset({"urgent", "idempotent", "store_up"})
+ADMISSION_ONLY_KEYS: Final = (
+    "zones",
+    "priority",
+    "hedge",
+    "urgent",
+    "max_queue_ms",
+    "throttle_share",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,10 +169,10 @@
             return f"{field} is a number: use eq, at_least or below with a number"
         return ""
     if {"at_least", "below"} & given:
-        return f"{field} has no order: use eq" + ("" if field in FLAGS else " or in")
-    if field in FLAGS and not isinstance(matcher.eq, bool):
+        return f"{field} has no order: use eq" + ("" if field in FLAG_FIELDS else " or in")
+    if field in FLAG_FIELDS and not isinstance(matcher.eq, bool):
         return f"{field} is a flag: use eq = true or eq = false"
-    if field not in FLAGS and matcher.eq is not None and not isinstance(matcher.eq, str):
+    if field not in FLAG_FIELDS and matcher.eq is not None and not isinstance(matcher.eq, str):
         return f"{field} is a text: write it in quotes"
     return ""
 
@@ -176,7 +183,7 @@
     then = rule.then
     given = then.model_fields_set
     if then.action == "refuse":
-        for key in ONLY_ADMITTED:
+        for key in ADMISSION_ONLY_KEYS:
             if key in given:
                 yield key, "can never be carried out: the rule refuses what it matches"
     for name in then.avoid_services:
@@ -203,4 +210,4 @@
         return True
     values = values_of(DOMAINS[field], matcher)
     assert isinstance(values, TextSet)
-    return not values.common(TextSet(frozenset({value}))).empty
+    return not values.intersection(TextSet(frozenset({value}))).empty
--- a/sapphirelead/policy_rules_region.py
+++ b/sapphirelead/policy_rules_region.py
@@ -6,7 +6,7 @@
 another; what is left of a box after a subtraction is again a list of disjoint boxes, at most two
 for each field of the box taken away.
 
-The number of pieces can grow with each rule.  Past ``MAX_STEPS`` subtractions the search gives up
+The number of pieces can grow with each rule.  Past ``MAX_SUBTRACTIONS`` subtractions the search gives up
 and calls the rule reachable: a check must never refuse a configuration that might be sound, nor
 occupy an entry for long.
 """
@@ -17,14 +17,14 @@
 
 from sapphirelead.model_config import Matcher, When
 
-MAX_STEPS: Final = 5_000
+MAX_SUBTRACTIONS: Final = 5_000
 
 
 @dataclass(frozen=True, slots=True)
 class TextSet:
     """Some texts, or all texts but some.
 
-    >>> TextSet(frozenset("ab")).minus(TextSet(frozenset("b")))
+    >>> TextSet(frozenset("ab")).difference(TextSet(frozenset("b")))
     TextSet(values=frozenset({'a'}), inverted=False)
     """
 
@@ -36,7 +36,7 @@
         """Whether no text is in the set."""
         return not self.inverted and not self.values
 
-    def common(self, other: "TextSet") -> "TextSet":
+    def intersection(self, other: "TextSet") -> "TextSet":
         """Return the intersection."""
         if self.inverted and other.inverted:
             return TextSet(self.values | other.values, True)
@@ -46,13 +46,13 @@
             return TextSet(self.values - other.values)
         return TextSet(self.values & other.values)
 
-    def minus(self, other: "TextSet") -> "TextSet":
+    def difference(self, other: "TextSet") -> "TextSet":
         """Return what is in this set and not in ``other``."""
-        return self.common(TextSet(other.values, not other.inverted))
+        return self.intersection(TextSet(other.values, not other.inverted))
 
     def pieces(self, other: "TextSet") -> "list[TextSet]":
-        """Return :meth:`minus` as a list of sets that are not empty."""
-        rest = self.minus(other)
+        """Return :meth:`difference` as a list of sets that are not empty."""
+        rest = self.difference(other)
         return [] if rest.empty else [rest]
 
 
@@ -68,7 +68,7 @@
         """Whether no number is in the range."""
         return not self.low < self.high
 
-    def common(self, other: "Range") -> "Range":
+    def intersection(self, other: "Range") -> "Range":
         """Return the intersection."""
         return Range(max(self.low, other.low), min(self.high, other.high))
 
@@ -124,10 +124,10 @@
 def uncovered(box: Box, earlier: list[Box]) -> bool:
     """Return whether some situation of ``box`` is in none of ``earlier``."""
     left = [box]
-    steps = 0
+    subtractions = 0
     for other in earlier:
-        steps += len(left)
-        if steps > MAX_STEPS:
+        subtractions += len(left)
+        if subtractions > MAX_SUBTRACTIONS:
             return True
         left = [piece for part in left for piece in _subtract(part, other)]
     return bool(left)
@@ -139,7 +139,9 @@
 
 
 def _subtract(box: Box, other: Box) -> list[Box]:
-    shared = {name: _common(box.get(name, DOMAINS[name]), values) for name, values in other.items()}
+    shared = {
+        name: _intersection(box.get(name, DOMAINS[name]), values) for name, values in other.items()
+    }
     if any(values.empty for values in shared.values()):
         return [box]
     pieces: list[Box] = []
@@ -151,11 +153,11 @@
     return pieces
 
 
-def _common(left: Values, right: Values) -> Values:
+def _intersection(left: Values, right: Values) -> Values:
     if isinstance(left, TextSet) and isinstance(right, TextSet):
-        return left.common(right)
+        return left.intersection(right)
     assert isinstance(left, Range) and isinstance(right, Range)
-    return left.common(right)
+    return left.intersection(right)
 
 
 def _pieces(left: Values, right: Values) -> list[TextSet] | list[Range]:
@@ -169,9 +171,9 @@
     found = domain
     if matcher.eq is not None:
         text = str(matcher.eq).lower() if isinstance(matcher.eq, bool) else str(matcher.eq)
-        found = found.common(TextSet(frozenset({text})))
+        found = found.intersection(TextSet(frozenset({text})))
     if matcher.one_of is not None:
-        found = found.common(TextSet(frozenset(matcher.one_of)))
+        found = found.intersection(TextSet(frozenset(matcher.one_of)))
     return found
 
 
@@ -179,7 +181,7 @@
     found = domain
     if matcher.eq is not None:
         value = float(matcher.eq)
-        found = found.common(Range(value, math.nextafter(value, math.inf)))
+        found = found.intersection(Range(value, math.nextafter(value, math.inf)))
     low = -math.inf if matcher.at_least is None else matcher.at_least
     high = math.inf if matcher.below is None else matcher.below
-    return found.common(Range(low, high))
+    return found.intersection(Range(low, high))
