--- a/sapphirelead/policy_budget.py
+++ b/sapphirelead/policy_budget.py
@@ -1,7 +1,7 @@
-"""Token bucket on the loop's clock.
+"""Token bucket rate limiter on the event loop's clock.
 
-One bucket bounds one kind of call to the platform.  Its rate is the deployment's budget divided by
-the number of live entries, so that the sum over all of them stays inside what the platform gives.
+Each bucket limits one kind of call to the platform.  Its rate is the deployment's budget divided by
+the number of live entries, so that the total over all entries stays within the platform's limit.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class TokenBucket:
-    """Bounds calls to ``rate`` a second with a burst of half a second's worth (at least one)."""
+    """Limits calls to ``rate`` per second, with bursts of ``BURST_SECONDS`` (at least one call)."""
 
     rate: float
     _tokens: float
@@ -25,11 +25,11 @@
         self._refilled_at = at
 
     def set_rate(self, rate: float) -> None:
-        """Change the rate, in calls a second."""
+        """Set the rate in calls per second."""
         self.rate = max(rate, 0.1)
 
     def wait_s(self, at: float) -> float:
-        """Return the seconds until a call may go, or 0 and take a token."""
+        """Take a token and return 0, or return the seconds until one is available."""
         self._refill(at)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -46,7 +46,7 @@
 
 
 async def take(bucket: TokenBucket) -> None:
-    """Wait until ``bucket`` lets a call go."""
+    """Wait for a token and take it."""
     delay = bucket.wait_s(now())
     while delay > 0:
         await asyncio.sleep(delay)
--- a/sapphirelead/policy_ejection.py
+++ b/sapphirelead/policy_ejection.py
@@ -1,15 +1,14 @@
-"""Which instances are taken out because they fail, and when they return.
+"""Outlier ejection: removes failing instances from routing for a limited time.
 
-Failures in a row, or a high share of failures, eject an instance from all its services for a time
-that doubles with each ejection.  On return it gets one request at a time until a few succeeded; a
-failure before that ejects it again at once.
+Consecutive failures, or a high share of failures, eject an instance from all its services.  The
+ejection time doubles with each ejection.  A reinstated instance gets one probe request at a time
+until ``PROBE_SUCCESSES`` have succeeded; a failure before that ejects it again.
 
 Invariants:
 
-- No more than the configured share of a service's live instances is ejected, or one where there
-  are only two.  The failure: the service itself is broken for a minute, every instance fails, and
-  ejecting them all would turn a bad minute into an outage; the others go on being tried.
-- The pools' sets of ejected instances change only here and where an instance is forgotten.
+- At most the configured share of a service's live instances is ejected (but one of two is allowed),
+  so that a failure of the service itself does not eject all its instances.
+- The pools' ``ejected`` sets change only here and where an instance is forgotten.
 """
 
 from collections.abc import Mapping
@@ -29,7 +28,7 @@
 
 
 class Ejections:
-    """Ejects instances that fail and says which may return."""
+    """Ejects failing instances and reinstates them when their ejection time is over."""
 
     _policy: EjectionPolicy
     _instances: Mapping[str, RoutedInstance]
@@ -48,20 +47,20 @@
         self._returns = []
 
     def configure(self, policy: EjectionPolicy) -> None:
-        """Take a changed policy."""
+        """Replace the policy."""
         self._policy = policy
 
     def eject_if_failing(self, inst: RoutedInstance, at: float) -> None:
-        """Eject an instance that has just failed, where its record and the share allow it."""
+        """Eject an instance that has just failed if it meets the policy's criteria."""
         consecutive = inst.failures_in_row >= self._policy.consecutive_failures
-        # A share of fewer attempts says little: one bad start ejects no new instance.
+        # Too few attempts give no reliable failure share.
         enough_attempts = inst.attempts >= MIN_ATTEMPTS_FOR_FAILURE_SHARE
         frequent = enough_attempts and inst.failure_share > FAILURE_SHARE_LIMIT
         if (consecutive or frequent or inst.probes_left) and self._may_eject(inst):
             self._eject(inst, at)
 
     def reinstate(self, at: float) -> list[RoutedInstance]:
-        """Return the instances whose time is over; from now on they are tried one at a time."""
+        """Reinstate the instances whose ejection time is over, on probation, and return them."""
         back: list[RoutedInstance] = []
         while self._returns and self._returns[0][0] <= at:
             _, instance = heappop(self._returns)
@@ -79,8 +78,8 @@
         for service in inst.services:
             pool = self._pools[service]
             live = len(pool.live | {inst.id})
-            # A share of two instances rounds down to none; then a dead one would go on getting
-            # half of the attempts. One may always go while another one stays.
+            # The share of a small pool rounds down to 0: allow one ejection while another
+            # instance stays.
             most = max(1, int(self._policy.max_ejected_share * live)) if live > 1 else 0
             if len(pool.ejected | {inst.id}) > most:
                 return False
--- a/sapphirelead/policy_routing.py
+++ b/sapphirelead/policy_routing.py
@@ -1,20 +1,15 @@
-"""Which instance gets the next attempt of a service request.
+"""Load balancing: chooses the instance for the next attempt of a service request.
 
-The choice is the power of two choices inside the request's zone: two instances that can take a
-request are drawn at random and the one with the lower expected time wins.  Expected time is the
-instance's latency estimate times its load; an instance ten times slower therefore sheds almost all
-its traffic.  Where the zone is nearly full, the best of two instances of other zones may win.
-
-Load is an estimate: what this entry has in flight there, plus what the last report says of others,
-which fades with age.  Both a draw and an update cost the same at any number of instances, because
-each service keeps, for each zone, a set of just those instances that can take a request.
-
-Instances that fail are taken out for a time (``policy_ejection``).
+Uses the power of two choices within the request's zone: of two random instances with capacity, the
+one with the lower cost (estimated latency times load times failure penalty) is chosen.  If the zone
+is nearly full, an instance of another zone may be chosen.  Load is the entry's own attempts in
+flight plus the decayed load of others from the last report.  Draws and updates take constant time:
+each service has, per zone, a set of the instances with capacity.
 
 Invariants:
 
-- An instance that is silent, fenced, draining, ejected or full by estimate is in no set.
-- Only successes move the latency estimate down, so that failing fast attracts nothing.
+- An instance that is unresponsive, fenced, draining, ejected or estimated to be full is in no set.
+- Only successes lower the latency estimate, so that fast failures do not attract traffic.
 """
 
 import random
@@ -46,7 +41,7 @@
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended, as far as the instance's health is concerned."""
+    """Result of an attempt with respect to the instance's health."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -57,10 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolHealth:
-    """A service's instances together.
+    """Aggregate state of a service's instances.
 
-    :ivar load: used share of the live slots by estimate, 0 to 1.
+    :ivar load: estimated share of the live slots in use, 0 to 1.
     :ivar healthy_share: share of known instances that are live and not ejected.
+    :ivar live: number of live instances.
     """
 
     load: float
@@ -69,7 +65,7 @@
 
 
 class Router:
-    """Chooses instances and keeps the estimates that the choice rests on."""
+    """Chooses instances and maintains the estimates that the choice is based on."""
 
     _zone: str
     _rng: random.Random
@@ -88,15 +84,15 @@
     def from_config(
         cls, zone: str, ejection: EjectionPolicy, rng: random.Random | None = None
     ) -> "Router":
-        """Return a router of an entry in ``zone`` that knows nobody yet."""
+        """Return a router without instances for an entry in ``zone``."""
         return cls(zone, ejection, rng or random.Random())
 
     def configure(self, ejection: EjectionPolicy) -> None:
-        """Take a changed ejection policy."""
+        """Replace the ejection policy."""
         self._ejections.configure(ejection)
 
     def update(self, view: InstanceView, live: bool, at: float) -> None:
-        """Take a new view of an instance."""
+        """Add an instance, or update it from its latest report."""
         inst = self._instances.get(view.id)
         if inst is None or inst.zone != view.zone or inst.services != view.services:
             inst = self._register(view)
@@ -109,7 +105,7 @@
         self._report(inst, view.slots_used, at)
 
     def report(self, instance: str, slots_used: int, slots: int, at: float) -> None:
-        """Take the load that came with an answer."""
+        """Update the load of an instance from the load reported with an answer."""
         inst = self._instances.get(instance)
         if inst is not None and slots:
             inst.slots = slots
@@ -123,11 +119,11 @@
         zones: Collection[str] = (),
         spill: bool = True,
     ) -> str | None:
-        """Return the instance for the next attempt, or ``None`` where nobody has room.
+        """Return the instance for the next attempt, or ``None`` if none has capacity.
 
-        :param excluded: instances that this request has tried already.
+        :param excluded: instances that this request has already tried.
         :param zones: zones to prefer over the entry's own, best first.
-        :param spill: whether other zones may be used at all.
+        :param spill: whether other zones may be used.
         """
         for inst in self._ejections.reinstate(at):
             self._refresh(inst, at)
@@ -146,7 +142,7 @@
         return other.id if cheaper else best.id
 
     def begin(self, instance: str, at: float) -> None:
-        """Count an attempt that is being sent."""
+        """Count the start of an attempt."""
         if inst := self._instances.get(instance):
             inst.own_in_flight += 1
             self._refresh(inst, at)
@@ -154,7 +150,7 @@
     def end(
         self, instance: str, service: str, end: AttemptEnd, latency_s: float, at: float
     ) -> None:
-        """Count the end of an attempt."""
+        """Count the end of an attempt and update the estimates with its result."""
         inst = self._instances.get(instance)
         if inst is None:
             return
@@ -172,7 +168,7 @@
         self._refresh(inst, at)
 
     def health(self, service: str) -> PoolHealth:
-        """Return the state of a service's instances together."""
+        """Return the aggregate state of a service's instances."""
         pool = self._pools.get(service)
         if pool is None or not pool.known:
             return PoolHealth(0.0, 0.0, 0)
@@ -181,16 +177,16 @@
         return PoolHealth(load, healthy / len(pool.known), len(pool.live))
 
     def latency_s(self, service: str) -> float:
-        """Return the service's usual latency in seconds."""
+        """Return the average latency of the service in seconds."""
         pool = self._pools.get(service)
         return pool.latency_s if pool else DEFAULT_LATENCY_S
 
     def ejected(self) -> list[str]:
-        """Return the instances that are ejected now."""
+        """Return the ejected instances."""
         return [inst.id for inst in self._instances.values() if inst.ejected]
 
     def forget(self, instance: str) -> None:
-        """Drop an instance."""
+        """Remove an instance."""
         inst = self._instances.pop(instance, None)
         if inst is None:
             return
@@ -268,11 +264,7 @@
         )
 
     def _should_spill(self, inst: RoutedInstance, service: str, at: float) -> bool:
-        """Whether the best of the zone is poor enough to look further.
-
-        The case: all but one instance of the zone are full, and the one with room is the one that
-        is ten times slower; without this it would get the zone's whole overflow.
-        """
+        """Return whether to consider other zones: the zone's best is loaded, slow or failing."""
         if inst.used(at) >= SPILL_LOAD * inst.slots:
             return True
         slow = (
@@ -301,7 +293,7 @@
 
     def _counts_as_failure(self, end: AttemptEnd, service: str, latency_s: float) -> bool:
         if end is AttemptEnd.TIMEOUT:
-            # A caller with a very short deadline says nothing about the instance.
+            # A timeout after a very short deadline is no failure of the instance.
             return latency_s > TIMEOUT_FACTOR * self.latency_s(service)
         return end is AttemptEnd.FAILURE
 
@@ -316,7 +308,7 @@
         return inst
 
     def _restart(self, inst: RoutedInstance, view: InstanceView) -> None:
-        """Give a new incarnation a clean record; attempts on the old one still end by ``end``."""
+        """Reset the record for a new incarnation; attempts on the old one still call ``end``."""
         inst.incarnation = view.incarnation
         inst.attempts = 0
         inst.failures_in_row = 0
@@ -333,7 +325,7 @@
         self._refresh(inst, inst.reported_at)
 
     def _refresh(self, inst: RoutedInstance, at: float) -> None:
-        """Put the instance into its sets, or out of them, and correct the sums."""
+        """Update the instance's membership in the sets, and the pools' sums."""
         room = inst.room(at)
         slots = inst.slots if inst.live else 0
         used = min(float(slots), inst.used(at))
--- a/sapphirelead/policy_routing_records.py
+++ b/sapphirelead/policy_routing_records.py
@@ -1,16 +1,14 @@
-"""What routing remembers of an instance and of a service's instances.
+"""Routing state of instances and of the pools of services.
 
-An instance's load and its share of failures fade with age, so that an old report or a past failure
-weighs less and less; its latency is kept for each service apart.  A pool holds, for each zone, the
-set of those instances that can take a request; drawing from it, adding and removing take constant
-time, whatever the number of instances.
+The load and failure share of an instance decay exponentially with age; latency is kept per service.
+A pool holds, per zone, the set of instances with capacity, with constant-time draw, add and remove.
 
 Invariants:
 
-- A record changes only through the router and the ejections, which keep the pools' sets and sums
-  in step with it.
-- A sample above the latency estimate weighs more than one below it: an instance that turned slow
-  loses its traffic sooner than it wins it back.
+- Records change only through the router and the ejections, which keep the pools' sets and sums
+  consistent with them.
+- A sample above the latency estimate weighs more than one below it, so that a slow instance loses
+  traffic faster than it regains it.
 """
 
 from dataclasses import dataclass, field
@@ -23,12 +21,12 @@
 POOL_LATENCY_WEIGHT: Final = 0.05
 FAILURE_WEIGHT: Final = 0.1
 MIN_ATTEMPTS_FOR_FAILURE_SHARE: Final = round(1 / FAILURE_WEIGHT)
-"""Attempts from which on the share of failures follows the newest ones alone."""
+"""Attempts after which ``FAILURE_WEIGHT`` is the weight of a new attempt."""
 DEFAULT_LATENCY_S: Final = 0.01
 
 
 class DrawSet:
-    """A set of ids from which a random one is drawn in constant time."""
+    """A set of ids with constant-time add, discard and random access by index."""
 
     items: list[str]
     _index: dict[str, int]
@@ -44,7 +42,7 @@
             self.items.append(item)
 
     def discard(self, item: str) -> None:
-        """Remove ``item`` if it is there; the last one takes its place."""
+        """Remove ``item`` if present; the last item takes its index."""
         index = self._index.pop(item, None)
         if index is None:
             return
@@ -56,13 +54,13 @@
 
 @dataclass(slots=True)
 class LatencyEstimate:
-    """Exponentially weighted latency in seconds."""
+    """Exponentially weighted moving average of latency."""
 
     value_s: float
     at: float
 
     def add(self, sample_s: float, at: float) -> None:
-        """Move the estimate towards a sample."""
+        """Update the estimate with a sample."""
         weight = SLOWER_WEIGHT if sample_s > self.value_s else FASTER_WEIGHT
         self.value_s += weight * (sample_s - self.value_s)
         self.at = at
@@ -70,14 +68,14 @@
 
 @dataclass(slots=True)
 class RoutedInstance:
-    """What one instance can take, by estimate, and how its attempts ended.
-
-    :ivar own_in_flight: attempts that this entry has in flight there.
-    :ivar others_in_flight: slots that others_in_flight used when it last reported, before fading.
-    :ivar counted_used: used slots that the sums of its pools hold for it.
-    :ivar counted_slots: slots that the sums of its pools hold for it.
-    :ivar attempts: attempts that have ended well or badly.
-    :ivar probes_left: successes still missing before a returned instance is trusted again.
+    """Estimated load and record of attempts of one instance.
+
+    :ivar own_in_flight: attempts of this entry in flight.
+    :ivar others_in_flight: slots used by others at the last report, before decay.
+    :ivar counted_used: used slots included in the sums of its pools.
+    :ivar counted_slots: slots included in the sums of its pools.
+    :ivar attempts: attempts that succeeded or failed.
+    :ivar probes_left: successes that a reinstated instance needs to end its probation.
     """
 
     id: str
@@ -103,12 +101,12 @@
     probes_left: int = 0
 
     def used(self, at: float) -> float:
-        """Return the slots in use, by estimate."""
+        """Return the estimated number of slots in use."""
         age = max(0.0, at - self.reported_at)
         return float(self.own_in_flight + self.others_in_flight * 0.5 ** (age / LOAD_HALF_LIFE_S))
 
     def room(self, at: float) -> bool:
-        """Return whether it can take another attempt."""
+        """Return whether the instance can take another attempt."""
         if not self.live or self.ejected:
             return False
         if self.probes_left:
@@ -116,12 +114,12 @@
         return self.own_in_flight < self.connections and self.used(at) + 0.5 < self.slots
 
     def recent_failures(self, at: float) -> float:
-        """Return the share of failed attempts, 0 to 1, faded with age."""
+        """Return the share of failed attempts, 0 to 1, decayed with age."""
         age = max(0.0, at - self.failure_at)
         return float(self.failure_share * 0.5 ** (age / FAILURE_HALF_LIFE_S))
 
     def succeeded(self, at: float) -> None:
-        """Note a success; the last probe of a returned instance ends its record of failures."""
+        """Record a success; the last successful probe clears the record of failures."""
         self.failures_in_row = 0
         self.failure_share = self.recent_failures(at) * (1.0 - self._next_weight())
         self.failure_at = at
@@ -132,17 +130,16 @@
                 self.failure_share = 0.0
 
     def failed(self, at: float) -> None:
-        """Note a failure."""
+        """Record a failure."""
         self.failures_in_row += 1
         share = self.recent_failures(at)
         self.failure_share = share + self._next_weight() * (1.0 - share)
         self.failure_at = at
 
     def _next_weight(self) -> float:
-        """Count an attempt and return what it weighs.
+        """Count an attempt and return its weight in the failure share.
 
-        The first attempts are averaged plainly.  An instance whose only attempt failed would else
-        count as one that fails one in ten, and win against any other that is slow for a moment.
+        The first attempts are averaged with equal weights.
         """
         self.attempts += 1
         return max(FAILURE_WEIGHT, 1.0 / self.attempts)
@@ -150,7 +147,7 @@
 
 @dataclass(slots=True)
 class ServicePool:
-    """The instances of one service."""
+    """The instances of one service, with sums of their slots."""
 
     zones: dict[str, DrawSet] = field(default_factory=dict)
     known: set[str] = field(default_factory=set)
@@ -162,7 +159,7 @@
     used: float = 0.0
 
     def add_latency(self, sample_s: float) -> None:
-        """Average the first samples plainly, so that the default is forgotten at once."""
+        """Update the average latency; the first samples are averaged with equal weights."""
         self.samples += 1
         weight = max(POOL_LATENCY_WEIGHT, 1.0 / self.samples)
         self.latency_s += weight * (sample_s - self.latency_s)
