--- a/sapphirelead/policy_limits.py
+++ b/sapphirelead/policy_limits.py
@@ -1,20 +1,19 @@
-"""How much a service may have in flight and in its queue, and when a refused caller comes back.
+"""Admission control of a service: request queue, concurrency limit and Retry-After delay.
 
-Queue: bounded, ordered by priority and then by deadline.  A request that cannot be met any more is
-given up at once, when it arrives (judged by the work before it) or when its turn comes; so under
-overload the instances work only for callers that still wait.
+Queue: bounded, ordered by priority and then by deadline.  Requests that can no longer meet their
+deadline are dropped, so that instances under overload serve only callers that still wait.
 
-Concurrency: a limit for each service at this entry that follows latency.  While latency stays near
-its floor the limit grows; when it grows beyond a tolerance the limit shrinks in proportion.
+Concurrency: an adaptive limit per service and entry.  It grows while latency stays near its floor,
+and shrinks in proportion when latency exceeds the floor by ``LATENCY_TOLERANCE``.
 
-Retry-After: grows with the backlog and with the share of requests refused, and is drawn from a
-range, so that those refused together do not return together.
+Retry-After: grows with the backlog and the share of refused requests, with random jitter so that
+callers refused together do not retry together.
 
 Invariants:
 
-- The queue never holds more than its bound; an arrival at a full queue costs one entry its place,
-  the one with the lowest priority and the latest deadline.
-- A queued entry leaves the queue exactly once: taken, given up or withdrawn.
+- The queue never holds more than its bound; an arrival at a full queue displaces the entry with the
+  lowest priority and the latest deadline.
+- A queued entry leaves the queue exactly once: taken, dropped, displaced or withdrawn.
 """
 
 import random
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuePosition:
-    """Position in the queue; smaller is served earlier."""
+    """Position in the queue; the smallest is served first."""
 
     rank: int
     deadline: float
@@ -47,9 +46,9 @@
 
 
 class DeadlineQueue(Generic[T]):
-    """A bounded queue that drops by deadline, not by arrival.
+    """A bounded queue ordered by priority and deadline.
 
-    :ivar bound: most entries held.
+    :ivar bound: maximum number of entries.
     """
 
     bound: int
@@ -67,13 +66,13 @@
         return len(self._positions)
 
     def ahead(self, priority: int, deadline: float) -> int:
-        """Return how many entries would be served before such a one."""
+        """Return the number of entries that would be served before a new one."""
         return bisect_left(self._positions, QueuePosition(-priority, deadline, self._sequence + 1))
 
     def put(self, item: T, priority: int, deadline: float) -> tuple[QueuePosition, T | None]:
-        """Add an entry; return its place and the one that lost its place, if any.
+        """Add an entry; return its position and the displaced entry, if any.
 
-        The one that lost may be ``item`` itself.
+        The displaced entry may be ``item`` itself.
         """
         self._sequence += 1
         position = QueuePosition(-priority, deadline, self._sequence)
@@ -84,10 +83,9 @@
         return position, self._items.pop(self._positions.pop())
 
     def drop_expired(self, at: float) -> list[T]:
-        """Give up and return the entries whose deadline has passed.
+        """Remove and return the entries at the front of the queue whose deadline has passed.
 
-        Each rank is ordered by deadline, so only the front of the queue is looked at; late entries
-        of a lower rank are found when they come to the front.
+        Expired entries of a lower priority are found when they reach the front.
         """
         expired = 0
         while expired < len(self._positions) and self._positions[expired].deadline < at:
@@ -97,22 +95,22 @@
         return dropped
 
     def last(self) -> tuple[QueuePosition, T] | None:
-        """Return the entry that would be served last, leaving it in the queue."""
+        """Return the entry that would be served last, without removing it."""
         return (self._positions[-1], self._items[self._positions[-1]]) if self._positions else None
 
     def first(self, count: int) -> list[tuple[QueuePosition, T]]:
-        """Return the next entries in order, leaving them in the queue."""
+        """Return the next ``count`` entries in order, without removing them."""
         return [(position, self._items[position]) for position in self._positions[:count]]
 
     def withdraw(self, position: QueuePosition) -> bool:
-        """Remove an entry whose caller left; return whether it was still queued."""
+        """Remove an entry whose caller disconnected; return whether it was still queued."""
         if self._items.pop(position, None) is None:
             return False
         del self._positions[bisect_left(self._positions, position)]
         return True
 
     def resize(self, bound: int) -> list[T]:
-        """Change the bound and return the entries that lost their places."""
+        """Change the bound and return the displaced entries."""
         self.bound = bound
         displaced = self._positions[bound:]
         del self._positions[bound:]
@@ -120,11 +118,7 @@
 
 
 class ConcurrencyLimit:
-    """Most attempts of one service in flight from this entry, following latency.
-
-    :ivar limit: the bound in force.
-    :ivar in_flight: attempts in flight.
-    """
+    """Adaptive limit on the attempts of one service in flight from this entry."""
 
     limit: float
     in_flight: int
@@ -146,12 +140,15 @@
         return self.in_flight < int(self.limit)
 
     def begin(self) -> None:
-        """Count an attempt."""
+        """Count the start of an attempt."""
         self.in_flight += 1
         self._peak = max(self._peak, self.in_flight)
 
     def end(self, latency_s: float | None, at: float) -> None:
-        """Count the end of an attempt, with its latency where it succeeded."""
+        """Count the end of an attempt.
+
+        :param latency_s: latency of a successful attempt, else ``None``.
+        """
         self.in_flight -= 1
         if latency_s is None:
             return
@@ -168,15 +165,13 @@
 
     def _close_window(self, at: float) -> None:
         mean_s = self._sum_s / self._count
-        # The floor drifts up slowly: a service that became slower for good would otherwise be
-        # held at the smallest limit for ever.
+        # The floor drifts up slowly, so that a permanently slower service is not held at MIN_LIMIT.
         self._floor_s = (
             min(mean_s, self._floor_s * LATENCY_FLOOR_DRIFT) if self._floor_s else mean_s
         )
         gradient = min(1.0, max(0.5, LATENCY_TOLERANCE * self._floor_s / mean_s))
         if gradient < 1.0:
-            # A limit far above what was in use, as at the start, would have to fall for many
-            # windows before it bound anything.
+            # A limit far above the concurrency in use would take many windows to take effect.
             self.limit = min(self.limit, max(MIN_LIMIT, 2.0 * self._peak))
         next_limit = self.limit * gradient + self.limit**0.5
         if gradient == 1.0 and self._peak < self.limit / 2:
@@ -187,7 +182,7 @@
 
 
 class RetryAfterEstimator:
-    """How hard a service is pressed, for telling refused callers when to come back."""
+    """Computes the Retry-After delay of refused requests from the recent share of refusals."""
 
     _refused_share: float
     _rng: random.Random
@@ -197,31 +192,30 @@
         self._rng = rng
 
     def served(self) -> None:
-        """Count a request that got its answer."""
+        """Count an answered request."""
         self._refused_share -= REFUSED_SHARE_WEIGHT * self._refused_share
 
     def refused(self) -> None:
-        """Count a request that was given up."""
+        """Count a refused request."""
         self._refused_share += REFUSED_SHARE_WEIGHT * (1.0 - self._refused_share)
 
     def retry_after_s(self, backlog_s: float, min_delay_s: float = MIN_RETRY_AFTER_S) -> float:
-        """Return seconds until a refused caller should ask again.
+        """Return the seconds after which a refused caller should retry.
 
         :param backlog_s: time that the queue needs to drain.
-        :param min_delay_s: lower end of the range at no pressure.
+        :param min_delay_s: minimum delay without backlog or refusals.
         """
-        # With a share r refused, offered load is 1/(1-r) times what is served; spreading the
-        # return over as many times the base keeps the returning load near what can be served.
+        # If a share r is refused, offered load is 1/(1-r) times the served load; stretching the
+        # delay by the same factor keeps the load from retries near capacity.
         offered = 1.0 / max(0.05, 1.0 - self._refused_share)
         base_s = (min_delay_s + backlog_s) * offered
         return min(MAX_RETRY_AFTER_S, base_s * (1.0 + self._rng.random()))
 
 
 def expected_wait_s(ahead: int, in_flight: int, latency_s: float) -> float:
-    """Return the expected time in the queue behind ``ahead`` others.
+    """Return the expected queueing time in seconds behind ``ahead`` requests.
 
-    With ``in_flight`` attempts that take ``latency_s`` each, one ends every ``latency_s /
-    in_flight`` seconds.
+    Assumes that one of the ``in_flight`` attempts ends every ``latency_s / in_flight`` seconds.
 
     >>> expected_wait_s(10, 5, 0.1)
     0.2
--- a/sapphirelead/policy_order.py
+++ b/sapphirelead/policy_order.py
@@ -1,13 +1,12 @@
-"""The order in which queued jobs are offered to instances.
+"""The order in which queued jobs are offered to instances: weighted dominant resource fairness.
 
-Urgent jobs go first, then those to which a rule gave a higher priority.  Among equals, the team
-that uses the smallest part of its fair share goes first; its jobs are ordered by deadline slack,
-and waiting makes every job older: after ``AGEING_S`` of waiting a job has overtaken any difference
-of share, so that none starves behind a steady stream of its equals.
+Urgent jobs go first, then jobs with a higher priority.  Among equals, the team with the smallest
+dominant share (the largest share of any one resource that it holds, divided by its weight) goes
+first.  Jobs of a team are ordered by deadline slack and age.  Ageing prevents starvation: after
+``AGEING_S`` of waiting a job outranks any difference in share.
 
-Shares are dominant shares: the largest part of any one resource that the team holds, divided by the
-team's weight.  The order interleaves: each job picked is added to its team's use before the next is
-picked, so one pass over a burst of one team does not starve the rest.
+Each picked job is added to its team's usage before the next is picked, so that a burst of one team
+does not starve the others.
 """
 
 import heapq
@@ -25,11 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedJob:
-    """A queued job and when this entry first saw it queued, on its own clock.
+    """A queued job with what its order depends on.
 
-    :ivar expected_s: learnt or declared run time; 0 where unknown.
-    :ivar urgent: as declared, or as the deciding rule says.
-    :ivar priority: given by the deciding rule, 9 first.
+    :ivar since: when this entry first saw the job queued, on the entry's clock.
+    :ivar expected_s: learned or declared run time; 0 if unknown.
+    :ivar urgent: as declared, unless the matching rule overrides it.
+    :ivar priority: set by the matching rule; 9 is the highest.
     """
 
     job: Job
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamShare:
-    """What orders one team against the others.
+    """Weight and quota of a team.
 
-    :ivar quota: bound on use; a dimension of 0 sets none.
+    :ivar quota: limit on usage; a dimension of 0 is unlimited.
     """
 
     weight: float = 1.0
@@ -51,7 +51,7 @@
 
 
 def dominant_share(used: Resources, total: Resources) -> float:
-    """Return the largest part of any resource of ``total`` that ``used`` holds.
+    """Return the largest share of any one resource of ``total`` that ``used`` holds.
 
     >>> dominant_share(Resources(1000, 100), Resources(4000, 1000))
     0.25
@@ -65,7 +65,7 @@
 
 
 def within_quota(used: Resources, want: Resources, quota: Resources) -> bool:
-    """Return whether ``want`` on top of ``used`` stays inside ``quota``.
+    """Return whether ``want`` in addition to ``used`` stays within ``quota``.
 
     >>> within_quota(Resources(1000), Resources(1000), Resources(2000))
     True
@@ -81,11 +81,11 @@
 
 
 def urgency(queued: QueuedJob, at: float) -> float:
-    """Return how much waiting and a near deadline press a job forward, 0 for not at all.
+    """Return the urgency of a job from its age and deadline, 0 or more.
 
-    Waiting counts 1 per :data:`AGEING_S`.  A deadline counts from 0 at :data:`DEADLINE_HORIZON_S`
-    of slack to 1 at none; a deadline already missed presses no more than one about to be, so that
-    hopeless jobs do not hold back those that can still be in time.
+    Age counts 1 per :data:`AGEING_S`.  A deadline counts from 0 at :data:`DEADLINE_HORIZON_S` of
+    slack to 1 at no slack; missed deadlines count no more, so that jobs that are already late do
+    not delay those that can still finish in time.
     """
     waited = max(0.0, at - queued.since)
     ageing = waited / AGEING_S
@@ -103,12 +103,12 @@
     at: float,
     limit: int,
 ) -> list[QueuedJob]:
-    """Return up to ``limit`` jobs in the order in which they are to be offered.
+    """Return up to ``limit`` jobs in the order in which to offer them.
 
-    Jobs whose team is at its quota are left out.
+    Jobs that would exceed their team's quota are left out.
 
-    :param used: what each team holds now, everywhere.
-    :param total: capacity over which shares are taken.
+    :param used: current usage of each team over all instances.
+    :param total: capacity that shares are relative to.
     """
     queues = _group_by_key(queued, at)
     allocated = dict(used)
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _QueueKey:
-    """Jobs that are ordered among themselves by waiting and deadline alone."""
+    """Key of a queue whose jobs are ordered by age and deadline alone."""
 
     team: str
     urgent: bool
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Rank:
-    """Place of a line's first job; lower goes first."""
+    """Rank of the first job of a queue; the lowest goes first."""
 
     not_urgent: bool
     priority: int
--- a/sapphirelead/policy_placement.py
+++ b/sapphirelead/policy_placement.py
@@ -1,19 +1,15 @@
-"""Which instance a job is offered to.
+"""Chooses the instance that a job is offered to.
 
-Among the instances that would hold the job by the entry's estimate, the one with the lowest cost is
-taken.  The cost adds, each weighted by what the operators care for:
+Among the instances whose estimated headroom fits the job, the one with the lowest cost is chosen.
+The cost combines, by the operators' weights, the estimated slowdown of the services on the instance
+(tail latency) and how full the instance would be (batch throughput).
 
-- the learnt slowdown that the job's class brings to the services on that instance (tail latency);
-- how full the instance would be, best fit for small jobs on instances already shared, so that large
-  jobs still find room (batch throughput).
+Instances that recently failed an attempt of this job, or several attempts in a row, are avoided
+while another instance is large enough for the job, even if that one is full now: a failing instance
+is always empty and would otherwise attract every job.
 
-Instances where an attempt of the job failed, or that have lately failed what they started, are
-left out as long as another one could hold the job once it has room.  An instance that fails
-everything is always empty: were it only dearer than the others, it would take each job whenever
-they are full, and use up the attempts of all.
-
-The estimate of an instance is its last report less what this entry has offered since, so that a
-burst of offers between two beats does not all go to the same place.
+Headroom is the last report less the offers made since, so that a burst of offers between two
+heartbeats is spread over several instances.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,10 +31,11 @@
 
 @dataclass(slots=True)
 class InstanceRecord:
-    """What an entry remembers of an instance between reports.
+    """An entry's record of an instance between reports.
 
-    :ivar offered: amounts offered since its last beat, by offer.
-    :ivar failures: attempts of different jobs that failed there in a row.
+    :ivar offered: resources offered since the last heartbeat, by offer id.
+    :ivar heartbeat: counter of the last heartbeat.
+    :ivar failures: consecutive failed attempts of different jobs.
     """
 
     offered: dict[str, Resources] = field(default_factory=dict)
@@ -47,24 +44,24 @@
     failed_at: float = 0.0
 
     def headroom(self, view: InstanceView) -> Resources:
-        """Return the estimate of what the instance would still admit."""
+        """Return the estimated resources that are still free on the instance."""
         headroom = view.free
         for amount in self.offered.values():
             headroom = headroom - amount
         return headroom
 
     def failing(self, at: float) -> bool:
-        """Whether the instance fails what it starts."""
+        """Return whether the instance has recently failed several attempts in a row."""
         return self.failures >= MIN_FAILURES_TO_AVOID and at - self.failed_at < FAILURE_RETENTION_S
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What placement looks at besides the instances.
+    """A job to place and its placement constraints.
 
-    :ivar zones: preferred zones, or empty for none.
+    :ivar zones: preferred zones; empty for no preference.
     :ivar spill: whether other zones may be used.
-    :ivar avoid_services: services beside which the job must not run.
+    :ivar avoid_services: services that the job must not be colocated with.
     """
 
     job: Job
@@ -81,7 +78,7 @@
     weights: Weights,
     at: float,
 ) -> InstanceView | None:
-    """Return the instance to offer the job to, or ``None`` where none has headroom."""
+    """Return the instance to offer the job to, or ``None`` if it fits on none."""
     avoided = _instances_to_avoid(request, views, records, at)
     best: tuple[float, str] | None = None
     found: InstanceView | None = None
@@ -103,9 +100,8 @@
 ) -> InstanceView | None:
     """Return the instance whose agent should evict batch for an urgent job that fits nowhere.
 
-    The agent owns the capacity and picks the tasks; the entry only looks for the instance where
-    the fewest tasks' worth of processors has to go, by the last report, and that does not fail
-    what it starts.
+    Prefers instances that are not failing, then the one that has to free the least CPU or memory.
+    The agent selects the tasks to evict.
     """
     candidates = [view for view in views if _fits_after_eviction(request, view)]
     return min(
@@ -134,7 +130,7 @@
     records: Mapping[str, InstanceRecord],
     at: float,
 ) -> set[str]:
-    """Return instances to wait past; none where every instance that could hold the job is one."""
+    """Return the instances to avoid; empty if no other instance is large enough for the job."""
     avoided = set(request.job.tried)
     avoided |= {view.id for view in views if _failing(records, view.id, at)}
     resources = request.job.spec.resources
@@ -148,7 +144,7 @@
 
 
 def fits_any_instance(resources: Resources, views: list[InstanceView]) -> bool:
-    """Return whether any known instance, empty, would hold the job."""
+    """Return whether the job would fit on any of the instances if that were empty."""
     return any(resources.fits_in(view.capacity) for view in views)
 
 
@@ -180,7 +176,7 @@
 
 
 def total_capacity(views: list[InstanceView]) -> Resources:
-    """Return the sum of the capacities."""
+    """Return the total capacity of the instances."""
     total = NOTHING
     for view in views:
         total = total + view.capacity
--- a/sapphirelead/policy_retry.py
+++ b/sapphirelead/policy_retry.py
@@ -1,18 +1,14 @@
-"""When a service request gets another attempt, and at what cost to everybody else.
+"""Retries and hedges of service requests, and the budget that limits them.
 
-A failed attempt may be followed by another only if the request is idempotent or the attempt is
-proven not to have run.  Every further attempt, hedges included, is paid from one budget: each
-request pays in a configured share of one attempt.
-
-A hedge is a second attempt sent while the first is still open, once it has taken longer than a
-measured percentile of the service's latency.
+A request is retried only if it is idempotent or its last attempt is proven not to have run.  A
+hedge is a second attempt, sent if the first is still open after a percentile of the service's
+latency.  Both take from one budget, to which each request adds a configured share of an attempt.
 
 Invariants:
 
-- Over any run of requests, further attempts are at most ``budget_share`` of the requests, plus the
-  few that the budget may be ahead at the start.  The failure: instances slow down, every caller's
-  request is tried three times, and the threefold load keeps them slow after the cause is gone.
-- A non-idempotent attempt that may have run is never followed by another.
+- Retries and hedges are at most ``budget_share`` of the requests, plus the initial tokens, so that
+  retries cannot keep an overloaded service overloaded.
+- A non-idempotent attempt that may have run is never retried.
 """
 
 from dataclasses import dataclass
@@ -33,10 +29,10 @@
 
 
 class RetryBudget:
-    """Bounds further attempts to a share of the requests.
+    """Limits retries and hedges to a share of the requests.
 
-    The advance lets the first requests after a start be retried; it is paid back before anything
-    is saved, so it does not raise the share.
+    The initial tokens allow retries directly after a start.  They are an advance that is paid back
+    before further tokens are added, so they do not raise the share.
     """
 
     share: float
@@ -49,14 +45,14 @@
         self._unpaid_advance = self._tokens
 
     def request(self) -> None:
-        """Pay in for one request."""
+        """Add the share of one request."""
         if self._unpaid_advance > 0.0:
             self._unpaid_advance -= self.share
             return
         self._tokens = min(MAX_TOKENS, self._tokens + self.share)
 
     def take(self) -> bool:
-        """Pay for one further attempt, if there is enough."""
+        """Take the token for a retry or hedge; return whether there was one."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -65,9 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptState:
-    """What is known when an attempt ended without an answer for the caller.
+    """State of a request after an attempt without an answer for the caller.
 
     :ivar proven_not_run: whether the attempt is proven not to have reached the target.
+    :ivar attempts: attempts sent so far.
     """
 
     idempotent: bool
@@ -76,14 +73,14 @@
 
 
 def may_retry(state: AttemptState, policy: RetryPolicy) -> bool:
-    """Return whether another attempt is allowed, before the budget is asked."""
+    """Return whether the policy allows another attempt, regardless of the budget."""
     if state.attempts >= policy.max_attempts:
         return False
     return state.idempotent or state.proven_not_run
 
 
 class LatencyWindow:
-    """Percentiles of recent latency: the last full window and the one being filled."""
+    """Percentiles of recent latency, from the current and the last window."""
 
     _current: HdrHistogram
     _last: HdrHistogram
@@ -97,14 +94,14 @@
         self._cached = {}
 
     def record(self, latency_s: float, at: float) -> None:
-        """Add the latency of a successful attempt."""
+        """Record the latency of a successful attempt."""
         if at - self._opened_at > WINDOW_S:
             self._last, self._current = self._current, _histogram()
             self._opened_at = at
         self._current.record_value(min(MAX_LATENCY_US, max(1, int(latency_s * 1e6))))
 
     def percentile_s(self, percentile: float, at: float) -> float | None:
-        """Return a percentile in seconds, or ``None`` while there are too few samples."""
+        """Return a percentile in seconds, or ``None`` if there are too few samples."""
         known = self._cached.get(percentile)
         if known is not None and at - known[0] < REFRESH_S:
             return known[1]
@@ -123,7 +120,7 @@
 def hedge_after_s(
     window: LatencyWindow, policy: RetryPolicy, wanted: bool, at: float
 ) -> float | None:
-    """Return seconds after which a hedge is due, or ``None`` for no hedge."""
+    """Return the seconds after which to send a hedge, or ``None`` for no hedge."""
     if not wanted:
         return None
     measured = window.percentile_s(policy.hedge_percentile, at)
