--- a/sapphirelead/policy_interference.py
+++ b/sapphirelead/policy_interference.py
@@ -1,26 +1,18 @@
-"""How much each job class slows each service, learnt from measurements that lag.  No I/O.
-
-Model.  Over one report interval a service's tail latency is ``baseline * (1 + sum(w[c] * x[c]))``.
-``x[c]`` is the intensity of job class ``c`` beside it: the processors that its tasks used after
-throttling, as a share of the instance.  ``w[c]`` is the estimate: the slowdown that the class would
-cause if it filled the instance.  Each estimate carries a variance, and each report is an
-observation of the sum: a Kalman filter with a diagonal covariance.  A class that is new has a large
-variance and takes most of a surprise on itself; classes that are well known keep their estimates.
-With equal gains for all (a plain least-mean-squares step) the first noisy wave was charged to
-whatever had run quietly beside the service for hours.
-
-Baseline.  The tail without batch, learnt for each rate of requests (in powers of two), because the
-tail also grows with load.  The rate of arrival is used and not the number of requests in progress:
-interference itself raises the latter.  Where batch never pauses, the lowest decile of what was
-seen stands in.
+"""Online estimate of how much each job class slows each service.  No I/O.
+
+Model: the tail latency of a service over a report interval is
+``baseline * (1 + sum(w[c] * x[c]))``.  ``x[c]`` is the intensity of job class ``c``: the share of
+the instance's processors that its tasks used after throttling.  ``w[c]`` is the slowdown that the
+class would cause if it filled the instance, estimated by a Kalman filter with diagonal covariance.
+
+Baseline: the tail latency without batch, learned per request rate (in powers of two).  Without a
+batch-free interval, the lowest decile of the recent tails is used.
 
 Invariants:
 
-- Estimates are never below zero: batch is never credited with making a service quicker.
-- The variance of every estimate grows a little with each report, so that a class whose programs
-  have changed, or that has not run for long, is learnt anew.  A report far outside what the
-  variances allow reopens the estimates of the classes that ran: the first report after a start may
-  still show the service undisturbed, and an estimate settled on that would hold out for minutes.
+- Estimates are never negative: batch never makes a service faster.
+- The variance of an estimate grows with each report and is inflated by outliers, so that estimates
+  adapt when the behaviour of a class changes.
 """
 
 import math
@@ -44,11 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """What was measured of one service over one interval.
+    """Measurements of one service over one interval.
 
-    :ivar rate: requests a second.
-    :ivar tail_ms: tail latency in milliseconds.
-    :ivar count: requests measured; weighs this service's harm against that of others.
+    :ivar rate: requests per second.
+    :ivar count: requests measured; weight of this service in averages.
     """
 
     service: str
@@ -70,31 +61,31 @@
 
 
 class InterferenceModel:
-    """Estimates for one instance."""
+    """Interference estimates for one instance."""
 
     _estimates: dict[tuple[str, str], _Estimate]
     _baselines: dict[str, _Baseline]
     _drift_variance: float
 
     def __init__(self, drift_variance: float = DRIFT_VARIANCE) -> None:
-        """Make a model that knows nothing.
+        """Create a model without estimates.
 
-        :param drift_variance: variance that each estimate gains with each report; more of it
-            follows changes sooner and is misled by noise more easily.
+        :param drift_variance: variance that each estimate gains per report; higher values adapt
+            faster but are more sensitive to noise.
         """
         self._estimates = {}
         self._baselines = {}
         self._drift_variance = drift_variance
 
     def weight(self, service: str, job_class: str) -> float:
-        """Return the slowdown of ``service`` if ``job_class`` filled the instance."""
+        """Return the estimated slowdown of ``service`` if ``job_class`` filled the instance."""
         estimate = self._estimates.get((service, job_class))
         return estimate.weight if estimate else 0.0
 
     def learn(self, report: ServiceReport, intensities: Mapping[str, float]) -> float:
-        """Take one report and return the slowdown it shows, 1.0 for none.
+        """Update the estimates with a report and return the measured slowdown, 1.0 for none.
 
-        :param intensities: by job class, its mean intensity over the interval of the report.
+        :param intensities: mean intensity of each job class over the interval.
         """
         active = {c: x for c, x in intensities.items() if x >= MIN_INTENSITY}
         baseline = self._baselines.setdefault(report.service, _Baseline())
@@ -108,11 +99,11 @@
         return ratio
 
     def predict(self, service: str, intensities: Mapping[str, float]) -> float:
-        """Return the slowdown expected of ``service`` beside ``intensities``."""
+        """Return the expected slowdown of ``service`` for the given intensities."""
         return 1.0 + sum(self.weight(service, c) * x for c, x in intensities.items())
 
     def contribution(self, reports: list[ServiceReport], job_class: str, intensity: float) -> float:
-        """Return the slowdown that a class causes now, averaged over the requests measured."""
+        """Return the slowdown that a class causes, averaged over the measured requests."""
         total = sum(report.count for report in reports)
         if not total:
             return 0.0
@@ -133,8 +124,7 @@
         nearest = min(baseline.by_rate, key=lambda known: abs(known - bucket))
         known = baseline.by_rate[nearest]
         if nearest == bucket and lowest > known:
-            # The service itself has become slower (a release, more data): without this drift its
-            # neighbours would be throttled for good.
+            # Follows a service that became slower by itself, for example with a new release.
             known += BASELINE_DRIFT_RATE * (lowest - known)
             baseline.by_rate[bucket] = known
         return known
--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -1,19 +1,17 @@
-"""When to throttle, evict and release batch that disturbs services.  No I/O.
+"""Feedback controller that throttles, evicts and releases batch that slows services.  No I/O.
 
-Algorithm.  Once in a report interval the controller looks at the slowdown of the services:
+Once per report interval, the controller compares the slowdown of the services with the target:
 
-- above the target: throttle the class with the largest estimated harm, down to the share at which
-  the estimates meet the target, in steps that are bounded and never below the floor;
-- above the target for several reports although every class is at its floor: evict the newest task
-  of the most harmful class, if that class accounts for a good part of the excess;
-- well below the target for two reports: give the least harmful throttled class a step back, if the
-  estimates say that the target holds afterwards.
+- above the target: throttle the class with the largest estimated contribution, in bounded steps
+  and not below the floor;
+- above the target for several reports with every class at its floor: evict the newest task of the
+  class with the largest contribution;
+- well below the target for ``REPORTS_BEFORE_RELEASE`` reports: release the throttled class with the
+  smallest contribution by a step, if the predicted slowdown stays within the target.
 
-A service whose slots are nearly all taken while batch slows it counts as above the target whatever
-its tail: the agent sees no queue (that stands in the entries), but the callers wait in it.
-
-At most one action is taken in a report interval, because the effect of an action shows in no report
-that began before it.
+A slowed service with nearly all slots taken counts as above the target: its callers queue in the
+entries, which its tail does not show.  At most one action is taken per interval, because an action
+affects only later reports.
 
 Invariants:
 
@@ -44,11 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """What the configuration makes of the controller.
+    """Parameters of the controller, derived from the configuration.
 
-    :ivar target: slowdown that services may have.
-    :ivar floor: smallest share that a class is throttled to.
-    :ivar eviction_delay_reports: reports above the target, with all at the floor, before an eviction.
+    :ivar target: maximum slowdown of services.
+    :ivar floor: minimum share that a class is throttled to.
+    :ivar eviction_delay_reports: reports above the target, with every class at the floor, before an
+        eviction.
     """
 
     target: float
@@ -57,11 +56,7 @@
 
     @classmethod
     def from_config(cls, document: ConfigDocument) -> "Tuning":
-        """Take the operators' policy; evictions that weigh more than tail latency raise patience.
-
-        The floor is theirs as it stands: raised by the weight of throughput as well, a floor of a
-        half became one, nothing was throttled, and the evictions that took its place cost more.
-        """
+        """Derive the parameters; evictions that weigh more than tail latency are delayed."""
         policy, weights = document.interference, document.weights
         floor = max(policy.throttle_floor_share, policy.batch_floor_share)
         eviction_delay_reports = policy.evict_after_reports * _eviction_delay_factor(weights)
@@ -90,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AssessedReport:
-    """A report and what it was judged to show.
+    """A report with the slowdown that it shows.
 
-    :ivar measured: slowdown by its tail alone.
-    :ivar slowdown: the same without most of its noise.
+    :ivar measured: slowdown by its tail latency alone.
+    :ivar slowdown: average of ``measured`` and the model's estimate, with less noise.
     """
 
     report: ServiceReport
@@ -102,21 +97,18 @@
 
     @property
     def usual_ms(self) -> float:
-        """Undisturbed tail at the report's rate in milliseconds; too large where the slowdown was
-        capped.
-        """
+        """Baseline tail latency at the report's rate; too high if ``measured`` was capped."""
         return self.report.tail_ms / max(self.measured, MIN_STEP)
 
 
 class ThrottleController:
-    """Decides for one instance.
-
-    :ivar shares: share of each class that is throttled; new tasks of the class start with it.
-    :ivar slowdown: worst slowdown of a service in the last interval, 1.0 for none.
-    :ivar over_target: whether that, or the load of the slots, was above the target.
-    :ivar worst: the report behind it, ``None`` where there was none.
-    :ivar contributions: by job class, the slowdown that it was held to cause in the last interval above the
-        target.
+    """Throttle controller of one instance.
+
+    :ivar shares: share of each throttled class; new tasks of the class start with it.
+    :ivar slowdown: largest slowdown of a service in the last interval, 1.0 for none.
+    :ivar over_target: whether the slowdown, adjusted for occupancy, was above the target.
+    :ivar worst: the report with the largest slowdown, if any.
+    :ivar contributions: estimated slowdown by job class, from the last interval above the target.
     """
 
     shares: dict[str, float]
@@ -139,7 +131,7 @@
         self._reports_below_band = 0
 
     def share(self, job_class: str) -> float:
-        """Return the share that tasks of ``job_class`` may use."""
+        """Return the share of their processors that tasks of ``job_class`` may use."""
         return self.shares.get(job_class, 1.0)
 
     def step(
@@ -150,11 +142,11 @@
         tasks: Mapping[str, int],
         occupancy: float,
     ) -> Action | None:
-        """Take the reports of one interval and return the action to take, if any.
+        """Process the reports of one interval and return the action to take, if any.
 
-        :param intensities: by job class, its mean intensity over the interval.
-        :param tasks: by job class, how many of its tasks run now.
-        :param occupancy: mean share of the service slots that were taken over the interval.
+        :param intensities: mean intensity over the interval, by job class.
+        :param tasks: number of running tasks, by job class.
+        :param occupancy: mean share of the service slots in use over the interval.
         """
         assessed = [self._assess(report, intensities) for report in reports]
         self.worst = max(assessed, key=lambda item: item.slowdown, default=None)
@@ -171,15 +163,14 @@
         self._reports_below_band += 1
         if self._reports_below_band < REPORTS_BEFORE_RELEASE:
             return None
-        # What the callers' queue bears: a release must not fill the slots either.
+        # A release must not saturate the slots either.
         ceiling = min(tuning.target, slowdown * SATURATED_OCCUPANCY / max(occupancy, MIN_STEP))
         return self._release(ceiling, slowdown, reports, intensities, tasks)
 
     def _assess(self, report: ServiceReport, intensities: Mapping[str, float]) -> AssessedReport:
-        """Learn from a report and tell the slowdown without most of its noise.
+        """Update the model with a report and blend the measurement with the model's estimate.
 
-        The tail of some tens of requests scatters by several per cent, which is a good part of the
-        target; the model's own estimate, corrected by the report, scatters far less.
+        The tail latency of a small sample is noisy; the estimate is less so.
         """
         measured = self._model.learn(report, intensities)
         expected = self._model.predict(report.service, intensities)
@@ -195,7 +186,7 @@
         tasks: Mapping[str, int],
     ) -> Action | None:
         contributions = self.contributions = self._contributions(reports, intensities)
-        # Squeezing a class that hardly takes part in the excess costs work and helps nobody.
+        # Throttling a class with a small contribution costs work without reducing the slowdown.
         min_contribution = (slowdown - tuning.target) * MIN_THROTTLE_CONTRIBUTION
         for job_class in sorted(contributions, key=lambda c: -contributions[c]):
             share = self._tightened_share(tuning, slowdown, job_class, contributions[job_class])
@@ -247,8 +238,8 @@
         intensities: Mapping[str, float],
         tasks: Mapping[str, int],
     ) -> Action | None:
-        # A class that does not run keeps its share: its next wave would otherwise start at full
-        # speed, and every wave would be noticed by the callers anew.
+        # Classes without running tasks stay throttled, so that their next tasks do not start at
+        # full speed.
         throttled = [c for c in self.shares if tasks.get(c, 0)]
         contributions = self._contributions(
             reports, {**dict.fromkeys(throttled, 0.0), **intensities}
