--- a/sapphirelead/policy_pressure.py
+++ b/sapphirelead/policy_pressure.py
@@ -1,12 +1,9 @@
-"""The tail of a serving task beside filling work, as that of a queue.  No I/O.
+"""Queueing model of a serving task's tail latency beside filling (batch) work.  No I/O.
 
-A tail is ``idle / (1 - load)``: ``idle`` is the tail of the image without any load, ``load`` the
-share of the task's time that is taken, by its own users and by what presses on it.  Filling work
-adds to the load in proportion to the processors that it uses; the weight of a pair of images is the
-load that is added if the filling image takes the whole worker.
-
-Most pairs hardly press (weights up to 0.4), others hard (0.8 to 3).  A serving job's own load
-swings within seconds: at the top hardly anything fits beside it, at the bottom nearly all.
+The tail latency is ``idle / (1 - load)``: ``idle`` is the tail latency of the image without load,
+``load`` the utilisation of the task by its own users and by interference.  Filling work adds load
+in proportion to the processors that it uses; the weight of a pair of images is the load that is
+added if the filling image uses the whole worker.
 """
 
 import math
@@ -16,36 +13,32 @@
 from typing import Final
 
 MAX_LOAD: Final = 0.98
-"""Load at which a tail is 50 times its idle one; more shows no better."""
+"""Upper bound of a load; the tail is then 50 times the idle tail."""
 
 MIN_LEVEL: Final = 0.04
-"""A lower level stops the work altogether; the memory stays allocated."""
+"""Levels below this are rounded down to 0, which pauses the work but keeps its memory."""
 
 CPU_USED_SHARE: Final = 0.85
-"""Processors that a filling task uses at full pace, as a share of what it asks for."""
+"""Share of its requested processors that a filling task uses at full speed."""
 
 LOAD_MARGIN: Final = 0.15
 LOAD_MARGIN_SLOPE: Final = 0.075
-"""Distance that filling work keeps from the load at which a tail reaches its target, for a weight
-of 1 and by the logarithm of the weight.
-
-The load of a single task jumps from one half second to the next, the further the higher it is, and
-a second over the target costs a serving task several times what the filling work beside it earns.
-The heavier an image, the less it does for the load that it adds, and the more distance it keeps."""
+"""Safety margin below the load at which a tail reaches its target, for a weight of 1, and its
+increase with the logarithm of the weight."""
 
 MIN_LOAD_MARGIN: Final = 0.04
 MAX_LOAD_MARGIN: Final = 0.4
-"""Bounds of that distance; the least covers the figures' rounding."""
+"""Bounds of the margin; the lower one covers the rounding of reported values."""
 
 MIN_WEIGHT: Final = 0.01
-"""Least weight assumed, so that its logarithm stays finite."""
+"""Lower bound of a weight, so that its logarithm is finite."""
 
 WeightLookup = Callable[[str, str], float]
-"""Load that a filling image adds to a serving one if it took the whole worker."""
+"""Returns the weight of a pair, given the serving and the filling image."""
 
 
 def load_from_tail(tail_ms: float, idle_ms: float) -> float:
-    """Return the load that a tail shows.
+    """Return the load that corresponds to a tail latency.
 
     >>> round(load_from_tail(100.0, 25.0), 2), load_from_tail(20.0, 25.0)
     (0.75, 0.0)
@@ -56,7 +49,7 @@
 
 
 def tail_at_load(load: float, idle_ms: float) -> float:
-    """Return the tail at a load.
+    """Return the tail latency at a load.
 
     >>> tail_at_load(0.75, 25.0)
     100.0
@@ -65,19 +58,19 @@
 
 
 def added_load(serving: str, shares: Mapping[str, float], weight: WeightLookup) -> float:
-    """Return the load that filling images add to a serving one.
+    """Return the load that filling images add to a serving image.
 
-    :param shares: by filling image, the share of the worker's processors that it uses.
+    :param shares: share of the worker's processors used, by filling image.
     """
     return sum(weight(serving, image) * share for image, share in shares.items())
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBudget:
-    """A serving task beside which filling work is to find room.
+    """The load that a serving task can tolerate.
 
-    :ivar own_load: load that its own_load users bring.
-    :ivar max_load: load at which its tail reaches the target.
+    :ivar own_load: load from its own users.
+    :ivar max_load: load at which its tail latency reaches the target.
     """
 
     image: str
@@ -85,7 +78,7 @@
     max_load: float
 
     def remaining_load(self, weight: float) -> float:
-        """Return the load left for a filling image of this weight."""
+        """Return the load that is left for a filling image of this weight."""
         margin = LOAD_MARGIN + LOAD_MARGIN_SLOPE * math.log(max(weight, MIN_WEIGHT))
         return (
             self.max_load / (1 + min(max(margin, MIN_LOAD_MARGIN), MAX_LOAD_MARGIN)) - self.own_load
@@ -94,10 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _ImageImpact:
-    """What a filling image presses on the rooms.
+    """Interference of a filling image with the serving tasks.
 
-    :ivar max_weight: the largest of the weights.
-    :ivar pairs: for each room the weight, and the load that is left to an image of this weight.
+    :ivar max_weight: the largest weight in ``pairs``.
+    :ivar pairs: weight and remaining load for each load budget.
     """
 
     image: str
@@ -108,7 +101,7 @@
     def from_budgets(
         cls, image: str, budgets: list[LoadBudget], weight: WeightLookup
     ) -> "_ImageImpact":
-        """Look the weights up."""
+        """Return the impact of ``image``, with weights from ``weight``."""
         weights = [weight(budget.image, image) for budget in budgets]
         pairs = [
             (pair_weight, budget.remaining_load(pair_weight))
@@ -117,9 +110,9 @@
         return cls(image, max(weights, default=0.0), pairs)
 
     def level(self, wanted: float, added: list[float]) -> float:
-        """Return the level that the rooms bear.
+        """Return the highest level within all load budgets.
 
-        :param added: load that others have added to each room.
+        :param added: load that other images add to each budget.
         """
         level = 1.0
         for (weight, remaining_load), so_far in zip(self.pairs, added, strict=True):
@@ -129,20 +122,21 @@
         return level if level >= MIN_LEVEL else 0.0
 
     def add(self, used: float, added: list[float]) -> list[float]:
-        """Return the load added to each room once the image uses a share of the worker."""
+        """Return ``added`` plus the load of this image if it uses a share of the worker."""
         return [
             so_far + weight * used for (weight, _), so_far in zip(self.pairs, added, strict=True)
         ]
 
 
 class LevelAllocation:
-    """The levels of the filling images on one worker that the tails bear.
+    """Levels of the filling images on one worker that keep all tails within their targets.
 
-    The images that press least come first: for the same load they do the most work.  So one more
-    task changes nothing of those before its image, and :meth:`used_with` begins there.
+    Allocates greedily by increasing weight, because light images do the most work for the load that
+    they add.  An additional task changes only the levels of its image and of later ones, so
+    :meth:`used_with` resumes from there.
 
-    :ivar levels: by filling image, from 0 to 1.
-    :ivar used: share of the worker that all of them use.
+    :ivar levels: share of its requested speed that each filling image gets, 0 to 1.
+    :ivar used: share of the worker's processors that all filling images use.
     """
 
     levels: dict[str, float]
@@ -157,9 +151,9 @@
     def __init__(
         self, budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
     ) -> None:
-        """Share the rooms out.
+        """Allocate the levels.
 
-        :param wanted: by filling image, the share of the processors that it would use at full pace.
+        :param wanted: share of the processors used at full speed, by filling image.
         """
         self._budgets = budgets
         self._wanted = wanted
@@ -181,7 +175,7 @@
         self._state_before.append((added, self.used))
 
     def used_with(self, image: str, share: float) -> float:
-        """Return the share of the worker that all use once ``image`` wants ``share`` full_load."""
+        """Return what :attr:`used` would be if ``image`` wanted ``share`` more."""
         number, impact, later = self._position(image)
         added, used = self._state_before[number]
         share += self._wanted.get(image, 0.0)
@@ -193,7 +187,7 @@
         return used
 
     def _position(self, image: str) -> tuple[int, _ImageImpact, list[_ImageImpact]]:
-        """Return the place of an image in the order, the image, and those behind it."""
+        """Return the index of an image in the order, its impact, and the impacts after it."""
         if image in self._wanted:
             number = next(n for n, impact in enumerate(self._order) if impact.image == image)
             return number, self._order[number], self._order[number + 1 :]
@@ -209,12 +203,13 @@
 def allocate_levels(
     budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
 ) -> dict[str, float]:
-    """Return the level of each filling image that the tails bear, from 0 to 1.
+    """Return the level of each filling image, 0 to 1, that keeps all tails within their targets.
 
-    :param wanted: by filling image, the share of the processors that it would use at full pace.
+    :param wanted: share of the processors used at full speed, by filling image.
 
     >>> weights = {"heavy": 2.0, "light": 0.2}
-    >>> levels = allocate_levels([LoadBudget("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}, lambda _, i: weights[i])
+    >>> budgets, wanted = [LoadBudget("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}
+    >>> levels = allocate_levels(budgets, wanted, lambda _, image: weights[image])
     >>> levels
     {'light': 1.0, 'heavy': 0.41}
     """
--- a/sapphirelead/policy_pressure_filter.py
+++ b/sapphirelead/policy_pressure_filter.py
@@ -1,16 +1,13 @@
-"""Estimates of what filling images add to one serving image: a Kalman filter.  No I/O.
+"""Kalman filter for the interference weights of filling images with one serving image.  No I/O.
 
-Algorithm.  The state is the weight of each filling image, which stays as it is but for a little
-drift.  An observation is the difference of the load of one job on two workers; it is the weights
-times the difference of the shares that the images use there, plus noise.  The load that the job's
-users bring is the same on both and drops out.
-
-The covariance is kept whole.  Images run beside each other for seconds; with variances alone each
-of them takes the same share of every surprise, and light ones end up heavy with small variances.
+The state is the weight of each filling image, modelled as a random walk.  An observation is the
+difference in load of one serving job between two workers, which cancels the load of the job's
+users: the weights times the differences in the images' processor shares, plus noise.  The filter
+keeps the full covariance, because images that run together are otherwise not told apart.
 
 Invariants:
 
-- No weight is below zero: filling work is never credited with making a service quicker.
+- Weights are never negative.
 - The covariance is symmetric, with a positive diagonal.
 """
 
@@ -20,33 +17,28 @@
 from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, Evidence
 
 DRIFT_VARIANCE_PER_S: Final = 0.003
-"""Variance that each weight gains in a second, so that it follows a changed program.  By time, not
-by observation: a large fleet has many of these a second, and would forget what it knows of an image
-while that is not there."""
+"""Variance that each weight gains per second, independent of the number of observations."""
 
 MAX_ERROR_SIGMAS: Final = 3.0
-"""Standard deviations up to which an observation counts: a worker that turns slow multiplies its
-tails, and one such report must not make light images heavy."""
+"""Standard deviations to which the error of an observation is clipped, against outliers."""
 
 MIN_INITIAL_VARIANCE: Final = 1.5
-"""Least variance of an image that is new, however sure its neighbours make it seem: its own first
-observations decide."""
+"""Lower bound of the initial variance, so that the first observations outweigh the prior."""
 
 MIN_VARIANCE: Final = 1e-6
 
 MIN_PRECISION: Final = 1e-3
-"""Precision of the observations below which they say nothing."""
+"""Precision below which observations count as no evidence."""
 
 MAX_IMAGES: Final = 24
-"""Images kept, because an observation costs the square of their number.  The one that was seen
-longest ago gives way to a new one."""
+"""Maximum number of images; the cost of an observation is quadratic in it."""
 
 
 class PressureFilter:
     """The weights of the filling images beside one serving image.
 
-    :ivar weights: load that is added if the image takes the whole worker.
-    :ivar reports: observations in which the image took part.
+    :ivar weights: load that an image adds if it uses the whole worker.
+    :ivar reports: number of observations of an image; ordered from the least recently observed.
     """
 
     weights: dict[str, float]
@@ -70,12 +62,12 @@
         expected: Callable[[str], Belief],
         at: float,
     ) -> None:
-        """Take an observation.
+        """Update the weights with an observation.
 
         :param difference: load on one worker less that on the other.
-        :param shares: by image, its share on the one worker less that on the other.
-        :param noise: standard deviation of the difference without any cause.
-        :param expected: what to begin with for an image that is new.
+        :param shares: processor share of each image on the one worker less that on the other.
+        :param noise: standard deviation of the measured difference.
+        :param expected: returns the prior of a new image.
         :param at: time of the observation in seconds.
         """
         drift = DRIFT_VARIANCE_PER_S * max(at - self._at, 0.0)
@@ -104,11 +96,11 @@
                 row[other] -= covariance * cross_covariance[other] / variance
             row[image] = max(row[image], MIN_VARIANCE)
         for image in shares:
-            # The order of the keys tells which image was seen longest ago.
+            # Reinsert the key: the order is that of the last observations.
             self.reports[image] = self.reports.pop(image) + 1
 
     def evidence(self, image: str) -> Evidence:
-        """Return what the observations alone say of an image, without what it began with."""
+        """Return the evidence from the observations of an image alone, without its prior."""
         prior = self._priors.get(image)
         if prior is None:
             return NO_EVIDENCE
@@ -129,12 +121,9 @@
         self._cov[image] = {**dict.fromkeys(self._cov, 0.0), image: variance}
 
     def _evict_if_full(self, observed: Mapping[str, float]) -> None:
-        """Drop the image that was seen longest ago, where there are too many.
-
-        An observation of one kept image and one new one would else drop the first for the second,
-        and then ask for the weight of both.
+        """Evict the least recently observed image if the filter is full.
 
-        :param observed: images of the observation in hand, which stay.
+        :param observed: images of the current observation, which are never evicted.
         """
         if len(self.weights) >= MAX_IMAGES:
             self._drop(next(image for image in self.reports if image not in observed))
@@ -146,7 +135,7 @@
 
 
 def _largest(shares: Mapping[str, float]) -> Mapping[str, float]:
-    """Return as many shares as there are images kept; what the small ones add counts as noise."""
+    """Return the ``MAX_IMAGES`` largest shares; smaller ones count as noise."""
     if len(shares) <= MAX_IMAGES:
         return shares
     ranked = sorted(shares, key=lambda image: -abs(shares[image]))
--- a/sapphirelead/policy_pressure_pair.py
+++ b/sapphirelead/policy_pressure_pair.py
@@ -1,17 +1,11 @@
-"""What is believed of a pair of a serving and a filling image: that it is light, or heavy.  No I/O.
+"""Bayesian estimate of the interference weight of a serving and a filling image.  No I/O.
 
-Most pairs hardly press on each other, because they share little; those that share a cache or a link
-press hard, and little lies in between.  So a few observations that would leave a weight wide open
-by themselves often settle which kind a pair is, and with it nearly all of its weight.
+The prior is a mixture of two normal distributions, light and heavy pairs.  Evidence, a measured
+weight with its precision, updates the probability of each kind by its likelihood and the
+distribution within each kind.  A few observations are therefore often enough to classify a pair.
 
-Algorithm.  The two kinds are normal distributions of the weight.  The belief begins with a
-probability that the pair is heavy; evidence, which is a measured weight with its variance, moves
-that probability by its likelihood under each kind, and the weight within each kind towards itself.
-
-Invariants:
-
-- Without evidence the belief is the prior; the more precise the evidence, the nearer the weight is
-  to what was measured, also where that lies between the kinds.
+Without evidence the belief is the prior; with increasing precision the weight approaches the
+measured one.
 """
 
 import math
@@ -19,7 +13,7 @@
 
 
 class Kind(NamedTuple):
-    """Mean and variance of the weights of a kind of pairs."""
+    """Mean and variance of the weights of one kind of pair."""
 
     weight: float
     variance: float
@@ -29,18 +23,17 @@
 HEAVY_KIND: Final = Kind(1.7, 1.0)
 
 HEAVY_PRIOR: Final = 0.35
-"""Probability that a pair of which nothing is known is heavy."""
+"""Probability that an unknown pair is heavy."""
 
 MIN_KIND_PROBABILITY: Final = 0.02
-"""Probability that is left to either kind before there is evidence."""
+"""Lower bound of the prior probability of either kind."""
 
 UPPER_BOUND_SIGMAS: Final = 2.0
-"""Standard deviations that are added to a weight for what is not known of it: a tail over its
-target costs more than the filling work beside it earns."""
+"""Standard deviations that the upper bound of a weight lies above its mean."""
 
 
 class Evidence(NamedTuple):
-    """A measured weight; ``precision``, one over its variance, is 0 where nothing was measured."""
+    """A measured weight; ``precision``, the inverse of its variance, is 0 without measurements."""
 
     weight: float
     precision: float
@@ -50,11 +43,10 @@
 
 
 class Belief(NamedTuple):
-    """What is believed of a pair.
+    """Probability distribution of the weight of a pair.
 
-    :ivar heavy: probability that it is heavy.
-    :ivar weight: load that is added if the filling image takes the whole worker.
-    :ivar variance: of that weight.
+    :ivar heavy: probability that the pair is heavy.
+    :ivar weight: mean of the load that is added if the filling image uses the whole worker.
     """
 
     heavy: float
@@ -63,14 +55,14 @@
 
     @property
     def upper_bound(self) -> float:
-        """The weight to allow for."""
+        """Upper confidence bound of the weight."""
         return self.weight + UPPER_BOUND_SIGMAS * math.sqrt(self.variance)
 
 
 def pair_belief(heavy: float, evidence: Evidence = NO_EVIDENCE) -> Belief:
-    """Return the belief in a pair.
+    """Return the belief about a pair.
 
-    :param heavy: probability that it is heavy, without the evidence.
+    :param heavy: prior probability that the pair is heavy.
 
     >>> nothing = pair_belief(HEAVY_PRIOR)
     >>> round(nothing.weight, 2), round(nothing.upper_bound, 2)
@@ -95,20 +87,20 @@
 
 
 def _log_likelihood(kind: Kind, weight: float, variance: float) -> float:
-    """Return the logarithm of a measurement's likelihood under a kind."""
+    """Return the log-likelihood of a measurement under a kind, up to a constant."""
     total_variance = kind.variance + variance
     return -0.5 * ((weight - kind.weight) ** 2 / total_variance + math.log(total_variance))
 
 
 def _posterior(kind: Kind, evidence: Evidence) -> Kind:
-    """Return a kind's distribution after the evidence."""
+    """Return the distribution of a kind updated with the evidence."""
     precision = 1 / kind.variance + evidence.precision
     weight = (kind.weight / kind.variance + evidence.weight * evidence.precision) / precision
     return Kind(max(weight, 0.0), 1 / precision)
 
 
 def _logistic(log_odds: float) -> float:
-    """Return the probability of logarithmic odds."""
+    """Return the probability for log odds."""
     return 1 / (1 + math.exp(-max(-50.0, min(50.0, log_odds))))
 
 
--- a/sapphirelead/policy_pressure_prior.py
+++ b/sapphirelead/policy_pressure_prior.py
@@ -1,17 +1,10 @@
-"""What to expect of a pair of images that has not run together: collaborative filtering.  No I/O.
+"""Priors for pairs of images that have not run together: collaborative filtering.  No I/O.
 
-The pattern that this answers: a large fleet has hundreds of pairs of serving and filling images,
-and most of them meet for the first time.  Each taken for heavy until it has been tried, filling
-work waits in front of workers that could bear it.
+Handles fleets with many images, where most pairs are new, by predicting a pair from known pairs in
+its row (same serving image) and its column (same filling image).  Each is weighted by the
+similarity of the two images over the pairs known of both; ``HEAVY_PRIOR`` is always included.
 
-Algorithm.  Filling images press on what they share with the serving ones: caches, memory
-bandwidth, links.  Two serving images that suffer from the same filling images share the same
-things, and two filling images that press on the same serving ones do so too.  So a pair is expected
-to be like those of its row and of its column, each counted by how well the two images have agreed
-on what is known of both.  Where nothing agrees, the expectation falls back to that of all pairs.
-
-Invariant: an expectation lies between the least and the largest probability known and that of all
-pairs.
+Invariant: a prediction lies within the range of the known probabilities and ``HEAVY_PRIOR``.
 """
 
 import math
@@ -21,20 +14,20 @@
 from sapphirelead.policy_pressure_pair import HEAVY_PRIOR
 
 Pair = tuple[str, str]
-"""A serving image and a filling one."""
+"""A serving and a filling image."""
 
 GLOBAL_PRIOR_WEIGHT: Final = 0.5
-"""Vote of what holds for all pairs; an image that agrees fully has a vote of up to 1."""
+"""Weight of ``HEAVY_PRIOR``; known pairs have weights of up to 1."""
 
 DIFFERENCE_SCALE: Final = 0.2
-"""Sum of squared differences at which the vote of two images falls to a third."""
+"""Sum of squared differences at which the similarity of two images falls by a factor of e."""
 
-HALF_SIMILARITY_PAIRS: Final = 4.0
-"""Pairs known of both images at which the vote of two images that agree is a half."""
+HALF_WEIGHT_PAIRS: Final = 4.0
+"""Number of common pairs at which the similarity of images that agree is 0.5."""
 
 
 class PairPrior:
-    """Expectations from the pairs known at one moment."""
+    """Predictions from a snapshot of the known pairs."""
 
     _rows: Mapping[str, Mapping[str, float]]
     _columns: Mapping[str, Mapping[str, float]]
@@ -42,7 +35,7 @@
     _expected: dict[Pair, float]
 
     def __init__(self, known: Mapping[Pair, float]) -> None:
-        """Take the probabilities that pairs are heavy, of those that are known well.
+        """Create the predictor from the probabilities that known pairs are heavy.
 
         >>> prior = PairPrior({("s1", "f1"): 0.9, ("s2", "f1"): 0.9, ("s1", "f2"): 0.0})
         >>> prior.heavy("s2", "f2") < HEAVY_PRIOR
@@ -61,7 +54,7 @@
         self._expected = {}
 
     def heavy(self, serving: str, filling: str) -> float:
-        """Return the probability that a pair is heavy, without what has been seen of it."""
+        """Return the predicted probability that a pair is heavy, ignoring its own entry."""
         found = self._expected.get((serving, filling))
         if found is None:
             found = self._expected[serving, filling] = self._estimate(serving, filling)
@@ -71,22 +64,20 @@
         neighbours = [(HEAVY_PRIOR, GLOBAL_PRIOR_WEIGHT)]
         for other, heavy in self._columns.get(filling, {}).items():
             if other != serving:
-                neighbours.append(
-                    (heavy, self._cached_similarity(self._rows, serving, other, True))
-                )
+                neighbours.append((heavy, self._similarity_of(self._rows, serving, other, True)))
         for other, heavy in self._rows.get(serving, {}).items():
             if other != filling:
                 neighbours.append(
-                    (heavy, self._cached_similarity(self._columns, filling, other, False))
+                    (heavy, self._similarity_of(self._columns, filling, other, False))
                 )
         return sum(heavy * similarity for heavy, similarity in neighbours) / sum(
             similarity for _, similarity in neighbours
         )
 
-    def _cached_similarity(
+    def _similarity_of(
         self, table: Mapping[str, Mapping[str, float]], one: str, other: str, rows: bool
     ) -> float:
-        """Return how much a pair of ``other`` says of ``one``, from 0 to 1."""
+        """Return the similarity of two images, from 0 to 1."""
         key = (one, other, rows) if one < other else (other, one, rows)
         similarity = self._similarities.get(key)
         if similarity is None:
@@ -99,6 +90,4 @@
 def _similarity(one: Mapping[str, float], other: Mapping[str, float]) -> float:
     common = one.keys() & other.keys()
     squares = sum((one[key] - other[key]) ** 2 for key in common)
-    return (
-        math.exp(-squares / DIFFERENCE_SCALE) * len(common) / (len(common) + HALF_SIMILARITY_PAIRS)
-    )
+    return math.exp(-squares / DIFFERENCE_SCALE) * len(common) / (len(common) + HALF_WEIGHT_PAIRS)
