--- a/sapphirelead/policy_rules.py
+++ b/sapphirelead/policy_rules.py
@@ -1,12 +1,8 @@
-"""Ordered when-then rules: for any situation, the first rule that matches decides.
+"""Ordered when-then rules: the first rule that matches a situation decides.
 
-A situation is a flat record of typed fields, filled by the entry from what it knows when the
-decision is made.  A decision carries the name of the rule that made it into logs, metrics and
-``rules explain``.
-
-Rules are compiled once for each configuration version: every matcher becomes a closure, and those
-of one rule run with the cheapest and most selective first.  A decision is linear in the number of
-rules up to the one that matches, so that the order which operators see is the order that holds.
+A situation is a flat record of typed fields, filled in by the entry.  A decision carries the name
+of its rule for logs, metrics and ``rules explain``.  Rules are compiled to closures once per
+configuration version.
 """
 
 from collections.abc import Callable
@@ -22,11 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What a rule may look at.
+    """The fields that rules can match on.
 
     :ivar load: used share of the reachable slots (service) or capacity (batch), 0 to 1.
     :ivar slowdown: measured service latency relative to that without batch, 1.0 for none.
-    :ivar healthy_share: share of known instances that are neither silent, ejected nor draining.
+    :ivar healthy_share: share of known instances that are responsive and neither ejected nor
+        draining.
     """
 
     kind: str
@@ -46,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What was decided, and by which rule."""
+    """The action to take, and the rule that decided it."""
 
     rule: str
     then: Then
 
     def refusal(self, work: str) -> Failure | None:
-        """Return why the rule refuses the work, or ``None`` where it admits it.
+        """Return the failure to report if the rule refuses the work, else ``None``.
 
-        :param work: what is refused, as the caller calls it: ``request`` or ``job``.
+        :param work: kind of work for the message: ``request`` or ``job``.
         """
         if self.then.action != "refuse":
             return None
@@ -68,7 +65,7 @@
 class Condition:
     """One compiled field of a rule.
 
-    :ivar text: the condition as operators read it, for instance ``load at_least 0.8``.
+    :ivar text: the condition for display, for instance ``load at_least 0.8``.
     """
 
     field: str
@@ -78,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledRule:
-    """A rule ready to be asked."""
+    """A rule with compiled conditions."""
 
     decision: Decision
     conditions: tuple[Condition, ...]
@@ -107,7 +104,7 @@
     def decide(self, situation: Situation) -> Decision:
         """Return the decision of the first rule that matches."""
         for predicates, decision in self._predicates:
-            # A plain loop: a generator in all() costs twice the comparison itself.
+            # Not all(): a generator is slower.
             for predicate in predicates:
                 if not predicate(situation):
                     break
--- a/sapphirelead/policy_rules_check.py
+++ b/sapphirelead/policy_rules_check.py
@@ -1,11 +1,10 @@
-"""Checks of a whole configuration document before it is accepted.
+"""Validation of a configuration document before it is accepted.
 
-Run when operators check or apply a change, never when a stored version is read: a later release
-with a stricter check must still take the version that an earlier one accepted.
+Runs when operators check or apply a change, but not when a stored version is read, so that a
+release with stricter checks can read versions accepted by earlier releases.
 
-Beyond each key's own type, the check finds rules that can never decide (an empty condition, or
-covered by earlier rules), names that the document does not declare, and actions that can never be
-carried out.
+In addition to the types, it reports unreachable rules, undeclared names, and actions that can never
+be carried out.
 """
 
 from collections.abc import Collection, Iterator
@@ -41,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Something wrong with a document.
+    """A problem in a document.
 
-    :ivar path: keys and positions that lead to the value concerned.
+    :ivar path: keys and indices of the value concerned.
     :ivar rule: name of the rule concerned, or empty.
     """
 
@@ -61,7 +60,7 @@
 ) -> Result[ConfigDocument, tuple[Problem, ...]]:
     """Check a decoded document.
 
-    :param zones: the deployment's availability zones; unknown ones are found only if it is given.
+    :param zones: the deployment's availability zones; zones are not checked if it is empty.
     """
     try:
         document = ConfigDocument.model_validate(raw)
--- a/sapphirelead/policy_rules_explain.py
+++ b/sapphirelead/policy_rules_explain.py
@@ -1,4 +1,4 @@
-"""Why a rule decides: the answer of ``rules explain``."""
+"""Explains which rule decides a situation, for ``rules explain``."""
 
 from dataclasses import asdict, dataclass, fields
 from typing import Any, Final
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What one rule made of a situation.
+    """Result of one rule.
 
     :ivar because: the conditions that failed, or ``every condition holds``.
     """
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Every rule up to the deciding one, and the decision."""
+    """The decision, and the steps up to the deciding rule."""
 
     situation: Situation
     steps: tuple[Step, ...]
     decision: Decision
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the explanation as plain values."""
+        """Return the explanation as JSON-serialisable values."""
         return {
             "situation": asdict(self.situation),
             "steps": [asdict(step) for step in self.steps],
@@ -46,7 +46,7 @@
 
 
 def explain(rules: RuleSet, situation: Situation) -> Explanation:
-    """Return why the deciding rule decides."""
+    """Evaluate the rules for a situation and explain the decision."""
     decision = rules.decide(situation)
     steps: list[Step] = []
     for rule in rules.rules:
@@ -60,7 +60,7 @@
 
 
 def parse_situation(raw: dict[str, Any]) -> Result[Situation, Failure]:
-    """Check a situation given by an operator; numbers and flags may be text.
+    """Validate a situation given by an operator; numbers and flags may be strings.
 
     >>> parse_situation({"kind": "service", "load": "0.5"}).unwrap().load
     0.5
--- a/sapphirelead/policy_rules_region.py
+++ b/sapphirelead/policy_rules_region.py
@@ -1,14 +1,11 @@
-"""The set of situations that a rule matches, for finding rules that can never decide.
+"""Detection of unreachable rules by subtracting the sets of situations that rules match.
 
-The conditions of a rule are independent by field, so that its situations form a box: a product of
-one set of values for each field.  A field that a box does not name has its whole domain.  A rule is
-unreachable exactly if earlier boxes cover its own.  :func:`uncovered` subtracts them one after
-another; what is left of a box after a subtraction is again a list of disjoint boxes, at most two
-for each field of the box taken away.
+The situations that a rule matches form a box: the product of one set of values per field; a field
+missing from a box has its whole domain.  A rule is unreachable exactly if earlier boxes cover its
+own.  Subtracting a box leaves disjoint boxes, at most two per field of the subtracted box.
 
-The number of pieces can grow with each rule.  Past ``MAX_SUBTRACTIONS`` subtractions the search gives up
-and calls the rule reachable: a check must never refuse a configuration that might be sound, nor
-occupy an entry for long.
+The number of boxes can grow with each rule.  After ``MAX_SUBTRACTIONS`` a rule counts as reachable,
+to bound the time and never to reject a valid configuration.
 """
 
 import math
@@ -22,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextSet:
-    """Some texts, or all texts but some.
+    """A finite set of strings, or the complement of one.
 
     >>> TextSet(frozenset("ab")).difference(TextSet(frozenset("b")))
     TextSet(values=frozenset({'a'}), inverted=False)
@@ -33,7 +30,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no text is in the set."""
+        """Whether the set is empty."""
         return not self.inverted and not self.values
 
     def intersection(self, other: "TextSet") -> "TextSet":
@@ -47,25 +44,25 @@
         return TextSet(self.values & other.values)
 
     def difference(self, other: "TextSet") -> "TextSet":
-        """Return what is in this set and not in ``other``."""
+        """Return the strings in this set that are not in ``other``."""
         return self.intersection(TextSet(other.values, not other.inverted))
 
     def pieces(self, other: "TextSet") -> "list[TextSet]":
-        """Return :meth:`difference` as a list of sets that are not empty."""
+        """Return :meth:`difference` as a list without empty sets."""
         rest = self.difference(other)
         return [] if rest.empty else [rest]
 
 
 @dataclass(frozen=True, slots=True)
 class Range:
-    """Numbers from ``low`` up to but not including ``high``."""
+    """A half-open interval of numbers: ``high`` is excluded."""
 
     low: float
     high: float
 
     @property
     def empty(self) -> bool:
-        """Whether no number is in the range."""
+        """Whether the range is empty."""
         return not self.low < self.high
 
     def intersection(self, other: "Range") -> "Range":
@@ -105,7 +102,7 @@
 
 
 def box_of(when: When) -> Box:
-    """Return the situations that ``when`` matches; its matchers fit their fields' types."""
+    """Return the situations that ``when`` matches; its matchers must fit their fields' types."""
     box: Box = {}
     for name, domain in DOMAINS.items():
         matcher: Matcher | None = getattr(when, name)
@@ -115,14 +112,14 @@
 
 
 def values_of(domain: Values, matcher: Matcher) -> Values:
-    """Return the values of a field that ``matcher`` lets through."""
+    """Return the values in ``domain`` that ``matcher`` accepts."""
     if isinstance(domain, TextSet):
         return _texts_of(domain, matcher)
     return _numbers_of(domain, matcher)
 
 
 def uncovered(box: Box, earlier: list[Box]) -> bool:
-    """Return whether some situation of ``box`` is in none of ``earlier``."""
+    """Return whether some situation of ``box`` is in none of the ``earlier`` boxes."""
     left = [box]
     subtractions = 0
     for other in earlier:
@@ -134,7 +131,7 @@
 
 
 def covers(outer: Box, inner: Box) -> bool:
-    """Return whether ``outer`` alone covers ``inner``."""
+    """Return whether ``outer`` contains ``inner``."""
     return not uncovered(inner, [outer])
 
 
