--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -34,8 +34,8 @@
 REPORTS_BEFORE_RELEASE: Final = 2
 MIN_STEP: Final = 0.02
 MAX_EVICTION_DELAY_FACTOR: Final = 2.0
-MIN_THROTTLE_CONTRIBUTION: Final = 0.1
-MIN_EVICTION_CONTRIBUTION: Final = 0.3
+MIN_THROTTLE_EXCESS_SHARE: Final = 0.1
+MIN_EVICTION_EXCESS_SHARE: Final = 0.3
 MIN_DISTURBED_SLOWDOWN: Final = 1.05
 SATURATED_OCCUPANCY: Final = 0.95
 
@@ -187,7 +187,7 @@
     ) -> Action | None:
         contributions = self.contributions = self._contributions(reports, intensities)
         # Throttling a class with a small contribution costs work without reducing the slowdown.
-        min_contribution = (slowdown - tuning.target) * MIN_THROTTLE_CONTRIBUTION
+        min_contribution = (slowdown - tuning.target) * MIN_THROTTLE_EXCESS_SHARE
         for job_class in sorted(contributions, key=lambda c: -contributions[c]):
             share = self._tightened_share(tuning, slowdown, job_class, contributions[job_class])
             if (
@@ -215,7 +215,7 @@
         tasks: Mapping[str, int],
     ) -> Action | None:
         self._reports_at_floor += 1
-        min_contribution = (slowdown - tuning.target) * MIN_EVICTION_CONTRIBUTION
+        min_contribution = (slowdown - tuning.target) * MIN_EVICTION_EXCESS_SHARE
         running = {
             c: contribution
             for c, contribution in contributions.items()
