--- a/tests/unit/interference_model.py
+++ b/tests/unit/interference_model.py
@@ -1,9 +1,9 @@
-"""A small fake of ten like instances: 80 slots behind one queue, and batch that slows them.
+"""Simulation of ten identical instances with 80 slots, one queue, and batch that slows them.
 
-Requests arrive at random at a fixed rate, wait for a free slot and are refused after a bounded
-wait.  Their service time is multiplied by ``1 + sum(w * x)`` over the job classes that run, which
-the policy does not know.  The policy is told what one of the ten agents would measure: the service
-time, without the wait, of a tenth of the requests, one interval late.  Evicted tasks come back.
+Requests arrive at a fixed mean rate, wait for a free slot and are refused after a bounded wait.
+Service times are multiplied by ``1 + sum(w * x)`` over the running job classes.  The policy gets
+what one of ten agents would measure: the service times of a tenth of the requests, one interval
+late.  Evicted tasks restart after a delay.
 """
 
 import heapq
@@ -20,20 +20,20 @@
 BASE_MS = 200.0
 INTERVAL_S = 2.0
 MAX_WAIT_S = 1.0
-BACK_AFTER_S = 30.0
+RESTART_DELAY_S = 30.0
 IDLE_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class BatchClass:
-    """Tasks of one class in waves.
+    """Tasks of one class that run in periodic waves.
 
-    :ivar hurt: slowdown of the service if the class filled the instance.
+    :ivar slowdown_weight: added slowdown of the service if the class filled the instance.
     :ivar share: processors that the whole wave uses, as a share of the instance.
     """
 
     name: str
-    hurt: float
+    slowdown_weight: float
     share: float
     tasks: int
     period_s: float
@@ -56,13 +56,13 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run measured; ``work`` is processor time that batch got, over the instance's size."""
+    """Measurements of a run; ``work`` is batch processor time relative to the instance's size."""
 
     latencies: list[float] = field(default_factory=list)
     work: dict[str, float] = field(default_factory=lambda: defaultdict(float))
     refused: int = 0
     evictions: int = 0
-    floor_seen: float = 1.0
+    min_share: float = 1.0
 
     def percentile(self, share: float) -> float:
         ordered = sorted(self.latencies)
@@ -70,7 +70,7 @@
 
 
 class FakeInstance:
-    """Runs the queue of one target."""
+    """Simulates the queue and the slots of one target."""
 
     def __init__(self, seed: int, load: float) -> None:
         self._random = random.Random(seed)
@@ -121,27 +121,27 @@
     throttling: bool,
     seconds: float = 900.0,
 ) -> Outcome:
-    """Run the instances and return what was measured after the first, idle, minute."""
+    """Run the simulation and return the measurements after the idle first minute."""
     instance, outcome = FakeInstance(seed, load), Outcome()
     controller, tuning = ThrottleController(InterferenceModel()), Tuning.from_config(document)
-    away: list[tuple[float, str]] = []
+    evicted: list[tuple[float, str]] = []
     at_s = 0.0
     while at_s < seconds:
-        on = [kind for kind in mix if kind.running(at_s)]
-        away = [(back_s, name) for back_s, name in away if back_s > at_s]
-        counts = {k.name: k.tasks - sum(name == k.name for _, name in away) for k in on}
-        speeds = {k.name: controller.share(k.name) if throttling else 1.0 for k in on}
-        intensities = {k.name: k.share * speeds[k.name] * counts[k.name] / k.tasks for k in on}
-        slowdown = 1.0 + sum(k.hurt * intensities[k.name] for k in on)
+        active = [kind for kind in mix if kind.running(at_s)]
+        evicted = [(restart_s, name) for restart_s, name in evicted if restart_s > at_s]
+        counts = {k.name: k.tasks - sum(name == k.name for _, name in evicted) for k in active}
+        speeds = {k.name: controller.share(k.name) if throttling else 1.0 for k in active}
+        intensities = {k.name: k.share * speeds[k.name] * counts[k.name] / k.tasks for k in active}
+        slowdown = 1.0 + sum(k.slowdown_weight * intensities[k.name] for k in active)
         measured = instance.interval(at_s, slowdown, outcome)
-        for kind in on:
+        for kind in active:
             outcome.work[kind.name] += intensities[kind.name] * INTERVAL_S
-        outcome.floor_seen = min([outcome.floor_seen, *speeds.values()])
+        outcome.min_share = min([outcome.min_share, *speeds.values()])
         if throttling:
             report, occupancy = measured.report(), measured.occupancy()
             action = controller.step(tuning, [report], intensities, counts, occupancy)
             if isinstance(action, Evict):
-                away.append((at_s + BACK_AFTER_S, action.job_class))
+                evicted.append((at_s + RESTART_DELAY_S, action.job_class))
                 outcome.evictions += 1
         at_s += INTERVAL_S
     return outcome
--- a/tests/unit/test_order_placement.py
+++ b/tests/unit/test_order_placement.py
@@ -1,4 +1,4 @@
-"""Order of queued jobs, quotas and the choice of instances."""
+"""Order of queued jobs, team quotas and placement on instances."""
 
 from dataclasses import replace
 
@@ -46,7 +46,13 @@
             {},
             "ba",
         ),
-        ("first come within a team", [queued("b", since=99), queued("a")], {}, {}, "ba"),
+        (
+            "first come, first served within a team",
+            [queued("b", since=99), queued("a")],
+            {},
+            {},
+            "ba",
+        ),
         ("near deadline first", [queued("a"), queued("b", deadline_s=30)], {}, {}, "ba"),
         (
             "a burst of one team does not starve another",
@@ -56,28 +62,28 @@
             "adbc",
         ),
         (
-            "the team that holds less goes first",
+            "team with the smaller share goes first",
             [queued("a", "x"), queued("b", "y")],
             {"x": Resources(5000)},
             {},
             "ba",
         ),
         (
-            "weight widens a share",
+            "weight scales the share",
             [queued("a", "x"), queued("b", "y")],
             {"x": Resources(4000), "y": Resources(3000)},
             {"x": TeamShare(weight=4.0)},
             "ab",
         ),
         (
-            "long waiting overtakes a smaller share",
+            "long wait outranks a smaller share",
             [queued("a", "x", since=-50.0), queued("b", "y")],
             {"x": Resources(9000)},
             {},
             "ab",
         ),
         (
-            "over quota is left out",
+            "job over quota is left out",
             [queued("a", "x"), queued("b", "x"), queued("c", "y")],
             {"x": Resources(1000)},
             {"x": TeamShare(quota=Resources(2000))},
@@ -108,7 +114,7 @@
     [
         ("lowest id on a tie", WANTED, {}, {}, "a"),
         (
-            "room already offered is not offered again",
+            "offered resources are not offered again",
             WANTED,
             {"a": InstanceRecord(offered={"o": Resources(3500)})},
             {},
@@ -118,7 +124,7 @@
         ("tried before", replace(WANTED, job=Job(WANTED.job.spec, tried=("a",))), {}, {}, "b"),
         ("failing", WANTED, {"a": InstanceRecord(failures=2, failed_at=99.0)}, {}, "b"),
         (
-            "a failing one is waited past while the other is full",
+            "failing instance is avoided while the other is full",
             WANTED,
             {
                 "a": InstanceRecord(failures=2, failed_at=99.0),
@@ -128,7 +134,7 @@
             None,
         ),
         (
-            "all failing is as good as none failing",
+            "no instance is avoided if all are failing",
             WANTED,
             {
                 "a": InstanceRecord(failures=2, failed_at=99.0),
@@ -137,7 +143,7 @@
             {},
             "a",
         ),
-        ("failing long ago", WANTED, {"a": InstanceRecord(failures=2, failed_at=1.0)}, {}, "a"),
+        ("failures expire", WANTED, {"a": InstanceRecord(failures=2, failed_at=1.0)}, {}, "a"),
         ("zone preferred", replace(WANTED, zones=("z2",)), {}, {}, "b"),
         ("avoided service", replace(WANTED, avoid_services=frozenset({"s-a"})), {}, {}, "b"),
         ("fits nowhere", PlacementRequest(queued("j", cpu=9000).job), {}, {}, None),
@@ -163,7 +169,7 @@
     assert (found.id if found else None) == expected, name
 
 
-def test_urgent_job_goes_where_least_has_to_be_evicted() -> None:
+def test_eviction_prefers_instance_that_frees_least() -> None:
     full = replace(make_view("a"), free=Resources(0), classes=(ClassSample("c", 4, 4000),))
     half = replace(make_view("b"), free=Resources(500, 4096), classes=(ClassSample("c", 3, 3500),))
     services_only = replace(make_view("c"), free=Resources(0))
--- a/tests/unit/test_retry.py
+++ b/tests/unit/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries and hedges: when they are allowed, and the budget they are paid from."""
+"""Conditions and budget of retries and hedges."""
 
 import pytest
 from hypothesis import given
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("name", ALLOWED)
-def test_retry_only_where_nothing_runs_twice(name: str) -> None:
+def test_retry_only_if_nothing_can_run_twice(name: str) -> None:
     state, expected = ALLOWED[name]
     assert may_retry(state, RetryPolicy(max_attempts=3)) is expected
 
@@ -32,8 +32,8 @@
     st.lists(st.integers(0, 5), min_size=1, max_size=400),
     st.sampled_from([0.0, 0.05, 0.1, 0.5]),
 )
-def test_budget_holds_over_any_traffic(wanted: list[int], share: float) -> None:
-    """Everything fails and everybody wants retries: the extra load stays at the share."""
+def test_budget_holds_for_any_traffic(wanted: list[int], share: float) -> None:
+    """Guards against retries beyond the share when every request fails."""
     budget = RetryBudget(share)
     granted = 0
     for number, retries in enumerate(wanted, start=1):
@@ -52,7 +52,7 @@
     assert hedge_after_s(window, policy, False, 2.0) is None
 
 
-def test_percentile_survives_the_change_of_windows() -> None:
+def test_percentile_is_kept_across_window_rotation() -> None:
     window = LatencyWindow(0.0)
     for _ in range(100):
         window.record(0.05, 1.0)
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: who is chosen, who is ejected, and what that is worth beside simpler policies."""
+"""Choice of instances, ejection, and comparison with random choice."""
 
 import random
 from dataclasses import replace
@@ -46,8 +46,8 @@
     assert picks(router, 0.0, zones=("z2",)) == {"i2", "i6"}
 
 
-def test_poor_instance_does_not_get_its_zones_overflow() -> None:
-    """All but one instance of the zone are full, and the one with room is ten times slower."""
+def test_slow_instance_does_not_get_overflow_of_its_zone() -> None:
+    """Guards against overflow to the only instance with capacity of the zone if it is slow."""
     router = router_of(8)
     for number in range(1, 8):
         for _ in range(20):
@@ -58,13 +58,8 @@
     assert "i0" not in picks(router, 0.0)
 
 
-def test_an_instance_of_which_only_failures_are_known_attracts_nothing() -> None:
-    """Callers get errors from an instance that has never answered well, while another is healthy.
-
-    Its first attempt failed and was averaged into a record of no failures, as if one attempt in ten
-    had failed.  A moment later the healthy one was held up and answered five times slower than
-    usual, and the next callers went to the one that fails.
-    """
+def test_instance_with_only_failures_gets_no_traffic() -> None:
+    """Guards against preferring an instance whose only attempt failed to a briefly slow one."""
     router = router_of(8)
     fail(router, "i0", 1, 0.0)
     for number in range(40):
@@ -74,7 +69,7 @@
     assert picks(router, 1.2, spill=False) == {"i4"}
 
 
-def test_one_bad_start_ejects_no_new_instance() -> None:
+def test_single_failure_does_not_eject_new_instance() -> None:
     router = router_of(8)
     fail(router, "i0", 1, 0.0)
     assert router.ejected() == []
@@ -83,7 +78,7 @@
 
 
 UNUSABLE = {
-    "silent": (make_view(0, 0), False),
+    "unresponsive": (make_view(0, 0), False),
     "full": (make_view(0, 8), True),
     "without connections": (replace(make_view(0, 0), connections=0), True),
     "offers another service": (replace(make_view(0, 0), services=frozenset({"other"})), True),
@@ -100,7 +95,7 @@
     assert picks(router, 1.0) == {"i0"}
 
 
-def test_own_attempts_fill_an_instance_between_reports() -> None:
+def test_own_attempts_count_as_load_between_reports() -> None:
     router = router_of(1, used=5)
     for _ in range(3):
         assert router.pick("checks", 0.0) == "i0"
@@ -110,7 +105,7 @@
     assert router.pick("checks", 0.1) == "i0"
 
 
-def test_failing_instance_is_ejected_probed_and_taken_back() -> None:
+def test_failing_instance_is_ejected_probed_and_reinstated() -> None:
     router = router_of(8)
     fail(router, "i0", 5, 1.0)
     assert router.ejected() == ["i0"]
@@ -121,28 +116,25 @@
     assert "i0" not in picks(router, 6.1), "one probe at a time"
     router.end("i0", "checks", AttemptEnd.FAILURE, 0.01, 6.2)
     assert router.ejected() == ["i0"], "a failed probe ejects at once"
-    assert "i0" not in picks(router, 15.0), "for twice as long"
+    assert "i0" not in picks(router, 15.0), "ejected for twice as long"
     router.pick("checks", 16.3)
     for _ in range(3):
         attempt(router, "i0", AttemptEnd.SUCCESS, 16.4)
     fail(router, "i0", 4, 16.5)
-    assert router.ejected() == [], "after the probes a single failure is forgiven again"
-
+    assert router.ejected() == [], "after the probes, failures below the threshold do not eject"
 
-@pytest.mark.parametrize(("count", "most"), [(1, 0), (2, 1), (3, 1), (10, 3)])
-def test_bad_minute_ejects_no_more_than_the_floor_allows(count: int, most: int) -> None:
-    """A broken release makes every instance fail everything for a minute.
 
-    Ejecting them all would leave nobody to serve the requests that would succeed again.
-    """
+@pytest.mark.parametrize(("count", "max_ejected"), [(1, 0), (2, 1), (3, 1), (10, 3)])
+def test_ejections_are_limited_when_all_instances_fail(count: int, max_ejected: int) -> None:
+    """Guards against ejecting all instances when the service itself fails."""
     router = router_of(count)
     for number in range(count):
         fail(router, f"i{number}", 10, 1.0)
-    assert len(router.ejected()) == most
+    assert len(router.ejected()) == max_ejected
     assert router.pick("checks", 1.0) is not None
 
 
-def test_short_deadlines_eject_nobody() -> None:
+def test_timeouts_of_short_deadlines_do_not_eject() -> None:
     router = router_of(8)
     for _ in range(20):
         attempt(router, "i0", AttemptEnd.TIMEOUT, 1.0, took_s=0.002)
@@ -152,7 +144,7 @@
     assert router.ejected() == ["i0"]
 
 
-def test_health_sums_follow_every_change() -> None:
+def test_health_reflects_instance_changes() -> None:
     router = router_of(4, used=4)
     assert router.health("checks").load == pytest.approx(0.5)
     router.update(make_view(0, 4), False, 0.0)
@@ -163,18 +155,18 @@
     assert router.health("unknown").live == 0
 
 
-# One run each, shorter than that of the bench; the bars leave room for other seeds.
-BARS: dict[str, tuple[str, float, float]] = {
-    "slow instance is shed": ("one ten times slower, 60%", 0.0, 0.02),
-    "fast failures attract nothing": ("one fails fast, 60%", 0.005, 0.01),
-    "calm": ("calm, 80% load", 0.01, 0.2),
+# Limits for one run each, shorter than the benchmark's.
+LIMITS: dict[str, tuple[str, float, float]] = {
+    "slow instance gets little traffic": ("one ten times slower, 60%", 0.0, 0.02),
+    "fast failures do not attract traffic": ("one fails fast, 60%", 0.005, 0.01),
+    "no faults": ("calm, 80% load", 0.01, 0.2),
 }
 
 
-@pytest.mark.parametrize("name", BARS)
-def test_router_keeps_its_bar_where_random_choice_does_not(name: str) -> None:
-    scenario, bad_share, to_first_share = BARS[name]
+@pytest.mark.parametrize("name", LIMITS)
+def test_router_meets_limits_that_random_choice_exceeds(name: str) -> None:
+    scenario, bad_share, to_first_share = LIMITS[name]
     figures = Run("router", SCENARIOS[scenario], seed=7, seconds=6.0).go()
-    beside = Run("random", SCENARIOS[scenario], seed=7, seconds=6.0).go()
-    assert figures.bad_share <= bad_share <= beside.bad_share
+    random_figures = Run("random", SCENARIOS[scenario], seed=7, seconds=6.0).go()
+    assert figures.bad_share <= bad_share <= random_figures.bad_share
     assert figures.to_first <= to_first_share * len(figures.latencies_s)
--- a/tests/unit/test_rules.py
+++ b/tests/unit/test_rules.py
@@ -1,4 +1,4 @@
-"""The first matching rule decides, and a change that cannot be meant is refused by rule and key."""
+"""Evaluation, validation and explanation of rules."""
 
 import time
 import timeit
@@ -135,7 +135,7 @@
     assert found and part in found[0].message, problems
 
 
-def test_sound_rules_are_accepted() -> None:
+def test_valid_rules_are_accepted() -> None:
     partly_covered = rule({"load": {"at_least": 0.4}, "team": {"eq": "kochi"}}, name="partly")
     document = with_rules(LOW, partly_covered, *RULES)
     assert check_document(document).is_ok()
@@ -158,7 +158,7 @@
 
 
 @given(st.lists(CONDITIONS, max_size=6))
-def test_rule_is_refused_exactly_if_no_situation_reaches_it(whens: list[dict[str, Any]]) -> None:
+def test_rule_is_rejected_exactly_if_unreachable(whens: list[dict[str, Any]]) -> None:
     rules = [rule(when, name=str(number)) for number, when in enumerate(whens)]
     checked = check_document({"rules": rules})
     refused = {problem.rule for problem in checked.err() or ()}
@@ -175,7 +175,7 @@
         ({"kind": "batch", "load": "?"}, "load"),
     ],
 )
-def test_situation_with_a_wrong_field_is_refused(raw: dict[str, str], part: str) -> None:
+def test_invalid_situation_is_rejected(raw: dict[str, str], part: str) -> None:
     assert part in parse_situation(raw).unwrap_err().message
 
 
@@ -186,7 +186,7 @@
     ]
     decide = compiled(rules).decide
     situation = Situation("service", service="none", load=0.9)
-    # Processor time: beside busy processes the time on the wall counts their turns as well.
+    # Processor time: wall time would include other processes.
     timings = timeit.repeat(
         lambda: decide(situation), timer=time.process_time, number=200, repeat=5
     )
