--- a/sapphirelead/policy_ejection.py
+++ b/sapphirelead/policy_ejection.py
@@ -6,8 +6,8 @@
 
 Invariants:
 
-- At most the configured share of a service's live instances is ejected (but one of two is allowed),
-  so that a failure of the service itself does not eject all its instances.
+- At most the configured share of a service's live instances is ejected (at least one of two or
+  more), so that a failure of the service itself does not eject all its instances.
 - The pools' ``ejected`` sets change only here and where an instance is forgotten.
 """
 
--- a/sapphirelead/policy_limits.py
+++ b/sapphirelead/policy_limits.py
@@ -4,7 +4,7 @@
 deadline are dropped, so that instances under overload serve only callers that still wait.
 
 Concurrency: an adaptive limit per service and entry.  It grows while latency stays near its floor,
-and shrinks in proportion when latency exceeds the floor by ``LATENCY_TOLERANCE``.
+and shrinks in proportion when latency exceeds ``LATENCY_TOLERANCE`` times the floor.
 
 Retry-After: grows with the backlog and the share of refused requests, with random jitter so that
 callers refused together do not retry together.
--- a/sapphirelead/policy_rules_check.py
+++ b/sapphirelead/policy_rules_check.py
@@ -172,7 +172,7 @@
     if field in FLAG_FIELDS and not isinstance(matcher.eq, bool):
         return f"{field} is a flag: use eq = true or eq = false"
     if field not in FLAG_FIELDS and matcher.eq is not None and not isinstance(matcher.eq, str):
-        return f"{field} is a text: write it in quotes"
+        return f"{field} is a string: write it in quotes"
     return ""
 
 
