--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -15,7 +15,7 @@
     STALE_ORDER_S,
 )
 
-MUTE_S: Final = 3.0
+UNRESPONSIVE_TIMEOUT_S: Final = 3.0
 """Time without an answer after which a worker is granted no more.  A grant may take effect although
 its answer is lost, so its runs would never count as over."""
 
@@ -26,57 +26,57 @@
     All times are from the clock that also counts while the machine is suspended.
 
     :ivar until: end of the agent's lease.
-    :ivar bound: no run of this life of the worker outlives this, whatever was lost on the way.
+    :ivar expiry_bound: no run of this life of the worker outlives this, whatever was lost on the way.
     """
 
     until: float
-    bound: float
+    expiry_bound: float
     _lease_s: float
     _sent: dict[int, float]
     _clock: tuple[int, float] | None
-    _unanswered_at: float | None
+    _unanswered_since: float | None
 
     def __init__(self, lease_s: float, at: float) -> None:
         self.until = 0.0
         # An earlier process of this agent may have renewed the worker's lease just before.
-        self.bound = at + (lease_s + LEASE_MARGIN_S) * (1 + 2 * CLOCK_DRIFT)
+        self.expiry_bound = at + (lease_s + LEASE_MARGIN_S) * (1 + 2 * CLOCK_DRIFT)
         self._lease_s = lease_s
         self._sent = {}
         self._clock = None
-        self._unanswered_at = None
+        self._unanswered_since = None
 
-    def sent(self, beat: int, at: float) -> None:
+    def sent(self, report_seq: int, at: float) -> None:
         """Remember when a report was sent."""
-        self._sent[beat] = at
+        self._sent[report_seq] = at
         # The acknowledgement of an older one extends nothing.
         kept_s = max(self._lease_s, STALE_ORDER_S)
         while at - next(iter(self._sent.values())) > kept_s:
             del self._sent[next(iter(self._sent))]
 
     @property
-    def remembered(self) -> int:
+    def report_count(self) -> int:
         """Number of reports whose time of sending is known."""
         return len(self._sent)
 
-    def bears_starts(self, beat: int, at: float) -> bool:
+    def allows_starts(self, report_seq: int, at: float) -> bool:
         """Return whether starts ordered on the ground of a report may still be carried out.
 
         Starts that were held up on the way may have been overtaken by a cancellation; the leader
         repeats those that still hold.
         """
-        return self.report_age(beat, at) <= STALE_ORDER_S
+        return self.report_age(report_seq, at) <= STALE_ORDER_S
 
-    def report_age(self, beat: int, at: float) -> float:
+    def report_age(self, report_seq: int, at: float) -> float:
         """Return how long ago a report was sent; infinite where that is no longer known."""
-        return at - self._sent.get(beat, -math.inf)
+        return at - self._sent.get(report_seq, -math.inf)
 
-    def left_s(self, at: float) -> float:
+    def remaining_s(self, at: float) -> float:
         """Return how much of the agent's lease is left."""
         return max(0.0, self.until - at)
 
-    def acknowledged(self, beat: int) -> None:
+    def acknowledged(self, report_seq: int) -> None:
         """Extend the agent's lease by an acknowledged report."""
-        at = self._sent.get(beat)
+        at = self._sent.get(report_seq)
         if at is not None:
             self.until = max(self.until, at + self._lease_s)
 
@@ -87,19 +87,19 @@
         lease._sent = self._sent
         return lease
 
-    def saw_clock(self, clock_ms: int, at: float) -> None:
+    def update_clock(self, clock_ms: int, at: float) -> None:
         """Take the worker's clock from an answer that arrived at ``at``."""
         self._clock = (clock_ms, at)
-        self._unanswered_at = None
+        self._unanswered_since = None
 
     def note_unanswered(self, at: float) -> None:
         """Note that a call has got no answer by ``at``."""
-        if self._unanswered_at is None:
-            self._unanswered_at = at
+        if self._unanswered_since is None:
+            self._unanswered_since = at
 
-    def mute(self, at: float) -> bool:
+    def unresponsive(self, at: float) -> bool:
         """Whether the worker has left calls unanswered for so long that it is granted no more."""
-        return self._unanswered_at is not None and at - self._unanswered_at > MUTE_S
+        return self._unanswered_since is not None and at - self._unanswered_since > UNRESPONSIVE_TIMEOUT_S
 
     def worker_time(self, at: float) -> int:
         """Return the worker's clock at ``at``, never later than it really is by then."""
@@ -116,9 +116,9 @@
         """
         if self._clock is None or self.until <= at:
             return 0
-        if self.mute(at):
+        if self.unresponsive(at):
             return 0
-        self.bound = max(self.bound, self.until)
+        self.expiry_bound = max(self.expiry_bound, self.until)
         return self.worker_time(self.until)
 
     def start_deadline(self, at: float, within_s: float) -> int:
@@ -126,9 +126,9 @@
 
         To be asked only for a worker that is not mute: the bound moves on.
         """
-        self.bound = max(self.bound, at + within_s * (1 + 2 * CLOCK_DRIFT))
+        self.expiry_bound = max(self.expiry_bound, at + within_s * (1 + 2 * CLOCK_DRIFT))
         return self.worker_time(at) + int(within_s * 1000)
 
-    def surely_over(self, at: float) -> bool:
+    def all_expired(self, at: float) -> bool:
         """Whether everything the worker ran has lapsed by ``at``."""
-        return at > self.bound + LOSS_MARGIN_S
+        return at > self.expiry_bound + LOSS_MARGIN_S
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -32,7 +32,7 @@
     StartCall,
     WorkerView,
 )
-from sapphirelead.runner_book import UNKNOWN_PACE, RunName, RunnerBook, RunnerRun
+from sapphirelead.runner_registry import UNKNOWN_PACE, RunName, RunRegistry, RunnerRun
 from sapphirelead.runner_lease import RunnerLease
 from sapphirelead.runner_pace import PaceControl, Tail
 from sapphirelead.runner_slots import Slots
@@ -91,8 +91,8 @@
 
 def _stop_times(run: RunnerRun) -> tuple[float, float]:
     """Return how long ago a stop was asked for, and how long its confirmation took."""
-    stop_s = now() - run.stop_at if run.stop_at else NOT_YET_S
-    confirmed_s = run.sealed_at - run.stop_at if run.sealed_at else NOT_YET_S
+    stop_s = now() - run.stop_requested_at if run.stop_requested_at else NOT_YET_S
+    confirmed_s = run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else NOT_YET_S
     return stop_s, confirmed_s
 
 
@@ -116,7 +116,7 @@
     :ivar over: set once the life is known to be over.
     """
 
-    book: RunnerBook
+    registry: RunRegistry
     over: bool
     on_change: Callable[[], None]
     _kill_grace_s: float
@@ -131,7 +131,7 @@
     _refusals: int
     _silent: bool
     _told_at: float
-    _stored: asyncio.Event
+    _end_stored: asyncio.Event
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
         on_change: Callable[[], None],
         kill_grace_s: float,
     ) -> None:
-        self.book = RunnerBook(info)
+        self.registry = RunRegistry(info)
         self.over = False
         self.on_change = on_change
         self._kill_grace_s = kill_grace_s
@@ -157,7 +157,7 @@
         self._refusals = 0
         self._silent = False
         self._told_at = -1e9
-        self._stored = asyncio.Event()
+        self._end_stored = asyncio.Event()
 
     @property
     def silent(self) -> bool:
@@ -183,7 +183,7 @@
             sent_at = now()
             found = await self._worker.hold(
                 self._token.value,
-                self.book.noted,
+                self.registry.stored_through,
                 self._lease.worker_lease(awake_now()),
                 LIST_WAIT_MS,
             )
@@ -199,29 +199,29 @@
 
     async def _pause(self, most_s: float) -> None:
         """Wait for an end to be stored, for :data:`UNNOTED_PAUSE_S` at least."""
-        self._stored.clear()
+        self._end_stored.clear()
         await asyncio.sleep(UNNOTED_PAUSE_S)
         try:
             async with asyncio.timeout(most_s - UNNOTED_PAUSE_S):
-                await self._stored.wait()
+                await self._end_stored.wait()
         except TimeoutError:
             return
 
     def stored(self, name: RunName) -> None:
         """Note that the leader has stored an end."""
-        self.book.stored(name)
-        self._stored.set()
+        self.registry.stored(name)
+        self._end_stored.set()
 
     def _take_view(self, view: WorkerView, sent_at: float) -> bool:
         """Take a list over; return whether it shows an end that is new."""
         self._refusals = 0
         if self._silent:
             self._silent = False
-            log_event("INFO", "worker_regained", worker=self.book.info.worker)
+            log_event("INFO", "worker_regained", worker=self.registry.info.worker)
             self.on_change()
-        self._lease.saw_clock(view.clock_ms, awake_now())
-        runs = dict(self.book.runs)
-        new = self.book.saw(view, sent_at)
+        self._lease.update_clock(view.clock_ms, awake_now())
+        runs = dict(self.registry.runs)
+        new = self.registry.apply_view(view, sent_at)
         for end in new:
             self._log_end(end, runs.get((end.task, end.attempt)))
         self._stop_again(view, sent_at)
@@ -242,12 +242,12 @@
         :param sent_at: when the call that brought the list was sent.
         """
         for item in view.running:
-            run = self.book.runs.get((item.task, item.attempt))
-            if run is None or run.phase is not RunPhase.STOPPING or run.sealing:
+            run = self.registry.runs.get((item.task, item.attempt))
+            if run is None or run.phase is not RunPhase.STOPPING or run.stop_pending:
                 continue
-            if run.sealed_at and sent_at <= run.sealed_at + self._kill_grace_s + GRACE_MARGIN_S:
+            if run.stop_confirmed_at and sent_at <= run.stop_confirmed_at + self._kill_grace_s + GRACE_MARGIN_S:
                 continue
-            event = "stop_repeated" if run.sealed_at else "end_disproved"
+            event = "stop_repeated" if run.stop_confirmed_at else "end_disproved"
             log_event("WARNING", event, task=run.task, attempt=run.attempt)
             self._begin_stop(run)
 
@@ -268,10 +268,10 @@
     def _note_slow_stops(self) -> None:
         """Log each stop that takes long, once; its end is logged with the same times."""
         at = now()
-        for run in self.book.runs.values():
-            if run.slow_noted or not run.stop_at or at - run.stop_at <= STOP_SLOW_S:
+        for run in self.registry.runs.values():
+            if run.slow_stop_logged or not run.stop_requested_at or at - run.stop_requested_at <= STOP_SLOW_S:
                 continue
-            run.slow_noted = True
+            run.slow_stop_logged = True
             stop_s, confirmed_s = _stop_times(run)
             log_event(
                 "WARNING",
@@ -280,7 +280,7 @@
                 attempt=run.attempt,
                 stop_s=stop_s,
                 confirmed_s=confirmed_s,
-                lease_left_s=self._lease.left_s(awake_now()),
+                lease_left_s=self._lease.remaining_s(awake_now()),
             )
 
     def _note_failure(self, failure: CallFailure) -> None:
@@ -298,11 +298,11 @@
     def _note_silence(self) -> None:
         at = awake_now()
         self._lease.note_unanswered(at)
-        if self._lease.surely_over(at) and not self._silent:
+        if self._lease.all_expired(at) and not self._silent:
             # It may live on behind a fault of the path, but all its leases have run out.
             self._silent = True
-            info = self.book.info
-            log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.book.runs))
+            info = self.registry.info
+            log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.registry.runs))
             self.on_change()
 
     def end(self, reason: str) -> None:
@@ -313,9 +313,9 @@
         log_event(
             "WARNING",
             "worker_ended",
-            worker=self.book.info.worker,
+            worker=self.registry.info.worker,
             reason=reason,
-            runs=len(self.book.runs),
+            runs=len(self.registry.runs),
         )
         self.on_change()
 
@@ -328,7 +328,7 @@
             log_event(
                 "WARNING",
                 "stops_unconfirmed",
-                worker=self.book.info.worker,
+                worker=self.registry.info.worker,
                 stops=len(pending),
             )
 
@@ -343,29 +343,29 @@
 
     def start(self, order: StartOrder) -> None:
         """Carry out a start order; a repeated one changes nothing."""
-        run = self.book.accept(order)
+        run = self.registry.accept(order)
         if run is not None:
             self._spawn(self._start(run, order))
-        elif (order.task, order.attempt) in self.book.ends:
-            self.book.tell_again((order.task, order.attempt))
+        elif (order.task, order.attempt) in self.registry.ends:
+            self.registry.report_again((order.task, order.attempt))
             self.on_change()
 
     def stop(self, order: StopOrder) -> None:
         """Carry out a stop order; a run that is not known here is sealed as well."""
         name = (order.task, order.attempt)
-        run = self.book.runs.get(name)
+        run = self.registry.runs.get(name)
         if run is None:
-            if name in self.book.ends:
+            if name in self.registry.ends:
                 return
-            run = self.book.runs[name] = RunnerRun(*name, RunPhase.STOPPING)
+            run = self.registry.runs[name] = RunnerRun(*name, RunPhase.STOPPING)
         elif run.phase is RunPhase.STOPPING:
             return
         self._begin_stop(run)
 
     def _begin_stop(self, run: RunnerRun) -> None:
         run.phase = RunPhase.STOPPING
-        run.stop_at = run.stop_at or now()
-        run.sealing = True
+        run.stop_requested_at = run.stop_requested_at or now()
+        run.stop_pending = True
         task = self._spawn(self._seal(run))
         self._sealing.add(task)
         task.add_done_callback(self._sealing.discard)
@@ -382,17 +382,17 @@
             async with self._calls:
                 if run.phase is not RunPhase.STARTING or self.over:
                     return
-                if self._lease.mute(awake_now()):
+                if self._lease.unresponsive(awake_now()):
                     # A start may be carried out without an answer, so it would move the time on at
                     # which the runs of this life are known to be over.
                     reason = "worker_mute"
                     break
                 found = await self._worker.start(self._start_call(order))
             if isinstance(found, Ok):
-                self._lease.saw_clock(found.ok_value.clock_ms, awake_now())
+                self._lease.update_clock(found.ok_value.clock_ms, awake_now())
                 answer = found.ok_value.answer
                 if answer is StartAnswer.STARTED:
-                    self.book.started(run)
+                    self.registry.started(run)
                     self.on_change()
                     await self._begin_at_level(run, order)
                     return
@@ -433,7 +433,7 @@
         if run.phase is not RunPhase.STARTING:
             return
         if not run.maybe_sent:
-            self.book.refuse(run.name, reason)
+            self.registry.refuse(run.name, reason)
             self.on_change()
             return
         run.refusal = reason
@@ -442,13 +442,13 @@
     async def _seal(self, run: RunnerRun) -> None:
         """Stop a run until the worker confirms it; the list then tells how it ended."""
         tries = 0
-        while not self.over and self.book.runs.get(run.name) is run:
+        while not self.over and self.registry.runs.get(run.name) is run:
             async with self._stops.slot(tries):
                 found = await self._worker.stop(run.task, run.attempt, self._token.value)
             tries += 1
             if isinstance(found, Ok):
-                run.sealed_at = now()
-                run.sealing = False
+                run.stop_confirmed_at = now()
+                run.stop_pending = False
                 return
             if found.err_value is CallFailure.FENCED:
                 self._token.raise_it()
@@ -465,13 +465,13 @@
 
     def _control_pace(self) -> None:
         """Slow the filling runs that press on the tail of a serving one."""
-        runs = list(self.book.runs.values())
+        runs = list(self.registry.runs.values())
         tails = [
             Tail(run.task, run.order.image, run.figure, run.order.target_ms)
             for run in runs
             if run.order is not None and run.order.target_ms and run.figure >= 0
         ]
-        self._pace.update(tails, self.book.filling_used(), now(), self.book.filling_wanted())
+        self._pace.update(tails, self.registry.filling_usage(), now(), self.registry.filling_demand())
         for run in runs:
             if run.order is None or not run.order.fills or run.phase is not RunPhase.RUNNING:
                 continue
@@ -489,7 +489,7 @@
         tail from 0.6 to 1.7 times its target within that half second.
         """
         if order.fills:
-            self._pace.begin(order.image, self.book.filling_wanted())
+            self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
         if order.fills and percent < run.paced:
             self._note_pace(run, percent)
--- a/sapphirelead/runner_book.py
+++ b/sapphirelead/runner_registry.py
@@ -22,10 +22,10 @@
 
 RunName = tuple[str, int]
 
-ENDS_IN_VIEW: Final = 500
+MAX_LISTED_ENDS: Final = 500
 """Ends that a worker lists at most; a full list proves nothing about a run that is not on it."""
 
-ENDS_IN_REPORT: Final = 200
+MAX_REPORTED_ENDS: Final = 200
 """Ends in one report; the others follow when these are stored."""
 
 
@@ -39,12 +39,12 @@
     """A run that is not over.
 
     :ivar order: ``None`` for a run that was there before this process, until the leader sends it.
-    :ivar sealing: a stop is on its way or about to be repeated.
-    :ivar sealed_at: when the worker confirmed a stop; after that the run cannot begin any more.
-    :ivar stop_at: when its stop was asked for; 0 while nobody has.
-    :ivar slow_noted: a log line has said that the stop takes long.
+    :ivar stop_pending: a stop is on its way or about to be repeated.
+    :ivar stop_confirmed_at: when the worker confirmed a stop; after that the run cannot begin any more.
+    :ivar stop_requested_at: when its stop was asked for; 0 while nobody has.
+    :ivar slow_stop_logged: a log line has said that the stop takes long.
     :ivar maybe_sent: a start got no answer and may yet be carried out.
-    :ivar told: phase in the newest report that listed it.
+    :ivar reported_phase: phase in the newest report that listed it.
     """
 
     task: str
@@ -55,12 +55,12 @@
     figure: int = -1
     saved: str = ""
     paced: int = 100
-    stop_at: float = 0.0
-    sealing: bool = False
-    sealed_at: float = 0.0
-    slow_noted: bool = False
+    stop_requested_at: float = 0.0
+    stop_pending: bool = False
+    stop_confirmed_at: float = 0.0
+    slow_stop_logged: bool = False
     maybe_sent: bool = False
-    told: RunPhase | None = None
+    reported_phase: RunPhase | None = None
     refusal: str = ""
 
     @property
@@ -69,28 +69,28 @@
         return self.task, self.attempt
 
 
-class RunnerBook:
+class RunRegistry:
     """The runs and ends of one life of the worker.
 
-    :ivar noted: the worker may forget ends up to this number.
+    :ivar stored_through: the worker may forget ends up to this number.
     """
 
     info: WorkerInfo
     runs: dict[RunName, RunnerRun]
     ends: dict[RunName, RunEnded]
-    noted: int
-    _stored: set[int]
-    _numbered: bool
-    _told: set[RunName]
+    stored_through: int
+    _stored_numbers: set[int]
+    _numbering_known: bool
+    _reported_ends: set[RunName]
 
     def __init__(self, info: WorkerInfo) -> None:
         self.info = info
         self.runs = {}
         self.ends = {}
-        self.noted = 0
-        self._stored = set()
-        self._numbered = False
-        self._told = set()
+        self.stored_through = 0
+        self._stored_numbers = set()
+        self._numbering_known = False
+        self._reported_ends = set()
 
     @property
     def used(self) -> Resources:
@@ -101,7 +101,7 @@
                 used = used + run.order.room
         return used
 
-    def filling_used(self) -> dict[str, float]:
+    def filling_usage(self) -> dict[str, float]:
         """Return by filling image the share of the worker's processors that it used."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         used: dict[str, float] = {}
@@ -111,7 +111,7 @@
                 used[run.order.image] = used.get(run.order.image, 0.0) + share
         return used
 
-    def filling_wanted(self) -> dict[str, float]:
+    def filling_demand(self) -> dict[str, float]:
         """Return by filling image the share that it would use at full pace."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         wanted: dict[str, float] = {}
@@ -149,7 +149,7 @@
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
 
-    def saw(self, view: WorkerView, sent_at: float) -> list[RunEnded]:
+    def apply_view(self, view: WorkerView, sent_at: float) -> list[RunEnded]:
         """Take the worker's list; return the ends that are new.
 
         :param sent_at: when the call that brought the list was sent.
@@ -162,17 +162,17 @@
             if run is None:
                 if name in self.ends and self.ends[name].number:
                     continue
-                run = self.runs[name] = self._found(name)
+                run = self.runs[name] = self._new_listed_run(name)
             self.started(run)
             run.percent = item.percent
             run.figure = item.figure
             run.saved = item.saved
-        new = self._take_ends(view)
-        if len(view.ended) < ENDS_IN_VIEW:
-            new.extend(self._never_began(listed, sent_at))
+        new = self._record_listed_ends(view)
+        if len(view.ended) < MAX_LISTED_ENDS:
+            new.extend(self._record_unstarted(listed, sent_at))
         return new
 
-    def _found(self, name: RunName) -> RunnerRun:
+    def _new_listed_run(self, name: RunName) -> RunnerRun:
         """Return a listed run that was not known to run.
 
         One that counted as never started has to stop: the leader may have claimed its task anew.
@@ -180,20 +180,20 @@
         """
         run = RunnerRun(*name, RunPhase.RUNNING, paced=UNKNOWN_PACE)
         if self.ends.pop(name, None) is not None:
-            self._told.discard(name)
+            self._reported_ends.discard(name)
             run.phase = RunPhase.STOPPING
         return run
 
-    def _take_ends(self, view: WorkerView) -> list[RunEnded]:
-        if view.ended and not self._numbered:
+    def _record_listed_ends(self, view: WorkerView) -> list[RunEnded]:
+        if view.ended and not self._numbering_known:
             # After a restart of this process the worker's list goes on from what was noted before.
-            self.noted = max(self.noted, min(end.number for end in view.ended) - 1)
-            self._numbered = True
+            self.stored_through = max(self.stored_through, min(end.number for end in view.ended) - 1)
+            self._numbering_known = True
         new = []
         for end in view.ended:
             name = (end.task, end.attempt)
             known = self.ends.get(name)
-            if end.number in self._stored or end.number <= self.noted:
+            if end.number in self._stored_numbers or end.number <= self.stored_through:
                 continue
             if known is not None and known.number:
                 continue
@@ -203,10 +203,10 @@
             new.append(ended)
         return new
 
-    def _never_began(self, listed: set[RunName], sent_at: float) -> list[RunEnded]:
+    def _record_unstarted(self, listed: set[RunName], sent_at: float) -> list[RunEnded]:
         new = []
         for name, run in list(self.runs.items()):
-            if run.sealed_at and sent_at > run.sealed_at and name not in listed:
+            if run.stop_confirmed_at and sent_at > run.stop_confirmed_at and name not in listed:
                 self.refuse(name, run.refusal or "stopped_before_start")
                 new.append(self.ends[name])
         return new
@@ -214,21 +214,21 @@
     def stored(self, name: RunName) -> None:
         """Note that the leader has stored an end."""
         ended = self.ends.pop(name, None)
-        self._told.discard(name)
+        self._reported_ends.discard(name)
         if ended is None or not ended.number:
             return
-        self._stored.add(ended.number)
-        while self.noted + 1 in self._stored:
-            self.noted += 1
-            self._stored.discard(self.noted)
+        self._stored_numbers.add(ended.number)
+        while self.stored_through + 1 in self._stored_numbers:
+            self.stored_through += 1
+            self._stored_numbers.discard(self.stored_through)
 
     def statuses(self, full: bool) -> list[RunStatus]:
         """Return the runs for a report: all, or those whose phase has changed."""
         found = []
         for run in self.runs.values():
-            if not full and run.told is run.phase:
+            if not full and run.reported_phase is run.phase:
                 continue
-            run.told = run.phase
+            run.reported_phase = run.phase
             saved = run.saved if full else ""
             found.append(
                 RunStatus(
@@ -244,9 +244,9 @@
             )
         return found
 
-    def tell_again(self, name: RunName) -> None:
+    def report_again(self, name: RunName) -> None:
         """Let the next report bring an end although one has brought it before."""
-        self._told.discard(name)
+        self._reported_ends.discard(name)
 
     def report_ends(self, full: bool) -> list[RunEnded]:
         """Return the ends for a report: all that are not stored, or those not told yet.
@@ -255,9 +255,9 @@
         """
         found: list[RunEnded] = []
         for name, end in self.ends.items():
-            if len(found) >= ENDS_IN_REPORT:
+            if len(found) >= MAX_REPORTED_ENDS:
                 break
-            if full or name not in self._told:
-                self._told.add(name)
+            if full or name not in self._reported_ends:
+                self._reported_ends.add(name)
                 found.append(end)
         return found
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -164,14 +164,14 @@
 
     def _log_left(self, life: RunnerLife) -> None:
         """Log what the worker runs on without an agent."""
-        runs = life.book.runs.values()
+        runs = life.registry.runs.values()
         log_event(
             "INFO",
             "runs_left",
-            worker=life.book.info.worker,
+            worker=life.registry.info.worker,
             runs=len(runs),
             stopping=sum(1 for run in runs if run.phase is RunPhase.STOPPING),
-            lease_left_s=self._lease.left_s(awake_now()),
+            lease_left_s=self._lease.remaining_s(awake_now()),
         )
 
     @property
@@ -190,16 +190,16 @@
             return
         self._seqs[info.worker] = seq
         life = self._life
-        if life is not None and life.book.info.worker == info.worker:
-            if life.book.info != info:
-                if info.draining and not life.book.info.draining:
+        if life is not None and life.registry.info.worker == info.worker:
+            if life.registry.info != info:
+                if info.draining and not life.registry.info.draining:
                     log_event(
                         "INFO",
                         "worker_draining",
                         worker=info.worker,
                         remaining_ms=info.remaining_ms,
                     )
-                life.book.info = info
+                life.registry.info = info
                 self._wake.set()
             return
         await self._meet(info, address)
@@ -207,7 +207,7 @@
     async def worker_left(self, worker: str) -> None:
         """Take the worker's word that it ends now."""
         life = self._life
-        if life is not None and life.book.info.worker == worker:
+        if life is not None and life.registry.info.worker == worker:
             life.end("left")
 
     async def _meet(self, info: WorkerInfo, address: str) -> None:
@@ -230,11 +230,11 @@
             return
         before = self._life
         if before is not None:
-            if before.book.info.worker == info.worker:
+            if before.registry.info.worker == info.worker:
                 await life.close()
                 return
             before.end("other_life")
-            await self._end_life(before, before.book.info.worker)
+            await self._end_life(before, before.registry.info.worker)
         self._life = life
         self._full_at = -1e9
         lease.until = self._lease.until
@@ -245,7 +245,7 @@
             "worker_met",
             worker=info.worker,
             service=info.service,
-            runs=len(life.book.runs),
+            runs=len(life.registry.runs),
             token=self._token.value,
         )
         self._wake.set()
@@ -254,7 +254,7 @@
         await life.watch()
         if self._life is life:
             self._life = None
-            self._note_gone(life.book.info.worker)
+            self._note_gone(life.registry.info.worker)
         await life.close()
         self._wake.set()
 
@@ -294,12 +294,12 @@
         while True:
             waiting = max(0, self._beat - self._taken_beat - 1)
             spacing_s = min(REPORT_S, SPACING_S * 2 ** min(waiting, MOST_DOUBLINGS))
-            left_s = reported_at + spacing_s - now()
-            if left_s <= 0:
+            remaining_s = reported_at + spacing_s - now()
+            if remaining_s <= 0:
                 return
             self._taken.clear()
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self._taken.wait()
             except TimeoutError:
                 return
@@ -335,9 +335,9 @@
         full = now() - self._full_at >= FULL_S
         if full:
             self._full_at = now()
-        worker = life.book.info if life is not None else None
+        worker = life.registry.info if life is not None else None
         if life is not None and (life.over or life.silent):
-            gone.append(life.book.info.worker)
+            gone.append(life.registry.info.worker)
             worker = None
         report = AgentReport(
             self.name,
@@ -347,8 +347,8 @@
             self._entries_version,
             worker,
             full,
-            life.book.statuses(full) if life is not None and worker is not None else [],
-            life.book.report_ends(full) if life is not None else [],
+            life.registry.statuses(full) if life is not None and worker is not None else [],
+            life.registry.report_ends(full) if life is not None else [],
             tuple(gone),
             self._orders,
         )
@@ -398,7 +398,7 @@
             self._links.set_entries(orders.entries)
             self._entries_version = orders.entries_version
         life = self._life
-        if life is None or life.book.info.worker != orders.worker:
+        if life is None or life.registry.info.worker != orders.worker:
             return
         life.learn_press(orders.press)
         for task, attempt in orders.stored:
@@ -412,7 +412,7 @@
             # Cut off a moment later, their outcome would not be known; the next process gets them.
             log_event("INFO", "starts_left", starts=len(orders.starts))
             return
-        if not self._lease.bears_starts(orders.after_beat, awake_now()):
+        if not self._lease.allows_starts(orders.after_beat, awake_now()):
             self._note_stale(orders)
             return
         for start in orders.starts:
@@ -431,6 +431,6 @@
             starts=self._stale_starts,
             after_beat=orders.after_beat,
             age_s=self._lease.report_age(orders.after_beat, awake_now()),
-            lease_left_s=self._lease.left_s(awake_now()),
+            lease_left_s=self._lease.remaining_s(awake_now()),
         )
         self._stale_starts = 0
--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -283,10 +283,10 @@
         made.runners[name] = again
         await again.worker_beat(worker_info(f"w-{name}"), "x", 9)
         assert again._life is not None
-        book = again._life.book
-        assert [run.order for run in book.runs.values()] == [None] * len(worker.runs)
+        registry = again._life.registry
+        assert [run.order for run in registry.runs.values()] == [None] * len(worker.runs)
         async with asyncio.timeout(3):
-            while any(run.order is None for run in book.runs.values()):
+            while any(run.order is None for run in registry.runs.values()):
                 await asyncio.sleep(0.02)
         assert worker.starts == len(worker.runs)
 
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -9,7 +9,7 @@
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus, WorkerInfo
 from sapphirelead.node_ports import WorkerEnd, WorkerRun, WorkerView
 from sapphirelead.node_report_merge import MOST_ENDS, merge_reports
-from sapphirelead.runner_book import ENDS_IN_REPORT, RunnerBook, RunnerRun
+from sapphirelead.runner_registry import MAX_REPORTED_ENDS, RunRegistry, RunnerRun
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_reports import take_report
@@ -49,10 +49,10 @@
 
 def test_ends_beyond_those_of_a_full_report_are_kept() -> None:
     """A full report lists 200 ends; the others would wait until these are stored."""
-    first = [end(number) for number in range(ENDS_IN_REPORT)]
-    later = end(ENDS_IN_REPORT)
+    first = [end(number) for number in range(MAX_REPORTED_ENDS)]
+    later = end(MAX_REPORTED_ENDS)
     found = merged(report(1, ends=[later]), report(2, full=True, ends=first))
-    assert {ended.number for ended in found.ends} == set(range(ENDS_IN_REPORT + 1))
+    assert {ended.number for ended in found.ends} == set(range(MAX_REPORTED_ENDS + 1))
 
 
 def test_ends_that_grow_past_the_bound_are_not_merged() -> None:
@@ -138,14 +138,14 @@
         return runs, saved, instance.beat, instance.worker, self.sched.ends_in_store
 
 
-def word(book: RunnerBook, beat: int, full: bool) -> AgentReport:
-    return report(beat, full, book.statuses(full), book.report_ends(full), book.info)
+def word(registry: RunRegistry, beat: int, full: bool) -> AgentReport:
+    return report(beat, full, registry.statuses(full), registry.report_ends(full), registry.info)
 
 
-def step_on(book: RunnerBook, rng: random.Random, numbers: list[int]) -> None:
+def step_on(registry: RunRegistry, rng: random.Random, numbers: list[int]) -> None:
     """Let the worker make progress, save some of it, and end some runs."""
     running, ended = [], []
-    for name, known in sorted(book.runs.items()):
+    for name, known in sorted(registry.runs.items()):
         if rng.random() < 0.15:
             numbers[0] += 1
             kind = rng.choice(["done", "failed", "stopped"])
@@ -154,7 +154,7 @@
         percent = min(99, known.percent + rng.randrange(20))
         saved = f"s{percent}" if percent >= 30 else ""
         running.append(WorkerRun(*name, saved, percent, rng.randrange(900)))
-    book.saw(WorkerView(running=running, ended=ended, clock_ms=0), 0.0)
+    registry.apply_view(WorkerView(running=running, ended=ended, clock_ms=0), 0.0)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -163,14 +163,14 @@
     rng = random.Random(seed)
     one_by_one, at_once = Fleet(), Fleet()
     assert one_by_one.names == at_once.names
-    book = RunnerBook(BIG)
+    registry = RunRegistry(BIG)
     numbers = [0]
     for task, attempt in one_by_one.names:
-        book.runs[task, attempt] = RunnerRun(task, attempt, RunPhase.STARTING)
+        registry.runs[task, attempt] = RunnerRun(task, attempt, RunPhase.STARTING)
     pending: AgentReport | None = None
     for beat in range(2, 12):
-        step_on(book, rng, numbers)
-        new = word(book, beat, rng.random() < 0.3)
+        step_on(registry, rng, numbers)
+        new = word(registry, beat, rng.random() < 0.3)
         one_by_one.take(new)
         pending = new if pending is None else merged(pending, new)
     assert pending is not None
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -67,7 +67,7 @@
 
 def kinds(life: RunnerLife) -> dict[str, str]:
     """Return how each ended run ended."""
-    return {end.task: end.kind for end in life.book.ends.values()}
+    return {end.task: end.kind for end in life.registry.ends.values()}
 
 
 async def test_an_adopted_run_gets_its_pace_once_its_order_is_known() -> None:
@@ -78,10 +78,10 @@
     worker = FakeWorker(work_s=30)
     worker.runs[("a.0.0.0", 1)] = FakeRun("a.0.0.0", 1, now() + 30)
     async with life_of(worker) as (life, _):
-        assert [status.order_known for status in life.book.statuses(True)] == [False]
+        assert [status.order_known for status in life.registry.statuses(True)] == [False]
         life.start(order(image="f", fills=True))
         await asyncio.sleep(1)
-        assert [status.order_known for status in life.book.statuses(True)] == [True]
+        assert [status.order_known for status in life.registry.statuses(True)] == [True]
         assert worker.paces == [("a.0.0.0", 100)]
         assert worker.starts == 0
 
@@ -93,7 +93,7 @@
         await asyncio.sleep(2)
         assert kinds(life) == {"a.0.0.0": "done"}
         assert len(worker.ended) == 1
-        life.book.stored(("a.0.0.0", 1))
+        life.registry.stored(("a.0.0.0", 1))
         await asyncio.sleep(1)
         assert worker.ended == []
         assert kinds(life) == {}
@@ -132,7 +132,7 @@
         life.stop(StopOrder("a.0.0.0", 3))
         await asyncio.sleep(2)
         assert kinds(life) == {"a.0.0.0": "not_started"}
-        life.book.stored(("a.0.0.0", 3))
+        life.registry.stored(("a.0.0.0", 3))
         life.start(order(attempt=3))
         await asyncio.sleep(2)
         assert worker.runs == {}
@@ -173,7 +173,7 @@
         life.start(order())
         await asyncio.sleep(1)
         worker.silent = True
-        await asyncio.sleep(lease.bound - now() - 0.5)
+        await asyncio.sleep(lease.expiry_bound - now() - 0.5)
         assert not silent(life)
         await asyncio.sleep(3)
         assert silent(life)
@@ -230,9 +230,9 @@
     """
     lease = RunnerLease(LEASE_S, 0.0)
     lease.sent(7, 10.0)
-    assert lease.bears_starts(7, 10.0 + STALE_ORDER_S)
-    assert not lease.bears_starts(7, 10.1 + STALE_ORDER_S)
-    assert not lease.bears_starts(8, 10.0)
+    assert lease.allows_starts(7, 10.0 + STALE_ORDER_S)
+    assert not lease.allows_starts(7, 10.1 + STALE_ORDER_S)
+    assert not lease.allows_starts(8, 10.0)
 
 
 async def test_a_leaving_worker_is_given_nothing_that_was_ordered_before() -> None:
@@ -242,7 +242,7 @@
     """
     worker = FakeWorker()
     async with life_of(worker) as (life, _):
-        life.book.info = worker_info(draining=True)
+        life.registry.info = worker_info(draining=True)
         life.start(order())
         await asyncio.sleep(0.1)
         assert worker.starts == 0
@@ -262,7 +262,7 @@
     def report() -> None:
         nonlocal reports, ends
         reports += 1
-        ends += len(life.book.report_ends(full=False))
+        ends += len(life.registry.report_ends(full=False))
 
     async with life_of(worker) as (life, _):
         life.on_change = report
@@ -271,7 +271,7 @@
         await asyncio.sleep(10)
         assert reports <= 10 / runner_life.NEWS_S + 6
         assert ends == 3
-        assert len(life.book.report_ends(full=True)) == 3
+        assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
         assert ends == 4, "an order for a run that has ended is answered with its end"
         assert worker.holds <= 10 / runner_life.UNNOTED_MOST_S + 12
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -17,7 +17,7 @@
     Leads,
 )
 from sapphirelead.ports import Row
-from sapphirelead.runner_lease import MUTE_S, RunnerLease
+from sapphirelead.runner_lease import UNRESPONSIVE_TIMEOUT_S, RunnerLease
 from sapphirelead.runner_service import Runner
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
 from tests.sched.agent_leader import TASK, FakeLeader, agent_of, reported_worker
@@ -49,7 +49,7 @@
     for beat in range(1, count + 1):
         lease.sent(beat, beat * runner_service.SPACING_S)
     at = count * runner_service.SPACING_S
-    assert lease.bears_starts(1, at)
+    assert lease.allows_starts(1, at)
     lease.acknowledged(1)
     assert lease.until == pytest.approx(runner_service.SPACING_S + 9.5)
 
@@ -59,7 +59,7 @@
     lease = RunnerLease(9.5, 0.0)
     for beat in range(1, 10_000):
         lease.sent(beat, beat * runner_service.SPACING_S)
-    assert lease.remembered <= 9.5 / runner_service.SPACING_S + 2
+    assert lease.report_count <= 9.5 / runner_service.SPACING_S + 2
     lease.acknowledged(1)
     assert lease.until == 0.0
 
@@ -81,7 +81,7 @@
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
-        await asyncio.sleep(MUTE_S + Bounds().loss_s - 1)
+        await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s - 1)
         assert reported_worker(leader) == "w1"
         await asyncio.sleep(3)
         assert reported_worker(leader) == ""
@@ -102,7 +102,7 @@
             small = order(f"b{number}.0.0.0", room=Resources(1, 1))
             leader.order(leader.reports[-1].beat, starts=[small])
             await asyncio.sleep(1)
-        assert now() - silent_at < MUTE_S + Bounds().loss_s + 3
+        assert now() - silent_at < UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s + 3
 
 
 async def test_a_start_for_a_mute_worker_is_refused_unsent() -> None:
@@ -111,7 +111,7 @@
     async with life_of(worker) as (life, _):
         await asyncio.sleep(1)
         worker.silent = True
-        await asyncio.sleep(MUTE_S + 1.5)
+        await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + 1.5)
         life.start(order())
         await asyncio.sleep(0.1)
         assert worker.starts == 0
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -256,10 +256,10 @@
         assert kinds(life) == {TASK: "not_started"}
         worker.runs[(TASK, 1)] = FakeRun(TASK, 1, now() + 60)
         await asyncio.sleep(0.5)
-        assert [status.phase for status in life.book.statuses(True)] == [RunPhase.STOPPING]
+        assert [status.phase for status in life.registry.statuses(True)] == [RunPhase.STOPPING]
         await asyncio.sleep(0.5)
         assert worker.runs == {}
-        (end,) = life.book.report_ends(full=False)
+        (end,) = life.registry.report_ends(full=False)
         assert (end.kind, end.number) == ("stopped", 1), "its end is what the worker says"
 
 
