--- a/sapphirelead/platform/beats.py
+++ b/sapphirelead/platform/beats.py
@@ -78,7 +78,7 @@
             log_event("WARNING", "heartbeat_refused", worker=worker, reason=decoded.err_value)
             return web.Response(status=400)
         beat = decoded.ok_value
-        await self._runner.worker_beat(_info(worker, beat), beat.addr, beat.seq)
+        await self._runner.worker_heartbeat(_info(worker, beat), beat.addr, beat.seq)
         return web.json_response({})
 
     def _decode(self, body: bytes) -> Result[_Beat, str]:
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -41,28 +41,28 @@
 LIST_WAIT_MS: Final = 450
 """How long a list call waits for an end; the worker's figures are renewed every half second."""
 
-UNNOTED_PAUSE_S: Final = 0.04
+MIN_LIST_PAUSE_S: Final = 0.04
 """Pause after a list that shows ends.  The worker answers at once while it has ends that have not
 been noted, so that list calls would follow each other while an end is being stored."""
 
-UNNOTED_MOST_S: Final = 0.32
+MAX_LIST_PAUSE_S: Final = 0.32
 """The pause doubles up to this while the lists show no end that is new, and ends as soon as an end
 is stored: while the leader is behind with storing, asking the worker on tells nothing."""
 
-NEWS_S: Final = 0.4
+PROGRESS_REPORT_INTERVAL_S: Final = 0.4
 """Time after which a list without a new end is reported all the same, for the progress in it.  Just
 under the time of a list call."""
 
-PACE_STEP: Final = 4
+MIN_PACE_CHANGE_PERCENT: Final = 4
 """Least change of the pace that is sent, in percent."""
 
-TRIES: Final = 3
+MAX_START_TRIES: Final = 3
 """Tries of a start before it is given up on and sealed."""
 
-RETRY_S: Final = 0.1
+RETRY_DELAY_S: Final = 0.1
 """Pause before a call is repeated."""
 
-REFUSED_TIMES: Final = 3
+MAX_REFUSED_CONNECTIONS: Final = 3
 """Refused connections in a row that mean that the worker's process is gone."""
 
 TOKEN_STEP: Final = 10_000
@@ -70,29 +70,29 @@
 milliseconds; a clock that was set back between two processes of this agent leaves the newer one
 behind by a few seconds."""
 
-STOP_SLOW_S: Final = 1.5
+SLOW_STOP_S: Final = 1.5
 """A stop whose end is not listed within this is logged."""
 
-CALLS_AT_ONCE: Final = 8
+MAX_CONCURRENT_CALLS: Final = 8
 """Starts and changes of pace in flight."""
 
-STOPS_AT_ONCE: Final = 16
+MAX_CONCURRENT_STOPS: Final = 16
 """Stops in flight: a stop is due within seconds, whatever the worker does with other calls."""
 
-LAST_STOPS_S: Final = 1.2
+FINAL_STOPS_TIMEOUT_S: Final = 1.2
 """How long an agent that ends waits for the confirmation of its stops: two tries."""
 
-GRACE_MARGIN_S: Final = 0.1
+KILL_GRACE_MARGIN_S: Final = 0.1
 """Added to the longest time of a stop; covers late timers of the worker."""
 
-NOT_YET_S: Final = -1.0
+UNKNOWN_TIME_S: Final = -1.0
 """Logged in place of a time for what has not happened."""
 
 
 def _stop_times(run: RunnerRun) -> tuple[float, float]:
     """Return how long ago a stop was asked for, and how long its confirmation took."""
-    stop_s = now() - run.stop_requested_at if run.stop_requested_at else NOT_YET_S
-    confirmed_s = run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else NOT_YET_S
+    stop_s = now() - run.stop_requested_at if run.stop_requested_at else UNKNOWN_TIME_S
+    confirmed_s = run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else UNKNOWN_TIME_S
     return stop_s, confirmed_s
 
 
@@ -104,7 +104,7 @@
     def __init__(self, value: int) -> None:
         self.value = value
 
-    def raise_it(self) -> None:
+    def increase(self) -> None:
         """Take a higher token."""
         self.value += TOKEN_STEP
         log_event("WARNING", "token_raised", token=self.value)
@@ -127,10 +127,10 @@
     _calls: asyncio.Semaphore
     _stops: Slots
     _tasks: set["asyncio.Task[None]"]
-    _sealing: set["asyncio.Task[None]"]
+    _pending_stops: set["asyncio.Task[None]"]
     _refusals: int
     _silent: bool
-    _told_at: float
+    _reported_at: float
     _end_stored: asyncio.Event
 
     def __init__(
@@ -150,13 +150,13 @@
         self._lease = lease
         self._token = token
         self._pace = PaceControl()
-        self._calls = asyncio.Semaphore(CALLS_AT_ONCE)
-        self._stops = Slots(STOPS_AT_ONCE)
+        self._calls = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        self._stops = Slots(MAX_CONCURRENT_STOPS)
         self._tasks = set()
-        self._sealing = set()
+        self._pending_stops = set()
         self._refusals = 0
         self._silent = False
-        self._told_at = -1e9
+        self._reported_at = -1e9
         self._end_stored = asyncio.Event()
 
     @property
@@ -170,16 +170,16 @@
         found = await self._worker.hold(self._token.value, 0, 0, 0)
         if isinstance(found, Err):
             if found.err_value is CallFailure.FENCED:
-                self._token.raise_it()
+                self._token.increase()
             return found.err_value
-        self._take_view(found.ok_value, sent_at)
+        self._apply_view(found.ok_value, sent_at)
         return None
 
     async def watch(self) -> None:
         """List runs and ends, and renew the lease, until the life is over."""
-        pause = UNNOTED_PAUSE_S
+        pause = MIN_LIST_PAUSE_S
         while not self.over:
-            self._note_slow_stops()
+            self._log_slow_stops()
             sent_at = now()
             found = await self._worker.hold(
                 self._token.value,
@@ -188,21 +188,21 @@
                 LIST_WAIT_MS,
             )
             if isinstance(found, Ok):
-                news = self._take_view(found.ok_value, sent_at)
-                pause = UNNOTED_PAUSE_S if news else min(2 * pause, UNNOTED_MOST_S)
+                has_new_ends = self._apply_view(found.ok_value, sent_at)
+                pause = MIN_LIST_PAUSE_S if has_new_ends else min(2 * pause, MAX_LIST_PAUSE_S)
                 if found.ok_value.ended:
                     await self._pause(pause)
                 continue
-            self._note_failure(found.err_value)
+            self._handle_failure(found.err_value)
             if not self.over:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _pause(self, most_s: float) -> None:
-        """Wait for an end to be stored, for :data:`UNNOTED_PAUSE_S` at least."""
+    async def _pause(self, max_s: float) -> None:
+        """Wait for an end to be stored, for :data:`MIN_LIST_PAUSE_S` at least."""
         self._end_stored.clear()
-        await asyncio.sleep(UNNOTED_PAUSE_S)
+        await asyncio.sleep(MIN_LIST_PAUSE_S)
         try:
-            async with asyncio.timeout(most_s - UNNOTED_PAUSE_S):
+            async with asyncio.timeout(max_s - MIN_LIST_PAUSE_S):
                 await self._end_stored.wait()
         except TimeoutError:
             return
@@ -212,7 +212,7 @@
         self.registry.stored(name)
         self._end_stored.set()
 
-    def _take_view(self, view: WorkerView, sent_at: float) -> bool:
+    def _apply_view(self, view: WorkerView, sent_at: float) -> bool:
         """Take a list over; return whether it shows an end that is new."""
         self._refusals = 0
         if self._silent:
@@ -224,16 +224,16 @@
         new = self.registry.apply_view(view, sent_at)
         for end in new:
             self._log_end(end, runs.get((end.task, end.attempt)))
-        self._stop_again(view, sent_at)
+        self._repeat_stops(view, sent_at)
         self._control_pace()
         # Each list with news goes to the leader at once: progress that is reported half a second
         # late looks like a run at half speed.
-        if new or now() - self._told_at >= NEWS_S:
-            self._told_at = now()
+        if new or now() - self._reported_at >= PROGRESS_REPORT_INTERVAL_S:
+            self._reported_at = now()
             self.on_change()
         return bool(new)
 
-    def _stop_again(self, view: WorkerView, sent_at: float) -> None:
+    def _repeat_stops(self, view: WorkerView, sent_at: float) -> None:
         """Stop what is listed and should not run.
 
         That is a run whose confirmed stop should have ended it by then, or one that counted as
@@ -245,14 +245,14 @@
             run = self.registry.runs.get((item.task, item.attempt))
             if run is None or run.phase is not RunPhase.STOPPING or run.stop_pending:
                 continue
-            if run.stop_confirmed_at and sent_at <= run.stop_confirmed_at + self._kill_grace_s + GRACE_MARGIN_S:
+            if run.stop_confirmed_at and sent_at <= run.stop_confirmed_at + self._kill_grace_s + KILL_GRACE_MARGIN_S:
                 continue
             event = "stop_repeated" if run.stop_confirmed_at else "end_disproved"
             log_event("WARNING", event, task=run.task, attempt=run.attempt)
             self._begin_stop(run)
 
     def _log_end(self, end: RunEnded, run: RunnerRun | None) -> None:
-        stop_s, confirmed_s = _stop_times(run) if run is not None else (NOT_YET_S, NOT_YET_S)
+        stop_s, confirmed_s = _stop_times(run) if run is not None else (UNKNOWN_TIME_S, UNKNOWN_TIME_S)
         log_event(
             "INFO",
             "run_end_seen",
@@ -265,11 +265,11 @@
             confirmed_s=confirmed_s,
         )
 
-    def _note_slow_stops(self) -> None:
+    def _log_slow_stops(self) -> None:
         """Log each stop that takes long, once; its end is logged with the same times."""
         at = now()
         for run in self.registry.runs.values():
-            if run.slow_stop_logged or not run.stop_requested_at or at - run.stop_requested_at <= STOP_SLOW_S:
+            if run.slow_stop_logged or not run.stop_requested_at or at - run.stop_requested_at <= SLOW_STOP_S:
                 continue
             run.slow_stop_logged = True
             stop_s, confirmed_s = _stop_times(run)
@@ -283,19 +283,19 @@
                 lease_left_s=self._lease.remaining_s(awake_now()),
             )
 
-    def _note_failure(self, failure: CallFailure) -> None:
+    def _handle_failure(self, failure: CallFailure) -> None:
         if failure is CallFailure.FENCED:
-            self._token.raise_it()
+            self._token.increase()
         elif failure is CallFailure.OTHER_LIFE:
             self.end("other_life")
         elif failure is CallFailure.REFUSED:
             self._refusals += 1
-            if self._refusals >= REFUSED_TIMES:
+            if self._refusals >= MAX_REFUSED_CONNECTIONS:
                 self.end("connection_refused")
         else:
-            self._note_silence()
+            self._handle_no_answer()
 
-    def _note_silence(self) -> None:
+    def _handle_no_answer(self) -> None:
         at = awake_now()
         self._lease.note_unanswered(at)
         if self._lease.all_expired(at) and not self._silent:
@@ -321,9 +321,9 @@
 
     async def finish_stops(self) -> None:
         """Wait for the stops on their way, for a while: nobody else may come to send them."""
-        if not self._sealing:
+        if not self._pending_stops:
             return
-        _, pending = await asyncio.wait(self._sealing, timeout=LAST_STOPS_S)
+        _, pending = await asyncio.wait(self._pending_stops, timeout=FINAL_STOPS_TIMEOUT_S)
         if pending:
             log_event(
                 "WARNING",
@@ -366,9 +366,9 @@
         run.phase = RunPhase.STOPPING
         run.stop_requested_at = run.stop_requested_at or now()
         run.stop_pending = True
-        task = self._spawn(self._seal(run))
-        self._sealing.add(task)
-        task.add_done_callback(self._sealing.discard)
+        task = self._spawn(self._confirm_stop(run))
+        self._pending_stops.add(task)
+        task.add_done_callback(self._pending_stops.discard)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> "asyncio.Task[None]":
         task = spawn(work, "worker-call")
@@ -378,7 +378,7 @@
 
     async def _start(self, run: RunnerRun, order: StartOrder) -> None:
         reason = "no_answer"
-        for _ in range(TRIES):
+        for _ in range(MAX_START_TRIES):
             async with self._calls:
                 if run.phase is not RunPhase.STARTING or self.over:
                     return
@@ -394,11 +394,11 @@
                 if answer is StartAnswer.STARTED:
                     self.registry.started(run)
                     self.on_change()
-                    await self._begin_at_level(run, order)
+                    await self._apply_initial_pace(run, order)
                     return
                 reason = answer
                 if answer is StartAnswer.FENCED:
-                    self._token.raise_it()
+                    self._token.increase()
                 elif answer is not StartAnswer.TOO_LATE:
                     break
                 continue
@@ -407,8 +407,8 @@
                 self.end("other_life")
                 return
             run.maybe_sent = run.maybe_sent or found.err_value is CallFailure.NO_ANSWER
-            await asyncio.sleep(RETRY_S)
-        await self._give_up(run, reason)
+            await asyncio.sleep(RETRY_DELAY_S)
+        await self._abandon_start(run, reason)
 
     def _start_call(self, order: StartOrder) -> StartCall:
         return StartCall(
@@ -421,7 +421,7 @@
             self._token.value,
         )
 
-    async def _give_up(self, run: RunnerRun, reason: str) -> None:
+    async def _abandon_start(self, run: RunnerRun, reason: str) -> None:
         log_event(
             "WARNING",
             "start_given_up",
@@ -439,7 +439,7 @@
         run.refusal = reason
         self._begin_stop(run)
 
-    async def _seal(self, run: RunnerRun) -> None:
+    async def _confirm_stop(self, run: RunnerRun) -> None:
         """Stop a run until the worker confirms it; the list then tells how it ended."""
         tries = 0
         while not self.over and self.registry.runs.get(run.name) is run:
@@ -451,17 +451,17 @@
                 run.stop_pending = False
                 return
             if found.err_value is CallFailure.FENCED:
-                self._token.raise_it()
+                self._token.increase()
             elif found.err_value is CallFailure.OTHER_LIFE:
                 self.end("other_life")
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     # Pace
 
-    def learn_press(self, press: list[ServingPress]) -> None:
+    def learn_interference(self, interference: list[ServingPress]) -> None:
         """Take over what the fleet has learnt of the pairs of images here."""
-        self._pace.learn(press)
+        self._pace.learn(interference)
 
     def _control_pace(self) -> None:
         """Slow the filling runs that press on the tail of a serving one."""
@@ -478,11 +478,11 @@
             percent = self._pace.percent(run.order.image)
             # Small changes are left out: each costs a call.
             last_step = percent in (0, 100) and percent != run.paced
-            if abs(run.paced - percent) >= PACE_STEP or last_step:
-                self._note_pace(run, percent)
+            if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or last_step:
+                self._record_pace(run, percent)
                 self._spawn(self._set_pace(run, percent))
 
-    async def _begin_at_level(self, run: RunnerRun, order: StartOrder) -> None:
+    async def _apply_initial_pace(self, run: RunnerRun, order: StartOrder) -> None:
         """Slow a new filling task at once where its neighbours are slowed.
 
         It would else work at full speed until the next list; six that started together drove a
@@ -492,10 +492,10 @@
             self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
         if order.fills and percent < run.paced:
-            self._note_pace(run, percent)
+            self._record_pace(run, percent)
             await self._set_pace(run, percent)
 
-    def _note_pace(self, run: RunnerRun, percent: int) -> None:
+    def _record_pace(self, run: RunnerRun, percent: int) -> None:
         log_event(
             "INFO",
             "pace",
--- a/sapphirelead/runner_main.py
+++ b/sapphirelead/runner_main.py
@@ -27,10 +27,10 @@
 from sapphirelead.settings import RunnerSettings
 from sapphirelead.wire_sockets import make_context
 
-LIFE_EVERY_S: Final = 0.5
+LIFE_POLL_INTERVAL_S: Final = 0.5
 """Time between two questions to the worker for its life; a new one is met within as much."""
 
-GRACE_S: Final = 6.0
+KILL_GRACE_S: Final = 6.0
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
@@ -44,7 +44,7 @@
     _table: HttpTable
     _worker: HttpCaller
     _http: AgentHttp
-    _asking: "asyncio.Task[None] | None"
+    _poll_task: "asyncio.Task[None] | None"
 
     def __init__(self, settings: RunnerSettings, keys: Keys | None) -> None:
         self._settings = settings
@@ -52,13 +52,13 @@
         self._table = HttpTable(
             HttpCaller.connect(settings.table_url, settings.table_timeout_seconds)
         )
-        self._worker = HttpCaller.connect(settings.worker_url, LIFE_EVERY_S)
-        bounds = bounds_of(settings.times, GRACE_S)
+        self._worker = HttpCaller.connect(settings.worker_url, LIFE_POLL_INTERVAL_S)
+        bounds = bounds_of(settings.times, KILL_GRACE_S)
         self.runner = Runner(
             settings.id, bounds, PackedTable(self._table), HttpRuns.connect, self._context, keys
         )
         self._http = AgentHttp(lambda: self.runner.connected, self.runner.metrics)
-        self._asking = None
+        self._poll_task = None
 
     @classmethod
     def from_settings(cls, settings: RunnerSettings) -> "Result[RunnerProcess, Failure]":
@@ -68,15 +68,15 @@
     async def start(self) -> None:
         """Report to the leader and look after the worker."""
         self.runner.start()
-        self._asking = spawn(self._meet_lives(), "lives")
+        self._poll_task = spawn(self._poll_lives(), "lives")
         await self._http.start(self._settings.http_port)
         log_event("INFO", "runner_started", runner=self._settings.id, zone=self._settings.zone)
 
     async def stop(self) -> None:
         """Stop; what the worker runs goes on under its lease."""
-        if self._asking is not None:
-            self._asking.cancel()
-            await asyncio.gather(self._asking, return_exceptions=True)
+        if self._poll_task is not None:
+            self._poll_task.cancel()
+            await asyncio.gather(self._poll_task, return_exceptions=True)
         await self.runner.stop()
         await self._http.stop()
         await self._worker.close()
@@ -84,14 +84,14 @@
         self._context.destroy(linger=0)
         log_event("INFO", "runner_stopped", runner=self._settings.id)
 
-    async def _meet_lives(self) -> None:
-        asked = 0
+    async def _poll_lives(self) -> None:
+        seq = 0
         while True:
             life = await read_life(self._worker)
             if life:
-                asked += 1
-                await self.runner.worker_beat(self._info(life), self._settings.worker_url, asked)
-            await asyncio.sleep(LIFE_EVERY_S)
+                seq += 1
+                await self.runner.worker_heartbeat(self._info(life), self._settings.worker_url, seq)
+            await asyncio.sleep(LIFE_POLL_INTERVAL_S)
 
     def _info(self, life: str) -> WorkerInfo:
         cfg = self._settings
@@ -104,16 +104,16 @@
 
 async def run_runner(settings: RunnerSettings) -> int:
     """Run a runner until SIGTERM or SIGINT and return the exit code."""
-    leave = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, leave.set)
-    made = RunnerProcess.from_settings(settings)
-    if isinstance(made, Err):
-        log_event("ERROR", "runner_failed", runner=settings.id, reason=str(made.err_value))
+        loop.add_signal_handler(signum, stop_requested.set)
+    created = RunnerProcess.from_settings(settings)
+    if isinstance(created, Err):
+        log_event("ERROR", "runner_failed", runner=settings.id, reason=str(created.err_value))
         return EXIT_FAILED
-    process = made.ok_value
+    process = created.ok_value
     await process.start()
-    await leave.wait()
+    await stop_requested.wait()
     await process.stop()
     return EXIT_OK
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -35,31 +35,31 @@
 from sapphirelead.runner_life import FencingToken, RunnerLife
 from sapphirelead.sched_timing import Bounds
 
-SPACING_S: Final = 0.015
+MIN_REPORT_INTERVAL_S: Final = 0.015
 """Least time between two reports; changes within it go together.  It doubles with each report that
 the leader has not taken yet, so that no agent's reports queue up there."""
 
-MOST_DOUBLINGS: Final = 6
-"""Past this number the spacing is at its most, :data:`REPORT_S`."""
+MAX_INTERVAL_DOUBLINGS: Final = 6
+"""Past this number the spacing is at its most, :data:`MAX_REPORT_INTERVAL_S`."""
 
-REPORT_S: Final = 0.55
+MAX_REPORT_INTERVAL_S: Final = 0.55
 """Longest time between two reports.  Each list of the worker brings one, so this is just above the
 time between two lists: a report without news just before each of them would tell nothing."""
 
-SILENCE_S: Final = 1.1
+LEADER_TIMEOUT_S: Final = 1.1
 """Silence of the leader after which the agent asks all entries who leads: two reports."""
 
-FULL_S: Final = 0.8
+FULL_REPORT_INTERVAL_S: Final = 0.8
 """Time between two reports that list every run.  Each end of a run brings a report as well, and
 small entries have narrow links."""
 
-ASK_S: Final = 0.3
-REREAD_S: Final = 1.5
+LEADER_QUERY_INTERVAL_S: Final = 0.3
+DIRECTORY_READ_INTERVAL_S: Final = 1.5
 """Time between two readings of the entries' rows while no entry answers."""
 
-GONE_KEPT: Final = 16
+MAX_GONE_WORKERS: Final = 16
 
-STALE_LOG_S: Final = 1.0
+STALE_LOG_INTERVAL_S: Final = 1.0
 """Least time between two log lines on refused starts."""
 
 MakeWorker = Callable[[str, str], RunWorker]
@@ -76,29 +76,29 @@
     _make_worker: MakeWorker
     _links: Links
     _boot: str
-    _beat: int
+    _report_seq: int
     _epoch: int
     _leader: str
-    _heard_at: float
-    _asked_at: float
-    _read_at: float
+    _last_orders_at: float
+    _last_query_at: float
+    _last_directory_read_at: float
     _entries_version: int
     _orders: int
     _life: RunnerLife | None
     _life_task: "asyncio.Task[None] | None"
-    _gone: list[str]
+    _gone_workers: list[str]
     _lease: RunnerLease
     _token: FencingToken
     _wake: asyncio.Event
     _tasks: list["asyncio.Task[None]"]
-    _seqs: dict[str, int]
-    _full_at: float
-    _taken_beat: int
-    _taken: asyncio.Event
-    _reading: "asyncio.Task[None] | None"
+    _heartbeat_seqs: dict[str, int]
+    _last_full_report_at: float
+    _acknowledged_seq: int
+    _report_acknowledged: asyncio.Event
+    _directory_read: "asyncio.Task[None] | None"
     _stale_starts: int
     _stale_logged_at: float
-    _ending: bool
+    _stopping: bool
 
     def __init__(
         self,
@@ -116,29 +116,29 @@
         self._make_worker = make_worker
         self._boot = secrets.token_hex(4)
         self._links = Links(ctx, name, f"{name}/{self._boot}", self._on_message, keys)
-        self._beat = 0
+        self._report_seq = 0
         self._epoch = 0
         self._leader = ""
-        self._heard_at = -1e9
-        self._asked_at = -1e9
-        self._read_at = -1e9
+        self._last_orders_at = -1e9
+        self._last_query_at = -1e9
+        self._last_directory_read_at = -1e9
         self._entries_version = 0
         self._orders = 0
         self._life = None
         self._life_task = None
-        self._gone = []
+        self._gone_workers = []
         self._lease = RunnerLease(bounds.lease_s, awake_now())
         self._token = FencingToken(wall_ms())
         self._wake = asyncio.Event()
         self._tasks = []
-        self._seqs = {}
-        self._full_at = -1e9
-        self._reading = None
-        self._taken_beat = 0
-        self._taken = asyncio.Event()
+        self._heartbeat_seqs = {}
+        self._last_full_report_at = -1e9
+        self._directory_read = None
+        self._acknowledged_seq = 0
+        self._report_acknowledged = asyncio.Event()
         self._stale_starts = 0
         self._stale_logged_at = -1e9
-        self._ending = False
+        self._stopping = False
 
     def start(self) -> None:
         """Look for the entries and begin to report."""
@@ -146,8 +146,8 @@
 
     async def stop(self) -> None:
         """Stop; what the worker runs goes on under its lease."""
-        self._ending = True
-        tasks = self._tasks if self._reading is None else [*self._tasks, self._reading]
+        self._stopping = True
+        tasks = self._tasks if self._directory_read is None else [*self._tasks, self._directory_read]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -158,11 +158,11 @@
             self._report()
         if self._life is not None:
             await self._life.finish_stops()
-            self._log_left(self._life)
+            self._log_remaining_runs(self._life)
             await self._end_life(self._life, "")
         await self._links.stop()
 
-    def _log_left(self, life: RunnerLife) -> None:
+    def _log_remaining_runs(self, life: RunnerLife) -> None:
         """Log what the worker runs on without an agent."""
         runs = life.registry.runs.values()
         log_event(
@@ -177,18 +177,18 @@
     @property
     def connected(self) -> bool:
         """Whether the leader has been heard of lately."""
-        return now() - self._heard_at < SILENCE_S
+        return now() - self._last_orders_at < LEADER_TIMEOUT_S
 
     # The worker
 
-    async def worker_beat(self, info: WorkerInfo, address: str, seq: int) -> None:
+    async def worker_heartbeat(self, info: WorkerInfo, address: str, seq: int) -> None:
         """Take the worker's word about itself.
 
         :param seq: grows with each beat of one life, so that a late one can be told.
         """
-        if info.worker in self._gone or seq <= self._seqs.get(info.worker, -1):
+        if info.worker in self._gone_workers or seq <= self._heartbeat_seqs.get(info.worker, -1):
             return
-        self._seqs[info.worker] = seq
+        self._heartbeat_seqs[info.worker] = seq
         life = self._life
         if life is not None and life.registry.info.worker == info.worker:
             if life.registry.info != info:
@@ -202,7 +202,7 @@
                 life.registry.info = info
                 self._wake.set()
             return
-        await self._meet(info, address)
+        await self._adopt_life(info, address)
 
     async def worker_left(self, worker: str) -> None:
         """Take the worker's word that it ends now."""
@@ -210,7 +210,7 @@
         if life is not None and life.registry.info.worker == worker:
             life.end("left")
 
-    async def _meet(self, info: WorkerInfo, address: str) -> None:
+    async def _adopt_life(self, info: WorkerInfo, address: str) -> None:
         """Take up a life that is not known yet, once the worker itself confirms it.
 
         A beat that was held up can arrive after its sender has crashed and another life has begun
@@ -226,7 +226,7 @@
         if failure is not None:
             log_event("INFO", "worker_not_met", worker=info.worker, reason=failure)
             await life.close()
-            self._seqs.pop(info.worker, None)
+            self._heartbeat_seqs.pop(info.worker, None)
             return
         before = self._life
         if before is not None:
@@ -236,7 +236,7 @@
             before.end("other_life")
             await self._end_life(before, before.registry.info.worker)
         self._life = life
-        self._full_at = -1e9
+        self._last_full_report_at = -1e9
         lease.until = self._lease.until
         self._lease = lease
         self._life_task = spawn(self._watch(life), "life")
@@ -254,7 +254,7 @@
         await life.watch()
         if self._life is life:
             self._life = None
-            self._note_gone(life.registry.info.worker)
+            self._record_gone(life.registry.info.worker)
         await life.close()
         self._wake.set()
 
@@ -264,11 +264,11 @@
             await asyncio.gather(self._life_task, return_exceptions=True)
         await life.close()
         if gone:
-            self._note_gone(gone)
+            self._record_gone(gone)
 
-    def _note_gone(self, worker: str) -> None:
-        if worker not in self._gone:
-            self._gone = [*self._gone, worker][-GONE_KEPT:]
+    def _record_gone(self, worker: str) -> None:
+        if worker not in self._gone_workers:
+            self._gone_workers = [*self._gone_workers, worker][-MAX_GONE_WORKERS:]
 
     # The leader
 
@@ -276,14 +276,14 @@
         reported_at = -1e9
         while True:
             try:
-                async with asyncio.timeout(max(0.01, reported_at + REPORT_S - now())):
+                async with asyncio.timeout(max(0.01, reported_at + MAX_REPORT_INTERVAL_S - now())):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
             at = now()
-            if at - self._heard_at > SILENCE_S:
-                self._look_for_leader(at)
+            if at - self._last_orders_at > LEADER_TIMEOUT_S:
+                self._find_leader(at)
             if self._leader:
                 self._report()
             reported_at = now()
@@ -292,34 +292,34 @@
     async def _pause(self, reported_at: float) -> None:
         """Wait until the next report may go out."""
         while True:
-            waiting = max(0, self._beat - self._taken_beat - 1)
-            spacing_s = min(REPORT_S, SPACING_S * 2 ** min(waiting, MOST_DOUBLINGS))
-            remaining_s = reported_at + spacing_s - now()
+            unacknowledged = max(0, self._report_seq - self._acknowledged_seq - 1)
+            interval_s = min(MAX_REPORT_INTERVAL_S, MIN_REPORT_INTERVAL_S * 2 ** min(unacknowledged, MAX_INTERVAL_DOUBLINGS))
+            remaining_s = reported_at + interval_s - now()
             if remaining_s <= 0:
                 return
-            self._taken.clear()
+            self._report_acknowledged.clear()
             try:
                 async with asyncio.timeout(remaining_s):
-                    await self._taken.wait()
+                    await self._report_acknowledged.wait()
             except TimeoutError:
                 return
 
-    def _note_taken(self, beat: int) -> None:
+    def _record_acknowledged(self, beat: int) -> None:
         """Note the newest report that the leader has taken."""
-        if beat > self._taken_beat:
-            self._taken_beat = beat
-            self._taken.set()
+        if beat > self._acknowledged_seq:
+            self._acknowledged_seq = beat
+            self._report_acknowledged.set()
 
-    def _look_for_leader(self, at: float) -> None:
-        if at - self._asked_at < ASK_S:
+    def _find_leader(self, at: float) -> None:
+        if at - self._last_query_at < LEADER_QUERY_INTERVAL_S:
             return
-        self._asked_at = at
+        self._last_query_at = at
         self._links.send_all(WhoLeads(self.name))
-        reads = self._reading is not None and not self._reading.done()
-        if at - self._read_at >= REREAD_S and not reads:
-            self._read_at = at
+        reading = self._directory_read is not None and not self._directory_read.done()
+        if at - self._last_directory_read_at >= DIRECTORY_READ_INTERVAL_S and not reading:
+            self._last_directory_read_at = at
             # Reports go on meanwhile: the leader may be back before the store answers.
-            self._reading = spawn(self._read_entries(), "entries")
+            self._directory_read = spawn(self._read_entries(), "entries")
 
     async def _read_entries(self) -> None:
         found = await read_entries(self._table)
@@ -330,11 +330,11 @@
 
     def _report(self) -> None:
         life = self._life
-        self._beat += 1
-        gone = list(self._gone)
-        full = now() - self._full_at >= FULL_S
+        self._report_seq += 1
+        gone = list(self._gone_workers)
+        full = now() - self._last_full_report_at >= FULL_REPORT_INTERVAL_S
         if full:
-            self._full_at = now()
+            self._last_full_report_at = now()
         worker = life.registry.info if life is not None else None
         if life is not None and (life.over or life.silent):
             gone.append(life.registry.info.worker)
@@ -342,7 +342,7 @@
         report = AgentReport(
             self.name,
             self._boot,
-            self._beat,
+            self._report_seq,
             self._epoch,
             self._entries_version,
             worker,
@@ -352,10 +352,10 @@
             tuple(gone),
             self._orders,
         )
-        self._lease.sent(self._beat, awake_now())
+        self._lease.sent(self._report_seq, awake_now())
         if not self._links.send(self._leader, report):
             # What it told is told again.
-            self._full_at = -1e9
+            self._last_full_report_at = -1e9
 
     def _on_message(self, name: str, message: AnyNodeMessage) -> None:
         match message:
@@ -378,10 +378,10 @@
         if (epoch, leader) != (self._epoch, self._leader):
             # The next leader knows only what is stored, and places filling work only where it has
             # seen every run's figure: it needs everything.
-            self._full_at = -1e9
+            self._last_full_report_at = -1e9
             # Each leader numbers its own orders.
             self._orders = 0
-            self._note_taken(self._beat)
+            self._record_acknowledged(self._report_seq)
         self._epoch = epoch
         self._leader = leader
 
@@ -389,9 +389,9 @@
         if orders.epoch < self._epoch or orders.boot != self._boot:
             return
         self._follow(orders.epoch, orders.leader)
-        self._heard_at = now()
+        self._last_orders_at = now()
         self._orders = orders.number
-        self._note_taken(orders.after_beat)
+        self._record_acknowledged(orders.after_beat)
         if orders.beat:
             self._lease.acknowledged(orders.beat)
         if orders.entries is not None:
@@ -400,7 +400,7 @@
         life = self._life
         if life is None or life.registry.info.worker != orders.worker:
             return
-        life.learn_press(orders.press)
+        life.learn_interference(orders.press)
         for task, attempt in orders.stored:
             life.stored((task, attempt))
         # A stop holds at any age: it is final for its attempt, and a task's next run is another.
@@ -408,21 +408,21 @@
             life.stop(stop)
         if not orders.starts:
             return
-        if self._ending:
+        if self._stopping:
             # Cut off a moment later, their outcome would not be known; the next process gets them.
             log_event("INFO", "starts_left", starts=len(orders.starts))
             return
         if not self._lease.allows_starts(orders.after_beat, awake_now()):
-            self._note_stale(orders)
+            self._record_stale_starts(orders)
             return
         for start in orders.starts:
             life.start(start)
 
-    def _note_stale(self, orders: Orders) -> None:
+    def _record_stale_starts(self, orders: Orders) -> None:
         """Count refused starts; a leader that is behind sends many, so one line sums them up."""
         at = now()
         self._stale_starts += len(orders.starts)
-        if at - self._stale_logged_at < STALE_LOG_S:
+        if at - self._stale_logged_at < STALE_LOG_INTERVAL_S:
             return
         self._stale_logged_at = at
         log_event(
--- a/sapphirelead/runner_slots.py
+++ b/sapphirelead/runner_slots.py
@@ -16,16 +16,16 @@
 
     _free: int
     _waiting: list[tuple[int, int, "asyncio.Future[None]"]]
-    _numbers: "count[int]"
+    _sequence: "count[int]"
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_concurrent: int) -> None:
         """Make all slots free.
 
-        :param most: calls at once.
+        :param max_concurrent: calls at once.
         """
-        self._free = most
+        self._free = max_concurrent
         self._waiting = []
-        self._numbers = count()
+        self._sequence = count()
 
     @asynccontextmanager
     async def slot(self, tries: int) -> AsyncIterator[None]:
@@ -44,7 +44,7 @@
             self._free -= 1
             return
         fut = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (tries, next(self._numbers), fut))
+        heapq.heappush(self._waiting, (tries, next(self._sequence), fut))
         try:
             await fut
         except asyncio.CancelledError:
--- a/tests/process/test_fleet.py
+++ b/tests/process/test_fleet.py
@@ -103,7 +103,7 @@
         runner.start()
         self.runners[name] = runner
         self.workers[name] = worker
-        await runner.worker_beat(worker_info(f"w-{name}"), "x", 1)
+        await runner.worker_heartbeat(worker_info(f"w-{name}"), "x", 1)
 
     async def submit(self, entry: str, spec: JobSpec, deadline_s: float = 3.0) -> Reply:
         """Submit through ``entry``, with a caller's retries."""
@@ -255,7 +255,7 @@
             again = Runner(name, Bounds(), made.table, lambda *_, w=worker: w, made.ctx)
             again.start()
             made.runners[name] = again
-            await again.worker_beat(worker_info(f"w-{name}"), "x", 9)
+            await again.worker_heartbeat(worker_info(f"w-{name}"), "x", 9)
         await made.until_state(leader, "a1", "completed", 10)
         assert sum(worker.starts for worker in made.workers.values()) == 2
 
@@ -281,7 +281,7 @@
         again = Runner(name, Bounds(), made.table, lambda *_: worker, made.ctx)
         again.start()
         made.runners[name] = again
-        await again.worker_beat(worker_info(f"w-{name}"), "x", 9)
+        await again.worker_heartbeat(worker_info(f"w-{name}"), "x", 9)
         assert again._life is not None
         registry = again._life.registry
         assert [run.order for run in registry.runs.values()] == [None] * len(worker.runs)
@@ -309,7 +309,7 @@
         assert leader is not None
         await asyncio.sleep(0.5)
         runner = made.runners.pop("g1")
-        await runner.worker_beat(worker_info("w-g1", draining=True, remaining_ms=2000), "x", 2)
+        await runner.worker_heartbeat(worker_info("w-g1", draining=True, remaining_ms=2000), "x", 2)
         await runner.stop()
         async with asyncio.timeout(2):
             while not worker_of(leader, "g1").draining:
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -89,7 +89,7 @@
     leader = FakeLeader(runner)
     runner._links = cast(Any, leader)
     runner.start()
-    await runner.worker_beat(worker_info(), "x", 1)
+    await runner.worker_heartbeat(worker_info(), "x", 1)
     leader.order(0)
     await asyncio.sleep(0.1)
     try:
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -18,7 +18,7 @@
 from sapphirelead.node_intake import Turns
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AgentReport, Orders, RunEnded, RunPhase, RunStatus
-from sapphirelead.runner_service import FULL_S, REPORT_S
+from sapphirelead.runner_service import FULL_REPORT_INTERVAL_S, MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_timing import BEAT_S
 from tests.sched.fakes import worker_info
 
@@ -90,13 +90,13 @@
         found = []
         while self._due <= until:
             found.append(self._report(self._due))
-            self._due += REPORT_S
+            self._due += MAX_REPORT_INTERVAL_S
         return found
 
     def _report(self, at: float) -> AgentReport:
         while self._came and self._came[0][0] < at:
             self._carry_out(*self._came.popleft())
-        full = at - self._full_at >= FULL_S
+        full = at - self._full_at >= FULL_REPORT_INTERVAL_S
         if full:
             self._full_at = at
         self._beat += 1
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sapphirelead.runner_service import REPORT_S
+from sapphirelead.runner_service import MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_evacuation import evacuate
 from sapphirelead.sched_fleet import Run
@@ -36,7 +36,7 @@
 
     def comes_to(self, agents: Agents, run: Run, percent: int, until: float) -> None:
         """Let the run's agent report in time from 1.1 on, the run at ``percent`` in the end."""
-        reports = math.ceil((until - 1.1) / REPORT_S)
+        reports = math.ceil((until - 1.1) / MAX_REPORT_INTERVAL_S)
         for number in range(1, reports + 1):
             share = number / reports
             at = 1.1 + share * (until - 1.1)
--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
-from sapphirelead.runner_service import REPORT_S
+from sapphirelead.runner_service import MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_planner import plan
@@ -38,7 +38,7 @@
     sched = scheduler()
     assert report(sched, "new", 1, 0.0)
     assert report(sched, "old", 90, 0.1)
-    taken = [report(sched, "new", beat, beat * REPORT_S) for beat in range(2, 6)]
+    taken = [report(sched, "new", beat, beat * MAX_REPORT_INTERVAL_S) for beat in range(2, 6)]
     assert taken[-1]
     assert sched.fleet.instance("g1").boot == "new"
 
@@ -83,6 +83,6 @@
     run = running_beside_the_later(sched)
     at = 0.7 + BOOT_SILENCE_S + 0.1
     assert not report(sched, "old", 91, at, "w1")
-    assert report(sched, "old", 92, at + REPORT_S, "w1")
+    assert report(sched, "old", 92, at + MAX_REPORT_INTERVAL_S, "w1")
     assert run.key not in sched.fleet.runs
     assert sched.fleet.instance("g1").boot == "old"
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self.taken: list[tuple[WorkerInfo, str, int]] = []
 
-    async def worker_beat(self, info: WorkerInfo, address: str, seq: int) -> None:
+    async def worker_heartbeat(self, info: WorkerInfo, address: str, seq: int) -> None:
         self.taken.append((info, address, seq))
 
     async def worker_left(self, worker: str) -> None:
--- a/tests/sched/test_gaps.py
+++ b/tests/sched/test_gaps.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from sapphirelead.runner_service import REPORT_S
+from sapphirelead.runner_service import MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_planner import plan
@@ -35,7 +35,7 @@
         store(self.sched)
         self.runs: list[Run] = list(self.sched.fleet.runs.values())
 
-    def report(self, percents: dict[str, int], after_s: float = REPORT_S, paced: int = 100) -> None:
+    def report(self, percents: dict[str, int], after_s: float = MAX_REPORT_INTERVAL_S, paced: int = 100) -> None:
         """Let time pass, then let the agents named report how far their runs are."""
         self.at += after_s
         for agent, percent in percents.items():
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -16,7 +16,7 @@
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_leader import ANSWER_S, Leader
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, EntryAddress, Leads, Orders
-from sapphirelead.runner_service import SPACING_S, Runner
+from sapphirelead.runner_service import MIN_REPORT_INTERVAL_S, Runner
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
 from tests.sched.fakes import FakeWorker, NoAdvice, worker_info
@@ -24,8 +24,8 @@
 
 pytestmark = pytest.mark.looptime
 
-NEWS_S = 0.01
-LASTS_S = 20.0
+NEWS_INTERVAL_S = 0.01
+DURATION_S = 20.0
 
 
 @pytest.fixture(autouse=True)
@@ -95,7 +95,7 @@
     await leader.load()
     tasks = [asyncio.create_task(leader.run()), asyncio.create_task(path.take(leader))]
     path.runner.start()
-    await path.runner.worker_beat(worker_info(), "x", 1)
+    await path.runner.worker_heartbeat(worker_info(), "x", 1)
     path.runner._on_message("e1", Leads(head.epoch, "e1"))
     await asyncio.sleep(1)
     try:
@@ -112,9 +112,9 @@
     path.reported_at.clear()
     path.waited_s.clear()
     path.answers = 0
-    for _ in range(int(LASTS_S / NEWS_S)):
+    for _ in range(int(DURATION_S / NEWS_INTERVAL_S)):
         path.runner._wake.set()
-        await asyncio.sleep(NEWS_S)
+        await asyncio.sleep(NEWS_INTERVAL_S)
 
 
 async def test_news_goes_out_at_once_to_a_leader_that_has_read_all_before() -> None:
@@ -122,17 +122,17 @@
     async with reporting(1000) as path:
         await make_news(path)
         gaps = [after - before for before, after in pairwise(path.reported_at)]
-        assert max(gaps) <= 2 * SPACING_S
+        assert max(gaps) <= 2 * MIN_REPORT_INTERVAL_S
 
 
 async def test_a_leader_answers_at_most_each_second_report_of_an_agent_with_news() -> None:
     """Guards against a leader that spends its time on answers that say nothing."""
     async with reporting(1000) as path:
         await make_news(path)
-        assert path.answers <= len(path.reported_at) / 2 + LASTS_S / ANSWER_S
+        assert path.answers <= len(path.reported_at) / 2 + DURATION_S / ANSWER_S
         path.answers = 0
-        await asyncio.sleep(LASTS_S)
-        assert path.answers <= LASTS_S / ANSWER_S
+        await asyncio.sleep(DURATION_S)
+        assert path.answers <= DURATION_S / ANSWER_S
 
 
 @pytest.mark.parametrize("messages_per_s", [2.5, 5, 20])
@@ -141,7 +141,7 @@
     async with reporting(messages_per_s) as path:
         await make_news(path)
         assert max(path.waited_s) <= STALE_ORDER_S / 2
-        assert len(path.waited_s) >= LASTS_S * min(messages_per_s, 1 / runner_service.REPORT_S) - 2
+        assert len(path.waited_s) >= DURATION_S * min(messages_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
 
 
 async def test_a_restarted_agent_is_answered_as_soon_as_its_earlier_process_was() -> None:
@@ -149,7 +149,7 @@
     async with reporting(1000) as path:
         await make_news(path)
         path.runner._boot = "next"
-        path.runner._beat = path.runner._taken_beat = 0
+        path.runner._report_seq = path.runner._acknowledged_seq = 0
         await make_news(path)
         gaps = [after - before for before, after in pairwise(path.reported_at)]
-        assert max(gaps) <= 2 * SPACING_S
+        assert max(gaps) <= 2 * MIN_REPORT_INTERVAL_S
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -269,12 +269,12 @@
         for number in range(3):
             life.start(order(f"a.0.0.{number}"))
         await asyncio.sleep(10)
-        assert reports <= 10 / runner_life.NEWS_S + 6
+        assert reports <= 10 / runner_life.PROGRESS_REPORT_INTERVAL_S + 6
         assert ends == 3
         assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
         assert ends == 4, "an order for a run that has ended is answered with its end"
-        assert worker.holds <= 10 / runner_life.UNNOTED_MOST_S + 12
+        assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
 
 
 async def test_a_new_end_is_seen_soon_after_the_ones_before_it_are_stored() -> None:
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -45,21 +45,21 @@
 def test_an_acknowledgement_extends_the_lease_however_many_reports_went_out_since() -> None:
     """Guards against runs that lapse, and starts that are refused, once reports follow quickly."""
     lease = RunnerLease(9.5, 0.0)
-    count = int(STALE_ORDER_S / runner_service.SPACING_S)
+    count = int(STALE_ORDER_S / runner_service.MIN_REPORT_INTERVAL_S)
     for beat in range(1, count + 1):
-        lease.sent(beat, beat * runner_service.SPACING_S)
-    at = count * runner_service.SPACING_S
+        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    at = count * runner_service.MIN_REPORT_INTERVAL_S
     assert lease.allows_starts(1, at)
     lease.acknowledged(1)
-    assert lease.until == pytest.approx(runner_service.SPACING_S + 9.5)
+    assert lease.until == pytest.approx(runner_service.MIN_REPORT_INTERVAL_S + 9.5)
 
 
 def test_reports_are_remembered_for_the_length_of_a_lease_at_most() -> None:
     """Guards against a memory of reports that grows for as long as the process lives."""
     lease = RunnerLease(9.5, 0.0)
     for beat in range(1, 10_000):
-        lease.sent(beat, beat * runner_service.SPACING_S)
-    assert lease.report_count <= 9.5 / runner_service.SPACING_S + 2
+        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    assert lease.report_count <= 9.5 / runner_service.MIN_REPORT_INTERVAL_S + 2
     lease.acknowledged(1)
     assert lease.until == 0.0
 
@@ -68,10 +68,10 @@
     """Guards against runs that lapse because a slow leader and a slow store meet."""
     async with agent_of(FakeWorker(work_s=60), SlowTable()) as leader:
         leader.acknowledges = False
-        await asyncio.sleep(2 * runner_service.SILENCE_S)
+        await asyncio.sleep(2 * runner_service.LEADER_TIMEOUT_S)
         await asyncio.sleep(10)
         gaps = [after - before for before, after in pairwise(leader.reported_at)]
-        assert max(gaps) <= runner_service.REPORT_S + 2 * runner_service.SPACING_S
+        assert max(gaps) <= runner_service.MAX_REPORT_INTERVAL_S + 2 * runner_service.MIN_REPORT_INTERVAL_S
 
 
 async def test_a_worker_that_stays_silent_is_given_up_while_the_leader_is_well() -> None:
@@ -141,11 +141,11 @@
     async with agent_of(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
         leader.order(leader.reports[-1].beat)
-        await asyncio.sleep(2 * runner_service.REPORT_S)
+        await asyncio.sleep(2 * runner_service.MAX_REPORT_INTERVAL_S)
         assert leader.reports[-1].orders == leader.ordered
         leader.epoch = 2
         leader.runner._on_message("e", Leads(2, "e"))
-        await asyncio.sleep(2 * runner_service.SPACING_S)
+        await asyncio.sleep(2 * runner_service.MIN_REPORT_INTERVAL_S)
         assert leader.reports[-1].orders == 0
 
 
@@ -190,7 +190,7 @@
         ]
         leader.task.cancel()
         assert max(waited) <= STALE_ORDER_S
-        assert len(leader.taken_at) >= 20 * min(reports_per_s, 1 / runner_service.REPORT_S) - 2
+        assert len(leader.taken_at) >= 20 * min(reports_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
 
 
 async def test_news_goes_out_at_once_while_the_leader_keeps_up() -> None:
@@ -200,4 +200,4 @@
             leader.runner._wake.set()
             await asyncio.sleep(0.01)
         gaps = [after - before for before, after in pairwise(leader.reported_at[5:])]
-        assert max(gaps) <= 2 * runner_service.SPACING_S
+        assert max(gaps) <= 2 * runner_service.MIN_REPORT_INTERVAL_S
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -65,7 +65,7 @@
         await asyncio.sleep(4)
         slow = named(events, "stop_slow")
         assert [line["confirmed_s"] for line in slow] == [-1.0]
-        assert slow[0]["stop_s"] > runner_life.STOP_SLOW_S
+        assert slow[0]["stop_s"] > runner_life.SLOW_STOP_S
         worker.silent = False
         await asyncio.sleep(2)
         (end,) = named(events, "run_end_seen")
@@ -82,7 +82,7 @@
             leader.order(1, starts=[order()])
             await asyncio.sleep(0.1)
         lines = named(events, "orders_stale")
-        assert len(lines) <= 1 + 3 / runner_service.STALE_LOG_S
+        assert len(lines) <= 1 + 3 / runner_service.STALE_LOG_INTERVAL_S
         assert lines[0]["age_s"] > 3.5
         assert lines[0]["lease_left_s"] > 8
         assert sum(line["starts"] for line in lines) > 15
@@ -127,7 +127,7 @@
         life.start(order())
         await asyncio.sleep(0.5)
         worker.faults = ["unanswered"] * 100
-        for number in range(1, 3 * runner_life.CALLS_AT_ONCE):
+        for number in range(1, 3 * runner_life.MAX_CONCURRENT_CALLS):
             life.start(order(f"b.0.0.{number}", room=Resources(10, 10)))
         await asyncio.sleep(0.1)
         life.stop(StopOrder(TASK, 1))
@@ -141,7 +141,7 @@
     async with life_of(worker) as (life, _):
         life.start(order())
         await asyncio.sleep(0.5)
-        unanswered = [f"b.0.0.{number}" for number in range(runner_life.STOPS_AT_ONCE)]
+        unanswered = [f"b.0.0.{number}" for number in range(runner_life.MAX_CONCURRENT_STOPS)]
         worker.stops_unanswered.update(unanswered)
         for task in unanswered:
             life.stop(StopOrder(task, 1))
@@ -210,7 +210,7 @@
 async def test_calls_of_one_kind_go_out_in_a_bounded_number() -> None:
     """Guards against more calls to a worker than its client has connections."""
     worker = FakeWorker(work_s=60)
-    most = 1 + runner_life.CALLS_AT_ONCE + runner_life.STOPS_AT_ONCE
+    most = 1 + runner_life.MAX_CONCURRENT_CALLS + runner_life.MAX_CONCURRENT_STOPS
     assert most <= CONNECTIONS
     async with life_of(worker) as (life, _):
         worker.silent = True
@@ -307,7 +307,7 @@
         worker.stops_unanswered.add(TASK)
         leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
         ends_at = now()
-    assert now() - ends_at <= runner_life.LAST_STOPS_S + 0.1
+    assert now() - ends_at <= runner_life.FINAL_STOPS_TIMEOUT_S + 0.1
 
 
 async def test_an_agent_that_ends_takes_stops_and_no_starts(events: list[dict[str, Any]]) -> None:
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -251,7 +251,7 @@
         if slot.runner is not None and not slot.worker.dead:
             seq = int(now() * 100)
             info = worker_info(slot.worker_id, cpu=CPU)
-            await slot.runner.worker_beat(info, "x", seq)
+            await slot.runner.worker_heartbeat(info, "x", seq)
 
     async def beats(self) -> None:
         while True:
