--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -27,7 +27,7 @@
     WorkerInfo,
 )
 from sapphirelead.policy_pressure import USED_SHARE, tail_at
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
@@ -356,7 +356,7 @@
     def _list(self, worker: _Worker) -> None:
         worker.next_list = self._at + LIST_S
         tails = [
-            Tail(run.ref.text(), run.step.image, round(run.tail_ms), TARGET_MS)
+            TailLatency(run.ref.text(), run.step.image, round(run.tail_ms), TARGET_MS)
             for run in worker.runs.values()
             if run.step.lasting
         ]
--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -99,7 +99,10 @@
 
     def unresponsive(self, at: float) -> bool:
         """Whether the worker has left calls unanswered for so long that it is granted no more."""
-        return self._unanswered_since is not None and at - self._unanswered_since > UNRESPONSIVE_TIMEOUT_S
+        return (
+            self._unanswered_since is not None
+            and at - self._unanswered_since > UNRESPONSIVE_TIMEOUT_S
+        )
 
     def worker_time(self, at: float) -> int:
         """Return the worker's clock at ``at``, never later than it really is by then."""
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -34,7 +34,7 @@
 )
 from sapphirelead.runner_registry import UNKNOWN_PACE, RunName, RunRegistry, RunnerRun
 from sapphirelead.runner_lease import RunnerLease
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.runner_slots import Slots
 from sapphirelead.sched_timing import START_DEADLINE_S
 
@@ -92,7 +92,9 @@
 def _stop_times(run: RunnerRun) -> tuple[float, float]:
     """Return how long ago a stop was asked for, and how long its confirmation took."""
     stop_s = now() - run.stop_requested_at if run.stop_requested_at else UNKNOWN_TIME_S
-    confirmed_s = run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else UNKNOWN_TIME_S
+    confirmed_s = (
+        run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else UNKNOWN_TIME_S
+    )
     return stop_s, confirmed_s
 
 
@@ -245,14 +247,19 @@
             run = self.registry.runs.get((item.task, item.attempt))
             if run is None or run.phase is not RunPhase.STOPPING or run.stop_pending:
                 continue
-            if run.stop_confirmed_at and sent_at <= run.stop_confirmed_at + self._kill_grace_s + KILL_GRACE_MARGIN_S:
+            if (
+                run.stop_confirmed_at
+                and sent_at <= run.stop_confirmed_at + self._kill_grace_s + KILL_GRACE_MARGIN_S
+            ):
                 continue
             event = "stop_repeated" if run.stop_confirmed_at else "end_disproved"
             log_event("WARNING", event, task=run.task, attempt=run.attempt)
             self._begin_stop(run)
 
     def _log_end(self, end: RunEnded, run: RunnerRun | None) -> None:
-        stop_s, confirmed_s = _stop_times(run) if run is not None else (UNKNOWN_TIME_S, UNKNOWN_TIME_S)
+        stop_s, confirmed_s = (
+            _stop_times(run) if run is not None else (UNKNOWN_TIME_S, UNKNOWN_TIME_S)
+        )
         log_event(
             "INFO",
             "run_end_seen",
@@ -269,7 +276,11 @@
         """Log each stop that takes long, once; its end is logged with the same times."""
         at = now()
         for run in self.registry.runs.values():
-            if run.slow_stop_logged or not run.stop_requested_at or at - run.stop_requested_at <= SLOW_STOP_S:
+            if (
+                run.slow_stop_logged
+                or not run.stop_requested_at
+                or at - run.stop_requested_at <= SLOW_STOP_S
+            ):
                 continue
             run.slow_stop_logged = True
             stop_s, confirmed_s = _stop_times(run)
@@ -467,11 +478,13 @@
         """Slow the filling runs that press on the tail of a serving one."""
         runs = list(self.registry.runs.values())
         tails = [
-            Tail(run.task, run.order.image, run.figure, run.order.target_ms)
+            TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
             for run in runs
             if run.order is not None and run.order.target_ms and run.figure >= 0
         ]
-        self._pace.update(tails, self.registry.filling_usage(), now(), self.registry.filling_demand())
+        self._pace.update(
+            tails, self.registry.filling_usage(), now(), self.registry.filling_demand()
+        )
         for run in runs:
             if run.order is None or not run.order.fills or run.phase is not RunPhase.RUNNING:
                 continue
--- a/sapphirelead/runner_main.py
+++ b/sapphirelead/runner_main.py
@@ -30,7 +30,7 @@
 LIFE_POLL_INTERVAL_S: Final = 0.5
 """Time between two questions to the worker for its life; a new one is met within as much."""
 
-KILL_GRACE_S: Final = 6.0
+SHUTDOWN_GRACE_S: Final = 6.0
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
@@ -53,7 +53,7 @@
             HttpCaller.connect(settings.table_url, settings.table_timeout_seconds)
         )
         self._worker = HttpCaller.connect(settings.worker_url, LIFE_POLL_INTERVAL_S)
-        bounds = bounds_of(settings.times, KILL_GRACE_S)
+        bounds = bounds_of(settings.times, SHUTDOWN_GRACE_S)
         self.runner = Runner(
             settings.id, bounds, PackedTable(self._table), HttpRuns.connect, self._context, keys
         )
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -187,7 +187,9 @@
     def _record_listed_ends(self, view: WorkerView) -> list[RunEnded]:
         if view.ended and not self._numbering_known:
             # After a restart of this process the worker's list goes on from what was noted before.
-            self.stored_through = max(self.stored_through, min(end.number for end in view.ended) - 1)
+            self.stored_through = max(
+                self.stored_through, min(end.number for end in view.ended) - 1
+            )
             self._numbering_known = True
         new = []
         for end in view.ended:
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -147,7 +147,9 @@
     async def stop(self) -> None:
         """Stop; what the worker runs goes on under its lease."""
         self._stopping = True
-        tasks = self._tasks if self._directory_read is None else [*self._tasks, self._directory_read]
+        tasks = (
+            self._tasks if self._directory_read is None else [*self._tasks, self._directory_read]
+        )
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -293,7 +295,10 @@
         """Wait until the next report may go out."""
         while True:
             unacknowledged = max(0, self._report_seq - self._acknowledged_seq - 1)
-            interval_s = min(MAX_REPORT_INTERVAL_S, MIN_REPORT_INTERVAL_S * 2 ** min(unacknowledged, MAX_INTERVAL_DOUBLINGS))
+            interval_s = min(
+                MAX_REPORT_INTERVAL_S,
+                MIN_REPORT_INTERVAL_S * 2 ** min(unacknowledged, MAX_INTERVAL_DOUBLINGS),
+            )
             remaining_s = reported_at + interval_s - now()
             if remaining_s <= 0:
                 return
--- a/tests/sched/pressure.py
+++ b/tests/sched/pressure.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sapphirelead.runner_pace import FIRST, PaceControl, Tail
+from sapphirelead.runner_pace import INITIAL_LEVEL, PaceControl, TailLatency
 
 TARGET_MS: Final = 50
 CORES: Final = 64.0
@@ -76,7 +76,7 @@
         pressing = {pair: drift.step() for pair, drift in press.items()}
         using: dict[str, float] = {}
         for number, task in enumerate(tasks):
-            pace = paces.get(task.image, FIRST)
+            pace = paces.get(task.image, INITIAL_LEVEL)
             using[task.image] = using.get(task.image, 0.0) + task.cores * pace / CORES
             used += task.cores * pace
             task.left_s -= pace * TICK_S
@@ -89,7 +89,7 @@
             over += tails[number] > TARGET_MS
         if tick % round(LIST_S / TICK_S) == 0:
             seen = [
-                Tail(str(number), image, round(tails[number]), TARGET_MS)
+                TailLatency(str(number), image, round(tails[number]), TARGET_MS)
                 for number, image in enumerate(serving)
             ]
             control.update(seen, using, tick * TICK_S)
--- a/tests/sched/test_gaps.py
+++ b/tests/sched/test_gaps.py
@@ -35,7 +35,9 @@
         store(self.sched)
         self.runs: list[Run] = list(self.sched.fleet.runs.values())
 
-    def report(self, percents: dict[str, int], after_s: float = MAX_REPORT_INTERVAL_S, paced: int = 100) -> None:
+    def report(
+        self, percents: dict[str, int], after_s: float = MAX_REPORT_INTERVAL_S, paced: int = 100
+    ) -> None:
         """Let time pass, then let the agents named report how far their runs are."""
         self.at += after_s
         for agent, percent in percents.items():
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -8,7 +8,7 @@
 
 from sapphirelead.node_messages import ServingPress
 from sapphirelead.policy_pressure import USED_SHARE
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Phase
 from sapphirelead.sched_job import TaskRef
@@ -46,7 +46,7 @@
         load = 1.0 + swing * (1 if number // 10 % 2 else -1)
         tail = model.step(using, load)
         over += tail > TARGET_MS
-        control.update([Tail("s.0.0.0", "serve", tail, TARGET_MS)], using, number * 0.45)
+        control.update([TailLatency("s.0.0.0", "serve", tail, TARGET_MS)], using, number * 0.45)
         using = {image: share * control.percent(image) / 100 for image, share in demand.items()}
         used += sum(using.values())
     return over, used / reports
@@ -72,19 +72,21 @@
 
 def test_a_tail_far_over_its_target_is_cut_at_once() -> None:
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
     before = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 250, TARGET_MS)], {"heavy": 0.3}, 0.5)
+    control.update([TailLatency("s.0.0.0", "serve", 250, TARGET_MS)], {"heavy": 0.3}, 0.5)
     assert control.percent("heavy") <= before * 0.2
 
 
 def test_what_was_slowed_comes_back_within_seconds() -> None:
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 300, TARGET_MS)], {"light": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 300, TARGET_MS)], {"light": 0.3}, 0.0)
     steps = 0
     while control.percent("light") < 90:
         steps += 1
-        control.update([Tail("s.0.0.0", "serve", 25, TARGET_MS)], {"light": 0.3}, steps * 0.45)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", 25, TARGET_MS)], {"light": 0.3}, steps * 0.45
+        )
     assert steps * 0.45 <= 4
 
 
@@ -116,7 +118,7 @@
     weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
     control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
     wanted = {"heavy": USED_SHARE * 4000 / 32_000}
-    control.update([Tail("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
+    control.update([TailLatency("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
     assert control.percent("heavy") < 100 * LEAST_PACE
 
 
@@ -194,19 +196,21 @@
     """
     control = PaceControl()
     for number in range(6):
-        control.update([Tail("s.0.0.0", "serve", 34, TARGET_MS)], {"heavy": 0.1}, number * 0.5)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", 34, TARGET_MS)], {"heavy": 0.1}, number * 0.5
+        )
     before = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 60, TARGET_MS)], {"heavy": 0.1}, 3.0)
+    control.update([TailLatency("s.0.0.0", "serve", 60, TARGET_MS)], {"heavy": 0.1}, 3.0)
     assert control.percent("heavy") < before
 
 
 def test_a_tail_on_its_way_down_is_not_cut_for_again() -> None:
     """The first report after a cut shows a tail that is still over its target, but falls fast."""
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
-    control.update([Tail("s.0.0.0", "serve", 160, TARGET_MS)], {"heavy": 0.3}, 0.5)
+    control.update([TailLatency("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 160, TARGET_MS)], {"heavy": 0.3}, 0.5)
     cut = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 115, TARGET_MS)], {"heavy": 0.02}, 1.0)
+    control.update([TailLatency("s.0.0.0", "serve", 115, TARGET_MS)], {"heavy": 0.02}, 1.0)
     assert control.percent("heavy") >= cut > 0
 
 
@@ -219,10 +223,12 @@
     control = PaceControl()
     for number, tail in enumerate((25, 40, 55, 65)):
         level = 0.05 * (number + 1)
-        control.update([Tail("s.0.0.0", "serve", tail, TARGET_MS)], {"heavy": level}, number * 0.5)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", tail, TARGET_MS)], {"heavy": level}, number * 0.5
+        )
     before = control.percent("heavy")
     using = {"heavy": 0.2, "new": 0.01}
-    control.update([Tail("s.0.0.0", "serve", 130, TARGET_MS)], using, 2.0)
+    control.update([TailLatency("s.0.0.0", "serve", 130, TARGET_MS)], using, 2.0)
     assert control.percent("heavy") < before * 0.6
 
 
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -10,7 +10,7 @@
 from sapphirelead.node_messages import ServingPress
 from sapphirelead.policy_pressure_filter import MOST_IMAGES, PressureFilter
 from sapphirelead.policy_pressure_pair import HEAVY_SHARE, Belief, believe
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_planner import GATHER_S, plan
 from sapphirelead.sched_press import PressModel
 from sapphirelead.sched_spec import StepSpec
@@ -135,7 +135,7 @@
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05})])
     for number, tail in enumerate((33, 36, 41, 48, 56, 64)):
         control.update(
-            [Tail("s.0.0.0", "serve", tail, TARGET_MS)],
+            [TailLatency("s.0.0.0", "serve", tail, TARGET_MS)],
             {"light": 0.3},
             number * 0.45,
             {"light": 0.3},
@@ -146,7 +146,7 @@
 def test_a_known_image_begins_at_the_pace_that_the_tails_bear() -> None:
     control = PaceControl()
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05, "heavy": 3.0})])
-    control.update([Tail("s.0.0.0", "serve", 60, TARGET_MS)], {}, 0.0, {})
+    control.update([TailLatency("s.0.0.0", "serve", 60, TARGET_MS)], {}, 0.0, {})
     control.begin("light", {"light": 0.2})
     control.begin("heavy", {"light": 0.2, "heavy": 0.2})
     assert control.percent("light") == 100
@@ -159,7 +159,7 @@
     control.learn([ServingPress("serve", IDLE_MS, {"light": 0.0})])
     for number in range(5):
         control.update(
-            [Tail("s.0.0.0", "serve", 200, TARGET_MS)],
+            [TailLatency("s.0.0.0", "serve", 200, TARGET_MS)],
             {"light": 0.3},
             number * 0.45,
             {"light": 0.3},
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -141,7 +141,10 @@
     async with reporting(messages_per_s) as path:
         await make_news(path)
         assert max(path.waited_s) <= STALE_ORDER_S / 2
-        assert len(path.waited_s) >= DURATION_S * min(messages_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
+        assert (
+            len(path.waited_s)
+            >= DURATION_S * min(messages_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
+        )
 
 
 async def test_a_restarted_agent_is_answered_as_soon_as_its_earlier_process_was() -> None:
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -71,7 +71,10 @@
         await asyncio.sleep(2 * runner_service.LEADER_TIMEOUT_S)
         await asyncio.sleep(10)
         gaps = [after - before for before, after in pairwise(leader.reported_at)]
-        assert max(gaps) <= runner_service.MAX_REPORT_INTERVAL_S + 2 * runner_service.MIN_REPORT_INTERVAL_S
+        assert (
+            max(gaps)
+            <= runner_service.MAX_REPORT_INTERVAL_S + 2 * runner_service.MIN_REPORT_INTERVAL_S
+        )
 
 
 async def test_a_worker_that_stays_silent_is_given_up_while_the_leader_is_well() -> None:
@@ -190,7 +193,10 @@
         ]
         leader.task.cancel()
         assert max(waited) <= STALE_ORDER_S
-        assert len(leader.taken_at) >= 20 * min(reports_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
+        assert (
+            len(leader.taken_at)
+            >= 20 * min(reports_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
+        )
 
 
 async def test_news_goes_out_at_once_while_the_leader_keeps_up() -> None:
