--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -32,9 +32,9 @@
     StartCall,
     WorkerView,
 )
-from sapphirelead.runner_registry import UNKNOWN_PACE, RunName, RunRegistry, RunnerRun
 from sapphirelead.runner_lease import RunnerLease
 from sapphirelead.runner_pace import PaceControl, TailLatency
+from sapphirelead.runner_registry import UNKNOWN_PACE, RunName, RunnerRun, RunRegistry
 from sapphirelead.runner_slots import Slots
 from sapphirelead.sched_timing import START_DEADLINE_S
 
--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -78,13 +78,13 @@
 
     task: str
     image: str
-    figure_ms: int
+    latency_ms: int
     target_ms: int
 
     @property
     def share(self) -> float:
         """The tail as a share of its target."""
-        return self.figure_ms / self.target_ms
+        return self.latency_ms / self.target_ms
 
 
 class BaselineLoads:
@@ -236,7 +236,7 @@
         worst = max(predicted, key=lambda tail: tail.share)
         self.worst = worst.share
         for tail in tails:
-            report = ServiceReport(tail.image, UNIT_RATE, float(tail.figure_ms), 1)
+            report = ServiceReport(tail.image, UNIT_RATE, float(tail.latency_ms), 1)
             self._model.learn(report, filling)
         if self.worst < OVERLOAD_SHARE:
             self._last_below_target_at = at
@@ -256,7 +256,7 @@
         """Give the images whose pressure on all tails here is known what these bear."""
         known_tails = {tail.task: tail for tail in tails if tail.image in self._idle_ms}
         loads = {
-            task: load_of(tail.figure_ms, self._idle_ms[tail.image])
+            task: load_of(tail.latency_ms, self._idle_ms[tail.image])
             for task, tail in known_tails.items()
         }
         images = {task: tail.image for task, tail in known_tails.items()}
@@ -292,11 +292,11 @@
         found = []
         for tail in tails:
             before = self._previous_ms.get(tail.task)
-            figure = tail.figure_ms
+            figure = tail.latency_ms
             if before is not None and elapsed_s <= TREND_WINDOW_S:
                 figure = max(0, round(figure + (figure - before) / elapsed_s * TAIL_PREDICTION_S))
-            found.append(replace(tail, figure_ms=figure))
-        self._previous_ms = {tail.task: tail.figure_ms for tail in tails}
+            found.append(replace(tail, latency_ms=figure))
+        self._previous_ms = {tail.task: tail.latency_ms for tail in tails}
         return found
 
     def _cut(self, worst: TailLatency, filling: dict[str, float], at: float) -> None:
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -9,7 +9,7 @@
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus, WorkerInfo
 from sapphirelead.node_ports import WorkerEnd, WorkerRun, WorkerView
 from sapphirelead.node_report_merge import MOST_ENDS, merge_reports
-from sapphirelead.runner_registry import MAX_REPORTED_ENDS, RunRegistry, RunnerRun
+from sapphirelead.runner_registry import MAX_REPORTED_ENDS, RunnerRun, RunRegistry
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_reports import take_report
