--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -1,8 +1,8 @@
-"""How far an agent may extend the lease of what its worker runs.
+"""Leases of an agent and of the runs on its worker.
 
-An agent renews only on the strength of a report that the leader has acknowledged, counted from the
-moment at which that report was sent.  The leader counts from the acknowledgement, which is later,
-so it never takes a run for over that may still be renewed.
+The agent's lease starts when it sends a report and takes effect when the leader acknowledges that
+report.  The leader counts from its acknowledgement, which is later, so it never treats a run as
+ended that the agent may still renew.
 """
 
 import math
@@ -16,17 +16,18 @@
 )
 
 UNRESPONSIVE_TIMEOUT_S: Final = 3.0
-"""Time without an answer after which a worker is granted no more.  A grant may take effect although
-its answer is lost, so its runs would never count as over."""
+"""Time without an answer after which a worker gets no renewals or starts.  A call may take effect
+although its answer is lost, which would extend ``RunnerLease.expiry_bound`` indefinitely."""
 
 
 class RunnerLease:
-    """The agent's lease from the leader, and the worker's lease made from it.
+    """The agent's lease from the leader, and the worker's lease derived from it.
 
     All times are from the clock that also counts while the machine is suspended.
 
     :ivar until: end of the agent's lease.
-    :ivar expiry_bound: no run of this life of the worker outlives this, whatever was lost on the way.
+    :ivar expiry_bound: time by which all runs of this worker life have ended, even if answers to
+        calls were lost.
     """
 
     until: float
@@ -38,7 +39,7 @@
 
     def __init__(self, lease_s: float, at: float) -> None:
         self.until = 0.0
-        # An earlier process of this agent may have renewed the worker's lease just before.
+        # An earlier process of this agent may have just renewed the worker's lease.
         self.expiry_bound = at + (lease_s + LEASE_MARGIN_S) * (1 + 2 * CLOCK_DRIFT)
         self._lease_s = lease_s
         self._sent = {}
@@ -46,76 +47,74 @@
         self._unanswered_since = None
 
     def sent(self, report_seq: int, at: float) -> None:
-        """Remember when a report was sent."""
+        """Record when a report was sent."""
         self._sent[report_seq] = at
-        # The acknowledgement of an older one extends nothing.
+        # Acknowledgements of older reports do not extend the lease.
         kept_s = max(self._lease_s, STALE_ORDER_S)
         while at - next(iter(self._sent.values())) > kept_s:
             del self._sent[next(iter(self._sent))]
 
     @property
     def report_count(self) -> int:
-        """Number of reports whose time of sending is known."""
+        """Number of reports whose send time is known."""
         return len(self._sent)
 
     def allows_starts(self, report_seq: int, at: float) -> bool:
-        """Return whether starts ordered on the ground of a report may still be carried out.
+        """Return whether start orders based on a report may still be carried out.
 
-        Starts that were held up on the way may have been overtaken by a cancellation; the leader
-        repeats those that still hold.
+        Delayed start orders may have been cancelled since; the leader repeats those still valid.
         """
         return self.report_age(report_seq, at) <= STALE_ORDER_S
 
     def report_age(self, report_seq: int, at: float) -> float:
-        """Return how long ago a report was sent; infinite where that is no longer known."""
+        """Return the seconds since a report was sent; infinite if its send time is not known."""
         return at - self._sent.get(report_seq, -math.inf)
 
     def remaining_s(self, at: float) -> float:
-        """Return how much of the agent's lease is left."""
+        """Return the remaining seconds of the agent's lease."""
         return max(0.0, self.until - at)
 
     def acknowledged(self, report_seq: int) -> None:
-        """Extend the agent's lease by an acknowledged report."""
+        """Extend the agent's lease after the leader acknowledged a report."""
         at = self._sent.get(report_seq)
         if at is not None:
             self.until = max(self.until, at + self._lease_s)
 
     def for_next_life(self, at: float) -> "RunnerLease":
-        """Return the lease for the next life of the worker: the same agent, another clock."""
+        """Return a lease for the next worker life: same agent lease, new worker clock."""
         lease = RunnerLease(self._lease_s, at)
         lease.until = self.until
         lease._sent = self._sent
         return lease
 
     def update_clock(self, clock_ms: int, at: float) -> None:
-        """Take the worker's clock from an answer that arrived at ``at``."""
+        """Record the worker's clock from an answer received at ``at``."""
         self._clock = (clock_ms, at)
         self._unanswered_since = None
 
     def note_unanswered(self, at: float) -> None:
-        """Note that a call has got no answer by ``at``."""
+        """Record that a call has got no answer by ``at``."""
         if self._unanswered_since is None:
             self._unanswered_since = at
 
     def unresponsive(self, at: float) -> bool:
-        """Whether the worker has left calls unanswered for so long that it is granted no more."""
+        """Whether the worker has left calls unanswered for :data:`UNRESPONSIVE_TIMEOUT_S`."""
         return (
             self._unanswered_since is not None
             and at - self._unanswered_since > UNRESPONSIVE_TIMEOUT_S
         )
 
     def worker_time(self, at: float) -> int:
-        """Return the worker's clock at ``at``, never later than it really is by then."""
+        """Return a lower bound of the worker's clock at ``at``."""
         if self._clock is None:
             return 0
         clock_ms, seen_at = self._clock
         return clock_ms + int((at - seen_at) * (1 - CLOCK_DRIFT) * 1000)
 
     def worker_lease(self, at: float) -> int:
-        """Return the lease to ask for, as a time on the worker's clock; 0 for none.
+        """Return the lease to request, as a time on the worker's clock; 0 for none.
 
-        The worker's clock may be slow, so the time that is left is shortened by as much: the
-        worker ends what lapses no later than this agent's own lease.
+        Allows for a slow worker clock, so runs lapse no later than the agent's own lease.
         """
         if self._clock is None or self.until <= at:
             return 0
@@ -125,13 +124,13 @@
         return self.worker_time(self.until)
 
     def start_deadline(self, at: float, within_s: float) -> int:
-        """Return the worker-clock time until which a start sent at ``at`` may be carried out.
+        """Return the deadline on the worker's clock for a start call sent at ``at``.
 
-        To be asked only for a worker that is not mute: the bound moves on.
+        Extends ``expiry_bound``, so callers first check that the worker is not ``unresponsive``.
         """
         self.expiry_bound = max(self.expiry_bound, at + within_s * (1 + 2 * CLOCK_DRIFT))
         return self.worker_time(at) + int(within_s * 1000)
 
     def all_expired(self, at: float) -> bool:
-        """Whether everything the worker ran has lapsed by ``at``."""
+        """Whether all runs on the worker have lapsed by ``at``."""
         return at > self.expiry_bound + LOSS_MARGIN_S
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -1,11 +1,11 @@
-"""One life of the worker beside an agent: its calls, and what becomes of each run.
+"""Controls the runs of one worker life through calls to the worker.
 
-Calls may be lost, answered late, or carried out seconds after they were given up on.  So
+Calls may be lost, answered late, or carried out seconds after they timed out.  Therefore:
 
-- a start carries a deadline of its own, after which the worker refuses it;
-- a start without an answer is repeated; once it is given up on, a confirmed stop of the same run
-  seals it, and it counts as never started only when a list asked for after that does not show it;
-- one list is asked for at a time, so that no older list overtakes a newer one.
+- a start call carries a deadline, after which the worker refuses it;
+- a start call without an answer is retried; an abandoned start is followed by a stop, and the run
+  counts as not started only if a list requested after the confirmed stop does not contain it;
+- only one list call is in flight, so that an older list never replaces a newer one.
 """
 
 import asyncio
@@ -39,58 +39,53 @@
 from sapphirelead.sched_timing import START_DEADLINE_S
 
 LIST_WAIT_MS: Final = 450
-"""How long a list call waits for an end; the worker's figures are renewed every half second."""
+"""Longest time that a list call waits for a run to end."""
 
 MIN_LIST_PAUSE_S: Final = 0.04
-"""Pause after a list that shows ends.  The worker answers at once while it has ends that have not
-been noted, so that list calls would follow each other while an end is being stored."""
+"""Pause after a list that contains outcomes.  The worker answers at once while it holds outcomes
+that are not stored."""
 
 MAX_LIST_PAUSE_S: Final = 0.32
-"""The pause doubles up to this while the lists show no end that is new, and ends as soon as an end
-is stored: while the leader is behind with storing, asking the worker on tells nothing."""
+"""Limit up to which that pause doubles while lists contain no new outcome."""
 
 PROGRESS_REPORT_INTERVAL_S: Final = 0.4
-"""Time after which a list without a new end is reported all the same, for the progress in it.  Just
-under the time of a list call."""
+"""Interval between reports of progress without new outcomes; just under :data:`LIST_WAIT_MS`."""
 
 MIN_PACE_CHANGE_PERCENT: Final = 4
-"""Least change of the pace that is sent, in percent."""
+"""Smaller changes of pace are not sent."""
 
 MAX_START_TRIES: Final = 3
-"""Tries of a start before it is given up on and sealed."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Pause before a call is repeated."""
 
 MAX_REFUSED_CONNECTIONS: Final = 3
-"""Refused connections in a row that mean that the worker's process is gone."""
+"""Consecutive refused connections after which the worker's process counts as ended."""
 
 TOKEN_STEP: Final = 10_000
-"""Added to the fencing token where the worker has seen a higher one.  Tokens are times of day in
-milliseconds; a clock that was set back between two processes of this agent leaves the newer one
-behind by a few seconds."""
+"""Added to the fencing token when the worker has seen a higher one.  Tokens are wall-clock
+milliseconds, so a clock that was set back gives a newer process a lower token."""
 
 SLOW_STOP_S: Final = 1.5
-"""A stop whose end is not listed within this is logged."""
+"""Age at which a stop without a listed outcome is logged."""
 
 MAX_CONCURRENT_CALLS: Final = 8
-"""Starts and changes of pace in flight."""
+"""Limit of start and pace calls in flight."""
 
 MAX_CONCURRENT_STOPS: Final = 16
-"""Stops in flight: a stop is due within seconds, whatever the worker does with other calls."""
+"""Limit of stop calls in flight, separate so that other calls do not delay stops."""
 
 FINAL_STOPS_TIMEOUT_S: Final = 1.2
-"""How long an agent that ends waits for the confirmation of its stops: two tries."""
+"""How long an agent that shuts down waits for its stops to be confirmed."""
 
 KILL_GRACE_MARGIN_S: Final = 0.1
-"""Added to the longest time of a stop; covers late timers of the worker."""
+"""Allowance for late timers of the worker, added to the kill grace period."""
 
 UNKNOWN_TIME_S: Final = -1.0
-"""Logged in place of a time for what has not happened."""
+"""Logged as the duration of an event that has not happened."""
 
 
 def _stop_times(run: RunnerRun) -> tuple[float, float]:
-    """Return how long ago a stop was asked for, and how long its confirmation took."""
+    """Return the seconds since a stop was requested, and until it was confirmed."""
     stop_s = now() - run.stop_requested_at if run.stop_requested_at else UNKNOWN_TIME_S
     confirmed_s = (
         run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else UNKNOWN_TIME_S
@@ -99,7 +94,7 @@
 
 
 class FencingToken:
-    """The token of this process; grows where a worker has seen a higher one."""
+    """Fencing token of this process."""
 
     value: int
 
@@ -107,15 +102,16 @@
         self.value = value
 
     def increase(self) -> None:
-        """Take a higher token."""
+        """Raise the token after the worker refused it as too low."""
         self.value += TOKEN_STEP
         log_event("WARNING", "token_raised", token=self.value)
 
 
 class RunnerLife:
-    """One life of the worker.
+    """One worker life: watches its runs and carries out the leader's orders.
 
-    :ivar over: set once the life is known to be over.
+    :ivar over: whether this life is known to have ended.
+    :ivar on_change: called when there is something new to report.
     """
 
     registry: RunRegistry
@@ -163,11 +159,11 @@
 
     @property
     def silent(self) -> bool:
-        """Whether everything must have lapsed while the worker gave no answer."""
+        """Whether the worker is unresponsive and all its runs have lapsed."""
         return self._silent
 
     async def adopt(self) -> CallFailure | None:
-        """List what runs there, without extending its lease; ``None`` where that worked."""
+        """List the worker's runs without renewing its lease; return the failure, if any."""
         sent_at = now()
         found = await self._worker.hold(self._token.value, 0, 0, 0)
         if isinstance(found, Err):
@@ -178,7 +174,7 @@
         return None
 
     async def watch(self) -> None:
-        """List runs and ends, and renew the lease, until the life is over."""
+        """List runs and outcomes and renew the worker's lease until the life is over."""
         pause = MIN_LIST_PAUSE_S
         while not self.over:
             self._log_slow_stops()
@@ -200,7 +196,7 @@
                 await asyncio.sleep(RETRY_DELAY_S)
 
     async def _pause(self, max_s: float) -> None:
-        """Wait for an end to be stored, for :data:`MIN_LIST_PAUSE_S` at least."""
+        """Wait until an outcome is stored, between :data:`MIN_LIST_PAUSE_S` and ``max_s``."""
         self._end_stored.clear()
         await asyncio.sleep(MIN_LIST_PAUSE_S)
         try:
@@ -210,12 +206,12 @@
             return
 
     def stored(self, name: RunName) -> None:
-        """Note that the leader has stored an end."""
+        """Record that the leader has stored an outcome."""
         self.registry.stored(name)
         self._end_stored.set()
 
     def _apply_view(self, view: WorkerView, sent_at: float) -> bool:
-        """Take a list over; return whether it shows an end that is new."""
+        """Apply a list from the worker; return whether it contains a new outcome."""
         self._refusals = 0
         if self._silent:
             self._silent = False
@@ -228,20 +224,16 @@
             self._log_end(end, runs.get((end.task, end.attempt)))
         self._repeat_stops(view, sent_at)
         self._control_pace()
-        # Each list with news goes to the leader at once: progress that is reported half a second
-        # late looks like a run at half speed.
+        # Progress reported late would make a run look slow to the leader.
         if new or now() - self._reported_at >= PROGRESS_REPORT_INTERVAL_S:
             self._reported_at = now()
             self.on_change()
         return bool(new)
 
     def _repeat_stops(self, view: WorkerView, sent_at: float) -> None:
-        """Stop what is listed and should not run.
+        """Stop listed runs that a confirmed stop should have ended, or recorded as not started.
 
-        That is a run whose confirmed stop should have ended it by then, or one that counted as
-        never started.
-
-        :param sent_at: when the call that brought the list was sent.
+        :param sent_at: when the list was requested.
         """
         for item in view.running:
             run = self.registry.runs.get((item.task, item.attempt))
@@ -273,7 +265,7 @@
         )
 
     def _log_slow_stops(self) -> None:
-        """Log each stop that takes long, once; its end is logged with the same times."""
+        """Log each slow stop once."""
         at = now()
         for run in self.registry.runs.values():
             if (
@@ -310,14 +302,14 @@
         at = awake_now()
         self._lease.note_unanswered(at)
         if self._lease.all_expired(at) and not self._silent:
-            # It may live on behind a fault of the path, but all its leases have run out.
+            # The worker may still be running but unreachable; its leases have expired.
             self._silent = True
             info = self.registry.info
             log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.registry.runs))
             self.on_change()
 
     def end(self, reason: str) -> None:
-        """Note that the life is over, with all it ran."""
+        """Mark the life and all its runs as ended."""
         if self.over:
             return
         self.over = True
@@ -331,7 +323,7 @@
         self.on_change()
 
     async def finish_stops(self) -> None:
-        """Wait for the stops on their way, for a while: nobody else may come to send them."""
+        """Wait up to :data:`FINAL_STOPS_TIMEOUT_S` for pending stops to be confirmed."""
         if not self._pending_stops:
             return
         _, pending = await asyncio.wait(self._pending_stops, timeout=FINAL_STOPS_TIMEOUT_S)
@@ -344,7 +336,7 @@
             )
 
     async def close(self) -> None:
-        """Stop all calls."""
+        """Cancel all calls and close the worker's client."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -353,7 +345,7 @@
     # Orders
 
     def start(self, order: StartOrder) -> None:
-        """Carry out a start order; a repeated one changes nothing."""
+        """Carry out a start order; repeated orders have no effect on a known run."""
         run = self.registry.accept(order)
         if run is not None:
             self._spawn(self._start(run, order))
@@ -362,7 +354,7 @@
             self.on_change()
 
     def stop(self, order: StopOrder) -> None:
-        """Carry out a stop order; a run that is not known here is sealed as well."""
+        """Carry out a stop order, also for an unknown run, so that it cannot start later."""
         name = (order.task, order.attempt)
         run = self.registry.runs.get(name)
         if run is None:
@@ -394,8 +386,8 @@
                 if run.phase is not RunPhase.STARTING or self.over:
                     return
                 if self._lease.unresponsive(awake_now()):
-                    # A start may be carried out without an answer, so it would move the time on at
-                    # which the runs of this life are known to be over.
+                    # A start may be carried out without an answer, so each call would postpone
+                    # the time at which all runs of this life are known to have ended.
                     reason = "worker_mute"
                     break
                 found = await self._worker.start(self._start_call(order))
@@ -451,7 +443,7 @@
         self._begin_stop(run)
 
     async def _confirm_stop(self, run: RunnerRun) -> None:
-        """Stop a run until the worker confirms it; the list then tells how it ended."""
+        """Retry the stop call until the worker confirms it; the outcome comes with a later list."""
         tries = 0
         while not self.over and self.registry.runs.get(run.name) is run:
             async with self._stops.slot(tries):
@@ -471,11 +463,11 @@
     # Pace
 
     def learn_interference(self, interference: list[ServingPress]) -> None:
-        """Take over what the fleet has learnt of the pairs of images here."""
+        """Take the interference estimates that the leader sends for images on this worker."""
         self._pace.learn(interference)
 
     def _control_pace(self) -> None:
-        """Slow the filling runs that press on the tail of a serving one."""
+        """Set the pace of filling runs from the tail latencies of the serving runs."""
         runs = list(self.registry.runs.values())
         tails = [
             TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
@@ -489,18 +481,14 @@
             if run.order is None or not run.order.fills or run.phase is not RunPhase.RUNNING:
                 continue
             percent = self._pace.percent(run.order.image)
-            # Small changes are left out: each costs a call.
+            # Small changes are skipped to save calls, except to a full stop or full speed.
             last_step = percent in (0, 100) and percent != run.paced
             if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or last_step:
                 self._record_pace(run, percent)
                 self._spawn(self._set_pace(run, percent))
 
     async def _apply_initial_pace(self, run: RunnerRun, order: StartOrder) -> None:
-        """Slow a new filling task at once where its neighbours are slowed.
-
-        It would else work at full speed until the next list; six that started together drove a
-        tail from 0.6 to 1.7 times its target within that half second.
-        """
+        """Slow a new filling run at once, instead of running at full speed until the next list."""
         if order.fills:
             self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
@@ -524,5 +512,5 @@
         async with self._calls:
             found = await self._worker.pace(run.task, run.attempt, percent, self._token.value)
         if isinstance(found, Err) and run.paced == percent:
-            # Unknown whether it works now; the next look sets it again.
+            # The call may have taken effect; the next update sets the pace again.
             run.paced = UNKNOWN_PACE
--- a/sapphirelead/runner_main.py
+++ b/sapphirelead/runner_main.py
@@ -1,7 +1,7 @@
-"""The runner: one process beside a worker that runs tasks of jobs of steps.
+"""The runner process: the agent beside a worker that runs tasks.
 
-It asks the worker which life it is in, takes each new life up, and ends on SIGTERM without stopping
-anything: what runs goes on under the worker's lease, for the next process beside the same worker.
+It polls the worker for its life id and adopts each new life.  On SIGTERM it exits without stopping
+runs; they continue under the worker's lease until the next runner process adopts them.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 from sapphirelead.wire_sockets import make_context
 
 LIFE_POLL_INTERVAL_S: Final = 0.5
-"""Time between two questions to the worker for its life; a new one is met within as much."""
+"""Interval at which the worker is polled for its life id."""
 
 SHUTDOWN_GRACE_S: Final = 6.0
 EXIT_OK: Final = 0
@@ -36,7 +36,7 @@
 
 
 class RunnerProcess:
-    """A runner with what it connects to."""
+    """A runner with its connections."""
 
     runner: Runner
     _settings: RunnerSettings
@@ -62,18 +62,18 @@
 
     @classmethod
     def from_settings(cls, settings: RunnerSettings) -> "Result[RunnerProcess, Failure]":
-        """Return a runner that :meth:`start` brings up, or what is wrong with its keys."""
+        """Return a runner that is not started yet, or the failure to read its keys."""
         return read_keys(settings.security.keys_file).map(lambda keys: cls(settings, keys))
 
     async def start(self) -> None:
-        """Report to the leader and look after the worker."""
+        """Start reporting to the leader, polling the worker, and serving HTTP."""
         self.runner.start()
         self._poll_task = spawn(self._poll_lives(), "lives")
         await self._http.start(self._settings.http_port)
         log_event("INFO", "runner_started", runner=self._settings.id, zone=self._settings.zone)
 
     async def stop(self) -> None:
-        """Stop; what the worker runs goes on under its lease."""
+        """Stop; runs on the worker continue under its lease."""
         if self._poll_task is not None:
             self._poll_task.cancel()
             await asyncio.gather(self._poll_task, return_exceptions=True)
--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -1,19 +1,10 @@
-"""How fast filling tasks may work beside tasks that serve, decided from the newest tail figures.
-
-The pattern that this answers: some filling images hardly disturb a serving image, others drive its
-tail to several times its target within half a second, and nobody declares which.  The worker
-reports a tail each half second, and after a change the tail moves to its new value over about a
-second.
-
-Each filling image on a worker has a level.  Where the leader has told how an image presses on all
-that serves here, the level follows from that: what the tails bear beside the load of their own
-users, which is what they show less what filling work adds (:mod:`sapphirelead.policy_pressure`).
-
-Other images, and all of them while a tail stays over its target, are held by what is measured here
-alone.  While the worst tail is above its aim, the levels of the images that are to blame for it are
-lowered by the square of how far it is above; an image that has just begun is blamed first, then by
-what has been learnt of the pair.  While the worst tail is below its aim, levels are given back in
-proportion, the slower the more an image presses.
+"""Controls the pace of filling tasks so that tail latencies of serving tasks stay within target.
+
+Handles interference that nobody declares by adjusting one level per filling image on a worker.  If
+the leader has sent estimates for an image with all serving images here, its level follows from the
+headroom of their tails (:mod:`sapphirelead.policy_pressure`).  Other images, and all of them during
+a sustained overload, get levels by feedback: the images that contribute most to the worst tail are
+cut while it is above its setpoint, and levels are restored gradually while it is below.
 """
 
 import statistics
@@ -27,54 +18,47 @@
 from sapphirelead.policy_pressure import Room, Weight, added_load, allot, load_of
 
 SETPOINT_SHARE: Final = 0.75
-"""Share of its target at which the worst tail is held.  Load swings by half within seconds; a task
-over its target costs its users about four times what the filling work beside it gains."""
+"""Share of its target at which the worst tail is held."""
 RESTORE_GAIN: Final = 1.0
-"""Level given back in one step for a tail that is the whole target below its aim: less leaves
-filling work held back, more brings tails over their targets."""
+"""Gain of the restore step on the distance of the worst tail below its setpoint."""
 OVERLOAD_SHARE: Final = 1.0
-"""Share of its target from which on all images to blame are slowed at once."""
+"""Share of its target from which all main contributors are slowed at once."""
 MIN_CUT_FACTOR: Final = 0.15
 MIN_LEVEL: Final = 0.04
-"""A lower level stops the work altogether; the memory stays allocated."""
+"""A lower level stops the image's tasks; they keep their memory."""
 INITIAL_LEVEL: Final = 0.25
-"""Level at which an image begins beside serving tasks: its effect is not known yet."""
+"""Level of a new image beside serving tasks, while its effect is unknown."""
 MIN_UPDATE_INTERVAL_S: Final = 0.4
-"""Least time between two changes: an earlier figure does not show the last change yet."""
+"""Tail figures that arrive earlier do not reflect the last change yet."""
 LIGHTEST_RESTORE_STEP: Final = 0.12
-"""Level that the lightest image gets back in each report: from half to full in two seconds."""
+"""Minimum step by which the level of the least interfering image is restored."""
 DRIFT_VARIANCE: Final = 0.5
-"""Variance that an estimate gains with each report, twice a second: what pairs do to each other
-changes within seconds."""
+"""Variance added to each estimate per report, because interference changes within seconds."""
 TAIL_PREDICTION_S: Final = 0.5
-"""How far ahead a tail is continued by its change.  A tail goes about half of its way to a new
-value in half a second, so this is where it settles if nothing changes any more: one on its way up
-is met earlier, one on its way down is not cut for again."""
+"""Horizon to which tails are extrapolated."""
 TREND_WINDOW_S: Final = 1.5
-"""A change over a longer time says nothing about the next half second."""
+"""Older figures are not used for extrapolation."""
 NEW_IMAGE_S: Final = 1.2
-"""An image that began within this time, two lists, is blamed for a tail that rises."""
+"""Age up to which an image counts as a contributor to any tail above its setpoint."""
 MIN_CONTRIBUTION_SHARE: Final = 0.25
-"""Share of the pressure on the worst tail from which on an image is slowed."""
+"""Share of the interference with the worst tail from which an image counts as a contributor."""
 UNIT_RATE: Final = 1.0
-"""Workers report no request rates; the load counts as noise of the tail."""
+"""Used for all services, because workers report no request rates."""
 SUSTAINED_OVERLOAD_S: Final = 0.8
-"""Time over a target, two steps, after which known images are cut by what is measured as well.  A
-single task's tail often jumps and falls again within a second by itself."""
+"""Time over a target after which images with known interference are limited by feedback as well."""
 USAGE_HALF_LIFE_S: Final = 0.4
-"""Time in which a tail goes half of its way to a new value."""
+"""Half-life of the smoothed usage of filling images, as that of a tail that settles."""
 LOAD_PREDICTION_S: Final = 0.8
-"""How far ahead the load of a task's users is continued: the age of the figure and the time until a
-new pace works."""
+"""Horizon to which baseline loads are extrapolated."""
 MAX_PREDICTED_RISE: Final = 0.1
-"""Most that is added by such a continuation."""
+"""Limit of the rise of a baseline load by extrapolation."""
 MAX_LEVEL_RISE: Final = 0.35
-"""Most that the level of a known image rises in one step."""
+"""Limit per step of the rise of a level that is known from estimates."""
 
 
 @dataclass(frozen=True, slots=True)
 class TailLatency:
-    """Newest tail of a serving task, with its target, both in milliseconds."""
+    """Newest tail latency of a serving task, and its target."""
 
     task: str
     image: str
@@ -83,16 +67,12 @@
 
     @property
     def share(self) -> float:
-        """The tail as a share of its target."""
+        """The tail latency as a share of its target."""
         return self.latency_ms / self.target_ms
 
 
 class BaselineLoads:
-    """What the users of the serving tasks on a worker bring, without the filling work beside them.
-
-    The load of a serving job swings over some twenty seconds; taken by itself, without what filling
-    work adds, it can be continued by its trend.
-    """
+    """Loads of the serving jobs on a worker without the interference of filling tasks."""
 
     _smoothed_usage: dict[str, float]
     _history: dict[str, deque[tuple[float, float]]]
@@ -111,7 +91,7 @@
         weight: Weight,
         at: float,
     ) -> None:
-        """Take the newest loads and the shares that filling images used."""
+        """Record the newest loads, less the load that filling images add."""
         keep = 0.5 ** ((at - self._at) / USAGE_HALF_LIFE_S)
         self._at = at
         self._smoothed_usage = {
@@ -124,7 +104,7 @@
             baseline_load = load - added_load(images[task], self._smoothed_usage, weight)
             found.setdefault(_job_of(task), []).append(max(baseline_load, 0.0))
         for job, baseline_loads in found.items():
-            # The median of the job's tasks here, because single tails jump.
+            # The median over the job's tasks, because single tails are noisy.
             history = self._history.setdefault(job, deque())
             history.append((at, statistics.median(baseline_loads)))
             while at - history[0][0] > TREND_WINDOW_S:
@@ -133,7 +113,7 @@
             del self._history[job]
 
     def predicted(self, task: str) -> float:
-        """Return the load to expect without filling work."""
+        """Return the extrapolated baseline load of a task's job."""
         history = self._history[_job_of(task)]
         first_at, first = history[0]
         last_at, last = history[-1]
@@ -144,14 +124,14 @@
 
 
 def _job_of(task: str) -> str:
-    """Return what the tasks of one step have in common."""
+    """Return the part of a task's name that all tasks of its step share."""
     return task.rsplit(".", 1)[0]
 
 
 class PaceControl:
     """The levels of the filling images on one worker.
 
-    :ivar worst: worst tail, continued by its trend, as a share of its target.
+    :ivar worst: worst extrapolated tail, as a share of its target.
     """
 
     worst: float
@@ -187,10 +167,7 @@
         return round(self._known_levels.get(image, level) * 100)
 
     def begin(self, image: str, wanted: Mapping[str, float]) -> None:
-        """Set the level of an image that begins, where its pressure on all tails is known.
-
-        Begun at the level of unknown images it would lose a second of its time.
-        """
+        """Set the initial level of a new image if its interference with all tails is known."""
         if image in self._known_levels or image in self._levels or not self._rooms:
             return
         if all((room.image, image) in self._learned_weights for room in self._rooms):
@@ -199,7 +176,7 @@
             )
 
     def learn(self, interference: Sequence[ServingPress]) -> None:
-        """Take over what the fleet has learnt of pairs of images."""
+        """Take the leader's interference estimates for pairs of images."""
         for serving in interference:
             self._idle_ms[serving.image] = serving.idle_ms
             for filling, weight in serving.weights.items():
@@ -212,10 +189,10 @@
         at: float,
         wanted: Mapping[str, float] | None = None,
     ) -> None:
-        """Take the newest tails.
+        """Update the levels from the newest tails.
 
         :param filling: by filling image, the share of the worker's processors that it used.
-        :param wanted: the share that it would use at full pace.
+        :param wanted: by filling image, the share that it would use at full pace.
         """
         if not tails:
             self.worst = 0.0
@@ -253,7 +230,7 @@
         wanted: Mapping[str, float],
         at: float,
     ) -> None:
-        """Give the images whose pressure on all tails here is known what these bear."""
+        """Set levels from the headroom of the tails, for images with known interference."""
         known_tails = {tail.task: tail for tail in tails if tail.image in self._idle_ms}
         loads = {
             task: load_of(tail.latency_ms, self._idle_ms[tail.image])
@@ -274,20 +251,19 @@
         overload_s = at - self._last_below_target_at if self.worst >= OVERLOAD_SHARE else 0.0
         self._known_levels = allot(self._rooms, known, self._weight)
         for image, level in self._known_levels.items():
-            # A tail follows within a second, so a level comes back in steps.
+            # Tails respond with a delay, so a level rises in steps.
             level = min(level, before.get(image, 1.0) + MAX_LEVEL_RISE)
             if overload_s >= SUSTAINED_OVERLOAD_S:
-                # A pair that was learnt wrong shows as a tail that stays over its target: then
-                # what is measured here decides.
+                # A sustained overload indicates wrong estimates, so the feedback level applies.
                 level = min(level, self._levels.get(image, 1.0))
             self._known_levels[image] = self._levels[image] = level
 
     def _weight(self, serving: str, filling: str) -> float:
-        """Return the told weight of a pair; what is not told stays in the load of the users."""
+        """Return the estimated weight of a pair; 0 leaves unknown interference in the baseline."""
         return self._learned_weights.get((serving, filling), 0.0)
 
     def _predict_tails(self, tails: list[TailLatency], at: float) -> list[TailLatency]:
-        """Return where the tails are going, by their change since the last step."""
+        """Extrapolate the tails by their change since the last update."""
         elapsed_s = at - self._updated_at
         found = []
         for tail in tails:
@@ -303,14 +279,14 @@
         factor = max(MIN_CUT_FACTOR, (SETPOINT_SHARE / worst.share) ** 2)
         contributors = self._contributors(worst, filling, at)
         if worst.share < OVERLOAD_SHARE:
-            # One image at a time: slowed together, two of them would never be told apart.
+            # Slowing one image at a time keeps the effects of images distinguishable.
             contributors = contributors[:1]
         for image in contributors:
             level = self._levels[image] * factor
             self._levels[image] = level if level >= MIN_LEVEL else 0.0
 
     def _contributors(self, worst: TailLatency, filling: dict[str, float], at: float) -> list[str]:
-        """Return the images that press on the worst tail, the one that presses most first."""
+        """Return the main contributors to the worst tail: new images first, then by share."""
         interference = {
             image: self._model.weight(worst.image, image) * max(share, MIN_LEVEL)
             for image, share in filling.items()
@@ -334,11 +310,10 @@
             self._levels[image] = min(1.0, level + step)
 
     def _least_interfering(self, tails: list[TailLatency]) -> str:
-        """Return the image that presses least on any of the tails.
+        """Return the image with the least interference with any of the tails.
 
-        Beside an image that presses, the tail stands at its aim, and one that does not press would
-        never get its level back.  Raising only the lightest also tells them apart: where its rise
-        shows in no tail, the others are to blame for what is there.
+        It is restored even at the setpoint; otherwise an image without interference would stay slow
+        beside one that interferes.  Raising one image also keeps their effects distinguishable.
         """
         return min(
             self._levels,
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -1,8 +1,8 @@
-"""What an agent knows of the runs on one life of its worker.
+"""The agent's registry of the runs and outcomes of one worker life.  No I/O.
 
-The book turns what the worker lists and what the leader orders into the state of each run.  It
-opens nothing.  Ends found in the worker's list are kept until the leader has stored them; only
-then may the worker forget them, so that an end is never lost, whoever restarts in between.
+The registry derives the state of each run from the worker's lists and the leader's orders.  An
+outcome is kept until the leader has stored it, and only then may the worker discard it, so no
+outcome is lost when the agent, the worker or the leader restarts.
 """
 
 from dataclasses import dataclass
@@ -23,28 +23,28 @@
 RunName = tuple[str, int]
 
 MAX_LISTED_ENDS: Final = 500
-"""Ends that a worker lists at most; a full list proves nothing about a run that is not on it."""
+"""Most outcomes in one list of the worker.  A run missing from a full list may still have ended."""
 
 MAX_REPORTED_ENDS: Final = 200
-"""Ends in one report; the others follow when these are stored."""
+"""Most outcomes in one report; the rest follow once these are stored."""
 
 
 UNKNOWN_PACE: Final = -1
-"""Of a run that an earlier process of the agent has paced, or whose last change of pace got no
-answer: the next look sets it."""
+"""Pace of a run that was found on the worker, or whose last pace call failed.  The next update sets
+the pace again."""
 
 
 @dataclass(slots=True, eq=False)
 class RunnerRun:
-    """A run that is not over.
-
-    :ivar order: ``None`` for a run that was there before this process, until the leader sends it.
-    :ivar stop_pending: a stop is on its way or about to be repeated.
-    :ivar stop_confirmed_at: when the worker confirmed a stop; after that the run cannot begin any more.
-    :ivar stop_requested_at: when its stop was asked for; 0 while nobody has.
-    :ivar slow_stop_logged: a log line has said that the stop takes long.
-    :ivar maybe_sent: a start got no answer and may yet be carried out.
-    :ivar reported_phase: phase in the newest report that listed it.
+    """A run that has not ended.
+
+    :ivar order: ``None`` for a run found on the worker, until the leader sends its start order.
+    :ivar stop_pending: a stop call is in flight or about to be retried.
+    :ivar stop_confirmed_at: when the worker confirmed a stop, 0 before; the run cannot start after.
+    :ivar stop_requested_at: when the stop was requested, 0 before.
+    :ivar slow_stop_logged: the slow stop has been logged.
+    :ivar maybe_sent: a start call got no answer and may still be carried out.
+    :ivar reported_phase: phase in the newest report that listed the run.
     """
 
     task: str
@@ -65,14 +65,14 @@
 
     @property
     def name(self) -> RunName:
-        """Identity of the run."""
+        """Task and attempt, which identify the run."""
         return self.task, self.attempt
 
 
 class RunRegistry:
-    """The runs and ends of one life of the worker.
+    """The runs and outcomes of one worker life.
 
-    :ivar stored_through: the worker may forget ends up to this number.
+    :ivar stored_through: all outcomes up to this number are stored; the worker may discard them.
     """
 
     info: WorkerInfo
@@ -94,7 +94,7 @@
 
     @property
     def used(self) -> Resources:
-        """Room taken by the runs whose size is known."""
+        """Resources used by the runs whose start order is known."""
         used = NOTHING
         for run in self.runs.values():
             if run.order is not None:
@@ -102,7 +102,7 @@
         return used
 
     def filling_usage(self) -> dict[str, float]:
-        """Return by filling image the share of the worker's processors that it used."""
+        """Return the share of the worker's processors that each filling image uses."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         used: dict[str, float] = {}
         for run in self.runs.values():
@@ -112,7 +112,7 @@
         return used
 
     def filling_demand(self) -> dict[str, float]:
-        """Return by filling image the share that it would use at full pace."""
+        """Return the share that each filling image would use at full pace."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         wanted: dict[str, float] = {}
         for run in self.runs.values():
@@ -122,7 +122,7 @@
         return wanted
 
     def accept(self, order: StartOrder) -> RunnerRun | None:
-        """Take a start order; ``None`` where it is known already or refused."""
+        """Add a run for a start order; return ``None`` if the run is known or the order refused."""
         name = (order.task, order.attempt)
         if name in self.runs or name in self.ends:
             known = self.runs.get(name)
@@ -140,19 +140,19 @@
         return run
 
     def refuse(self, name: RunName, reason: str) -> None:
-        """Note that a run has not started and never will."""
+        """Record that a run did not start and never will."""
         self.runs.pop(name, None)
         self.ends[name] = RunEnded(0, *name, EndKind.NOT_STARTED, "", reason)
 
     def started(self, run: RunnerRun) -> None:
-        """Note that the worker has confirmed a start."""
+        """Record that the worker has confirmed a start."""
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
 
     def apply_view(self, view: WorkerView, sent_at: float) -> list[RunEnded]:
-        """Take the worker's list; return the ends that are new.
+        """Apply a list from the worker and return the new outcomes.
 
-        :param sent_at: when the call that brought the list was sent.
+        :param sent_at: when the list was requested.
         """
         listed = set()
         for item in view.running:
@@ -173,10 +173,9 @@
         return new
 
     def _new_listed_run(self, name: RunName) -> RunnerRun:
-        """Return a listed run that was not known to run.
+        """Return an entry for a listed run that the registry does not hold as running.
 
-        One that counted as never started has to stop: the leader may have claimed its task anew.
-        Its end is what the worker says then.
+        A run recorded as not started is stopped, because the leader may have restarted its task.
         """
         run = RunnerRun(*name, RunPhase.RUNNING, paced=UNKNOWN_PACE)
         if self.ends.pop(name, None) is not None:
@@ -186,7 +185,7 @@
 
     def _record_listed_ends(self, view: WorkerView) -> list[RunEnded]:
         if view.ended and not self._numbering_known:
-            # After a restart of this process the worker's list goes on from what was noted before.
+            # An earlier process of this agent acknowledged all outcomes before the first listed.
             self.stored_through = max(
                 self.stored_through, min(end.number for end in view.ended) - 1
             )
@@ -214,7 +213,7 @@
         return new
 
     def stored(self, name: RunName) -> None:
-        """Note that the leader has stored an end."""
+        """Record that the leader has stored an outcome."""
         ended = self.ends.pop(name, None)
         self._reported_ends.discard(name)
         if ended is None or not ended.number:
@@ -247,13 +246,13 @@
         return found
 
     def report_again(self, name: RunName) -> None:
-        """Let the next report bring an end although one has brought it before."""
+        """Include an outcome in the next report although it has been reported before."""
         self._reported_ends.discard(name)
 
     def report_ends(self, full: bool) -> list[RunEnded]:
-        """Return the ends for a report: all that are not stored, or those not told yet.
+        """Return the outcomes for a report: all that are not stored, or those not reported yet.
 
-        A leader that is behind with storing would else get each of them again with every report.
+        Reporting each outcome once keeps reports small while the leader is slow to store them.
         """
         found: list[RunEnded] = []
         for name, end in self.ends.items():
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -1,8 +1,8 @@
-"""The agent of a fleet: the only caller of the worker beside it.
+"""The agent of a worker, and the only caller of that worker's API.
 
-It reports to the leader, carries out the leader's orders, and keeps what runs alive for as long as
-its lease from the leader lasts.  Wherever it stands, the worker tells it of itself; the entries it
-finds in the store, and after that from the leader.
+It reports to the leader, carries out the leader's orders, and renews the leases of runs while its
+own lease from the leader lasts.  The worker announces itself by heartbeats.  The agent reads the
+addresses of the entries from the store at first, and later gets them from the leader.
 """
 
 import asyncio
@@ -36,38 +36,35 @@
 from sapphirelead.sched_timing import Bounds
 
 MIN_REPORT_INTERVAL_S: Final = 0.015
-"""Least time between two reports; changes within it go together.  It doubles with each report that
-the leader has not taken yet, so that no agent's reports queue up there."""
+"""Interval within which changes are batched into one report.  Doubles with each report that the
+leader has not processed, to keep reports from queueing at a slow leader."""
 
 MAX_INTERVAL_DOUBLINGS: Final = 6
-"""Past this number the spacing is at its most, :data:`MAX_REPORT_INTERVAL_S`."""
 
 MAX_REPORT_INTERVAL_S: Final = 0.55
-"""Longest time between two reports.  Each list of the worker brings one, so this is just above the
-time between two lists: a report without news just before each of them would tell nothing."""
+"""Just above the time of a list call, because each list triggers a report as well."""
 
 LEADER_TIMEOUT_S: Final = 1.1
-"""Silence of the leader after which the agent asks all entries who leads: two reports."""
+"""Time without orders after which the agent asks all entries for the leader."""
 
 FULL_REPORT_INTERVAL_S: Final = 0.8
-"""Time between two reports that list every run.  Each end of a run brings a report as well, and
-small entries have narrow links."""
+"""Interval between reports that list every run; the others list only changes."""
 
 LEADER_QUERY_INTERVAL_S: Final = 0.3
 DIRECTORY_READ_INTERVAL_S: Final = 1.5
-"""Time between two readings of the entries' rows while no entry answers."""
+"""Interval between reads of the entries' addresses from the store while there is no leader."""
 
 MAX_GONE_WORKERS: Final = 16
 
 STALE_LOG_INTERVAL_S: Final = 1.0
-"""Least time between two log lines on refused starts."""
+"""Minimum interval between log lines on stale start orders."""
 
 MakeWorker = Callable[[str, str], RunWorker]
-"""Makes the client of a life of the worker from its id and address."""
+"""Creates the client of a worker life from its id and address."""
 
 
 class Runner:
-    """The agent's process."""
+    """The agent of one worker."""
 
     name: str
     metrics: Metrics
@@ -93,8 +90,8 @@
     _tasks: list["asyncio.Task[None]"]
     _heartbeat_seqs: dict[str, int]
     _last_full_report_at: float
-    _acknowledged_seq: int
-    _report_acknowledged: asyncio.Event
+    _processed_seq: int
+    _report_processed: asyncio.Event
     _directory_read: "asyncio.Task[None] | None"
     _stale_starts: int
     _stale_logged_at: float
@@ -134,18 +131,18 @@
         self._heartbeat_seqs = {}
         self._last_full_report_at = -1e9
         self._directory_read = None
-        self._acknowledged_seq = 0
-        self._report_acknowledged = asyncio.Event()
+        self._processed_seq = 0
+        self._report_processed = asyncio.Event()
         self._stale_starts = 0
         self._stale_logged_at = -1e9
         self._stopping = False
 
     def start(self) -> None:
-        """Look for the entries and begin to report."""
+        """Start looking for the leader and reporting to it."""
         self._tasks = [spawn(self._report_loop(), "reports")]
 
     async def stop(self) -> None:
-        """Stop; what the worker runs goes on under its lease."""
+        """Stop; runs on the worker continue under its lease."""
         self._stopping = True
         tasks = (
             self._tasks if self._directory_read is None else [*self._tasks, self._directory_read]
@@ -154,9 +151,8 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         if self._leader:
-            # What the worker was told to be heard goes out now: the next process learns of it only
-            # when the worker says it again, and tasks would start meanwhile on one that leaves.
-            # The loop may have been looking for a leader with news in hand, so it goes in any case.
+            # Send pending changes, such as a worker that is draining: the next process learns of
+            # them only with the next heartbeat.
             self._report()
         if self._life is not None:
             await self._life.finish_stops()
@@ -165,7 +161,7 @@
         await self._links.stop()
 
     def _log_remaining_runs(self, life: RunnerLife) -> None:
-        """Log what the worker runs on without an agent."""
+        """Log the runs that continue without an agent."""
         runs = life.registry.runs.values()
         log_event(
             "INFO",
@@ -178,15 +174,15 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the leader has been heard of lately."""
+        """Whether orders have arrived within :data:`LEADER_TIMEOUT_S`."""
         return now() - self._last_orders_at < LEADER_TIMEOUT_S
 
     # The worker
 
     async def worker_heartbeat(self, info: WorkerInfo, address: str, seq: int) -> None:
-        """Take the worker's word about itself.
+        """Handle a heartbeat of the worker.
 
-        :param seq: grows with each beat of one life, so that a late one can be told.
+        :param seq: increases with each heartbeat of one life; late heartbeats are ignored.
         """
         if info.worker in self._gone_workers or seq <= self._heartbeat_seqs.get(info.worker, -1):
             return
@@ -207,16 +203,15 @@
         await self._adopt_life(info, address)
 
     async def worker_left(self, worker: str) -> None:
-        """Take the worker's word that it ends now."""
+        """Handle the worker's announcement that it exits."""
         life = self._life
         if life is not None and life.registry.info.worker == worker:
             life.end("left")
 
     async def _adopt_life(self, info: WorkerInfo, address: str) -> None:
-        """Take up a life that is not known yet, once the worker itself confirms it.
+        """Adopt a new worker life, once a call to the worker confirms it.
 
-        A beat that was held up can arrive after its sender has crashed and another life has begun
-        at the same address; only a call that names the life tells which one is there.
+        A delayed heartbeat may come from a life that has since been replaced at the same address.
         """
         lease = self._lease.for_next_life(awake_now())
         client = self._make_worker(info.worker, address)
@@ -292,28 +287,28 @@
             await self._pause(reported_at)
 
     async def _pause(self, reported_at: float) -> None:
-        """Wait until the next report may go out."""
+        """Wait until the next report may be sent."""
         while True:
-            unacknowledged = max(0, self._report_seq - self._acknowledged_seq - 1)
+            unprocessed = max(0, self._report_seq - self._processed_seq - 1)
             interval_s = min(
                 MAX_REPORT_INTERVAL_S,
-                MIN_REPORT_INTERVAL_S * 2 ** min(unacknowledged, MAX_INTERVAL_DOUBLINGS),
+                MIN_REPORT_INTERVAL_S * 2 ** min(unprocessed, MAX_INTERVAL_DOUBLINGS),
             )
             remaining_s = reported_at + interval_s - now()
             if remaining_s <= 0:
                 return
-            self._report_acknowledged.clear()
+            self._report_processed.clear()
             try:
                 async with asyncio.timeout(remaining_s):
-                    await self._report_acknowledged.wait()
+                    await self._report_processed.wait()
             except TimeoutError:
                 return
 
-    def _record_acknowledged(self, beat: int) -> None:
-        """Note the newest report that the leader has taken."""
-        if beat > self._acknowledged_seq:
-            self._acknowledged_seq = beat
-            self._report_acknowledged.set()
+    def _record_processed(self, beat: int) -> None:
+        """Record the newest report that the leader has processed."""
+        if beat > self._processed_seq:
+            self._processed_seq = beat
+            self._report_processed.set()
 
     def _find_leader(self, at: float) -> None:
         if at - self._last_query_at < LEADER_QUERY_INTERVAL_S:
@@ -323,7 +318,7 @@
         reading = self._directory_read is not None and not self._directory_read.done()
         if at - self._last_directory_read_at >= DIRECTORY_READ_INTERVAL_S and not reading:
             self._last_directory_read_at = at
-            # Reports go on meanwhile: the leader may be back before the store answers.
+            # In the background, because the leader may answer before the store does.
             self._directory_read = spawn(self._read_entries(), "entries")
 
     async def _read_entries(self) -> None:
@@ -359,7 +354,7 @@
         )
         self._lease.sent(self._report_seq, awake_now())
         if not self._links.send(self._leader, report):
-            # What it told is told again.
+            # The next report is a full one and repeats the content of this one.
             self._last_full_report_at = -1e9
 
     def _on_message(self, name: str, message: AnyNodeMessage) -> None:
@@ -381,12 +376,11 @@
 
     def _follow(self, epoch: int, leader: str) -> None:
         if (epoch, leader) != (self._epoch, self._leader):
-            # The next leader knows only what is stored, and places filling work only where it has
-            # seen every run's figure: it needs everything.
+            # A new leader needs a full report: it knows only what is stored.
             self._last_full_report_at = -1e9
-            # Each leader numbers its own orders.
+            # Order numbers are per leader.
             self._orders = 0
-            self._record_acknowledged(self._report_seq)
+            self._record_processed(self._report_seq)
         self._epoch = epoch
         self._leader = leader
 
@@ -396,7 +390,7 @@
         self._follow(orders.epoch, orders.leader)
         self._last_orders_at = now()
         self._orders = orders.number
-        self._record_acknowledged(orders.after_beat)
+        self._record_processed(orders.after_beat)
         if orders.beat:
             self._lease.acknowledged(orders.beat)
         if orders.entries is not None:
@@ -408,13 +402,13 @@
         life.learn_interference(orders.press)
         for task, attempt in orders.stored:
             life.stored((task, attempt))
-        # A stop holds at any age: it is final for its attempt, and a task's next run is another.
+        # Stops never become stale: they are final for an attempt, and a rerun is a new attempt.
         for stop in orders.stops:
             life.stop(stop)
         if not orders.starts:
             return
         if self._stopping:
-            # Cut off a moment later, their outcome would not be known; the next process gets them.
+            # Shutdown would interrupt the calls; the leader repeats the orders to the next process.
             log_event("INFO", "starts_left", starts=len(orders.starts))
             return
         if not self._lease.allows_starts(orders.after_beat, awake_now()):
@@ -424,7 +418,7 @@
             life.start(start)
 
     def _record_stale_starts(self, orders: Orders) -> None:
-        """Count refused starts; a leader that is behind sends many, so one line sums them up."""
+        """Count stale start orders and log them in aggregate."""
         at = now()
         self._stale_starts += len(orders.starts)
         if at - self._stale_logged_at < STALE_LOG_INTERVAL_S:
--- a/sapphirelead/runner_slots.py
+++ b/sapphirelead/runner_slots.py
@@ -1,4 +1,4 @@
-"""A bounded number of calls at once, of which those that have been tried least go first."""
+"""Limits concurrent calls and admits waiting calls with the fewest tries first."""
 
 import asyncio
 import heapq
@@ -8,10 +8,9 @@
 
 
 class Slots:
-    """Slots for calls.
+    """Slots for concurrent calls.
 
-    Repeats of calls that get no answer would else keep every slot, and delay the first try of a
-    call that would be answered at once.
+    Ordering by tries keeps retries of unanswered calls from delaying first tries of other calls.
     """
 
     _free: int
@@ -19,9 +18,9 @@
     _sequence: "count[int]"
 
     def __init__(self, max_concurrent: int) -> None:
-        """Make all slots free.
+        """Create the slots.
 
-        :param max_concurrent: calls at once.
+        :param max_concurrent: number of slots.
         """
         self._free = max_concurrent
         self._waiting = []
@@ -31,7 +30,7 @@
     async def slot(self, tries: int) -> AsyncIterator[None]:
         """Wait for a slot and hold it.
 
-        :param tries: how often the call has been tried; among equals the order is that of waiting.
+        :param tries: earlier tries of the call; calls with equal tries are admitted in FIFO order.
         """
         await self._enter(tries)
         try:
@@ -49,7 +48,7 @@
             await fut
         except asyncio.CancelledError:
             if not fut.cancelled():
-                # The slot was handed over just before.
+                # The slot had already been assigned to this call.
                 self._leave()
             raise
 
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -152,7 +152,7 @@
     async with reporting(1000) as path:
         await make_news(path)
         path.runner._boot = "next"
-        path.runner._report_seq = path.runner._acknowledged_seq = 0
+        path.runner._report_seq = path.runner._processed_seq = 0
         await make_news(path)
         gaps = [after - before for before, after in pairwise(path.reported_at)]
         assert max(gaps) <= 2 * MIN_REPORT_INTERVAL_S
