--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -24,17 +24,17 @@
 
 pytestmark = pytest.mark.looptime
 
-NEWS_INTERVAL_S = 0.01
+CHANGE_INTERVAL_S = 0.01
 DURATION_S = 20.0
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (node_leader, runner_life, runner_service, sched_head):
         monkeypatch.setattr(module, "awake_now", now)
 
 
-class Path:
+class LimitedChannel:
     """The way between an agent and a leader that takes so many messages a second.
 
     :ivar reported_at: when each report was sent.
@@ -46,7 +46,7 @@
         self.reported_at: list[float] = []
         self.waited_s: list[float] = []
         self.answers = 0
-        self._takes_s = 1 / messages_per_s
+        self._message_interval_s = 1 / messages_per_s
         self._inbox = Inbox(1.0)
         self.runner = Runner(
             "g1", Bounds(), MemoryTable(), lambda *_: FakeWorker(600), cast(Any, None)
@@ -74,7 +74,7 @@
     async def take(self, leader: Leader) -> None:
         """Let the leader work on what has arrived."""
         while True:
-            await asyncio.sleep(self._takes_s)
+            await asyncio.sleep(self._message_interval_s)
             item = self._inbox.take(now())
             if item is not None and isinstance(item.message, AgentReport):
                 self.waited_s.append(now() - item.since)
@@ -85,74 +85,74 @@
 
 
 @asynccontextmanager
-async def reporting(messages_per_s: float) -> AsyncIterator[Path]:
+async def reporting_agent(messages_per_s: float) -> AsyncIterator[LimitedChannel]:
     """Let an agent with a worker report to a leader."""
-    path = Path(messages_per_s)
+    channel = LimitedChannel(messages_per_s)
     table = MemoryTable()
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
-    leader = Leader(Bounds(), head, table, NoAdvice(), path.order)
+    leader = Leader(Bounds(), head, table, NoAdvice(), channel.order)
     await leader.load()
-    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(path.take(leader))]
-    path.runner.start()
-    await path.runner.worker_heartbeat(worker_info(), "x", 1)
-    path.runner._on_message("e1", Leads(head.epoch, "e1"))
+    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(channel.take(leader))]
+    channel.runner.start()
+    await channel.runner.worker_heartbeat(worker_info(), "x", 1)
+    channel.runner._on_message("e1", Leads(head.epoch, "e1"))
     await asyncio.sleep(1)
     try:
-        yield path
+        yield channel
     finally:
-        await path.runner.stop()
+        await channel.runner.stop()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def make_news(path: Path) -> None:
+async def make_changes(channel: LimitedChannel) -> None:
     """Let the agent have news all the time."""
-    path.reported_at.clear()
-    path.waited_s.clear()
-    path.answers = 0
-    for _ in range(int(DURATION_S / NEWS_INTERVAL_S)):
-        path.runner._wake.set()
-        await asyncio.sleep(NEWS_INTERVAL_S)
+    channel.reported_at.clear()
+    channel.waited_s.clear()
+    channel.answers = 0
+    for _ in range(int(DURATION_S / CHANGE_INTERVAL_S)):
+        channel.runner._wake.set()
+        await asyncio.sleep(CHANGE_INTERVAL_S)
 
 
-async def test_news_goes_out_at_once_to_a_leader_that_has_read_all_before() -> None:
+async def test_changes_are_reported_at_once_to_a_fast_leader() -> None:
     """Guards against an end that is reported 0.24 s late to a leader that keeps up."""
-    async with reporting(1000) as path:
-        await make_news(path)
-        gaps = [after - before for before, after in pairwise(path.reported_at)]
+    async with reporting_agent(1000) as channel:
+        await make_changes(channel)
+        gaps = [after - before for before, after in pairwise(channel.reported_at)]
         assert max(gaps) <= 2 * MIN_REPORT_INTERVAL_S
 
 
-async def test_a_leader_answers_at_most_each_second_report_of_an_agent_with_news() -> None:
+async def test_a_leader_answers_at_most_every_second_report() -> None:
     """Guards against a leader that spends its time on answers that say nothing."""
-    async with reporting(1000) as path:
-        await make_news(path)
-        assert path.answers <= len(path.reported_at) / 2 + DURATION_S / ANSWER_S
-        path.answers = 0
+    async with reporting_agent(1000) as channel:
+        await make_changes(channel)
+        assert channel.answers <= len(channel.reported_at) / 2 + DURATION_S / ANSWER_S
+        channel.answers = 0
         await asyncio.sleep(DURATION_S)
-        assert path.answers <= DURATION_S / ANSWER_S
+        assert channel.answers <= DURATION_S / ANSWER_S
 
 
 @pytest.mark.parametrize("messages_per_s", [2.5, 5, 20])
-async def test_a_leader_that_merges_reports_is_not_outrun(messages_per_s: float) -> None:
+async def test_reports_do_not_queue_at_a_leader_that_merges_them(messages_per_s: float) -> None:
     """Guards against news that waits ever longer for a leader that is behind."""
-    async with reporting(messages_per_s) as path:
-        await make_news(path)
-        assert max(path.waited_s) <= STALE_ORDER_S / 2
+    async with reporting_agent(messages_per_s) as channel:
+        await make_changes(channel)
+        assert max(channel.waited_s) <= STALE_ORDER_S / 2
         assert (
-            len(path.waited_s)
+            len(channel.waited_s)
             >= DURATION_S * min(messages_per_s, 1 / runner_service.MAX_REPORT_INTERVAL_S) - 2
         )
 
 
-async def test_a_restarted_agent_is_answered_as_soon_as_its_earlier_process_was() -> None:
+async def test_a_restarted_agent_is_answered_without_delay() -> None:
     """Guards against news held back until the new process has sent as many reports as the old."""
-    async with reporting(1000) as path:
-        await make_news(path)
-        path.runner._boot = "next"
-        path.runner._report_seq = path.runner._processed_seq = 0
-        await make_news(path)
-        gaps = [after - before for before, after in pairwise(path.reported_at)]
+    async with reporting_agent(1000) as channel:
+        await make_changes(channel)
+        channel.runner._boot = "next"
+        channel.runner._report_seq = channel.runner._processed_seq = 0
+        await make_changes(channel)
+        gaps = [after - before for before, after in pairwise(channel.reported_at)]
         assert max(gaps) <= 2 * MIN_REPORT_INTERVAL_S
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     # Nothing is suspended here, so the clock that counts suspensions is the loop's.
     monkeypatch.setattr(runner_life, "awake_now", now)
 
@@ -86,7 +86,7 @@
         assert worker.starts == 0
 
 
-async def test_an_end_is_kept_until_it_is_stored() -> None:
+async def test_an_outcome_is_kept_until_it_is_stored() -> None:
     worker = FakeWorker(work_s=0.3)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -110,7 +110,7 @@
         assert len(worker.ended) == 1
 
 
-async def test_a_start_given_up_on_never_runs_later() -> None:
+async def test_an_abandoned_start_never_runs_later() -> None:
     """The worker leaves orders unanswered and carries them out seconds later.
 
     The agent gives a start up and says that it never ran; the task starts elsewhere.  If the
@@ -126,7 +126,7 @@
         assert worker.ended == []
 
 
-async def test_a_stop_of_an_unknown_run_seals_it() -> None:
+async def test_a_stop_of_an_unknown_run_prevents_its_start() -> None:
     worker = FakeWorker()
     async with life_of(worker) as (life, _):
         life.stop(StopOrder("a.0.0.0", 3))
@@ -150,14 +150,14 @@
         assert now() >= lease.until
 
 
-async def test_the_lease_is_never_longer_than_the_leader_thinks() -> None:
+async def test_the_worker_lease_never_exceeds_the_agent_lease() -> None:
     worker = FakeWorker()
     async with life_of(worker) as (_, lease):
         await asyncio.sleep(3)
         assert worker.lease_ms - worker.clock_ms <= (lease.until - now()) * 1000
 
 
-async def test_a_worker_that_refuses_connections_is_gone() -> None:
+async def test_refused_connections_end_the_worker_life() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -167,7 +167,7 @@
         assert life.over
 
 
-async def test_a_silent_worker_is_gone_only_after_its_lease() -> None:
+async def test_a_silent_worker_counts_as_lost_only_after_its_lease() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
@@ -183,7 +183,7 @@
         assert kinds(life) == {"a.0.0.0": "lapsed"}
 
 
-async def test_a_worker_that_has_seen_a_higher_token_is_taken_over() -> None:
+async def test_the_token_is_raised_after_a_worker_refuses_it() -> None:
     """The machine's clock was set back between two processes of the agent.
 
     Tokens are times of day, so the newer process has the lower one and the worker does nothing for
@@ -197,7 +197,7 @@
     assert await life.adopt() is None
 
 
-async def test_more_than_the_capacity_is_never_started() -> None:
+async def test_starts_beyond_the_capacity_are_refused() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         for number in range(12):
@@ -207,7 +207,7 @@
         assert list(kinds(life).values()) == ["not_started"] * 4
 
 
-async def test_filling_work_slows_down_beside_a_serving_task_that_is_late() -> None:
+async def test_filling_work_slows_down_beside_a_serving_task_over_its_target() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order("s.0.0.0", target_ms=100))
@@ -222,7 +222,7 @@
         assert worker.paces[-1] == ("f.0.0.0", 100)
 
 
-def test_orders_that_were_held_up_are_not_carried_out() -> None:
+def test_stale_start_orders_are_refused() -> None:
     """A job is cancelled, and its task starts seconds later.
 
     The order to start was on its way when the agent's link stood still; the cancellation was
@@ -235,7 +235,7 @@
     assert not lease.allows_starts(8, 10.0)
 
 
-async def test_a_leaving_worker_is_given_nothing_that_was_ordered_before() -> None:
+async def test_a_draining_worker_gets_no_starts() -> None:
     """A task starts on a worker that has said that it leaves, and is lost with it.
 
     The leader gave the order before it knew; the agent, to which the worker says so first, does.
@@ -249,7 +249,7 @@
         assert kinds(life) == {"a.0.0.0": "not_started"}
 
 
-async def test_ends_that_the_leader_is_behind_with_do_not_bring_more_and_more_reports() -> None:
+async def test_unstored_outcomes_do_not_multiply_reports() -> None:
     """A burst makes the leader slow; within seconds it stores nothing any more, for half a minute.
 
     While an end waits for being stored, the worker answers each list call at once, and each list
@@ -277,7 +277,7 @@
         assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
 
 
-async def test_a_new_end_is_seen_soon_after_the_ones_before_it_are_stored() -> None:
+async def test_polling_resumes_once_an_outcome_is_stored() -> None:
     """A leader was behind for a while; the steps that wait for the next end start late.
 
     The agent asks its worker less often while ends wait for being stored.  As soon as one is, it
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -29,7 +29,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
 
@@ -42,7 +42,7 @@
         return Err(Failure(Code.STORE_UNAVAILABLE, "no answer"))
 
 
-def test_an_acknowledgement_extends_the_lease_however_many_reports_went_out_since() -> None:
+def test_a_late_acknowledgement_extends_the_lease() -> None:
     """Guards against runs that lapse, and starts that are refused, once reports follow quickly."""
     lease = RunnerLease(9.5, 0.0)
     count = int(STALE_ORDER_S / runner_service.MIN_REPORT_INTERVAL_S)
@@ -54,7 +54,7 @@
     assert lease.until == pytest.approx(runner_service.MIN_REPORT_INTERVAL_S + 9.5)
 
 
-def test_reports_are_remembered_for_the_length_of_a_lease_at_most() -> None:
+def test_send_times_of_reports_are_dropped_after_a_lease() -> None:
     """Guards against a memory of reports that grows for as long as the process lives."""
     lease = RunnerLease(9.5, 0.0)
     for beat in range(1, 10_000):
@@ -77,7 +77,7 @@
         )
 
 
-async def test_a_worker_that_stays_silent_is_given_up_while_the_leader_is_well() -> None:
+async def test_an_unresponsive_worker_is_reported_gone() -> None:
     """Guards against runs of a worker that hangs being claimed, and not started anew, for good."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
@@ -91,7 +91,7 @@
         assert leader.reports[-1].gone == ("w1",)
 
 
-async def test_a_silent_worker_is_given_up_although_starts_are_ordered() -> None:
+async def test_an_unresponsive_worker_is_reported_gone_despite_start_orders() -> None:
     """Guards against runs of a worker that hangs being claimed for good while it is ordered on."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
@@ -108,7 +108,7 @@
         assert now() - silent_at < UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s + 3
 
 
-async def test_a_start_for_a_mute_worker_is_refused_unsent() -> None:
+async def test_a_start_for_an_unresponsive_worker_is_refused_unsent() -> None:
     """Guards against a run that may begin on a worker whose runs are about to count as over."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
@@ -126,7 +126,7 @@
         assert list(worker.runs) == [(TASK, 2)]
 
 
-async def test_a_worker_that_is_silent_for_seconds_keeps_its_runs() -> None:
+async def test_a_briefly_unresponsive_worker_keeps_its_runs() -> None:
     """Guards against work that lapses because its worker left a few calls unanswered."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
@@ -139,7 +139,7 @@
         assert list(worker.runs) == [(TASK, 1)]
 
 
-async def test_a_report_names_the_newest_orders_of_the_leader_it_goes_to() -> None:
+async def test_a_report_carries_the_last_order_number_of_its_leader() -> None:
     """Guards against starts taken for lost by a leader that reads an older report late."""
     async with agent_of(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
@@ -152,7 +152,7 @@
         assert leader.reports[-1].orders == 0
 
 
-class BusyLeader(FakeLeader):
+class RateLimitedLeader(FakeLeader):
     """A leader that takes so many reports a second, each in its turn, and answers as leaders do."""
 
     def __init__(self, runner: Runner, reports_per_s: float) -> None:
@@ -177,12 +177,12 @@
 
 
 @pytest.mark.parametrize("reports_per_s", [2.5, 5, 20])
-async def test_an_agent_with_much_news_does_not_outrun_a_busy_leader(reports_per_s: float) -> None:
+async def test_frequent_changes_do_not_overload_a_slow_leader(reports_per_s: float) -> None:
     """Guards against one busy agent whose reports lie unread until its orders are stale."""
-    async with agent_of(FakeWorker(work_s=600)) as patient:
-        runner = patient.runner
-        leader = BusyLeader(runner, reports_per_s)
-        leader.reports.append(patient.reports[-1])
+    async with agent_of(FakeWorker(work_s=600)) as idle_leader:
+        runner = idle_leader.runner
+        leader = RateLimitedLeader(runner, reports_per_s)
+        leader.reports.append(idle_leader.reports[-1])
         leader.reported_at.append(now())
         runner._links = cast(Any, leader)
         for _ in range(2000):
@@ -199,7 +199,7 @@
         )
 
 
-async def test_news_goes_out_at_once_while_the_leader_keeps_up() -> None:
+async def test_changes_are_reported_at_once_while_the_leader_keeps_up() -> None:
     """Guards against ends and starts that are reported late for fear of a leader that is well."""
     async with agent_of(FakeWorker(work_s=600)) as leader:
         for _ in range(500):
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -25,11 +25,11 @@
 
 pytestmark = pytest.mark.looptime
 
-LATE_S = STALE_ORDER_S + 0.5
+ACKNOWLEDGEMENT_DELAY_S = STALE_ORDER_S + 0.5
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
 
@@ -39,20 +39,20 @@
     """Return the log events that are written from now on."""
     found: list[dict[str, Any]] = []
 
-    def note(level: str, event: str, /, **fields: object) -> None:
+    def record(level: str, event: str, /, **fields: object) -> None:
         found.append({"event": event, **fields})
 
-    monkeypatch.setattr(runner_life, "log_event", note)
-    monkeypatch.setattr(runner_service, "log_event", note)
+    monkeypatch.setattr(runner_life, "log_event", record)
+    monkeypatch.setattr(runner_service, "log_event", record)
     return found
 
 
-def named(events: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
+def events_named(events: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
     """Return the events of one name."""
     return [fields for fields in events if fields["event"] == event]
 
 
-async def test_a_stop_without_an_end_is_logged_once_with_its_parts(
+async def test_a_slow_stop_is_logged_once(
     events: list[dict[str, Any]],
 ) -> None:
     """Guards against a run that outlives its stop while no log line says what took so long."""
@@ -63,16 +63,16 @@
         worker.silent = True
         life.stop(StopOrder(TASK, 1))
         await asyncio.sleep(4)
-        slow = named(events, "stop_slow")
+        slow = events_named(events, "stop_slow")
         assert [line["confirmed_s"] for line in slow] == [-1.0]
         assert slow[0]["stop_s"] > runner_life.SLOW_STOP_S
         worker.silent = False
         await asyncio.sleep(2)
-        (end,) = named(events, "run_end_seen")
+        (end,) = events_named(events, "run_end_seen")
         assert end["stop_s"] >= end["confirmed_s"] > 3.9
 
 
-async def test_refused_orders_are_logged_with_their_age_once_a_second(
+async def test_stale_orders_are_logged_with_their_age_once_a_second(
     events: list[dict[str, Any]],
 ) -> None:
     """Guards against a leader that renews leases and cannot order, unseen in the agent's log."""
@@ -81,24 +81,24 @@
         for _ in range(30):
             leader.order(1, starts=[order()])
             await asyncio.sleep(0.1)
-        lines = named(events, "orders_stale")
+        lines = events_named(events, "orders_stale")
         assert len(lines) <= 1 + 3 / runner_service.STALE_LOG_INTERVAL_S
         assert lines[0]["age_s"] > 3.5
         assert lines[0]["lease_left_s"] > 8
         assert sum(line["starts"] for line in lines) > 15
 
 
-async def test_an_agent_that_ends_logs_what_runs_on(events: list[dict[str, Any]]) -> None:
+async def test_an_agent_that_shuts_down_logs_remaining_runs(events: list[dict[str, Any]]) -> None:
     """Guards against runs left to the rest of a lease with no line that says so."""
     async with agent_of(FakeWorker(work_s=60)) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
-    (line,) = named(events, "runs_left")
+    (line,) = events_named(events, "runs_left")
     assert (line["runs"], line["stopping"]) == (1, 0)
     assert line["lease_left_s"] > 8
 
 
-async def test_a_stop_is_carried_out_however_old_the_report_it_is_based_on() -> None:
+async def test_a_stop_based_on_an_old_report_is_carried_out() -> None:
     """Guards against a leader that is behind and keeps a run alive that it can no longer stop."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
@@ -109,7 +109,7 @@
         assert list(worker.runs) == [("a.0.0.1", 1)], "only the start is refused"
 
 
-async def test_a_late_stop_of_a_run_leaves_the_next_attempt_alone() -> None:
+async def test_a_late_stop_does_not_affect_the_next_attempt() -> None:
     """Guards against orders to stop that were held up and end a run that is wanted."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
@@ -120,7 +120,7 @@
         assert list(worker.runs) == [(TASK, 2)]
 
 
-async def test_a_stop_does_not_wait_for_starts_that_get_no_answer() -> None:
+async def test_a_stop_does_not_wait_for_unanswered_starts() -> None:
     """Guards against a cancelled task that runs on while its agent repeats starts of others."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
@@ -135,7 +135,7 @@
         assert worker.runs == {}
 
 
-async def test_a_stop_does_not_wait_for_stops_that_get_no_answer() -> None:
+async def test_a_stop_does_not_wait_for_unanswered_stops() -> None:
     """Guards against a cancelled task that runs on while its agent repeats stops of others."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
@@ -151,7 +151,7 @@
         assert worker.runs == {}
 
 
-async def stop_took(life: RunnerLife, worker: FakeWorker, task: str = TASK) -> float:
+async def measure_stop_s(life: RunnerLife, worker: FakeWorker, task: str = TASK) -> float:
     """Ask for a stop; return how long it took to be carried out."""
     at = now()
     life.stop(StopOrder(task, 1))
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("count", [8, 40, 80])
-async def test_a_stop_comes_in_time_behind_many_that_get_no_answer(count: int) -> None:
+async def test_a_stop_is_in_time_behind_many_unanswered_stops(count: int) -> None:
     """Guards against a cancelled task that runs on past 4 s while its agent stops many others."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(count)]
@@ -170,11 +170,11 @@
         for task in names:
             life.stop(StopOrder(task, 1))
         await asyncio.sleep(0.05)
-        assert await stop_took(life, worker) < 4 - Bounds().kill_grace_s
+        assert await measure_stop_s(life, worker) < 4 - Bounds().kill_grace_s
 
 
 @pytest.mark.parametrize("tries", [1, 2])
-async def test_a_stop_does_not_wait_for_repeats_of_many_others(tries: int) -> None:
+async def test_a_stop_does_not_wait_for_retries_of_other_stops(tries: int) -> None:
     """Guards against a cancelled task that runs on while stops that get no answer are repeated."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(160)]
@@ -186,10 +186,10 @@
         if tries == 2:
             worker.stops_unanswered.add(TASK)
             asyncio.get_running_loop().call_later(0.6, worker.stops_unanswered.discard, TASK)
-        assert await stop_took(life, worker) < tries * 0.6 + 0.6
+        assert await measure_stop_s(life, worker) < tries * 0.6 + 0.6
 
 
-async def test_a_slot_is_not_lost_with_the_call_that_waits_for_it() -> None:
+async def test_a_cancelled_call_releases_its_slot() -> None:
     """Guards against slots that are used up by calls that were given up on."""
     slots = Slots(1)
 
@@ -207,7 +207,7 @@
         pass
 
 
-async def test_calls_of_one_kind_go_out_in_a_bounded_number() -> None:
+async def test_calls_in_flight_are_limited() -> None:
     """Guards against more calls to a worker than its client has connections."""
     worker = FakeWorker(work_s=60)
     most = 1 + runner_life.MAX_CONCURRENT_CALLS + runner_life.MAX_CONCURRENT_STOPS
@@ -235,7 +235,7 @@
         assert worker.runs == {}
 
 
-async def test_a_stop_that_takes_its_whole_grace_is_not_repeated() -> None:
+async def test_a_stop_that_takes_its_whole_grace_period_is_not_repeated() -> None:
     """Guards against a second stop of a run that is saving its progress."""
     worker = FakeWorker(work_s=60)
     worker.grace_s = Bounds().kill_grace_s
@@ -248,7 +248,7 @@
         assert worker.stops == 1
 
 
-async def test_a_run_that_counted_as_never_started_is_stopped_once_it_is_listed() -> None:
+async def test_a_listed_run_recorded_as_not_started_is_stopped() -> None:
     """Guards against a run that goes on under the lease because its end is believed."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
@@ -263,7 +263,7 @@
         assert (end.kind, end.number) == ("stopped", 1), "its end is what the worker says"
 
 
-async def test_a_listed_end_stands_although_the_run_is_listed_beside_it() -> None:
+async def test_a_listed_outcome_is_kept_although_the_run_is_listed_too() -> None:
     """Guards against an end that is taken back and reported twice."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
@@ -290,7 +290,7 @@
         assert worker.runs == {}
 
 
-async def test_an_agent_that_ends_sends_the_stops_that_it_has_first() -> None:
+async def test_an_agent_sends_pending_stops_before_shutdown() -> None:
     """Guards against a cancelled task that runs on because its agent ended with its stop."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
@@ -300,7 +300,7 @@
     assert worker.runs == {}
 
 
-async def test_an_agent_ends_although_its_worker_confirms_no_stop() -> None:
+async def test_unconfirmed_stops_do_not_block_shutdown() -> None:
     """Guards against a process that outlives its time to end."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
@@ -310,7 +310,7 @@
     assert now() - ends_at <= runner_life.FINAL_STOPS_TIMEOUT_S + 0.1
 
 
-async def test_an_agent_that_ends_takes_stops_and_no_starts(events: list[dict[str, Any]]) -> None:
+async def test_an_agent_accepts_stops_but_no_starts_during_shutdown(events: list[dict[str, Any]]) -> None:
     """Guards against a start that is cut off, so that its outcome is unknown."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
@@ -324,7 +324,7 @@
         loop.call_later(0.3, lambda: leader.order(beat, stops=[StopOrder("a.0.0.1", 1)]))
     assert worker.starts == 1
     assert worker.runs == {}
-    assert [line["starts"] for line in named(events, "starts_left")] == [1]
+    assert [line["starts"] for line in events_named(events, "starts_left")] == [1]
 
 
 class LateLeader(FakeLeader):
@@ -335,13 +335,13 @@
         taken = 0
         while True:
             await asyncio.sleep(0.1)
-            while taken < len(self.reports) and now() - self.reported_at[taken] >= LATE_S:
+            while taken < len(self.reports) and now() - self.reported_at[taken] >= ACKNOWLEDGEMENT_DELAY_S:
                 beat = self.reports[taken].beat
                 taken += 1
                 self.order(beat, beat=beat, stops=[StopOrder(TASK, 1)])
 
 
-async def test_a_leader_that_is_behind_does_not_keep_a_cancelled_run_alive() -> None:
+async def test_a_slow_leader_can_stop_a_cancelled_run() -> None:
     """Guards against a cancelled task that runs on: its lease is renewed, its stops are refused."""
     bounds = Bounds()
     worker = FakeWorker(work_s=600)
@@ -353,6 +353,6 @@
         late.acknowledges = False
         runner._links = cast(Any, late)
         task = asyncio.create_task(late.take_late())
-        await asyncio.sleep(LATE_S + bounds.kill_grace_s + 1)
+        await asyncio.sleep(ACKNOWLEDGEMENT_DELAY_S + bounds.kill_grace_s + 1)
         task.cancel()
         assert worker.runs == {}
