--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -1,4 +1,4 @@
-"""How soon an agent's news goes out, by what its leader answers, on a paused clock."""
+"""Delay of an agent's reports, depending on the leader's answers, on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -35,11 +35,11 @@
 
 
 class LimitedChannel:
-    """The way between an agent and a leader that takes so many messages a second.
+    """Connects an agent to a leader that processes a limited number of messages per second.
 
     :ivar reported_at: when each report was sent.
-    :ivar waited_s: how long the oldest news in each report taken has waited.
-    :ivar answers: orders sent.
+    :ivar waited_s: age of the oldest change in each processed report.
+    :ivar answers: number of orders sent.
     """
 
     def __init__(self, messages_per_s: float) -> None:
@@ -54,25 +54,25 @@
         self.runner._links = cast(Any, self)
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
-        """Bring a report to the leader."""
+        """Deliver a report to the leader."""
         self.reported_at.append(now())
         self._inbox.put(b"g1", message, now())
         return True
 
     def send_all(self, message: AnyNodeMessage) -> None:
-        """Ask for the leader; nobody else is there to answer."""
+        """Ignore leader queries; there are no other entries."""
 
     def set_entries(self, entries: list[EntryAddress]) -> None:
-        """Take the list of entries; the leader is all there is."""
+        """Ignore the list of entries; the leader is the only one."""
 
     def order(self, agent: str, orders: Orders) -> bool:
-        """Bring orders to the agent."""
+        """Deliver orders to the agent."""
         self.answers += 1
         self.runner._on_message("e1", orders)
         return True
 
     async def take(self, leader: Leader) -> None:
-        """Let the leader work on what has arrived."""
+        """Pass received reports to the leader at the limited rate."""
         while True:
             await asyncio.sleep(self._message_interval_s)
             item = self._inbox.take(now())
@@ -81,12 +81,12 @@
                 leader.on_report(item.message)
 
     async def stop(self) -> None:
-        """Close the agent's links."""
+        """Stop the agent's links, of which there are none."""
 
 
 @asynccontextmanager
 async def reporting_agent(messages_per_s: float) -> AsyncIterator[LimitedChannel]:
-    """Let an agent with a worker report to a leader."""
+    """Run an agent with a worker that reports to a leader."""
     channel = LimitedChannel(messages_per_s)
     table = MemoryTable()
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
@@ -108,7 +108,7 @@
 
 
 async def make_changes(channel: LimitedChannel) -> None:
-    """Let the agent have news all the time."""
+    """Trigger reports of the agent continuously."""
     channel.reported_at.clear()
     channel.waited_s.clear()
     channel.answers = 0
@@ -118,7 +118,7 @@
 
 
 async def test_changes_are_reported_at_once_to_a_fast_leader() -> None:
-    """Guards against an end that is reported 0.24 s late to a leader that keeps up."""
+    """Guards against outcomes that are reported late to a leader that keeps up."""
     async with reporting_agent(1000) as channel:
         await make_changes(channel)
         gaps = [after - before for before, after in pairwise(channel.reported_at)]
@@ -126,7 +126,7 @@
 
 
 async def test_a_leader_answers_at_most_every_second_report() -> None:
-    """Guards against a leader that spends its time on answers that say nothing."""
+    """Guards against a leader that spends its time on empty answers."""
     async with reporting_agent(1000) as channel:
         await make_changes(channel)
         assert channel.answers <= len(channel.reported_at) / 2 + DURATION_S / ANSWER_S
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("messages_per_s", [2.5, 5, 20])
 async def test_reports_do_not_queue_at_a_leader_that_merges_them(messages_per_s: float) -> None:
-    """Guards against news that waits ever longer for a leader that is behind."""
+    """Guards against reports that wait longer and longer at a slow leader."""
     async with reporting_agent(messages_per_s) as channel:
         await make_changes(channel)
         assert max(channel.waited_s) <= STALE_ORDER_S / 2
@@ -148,7 +148,7 @@
 
 
 async def test_a_restarted_agent_is_answered_without_delay() -> None:
-    """Guards against news held back until the new process has sent as many reports as the old."""
+    """Guards against reports delayed until the new process reaches the old report number."""
     async with reporting_agent(1000) as channel:
         await make_changes(channel)
         channel.runner._boot = "next"
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -1,4 +1,4 @@
-"""The agent's side: runs, ends, leases and lost calls, against a fake worker on a paused clock."""
+"""Runs, outcomes, leases and lost calls of an agent, with a fake worker on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+    # Replaces the clock that includes suspensions, because only the loop's clock is simulated.
     monkeypatch.setattr(runner_life, "awake_now", now)
 
 
@@ -46,7 +46,7 @@
 
 @asynccontextmanager
 async def life_of(worker: FakeWorker) -> AsyncIterator[tuple[RunnerLife, RunnerLease]]:
-    """Run a life of ``worker`` whose agent holds a lease."""
+    """Run a worker life whose agent holds a lease."""
     lease = RunnerLease(LEASE_S, now())
     lease.sent(1, now())
     lease.acknowledged(1)
@@ -61,20 +61,17 @@
 
 
 def silent(life: RunnerLife) -> bool:
-    """Return whether ``life`` counts as silent now."""
+    """Return the current value of ``life.silent``, which mypy does not narrow in a call."""
     return life.silent
 
 
 def kinds(life: RunnerLife) -> dict[str, str]:
-    """Return how each ended run ended."""
+    """Return the outcome of each ended run by task."""
     return {end.task: end.kind for end in life.registry.ends.values()}
 
 
 async def test_an_adopted_run_gets_its_pace_once_its_order_is_known() -> None:
-    """An earlier process of the agent had paced a filling run, and the pressure is gone.
-
-    The worker keeps the pace that it was told last, which the new process does not know.
-    """
+    """Guards against a filling run that keeps a slow pace set by an earlier agent process."""
     worker = FakeWorker(work_s=30)
     worker.runs[("a.0.0.0", 1)] = FakeRun("a.0.0.0", 1, now() + 30)
     async with life_of(worker) as (life, _):
@@ -111,11 +108,7 @@
 
 
 async def test_an_abandoned_start_never_runs_later() -> None:
-    """The worker leaves orders unanswered and carries them out seconds later.
-
-    The agent gives a start up and says that it never ran; the task starts elsewhere.  If the
-    worker then carried the order out, the task would run in two places.
-    """
+    """Guards against a task that runs twice because the worker carries out a start late."""
     worker = FakeWorker()
     worker.faults = ["late"] * 3
     async with life_of(worker) as (life, _):
@@ -184,11 +177,7 @@
 
 
 async def test_the_token_is_raised_after_a_worker_refuses_it() -> None:
-    """The machine's clock was set back between two processes of the agent.
-
-    Tokens are times of day, so the newer process has the lower one and the worker does nothing for
-    it: no lease is renewed and all that runs lapses.
-    """
+    """Guards against a worker that refuses an agent restarted after its clock was set back."""
     worker = FakeWorker()
     worker.token = 5_000
     lease = RunnerLease(LEASE_S, now())
@@ -223,11 +212,7 @@
 
 
 def test_stale_start_orders_are_refused() -> None:
-    """A job is cancelled, and its task starts seconds later.
-
-    The order to start was on its way when the agent's link stood still; the cancellation was
-    acknowledged meanwhile.  The order arrives with the next packet that gets through.
-    """
+    """Guards against a delayed start order that starts a task cancelled in the meantime."""
     lease = RunnerLease(LEASE_S, 0.0)
     lease.sent(7, 10.0)
     assert lease.allows_starts(7, 10.0 + STALE_ORDER_S)
@@ -236,10 +221,7 @@
 
 
 async def test_a_draining_worker_gets_no_starts() -> None:
-    """A task starts on a worker that has said that it leaves, and is lost with it.
-
-    The leader gave the order before it knew; the agent, to which the worker says so first, does.
-    """
+    """Guards against a task that starts on a draining worker and is lost with it."""
     worker = FakeWorker()
     async with life_of(worker) as (life, _):
         life.registry.info = worker_info(draining=True)
@@ -250,11 +232,7 @@
 
 
 async def test_unstored_outcomes_do_not_multiply_reports() -> None:
-    """A burst makes the leader slow; within seconds it stores nothing any more, for half a minute.
-
-    While an end waits for being stored, the worker answers each list call at once, and each list
-    brought a report with all such ends.  The slower the leader, the more reports it got.
-    """
+    """Guards against more reports and list calls the longer the leader takes to store outcomes."""
     worker = FakeWorker(work_s=0.3)
     reports = 0
     ends = 0
@@ -273,16 +251,12 @@
         assert ends == 3
         assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
-        assert ends == 4, "an order for a run that has ended is answered with its end"
+        assert ends == 4, "an order for an ended run is answered with its outcome"
         assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
 
 
 async def test_polling_resumes_once_an_outcome_is_stored() -> None:
-    """A leader was behind for a while; the steps that wait for the next end start late.
-
-    The agent asks its worker less often while ends wait for being stored.  As soon as one is, it
-    has to ask on, since the worker tells of the next end only in a list.
-    """
+    """Guards against an outcome that is seen late because the pause after a list goes on."""
     worker = FakeWorker(work_s=0.3)
     async with life_of(worker) as (life, _):
         life.start(order("a.0.0.0"))
@@ -290,7 +264,7 @@
         life.start(order("a.0.0.1"))
         await asyncio.sleep(0.31)
         holds = worker.holds
-        assert kinds(life) == {"a.0.0.0": "done"}, "the pause goes on"
+        assert kinds(life) == {"a.0.0.0": "done"}, "the pause has not ended yet"
         life.stored(("a.0.0.0", 1))
         await asyncio.sleep(0.06)
         assert worker.holds > holds
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -1,4 +1,4 @@
-"""What an agent reports, and what it makes of a leader or a worker that is slow or silent."""
+"""Reports of an agent, and its handling of a slow or unresponsive leader or worker."""
 
 import asyncio
 from itertools import pairwise
@@ -35,7 +35,7 @@
 
 
 class SlowTable(MemoryTable):
-    """A store that answers no scan for a second."""
+    """A store whose scans fail after a second."""
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
         await asyncio.sleep(1.0)
@@ -43,7 +43,7 @@
 
 
 def test_a_late_acknowledgement_extends_the_lease() -> None:
-    """Guards against runs that lapse, and starts that are refused, once reports follow quickly."""
+    """Guards against lapsed runs and refused starts while reports are frequent."""
     lease = RunnerLease(9.5, 0.0)
     count = int(STALE_ORDER_S / runner_service.MIN_REPORT_INTERVAL_S)
     for beat in range(1, count + 1):
@@ -55,7 +55,7 @@
 
 
 def test_send_times_of_reports_are_dropped_after_a_lease() -> None:
-    """Guards against a memory of reports that grows for as long as the process lives."""
+    """Guards against unbounded growth of the recorded send times."""
     lease = RunnerLease(9.5, 0.0)
     for beat in range(1, 10_000):
         lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
@@ -65,7 +65,7 @@
 
 
 async def test_reports_go_on_while_the_store_does_not_answer() -> None:
-    """Guards against runs that lapse because a slow leader and a slow store meet."""
+    """Guards against runs that lapse while both the leader and the store are slow."""
     async with agent_of(FakeWorker(work_s=60), SlowTable()) as leader:
         leader.acknowledges = False
         await asyncio.sleep(2 * runner_service.LEADER_TIMEOUT_S)
@@ -78,7 +78,7 @@
 
 
 async def test_an_unresponsive_worker_is_reported_gone() -> None:
-    """Guards against runs of a worker that hangs being claimed, and not started anew, for good."""
+    """Guards against runs of a hanging worker that stay claimed and are never restarted."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
@@ -92,7 +92,7 @@
 
 
 async def test_an_unresponsive_worker_is_reported_gone_despite_start_orders() -> None:
-    """Guards against runs of a worker that hangs being claimed for good while it is ordered on."""
+    """Guards against runs of a hanging worker that stay claimed while start orders continue."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
@@ -109,7 +109,7 @@
 
 
 async def test_a_start_for_an_unresponsive_worker_is_refused_unsent() -> None:
-    """Guards against a run that may begin on a worker whose runs are about to count as over."""
+    """Guards against a run that starts on a worker whose runs are about to count as ended."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         await asyncio.sleep(1)
@@ -127,7 +127,7 @@
 
 
 async def test_a_briefly_unresponsive_worker_keeps_its_runs() -> None:
-    """Guards against work that lapses because its worker left a few calls unanswered."""
+    """Guards against runs that lapse because a few calls got no answer."""
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
@@ -140,7 +140,7 @@
 
 
 async def test_a_report_carries_the_last_order_number_of_its_leader() -> None:
-    """Guards against starts taken for lost by a leader that reads an older report late."""
+    """Guards against a leader that treats starts as lost after reading an old report late."""
     async with agent_of(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
         leader.order(leader.reports[-1].beat)
@@ -153,7 +153,7 @@
 
 
 class RateLimitedLeader(FakeLeader):
-    """A leader that takes so many reports a second, each in its turn, and answers as leaders do."""
+    """A leader that processes reports in order, at a limited rate."""
 
     def __init__(self, runner: Runner, reports_per_s: float) -> None:
         super().__init__(runner)
@@ -163,7 +163,7 @@
         self.task = asyncio.create_task(self.take())
 
     async def take(self) -> None:
-        """Take reports in their order and acknowledge some of them."""
+        """Process reports in order and acknowledge some of them."""
         answered_at = -1.0
         while True:
             await asyncio.sleep(self.spacing_s)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("reports_per_s", [2.5, 5, 20])
 async def test_frequent_changes_do_not_overload_a_slow_leader(reports_per_s: float) -> None:
-    """Guards against one busy agent whose reports lie unread until its orders are stale."""
+    """Guards against reports that queue at the leader until its orders are stale."""
     async with agent_of(FakeWorker(work_s=600)) as idle_leader:
         runner = idle_leader.runner
         leader = RateLimitedLeader(runner, reports_per_s)
@@ -200,7 +200,7 @@
 
 
 async def test_changes_are_reported_at_once_while_the_leader_keeps_up() -> None:
-    """Guards against ends and starts that are reported late for fear of a leader that is well."""
+    """Guards against outcomes and starts that are reported late to a responsive leader."""
     async with agent_of(FakeWorker(work_s=600)) as leader:
         for _ in range(500):
             leader.runner._wake.set()
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -1,4 +1,4 @@
-"""Stops on the agent's side: none waits for long, and whatever runs on is visible in the log."""
+"""Stops by an agent: they are not delayed by other calls, and slow stops are logged."""
 
 import asyncio
 from typing import Any, cast
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def events(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Return the log events that are written from now on."""
+    """Return the list to which log events are recorded."""
     found: list[dict[str, Any]] = []
 
     def record(level: str, event: str, /, **fields: object) -> None:
@@ -48,14 +48,14 @@
 
 
 def events_named(events: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
-    """Return the events of one name."""
+    """Return the events with the given name."""
     return [fields for fields in events if fields["event"] == event]
 
 
 async def test_a_slow_stop_is_logged_once(
     events: list[dict[str, Any]],
 ) -> None:
-    """Guards against a run that outlives its stop while no log line says what took so long."""
+    """Guards against a slow stop that leaves no log line with its durations."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -75,7 +75,7 @@
 async def test_stale_orders_are_logged_with_their_age_once_a_second(
     events: list[dict[str, Any]],
 ) -> None:
-    """Guards against a leader that renews leases and cannot order, unseen in the agent's log."""
+    """Guards against stale orders from a slow leader that are refused without a log line."""
     async with agent_of(FakeWorker(work_s=60)) as leader:
         await asyncio.sleep(4)
         for _ in range(30):
@@ -89,7 +89,7 @@
 
 
 async def test_an_agent_that_shuts_down_logs_remaining_runs(events: list[dict[str, Any]]) -> None:
-    """Guards against runs left to the rest of a lease with no line that says so."""
+    """Guards against runs that continue without an agent and without a log line."""
     async with agent_of(FakeWorker(work_s=60)) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
@@ -99,7 +99,7 @@
 
 
 async def test_a_stop_based_on_an_old_report_is_carried_out() -> None:
-    """Guards against a leader that is behind and keeps a run alive that it can no longer stop."""
+    """Guards against a run that a slow leader keeps alive but cannot stop."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(), order("a.0.0.1")])
@@ -110,7 +110,7 @@
 
 
 async def test_a_late_stop_does_not_affect_the_next_attempt() -> None:
-    """Guards against orders to stop that were held up and end a run that is wanted."""
+    """Guards against a delayed stop order that ends a later attempt."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(attempt=2)])
@@ -121,7 +121,7 @@
 
 
 async def test_a_stop_does_not_wait_for_unanswered_starts() -> None:
-    """Guards against a cancelled task that runs on while its agent repeats starts of others."""
+    """Guards against a cancelled task that keeps running while other starts are retried."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -136,7 +136,7 @@
 
 
 async def test_a_stop_does_not_wait_for_unanswered_stops() -> None:
-    """Guards against a cancelled task that runs on while its agent repeats stops of others."""
+    """Guards against a cancelled task that keeps running while other stops are retried."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -152,7 +152,7 @@
 
 
 async def measure_stop_s(life: RunnerLife, worker: FakeWorker, task: str = TASK) -> float:
-    """Ask for a stop; return how long it took to be carried out."""
+    """Request a stop; return the seconds until it was carried out."""
     at = now()
     life.stop(StopOrder(task, 1))
     while task not in worker.sealed and now() - at < 20:
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("count", [8, 40, 80])
 async def test_a_stop_is_in_time_behind_many_unanswered_stops(count: int) -> None:
-    """Guards against a cancelled task that runs on past 4 s while its agent stops many others."""
+    """Guards against a cancelled task that runs for more than 4 s behind many other stops."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(count)]
     worker.stops_unanswered.update(names)
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("tries", [1, 2])
 async def test_a_stop_does_not_wait_for_retries_of_other_stops(tries: int) -> None:
-    """Guards against a cancelled task that runs on while stops that get no answer are repeated."""
+    """Guards against a cancelled task that keeps running behind retries of unanswered stops."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(160)]
     worker.stops_unanswered.update(names)
@@ -190,7 +190,7 @@
 
 
 async def test_a_cancelled_call_releases_its_slot() -> None:
-    """Guards against slots that are used up by calls that were given up on."""
+    """Guards against slots that leak when calls are cancelled."""
     slots = Slots(1)
 
     async def call(tries: int) -> None:
@@ -208,7 +208,7 @@
 
 
 async def test_calls_in_flight_are_limited() -> None:
-    """Guards against more calls to a worker than its client has connections."""
+    """Guards against more concurrent calls to a worker than its client has connections."""
     worker = FakeWorker(work_s=60)
     most = 1 + runner_life.MAX_CONCURRENT_CALLS + runner_life.MAX_CONCURRENT_STOPS
     assert most <= CONNECTIONS
@@ -222,7 +222,7 @@
 
 
 async def test_a_run_that_is_listed_after_its_confirmed_stop_is_stopped_again() -> None:
-    """Guards against a run that goes on for good because its first stop had no effect."""
+    """Guards against a run that never ends because its first stop had no effect."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -249,7 +249,7 @@
 
 
 async def test_a_listed_run_recorded_as_not_started_is_stopped() -> None:
-    """Guards against a run that goes on under the lease because its end is believed."""
+    """Guards against a run that continues under the lease although recorded as not started."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order(room=Resources(9000, 100)))
@@ -260,11 +260,11 @@
         await asyncio.sleep(0.5)
         assert worker.runs == {}
         (end,) = life.registry.report_ends(full=False)
-        assert (end.kind, end.number) == ("stopped", 1), "its end is what the worker says"
+        assert (end.kind, end.number) == ("stopped", 1), "the outcome comes from the worker"
 
 
 async def test_a_listed_outcome_is_kept_although_the_run_is_listed_too() -> None:
-    """Guards against an end that is taken back and reported twice."""
+    """Guards against an outcome that is withdrawn and reported twice."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         run = FakeRun(TASK, 1, now() + 60)
@@ -278,7 +278,7 @@
 
 
 async def test_a_start_of_an_earlier_process_is_fenced_off() -> None:
-    """Guards against a run that begins after the next process of the agent has refused it."""
+    """Guards against a run that starts after the next agent process has refused it."""
     worker = FakeWorker(work_s=60)
     worker.faults = ["late"]
     call = StartCall(TASK, 1, "p", "", "", worker.clock_ms + 9_000, fencing_token=99)
@@ -291,7 +291,7 @@
 
 
 async def test_an_agent_sends_pending_stops_before_shutdown() -> None:
-    """Guards against a cancelled task that runs on because its agent ended with its stop."""
+    """Guards against a cancelled task that keeps running because its agent shut down first."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
@@ -301,7 +301,7 @@
 
 
 async def test_unconfirmed_stops_do_not_block_shutdown() -> None:
-    """Guards against a process that outlives its time to end."""
+    """Guards against an agent that exceeds its time to shut down."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         worker.stops_unanswered.add(TASK)
@@ -310,8 +310,10 @@
     assert now() - ends_at <= runner_life.FINAL_STOPS_TIMEOUT_S + 0.1
 
 
-async def test_an_agent_accepts_stops_but_no_starts_during_shutdown(events: list[dict[str, Any]]) -> None:
-    """Guards against a start that is cut off, so that its outcome is unknown."""
+async def test_an_agent_accepts_stops_but_no_starts_during_shutdown(
+    events: list[dict[str, Any]],
+) -> None:
+    """Guards against a start call interrupted by shutdown, whose result is unknown."""
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order("a.0.0.1")])
@@ -328,21 +330,24 @@
 
 
 class LateLeader(FakeLeader):
-    """A leader that takes each report late, and orders a stop until it has an end."""
+    """A leader that processes each report late and orders a stop each time."""
 
     async def take_late(self) -> None:
-        """Acknowledge reports late; order the stop with each of them."""
+        """Acknowledge reports late, each with an order for the stop."""
         taken = 0
         while True:
             await asyncio.sleep(0.1)
-            while taken < len(self.reports) and now() - self.reported_at[taken] >= ACKNOWLEDGEMENT_DELAY_S:
+            while (
+                taken < len(self.reports)
+                and now() - self.reported_at[taken] >= ACKNOWLEDGEMENT_DELAY_S
+            ):
                 beat = self.reports[taken].beat
                 taken += 1
                 self.order(beat, beat=beat, stops=[StopOrder(TASK, 1)])
 
 
 async def test_a_slow_leader_can_stop_a_cancelled_run() -> None:
-    """Guards against a cancelled task that runs on: its lease is renewed, its stops are refused."""
+    """Guards against a cancelled task whose lease is renewed while its stops are refused."""
     bounds = Bounds()
     worker = FakeWorker(work_s=600)
     async with agent_of(worker) as leader:
