--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -1,8 +1,8 @@
 """Controls the pace of filling tasks so that tail latencies of serving tasks stay within target.
 
-Handles interference that nobody declares by adjusting one level per filling image on a worker.  If
-the leader has sent estimates for an image with all serving images here, its level follows from the
-headroom of their tails (:mod:`sapphirelead.policy_pressure`).  Other images, and all of them during
+Handles undeclared interference by adjusting one level per filling image on a worker.  If the leader
+has sent estimates for an image with all serving images here, its level follows from the headroom of
+their tails (:mod:`sapphirelead.policy_pressure`).  Other images, and all of them during
 a sustained overload, get levels by feedback: the images that contribute most to the worst tail are
 cut while it is above its setpoint, and levels are restored gradually while it is below.
 """
@@ -268,10 +268,12 @@
         found = []
         for tail in tails:
             before = self._previous_ms.get(tail.task)
-            figure = tail.latency_ms
+            predicted_ms = tail.latency_ms
             if before is not None and elapsed_s <= TREND_WINDOW_S:
-                figure = max(0, round(figure + (figure - before) / elapsed_s * TAIL_PREDICTION_S))
-            found.append(replace(tail, latency_ms=figure))
+                predicted_ms = max(
+                    0, round(predicted_ms + (predicted_ms - before) / elapsed_s * TAIL_PREDICTION_S)
+                )
+            found.append(replace(tail, latency_ms=predicted_ms))
         self._previous_ms = {tail.task: tail.latency_ms for tail in tails}
         return found
 
