--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -42,8 +42,8 @@
 """Longest time that a list call waits for a run to end."""
 
 MIN_LIST_PAUSE_S: Final = 0.04
-"""Pause after a list that contains outcomes.  Limits the rate of list calls, which the worker answers
-at once while it holds outcomes that are not stored."""
+"""Pause after a list that contains outcomes.  Limits the rate of list calls, because the worker
+answers at once while it holds outcomes that are not stored."""
 
 MAX_LIST_PAUSE_S: Final = 0.32
 """Limit up to which that pause doubles while lists contain no new outcome."""
