--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -25,7 +25,7 @@
     Orders,
     Reply,
 )
-from sapphirelead.node_patience import LEAST_S, StorePatience
+from sapphirelead.node_store_timeout import MIN_STORE_TIMEOUT_S, StoreTimeout
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.ports import Row, Table
 from sapphirelead.sched_cancels import CancelTimes
@@ -56,7 +56,7 @@
 """Longest time for which a round looks for places and reviews runs; the other half of what a round
 may hold the loop is for storing and sending."""
 
-STORE_PATIENCE_S: Final = LEAST_S
+FINAL_COMMIT_TIMEOUT_S: Final = MIN_STORE_TIMEOUT_S
 """How long a leaving leader waits for its last transaction."""
 
 HANDOVER_AFTER_S: Final = 1.0
@@ -106,7 +106,7 @@
     _surveyed_at: float
     _consolidation: Consolidation
     _journal: Journal
-    _patience: StorePatience
+    _store_timeout: StoreTimeout
     _load: LoopLoad
     _turn: PlanTurn
     _decide_due: float
@@ -144,7 +144,7 @@
         self._surveyed_at = 0.0
         self._consolidation = Consolidation()
         self._journal = Journal()
-        self._patience = StorePatience()
+        self._store_timeout = StoreTimeout()
         self._load = LoopLoad(self.metrics, now())
         self._turn = PlanTurn()
         self._decide_due = 0.0
@@ -167,12 +167,12 @@
     def store_stuck(self, at: float) -> bool:
         """Whether the transaction in flight has waited longer than a caller should."""
         waiting = self.head.waiting_since
-        return waiting > 0 and at - waiting > self._patience.limit_s
+        return waiting > 0 and at - waiting > self._store_timeout.timeout_s
 
     @property
-    def store_patience_s(self) -> float:
+    def store_timeout_s(self) -> float:
         """How long a submission waits for the store."""
-        return self._patience.limit_s
+        return self._store_timeout.timeout_s
 
     @property
     def config_version(self) -> int:
@@ -306,7 +306,7 @@
             batch = self.sched.take_batch(wall_ms())
             writes = self._journal.writes(batch, self.sched.jobs)
         end = await self.head.commit(writes)
-        self._patience.note(now() - at)
+        self._store_timeout.record_commit(now() - at)
         self.metrics.latency("commit_ms", (now() - at) * 1000)
         if end is HeadEnd.DEPOSED:
             return False
@@ -329,7 +329,7 @@
         self._wake.set()
         self._idle.clear()
         try:
-            async with asyncio.timeout(STORE_PATIENCE_S):
+            async with asyncio.timeout(FINAL_COMMIT_TIMEOUT_S):
                 await self._idle.wait()
         except TimeoutError:
             log_event("INFO", "leaving_unsaved", in_flight=self.head.waiting_since > 0)
@@ -349,7 +349,7 @@
         await self.finish()
         self.resign()
         try:
-            async with asyncio.timeout(STORE_PATIENCE_S):
+            async with asyncio.timeout(FINAL_COMMIT_TIMEOUT_S):
                 await self.head.release()
         except TimeoutError:
             log_event("INFO", "lead_not_released", reason="the store has not answered")
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -47,7 +47,7 @@
         """Version of the configuration in force."""
 
     @property
-    def store_patience_s(self) -> float:
+    def store_timeout_s(self) -> float:
         """How long to wait for the store."""
 
     def store_stuck(self, at: float) -> bool:
@@ -186,7 +186,7 @@
 
         self._lead.sched.submit(spec, answer)
         self._lead.wake()
-        await asyncio.wait({ended}, timeout=self._lead.store_patience_s)
+        await asyncio.wait({ended}, timeout=self._lead.store_timeout_s)
         if not ended.done() and self._lead.sched.withdraw(call.job_id):
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
             self.changed()
--- a/sapphirelead/node_patience.py
+++ b/sapphirelead/node_store_timeout.py
@@ -9,17 +9,17 @@
 
 from typing import Final
 
-LEAST_S: Final = 0.3
+MIN_STORE_TIMEOUT_S: Final = 0.3
 """Patience with a store of which nothing slow is known: a transaction takes about 10 ms."""
 
-MOST_S: Final = 1.0
+MAX_STORE_TIMEOUT_S: Final = 1.0
 """Longest patience; callers wait for 3 s in all, and a leader looks for another after 1 s."""
 
-TRANSACTIONS: Final = 2.5
+TIMEOUT_COMMITS: Final = 2.5
 """Transactions that a submission waits for: the one on its way, its own, and half for the noise."""
 
 
-class StorePatience:
+class StoreTimeout:
     """Patience with the store, by the time of its newest transaction."""
 
     _took_s: float
@@ -27,23 +27,23 @@
     def __init__(self) -> None:
         self._took_s = 0.0
 
-    def note(self, took_s: float) -> None:
+    def record_commit(self, took_s: float) -> None:
         """Take note of a transaction that was stored."""
         self._took_s = took_s
 
     @property
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """How long to wait.
 
-        >>> patience = StorePatience()
-        >>> patience.note(0.01)
-        >>> patience.limit_s
+        >>> store_timeout = StoreTimeout()
+        >>> store_timeout.record_commit(0.01)
+        >>> store_timeout.timeout_s
         0.3
-        >>> patience.note(0.32)
-        >>> patience.limit_s
+        >>> store_timeout.record_commit(0.32)
+        >>> store_timeout.timeout_s
         0.8
-        >>> patience.note(6.0)
-        >>> patience.limit_s
+        >>> store_timeout.record_commit(6.0)
+        >>> store_timeout.timeout_s
         1.0
         """
-        return min(max(LEAST_S, TRANSACTIONS * self._took_s), MOST_S)
+        return min(max(MIN_STORE_TIMEOUT_S, TIMEOUT_COMMITS * self._took_s), MAX_STORE_TIMEOUT_S)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -17,7 +17,7 @@
 from sapphirelead.node_cancels import KEPT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
-from sapphirelead.node_leader import STORE_PATIENCE_S, Leader
+from sapphirelead.node_leader import FINAL_COMMIT_TIMEOUT_S, Leader
 from sapphirelead.node_leader_calls import MayCome
 from sapphirelead.node_messages import (
     AgentReport,
@@ -104,7 +104,7 @@
         await asyncio.sleep(1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
         table.away = False
-        await asyncio.sleep(2 * STORE_PATIENCE_S + 1.0)
+        await asyncio.sleep(2 * FINAL_COMMIT_TIMEOUT_S + 1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
         assert leader.sched.state("a1") is None
         again = await submit(leader, 8)
