--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -323,15 +323,15 @@
 
     async def _run_until_over(self, leader: Leader) -> None:
         running = spawn(leader.run(), "leader-rounds")
-        over = asyncio.create_task(leader.over())
+        wait_ended = asyncio.create_task(leader.wait_ended())
         try:
             # A resigned leader may be waiting for the store; what it sent is settled by whoever
             # leads next.
-            await asyncio.wait({running, over}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({running, wait_ended}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for task in (running, over):
+            for task in (running, wait_ended):
                 task.cancel()
-            await asyncio.gather(running, over, return_exceptions=True)
+            await asyncio.gather(running, wait_ended, return_exceptions=True)
 
     def _announce(self) -> None:
         """Tell everybody known who leads; those unknown ask."""
@@ -401,7 +401,7 @@
             self.leader.head.epoch,
             self.name,
             self.leader.serving,
-            not self.leader.store_away(now()),
+            not self.leader.store_unavailable(now()),
             self.config.version,
             self._entries_version,
             None if known == self._entries_version else list(self._entries.values()),
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -11,7 +11,7 @@
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.node_followers import Followers
-from sapphirelead.node_leader import ALONE_S, Leader
+from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
 from sapphirelead.node_messages import EntryBeat, Handover
 
 OFFER_EVERY_S: Final = 0.7
@@ -66,10 +66,10 @@
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
             leader.resign()
             return
-        if leader.store_away(at) and at - self._offered_at >= OFFER_EVERY_S:
+        if leader.store_unavailable(at) and at - self._offered_at >= OFFER_EVERY_S:
             self._offered_at = at
             self._offer_without_store(leader, at)
-        elif not leader.store_away(at) and at - self._offered_at >= STRONGER_EVERY_S:
+        elif not leader.store_unavailable(at) and at - self._offered_at >= STRONGER_EVERY_S:
             self._offer_to_stronger(leader, at)
 
     def _offer_without_store(self, leader: Leader, at: float) -> None:
@@ -101,7 +101,7 @@
 
     def _cut_off(self, leader: Leader, at: float) -> bool:
         """Whether neither followers nor most agents have been heard of lately."""
-        return self.followers.all_silent_s(at) > ALONE_S and leader.alone(at)
+        return self.followers.all_silent_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(at)
 
     async def leave(self, current: Callable[[], Leader | None], until: float) -> None:
         """Lead on until another entry can, for as long as ``until`` at most; then release the lead.
@@ -128,9 +128,9 @@
         self._offer(leader, name, "stopping")
         try:
             async with asyncio.timeout(OFFER_EVERY_S):
-                await leader.over()
+                await leader.wait_ended()
         except TimeoutError:
-            leader.carry_on()
+            leader.resume_starts()
             # Rounds go on for a while before the next offer: each one holds new starts back, and
             # a leader whose offers nobody takes would start nothing until its end.
             await asyncio.sleep(OFFER_EVERY_S)
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -42,42 +42,42 @@
 from sapphirelead.sched_survey import PERIOD_S, survey
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
-RENEW_S: Final = 0.5
+HEAD_RENEW_INTERVAL_S: Final = 0.5
 """Time between two renewals of the head row while there is nothing else to store."""
 
-ROUND_S: Final = 0.012
+MIN_ROUND_INTERVAL_S: Final = 0.012
 """Least time between two rounds of the loop; what arrives meanwhile is stored together.  About the
 time of one transaction."""
 
-TICK_S: Final = 0.25
+MAX_ROUND_INTERVAL_S: Final = 0.25
 """Longest time between two rounds: ends of pauses, due occurrences and lost agents are noticed."""
 
-PLAN_S: Final = HELD_S / 2
+PLAN_BUDGET_S: Final = HELD_S / 2
 """Longest time for which a round looks for places and reviews runs; the other half of what a round
 may hold the loop is for storing and sending."""
 
 FINAL_COMMIT_TIMEOUT_S: Final = MIN_STORE_TIMEOUT_S
 """How long a leaving leader waits for its last transaction."""
 
-HANDOVER_AFTER_S: Final = 1.0
+HANDOVER_DELAY_S: Final = 1.0
 """How long the leader tries to reach the store before it looks for an entry that can."""
 
-ALONE_S: Final = 1.5
+ISOLATION_TIMEOUT_S: Final = 1.5
 """A leader that has heard nobody for so long, three reports, gives the lead up."""
 
-LATELY_S: Final = 15.0
+KNOWN_AGENT_WINDOW_S: Final = 15.0
 """Agents heard of within this time count as known."""
 
-ANSWER_S: Final = 0.3
+MIN_ACK_INTERVAL_S: Final = 0.3
 """A report that comes sooner after the agent's newest acknowledgement renews nothing, and is not
 answered unless orders wait or others lie unanswered: it tells of starts or ends, and the word that
 they are stored follows."""
 
-UNANSWERED_MOST: Final = 1
+MAX_UNANSWERED_REPORTS: Final = 1
 """Reports of an agent left without an answer.  The agent takes an unanswered report for unread and
 reports less often."""
 
-LOAD_PAUSE_S: Final = 0.1
+LOAD_RETRY_DELAY_S: Final = 0.1
 
 SendOrders = Callable[[str, Orders], bool]
 
@@ -100,7 +100,7 @@
     _config: QueueConfig
     _calls: LeaderCalls
     _advice: AdviceDesk
-    _over: asyncio.Event
+    _ended: asyncio.Event
     _idle: asyncio.Event
     _reviewed_at: float
     _surveyed_at: float
@@ -138,7 +138,7 @@
         self._config = QueueConfig()
         self._calls = LeaderCalls(self, may_come)
         self._advice = AdviceDesk(self.sched, advice, self.metrics, self._wake.set)
-        self._over = asyncio.Event()
+        self._ended = asyncio.Event()
         self._idle = asyncio.Event()
         self._reviewed_at = 0.0
         self._surveyed_at = 0.0
@@ -155,16 +155,16 @@
         self.sched.policies = config.queues
         self._wake.set()
 
-    def store_away(self, at: float) -> bool:
+    def store_unavailable(self, at: float) -> bool:
         """Whether the store has been silent long enough to look for another leader."""
         waiting = self.head.waiting_since
-        return waiting > 0 and at - waiting > HANDOVER_AFTER_S
+        return waiting > 0 and at - waiting > HANDOVER_DELAY_S
 
     def unconfirmed_s(self) -> float:
         """Return how long ago the store last confirmed this leader."""
         return awake_now() - self.head.stored_at
 
-    def store_stuck(self, at: float) -> bool:
+    def commit_overdue(self, at: float) -> bool:
         """Whether the transaction in flight has waited longer than a caller should."""
         waiting = self.head.waiting_since
         return waiting > 0 and at - waiting > self._store_timeout.timeout_s
@@ -216,7 +216,7 @@
         while not self._resigned:
             page = await self._table.scan(prefix, after, 500)
             if isinstance(page, Err):
-                await asyncio.sleep(LOAD_PAUSE_S)
+                await asyncio.sleep(LOAD_RETRY_DELAY_S)
                 continue
             if not page.ok_value:
                 break
@@ -232,7 +232,7 @@
                 await self._wait_for_work()
                 if not await self._round():
                     return
-                await asyncio.sleep(ROUND_S)
+                await asyncio.sleep(MIN_ROUND_INTERVAL_S)
         finally:
             self.resign()
             self._advice.stop()
@@ -241,7 +241,7 @@
     async def _wait_for_work(self) -> None:
         if not self._wake.is_set():
             try:
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(MAX_ROUND_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
@@ -257,7 +257,7 @@
             if not await self._save():
                 return False
             # Answers go out before planning holds the loop again.
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(MIN_ROUND_INTERVAL_S)
         self._decide(now())
         if not await self._save():
             return False
@@ -271,7 +271,7 @@
         if at < self._decide_due:
             self._wake.set()
             return
-        budget = Budget(now, at + PLAN_S)
+        budget = Budget(now, at + PLAN_BUDGET_S)
         self._review(at, budget)
         self._log_survey(at)
         if not self._finishing:
@@ -284,7 +284,7 @@
             self._wake.set()
 
     def _review(self, at: float, budget: Budget) -> None:
-        if at - self._reviewed_at < TICK_S:
+        if at - self._reviewed_at < MAX_ROUND_INTERVAL_S:
             return
         self._reviewed_at = at
         with self._load.held(Part.REVIEW):
@@ -294,7 +294,7 @@
 
     async def _save(self) -> bool:
         """Store what waits, then answer and send; ``False`` where the lead is lost."""
-        due = self.sched.unsaved or self.unconfirmed_s() >= RENEW_S
+        due = self.sched.unsaved or self.unconfirmed_s() >= HEAD_RENEW_INTERVAL_S
         if due and not await self._store():
             return False
         self._flush()
@@ -339,7 +339,7 @@
         """Whether new starts are held back."""
         return self._finishing
 
-    def carry_on(self) -> None:
+    def resume_starts(self) -> None:
         """Start runs again after :meth:`finish`: the entry that was offered the lead is silent."""
         self._finishing = False
         self._wake.set()
@@ -359,40 +359,40 @@
         self._resigned = True
         self.serving = False
         self._wake.set()
-        self._over.set()
+        self._ended.set()
         self._calls.changed()
 
-    def alone(self, at: float) -> bool:
+    def isolated(self, at: float) -> bool:
         """Whether most agents that were there are silent, as after a cut of this machine."""
         known = [
             instance
             for instance in self.sched.fleet.instances.values()
-            if instance.heard_at and at - instance.heard_at < LATELY_S
+            if instance.heard_at and at - instance.heard_at < KNOWN_AGENT_WINDOW_S
         ]
-        heard = sum(1 for instance in known if at - instance.heard_at < ALONE_S)
+        heard = sum(1 for instance in known if at - instance.heard_at < ISOLATION_TIMEOUT_S)
         return len(known) > 1 and heard * 2 < len(known)
 
-    async def over(self) -> None:
+    async def wait_ended(self) -> None:
         """Wait for the end of this leadership."""
-        await self._over.wait()
+        await self._ended.wait()
 
     # Agents
 
     def on_report(self, report: AgentReport) -> None:
         """Take an agent's report and answer it."""
         with self._load.held(Part.REPORTS):
-            self._take(report)
+            self._handle_report(report)
 
-    def _take(self, report: AgentReport) -> None:
+    def _handle_report(self, report: AgentReport) -> None:
         at = now()
         if not take_report(self.sched, report, self.head.epoch, at):
             return
         if self.sched.unsaved:
             self._wake.set()
         instance = self.sched.fleet.instance(report.agent)
-        if at - instance.answered_at >= ANSWER_S or report.agent in self.sched.outgoing:
+        if at - instance.answered_at >= MIN_ACK_INTERVAL_S or report.agent in self.sched.outgoing:
             self._answer(report.agent, at, report.beat)
-        elif instance.beat - instance.answered_beat > UNANSWERED_MOST:
+        elif instance.beat - instance.answered_beat > MAX_UNANSWERED_REPORTS:
             self._answer(report.agent, at, 0)
 
     def _answer(self, agent: str, at: float, beat: int) -> None:
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -50,7 +50,7 @@
     def store_timeout_s(self) -> float:
         """How long to wait for the store."""
 
-    def store_stuck(self, at: float) -> bool:
+    def commit_overdue(self, at: float) -> bool:
         """Whether the transaction in flight has waited for longer than that."""
 
     def unconfirmed_s(self) -> float:
@@ -59,7 +59,7 @@
     def wake(self) -> None:
         """Let the next round begin: there is something to store."""
 
-    async def over(self) -> None:
+    async def wait_ended(self) -> None:
         """Wait for the end of this leadership."""
 
 
@@ -158,7 +158,7 @@
 
     async def _submit(self, call: Call, until: float) -> Reply:
         if call.number in self._refused or (
-            not self._lead.sched.knows(call.job_id) and self._lead.store_stuck(now())
+            not self._lead.sched.knows(call.job_id) and self._lead.commit_overdue(now())
         ):
             self._note_refused(call)
             return self._reply(
@@ -219,11 +219,11 @@
 
     async def _outcome(self, call: Call, ended: "asyncio.Future[Reply]", until: float) -> Reply:
         """Wait for the end of a call, the end of this leadership or the caller's deadline."""
-        over = asyncio.create_task(self._lead.over())
+        wait_ended = asyncio.create_task(self._lead.wait_ended())
         timeout = max(until - now(), 0.0)
-        either: set[asyncio.Future[Any]] = {ended, over}
+        either: set[asyncio.Future[Any]] = {ended, wait_ended}
         await asyncio.wait(either, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
-        over.cancel()
+        wait_ended.cancel()
         if ended.done():
             return ended.result()
         if self._lead.resigned:
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -9,7 +9,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.node_handover import LATE_S, OFFER_EVERY_S, LeadKeeper
-from sapphirelead.node_leader import ALONE_S, Leader
+from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
 from sapphirelead.node_messages import EntryAddress, EntryBeat, Handover
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_timing import BEAT_S, Bounds
@@ -81,15 +81,15 @@
     gave the lead up although nothing had happened to anybody.
     """
     leader = await leading(MemoryTable())
-    leader.alone = lambda at: True  # type: ignore[method-assign]
+    leader.isolated = lambda at: True  # type: ignore[method-assign]
     keeper = LeadKeeper(noting([]))
     keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
     keeper.watch(leader)
-    await asyncio.sleep(ALONE_S + LATE_S)
+    await asyncio.sleep(ISOLATION_TIMEOUT_S + LATE_S)
     keeper.watch(leader)
     assert leader.serving
     keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
-    for _ in range(int((ALONE_S + 0.5) / 0.1)):
+    for _ in range(int((ISOLATION_TIMEOUT_S + 0.5) / 0.1)):
         await asyncio.sleep(0.1)
         keeper.watch(leader)
     assert not leader.serving
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -14,7 +14,7 @@
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
 from sapphirelead.node_inbox import Inbox
-from sapphirelead.node_leader import ANSWER_S, Leader
+from sapphirelead.node_leader import MIN_ACK_INTERVAL_S, Leader
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, EntryAddress, Leads, Orders
 from sapphirelead.runner_service import SPACING_S, Runner
 from sapphirelead.sched_head import Head, read_head
@@ -129,10 +129,10 @@
     """Guards against a leader that spends its time on answers that say nothing."""
     async with reporting(1000) as path:
         await make_news(path)
-        assert path.answers <= len(path.reported_at) / 2 + LASTS_S / ANSWER_S
+        assert path.answers <= len(path.reported_at) / 2 + LASTS_S / MIN_ACK_INTERVAL_S
         path.answers = 0
         await asyncio.sleep(LASTS_S)
-        assert path.answers <= LASTS_S / ANSWER_S
+        assert path.answers <= LASTS_S / MIN_ACK_INTERVAL_S
 
 
 @pytest.mark.parametrize("messages_per_s", [2.5, 5, 20])
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -12,7 +12,7 @@
 from sapphirelead.clock import now
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_resources import Resources
-from sapphirelead.node_leader import ANSWER_S
+from sapphirelead.node_leader import MIN_ACK_INTERVAL_S
 from sapphirelead.node_messages import (
     Leads,
 )
@@ -168,7 +168,7 @@
                 continue
             beat = self.reports[len(self.taken_at)].beat
             self.taken_at.append(now())
-            if now() - answered_at >= ANSWER_S:
+            if now() - answered_at >= MIN_ACK_INTERVAL_S:
                 answered_at = now()
                 self.order(beat, beat=beat)
 
