--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -313,7 +313,7 @@
         with self._load.held(Part.EFFECTS):
             for effect in batch.effects:
                 effect()
-        self._calls.changed()
+        self._calls.notify_changed()
         return True
 
     def _log_survey(self, at: float) -> None:
@@ -360,7 +360,7 @@
         self.serving = False
         self._wake.set()
         self._ended.set()
-        self._calls.changed()
+        self._calls.notify_changed()
 
     def isolated(self, at: float) -> bool:
         """Whether most agents that were there are silent, as after a cut of this machine."""
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -18,13 +18,13 @@
 from sapphirelead.sched_job import decode_spec
 from sapphirelead.sched_spec import same_content
 
-AWAY_RETRY_S: Final = 2.0
+STORE_RETRY_AFTER_S: Final = 2.0
 """When a refused caller may come back while the store is away; outages last for seconds."""
 
 CONFIRM_MARGIN_S: Final = 0.1
 """Kept from the watch of the others, for the way of the confirmation."""
 
-REFUSED_KEPT: Final = 4_000
+MAX_REFUSED_CALLS: Final = 4_000
 """Submissions remembered as refused; an entry tries one again for as long as its caller waits."""
 
 
@@ -77,7 +77,7 @@
         self._refused = {}
         self._changed = asyncio.Event()
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Let the calls look again: the store has confirmed the lead, or the lead is over."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -114,12 +114,12 @@
         )
 
     async def _state(self, call: Call, until: float) -> Reply:
-        refusal = await self._until_known(call, until)
+        refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
         return self._reply(call, ReplyKind.OK, self._lead.sched.state(call.job_id) or "")
 
-    async def _until_known(self, call: Call, until: float) -> Reply | None:
+    async def _wait_until_known(self, call: Call, until: float) -> Reply | None:
         """Wait until a job is known; return the reply if it is not.
 
         Another entry may lead by now and have accepted the job.  Nobody takes the lead from a
@@ -136,7 +136,7 @@
         if self._may_be_accepted(call):
             behind = self._may_come(call.job_id)
             detail = "the leader is behind" if behind else "the store is away"
-            return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=AWAY_RETRY_S)
+            return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=STORE_RETRY_AFTER_S)
         return self._reply(call, ReplyKind.ABSENT)
 
     async def _wait_for_change(self, until: float) -> None:
@@ -160,9 +160,9 @@
         if call.number in self._refused or (
             not self._lead.sched.knows(call.job_id) and self._lead.commit_overdue(now())
         ):
-            self._note_refused(call)
+            self._record_refused(call)
             return self._reply(
-                call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=AWAY_RETRY_S
+                call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=STORE_RETRY_AFTER_S
             )
         spec = decode_spec(call.job)
         known = self._lead.sched.jobs.get(spec.job_id)
@@ -173,14 +173,14 @@
             if not ended.done():
                 ok = kind is ReplyKind.OK
                 if not ok:
-                    self._note_refused(call)
+                    self._record_refused(call)
                 ended.set_result(
                     self._reply(
                         call,
                         kind,
                         text if ok else "",
                         "" if ok else text,
-                        0 if ok else AWAY_RETRY_S,
+                        0 if ok else STORE_RETRY_AFTER_S,
                     )
                 )
 
@@ -189,22 +189,22 @@
         await asyncio.wait({ended}, timeout=self._lead.store_timeout_s)
         if not ended.done() and self._lead.sched.withdraw(call.job_id):
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
-            self.changed()
+            self.notify_changed()
         reply = await self._outcome(call, ended, until)
         return msgspec.structs.replace(reply, other=True) if other else reply
 
-    def _note_refused(self, call: Call) -> None:
+    def _record_refused(self, call: Call) -> None:
         """Remember that a submission has been refused, for tries of it that are still on their way.
 
         An entry that gets no answer within 0.4 s asks again.  Where a leader answered the first try
         late with "not run" and took a later one, a job ran whose caller had been refused.
         """
         self._refused[call.number] = None
-        if len(self._refused) > REFUSED_KEPT:
+        if len(self._refused) > MAX_REFUSED_CALLS:
             del self._refused[next(iter(self._refused))]
 
     async def _cancel(self, call: Call, until: float) -> Reply:
-        refusal = await self._until_known(call, until)
+        refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
         ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
@@ -230,5 +230,5 @@
             # The next leader knows what was stored; the call goes to it again.
             return self._reply(call, ReplyKind.LEAD_LOST)
         return self._reply(
-            call, ReplyKind.UNKNOWN, detail="the store has not answered yet", retry_s=AWAY_RETRY_S
+            call, ReplyKind.UNKNOWN, detail="the store has not answered yet", retry_s=STORE_RETRY_AFTER_S
         )
