--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -18,7 +18,7 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_leader_advice import AdviceDesk
 from sapphirelead.node_leader_calls import LeaderCalls, MayCome
-from sapphirelead.node_leader_load import HELD_S, LoopLoad, Part
+from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LoopLoad, Part
 from sapphirelead.node_messages import (
     AgentReport,
     Call,
@@ -52,7 +52,7 @@
 MAX_ROUND_INTERVAL_S: Final = 0.25
 """Longest time between two rounds: ends of pauses, due occurrences and lost agents are noticed."""
 
-PLAN_BUDGET_S: Final = HELD_S / 2
+PLAN_BUDGET_S: Final = MAX_ROUND_HOLD_S / 2
 """Longest time for which a round looks for places and reviews runs; the other half of what a round
 may hold the loop is for storing and sending."""
 
@@ -250,7 +250,7 @@
     async def _round(self) -> bool:
         """Do one round; ``False`` where the lead is lost."""
         at = now()
-        with self._load.held(Part.UPKEEP):
+        with self._load.measure(Part.UPKEEP):
             self.sched.lose_silent(at)
             self.sched.forget_ended(wall_ms())
         if self._turn.behind:
@@ -275,7 +275,7 @@
         self._review(at, budget)
         self._log_survey(at)
         if not self._finishing:
-            with self._load.held(Part.PLAN):
+            with self._load.measure(Part.PLAN):
                 self._turn.budget = budget
                 self._advice.put(plan(self.sched, at, wall_ms(), self._turn))
         # Others get the loop for as long as it was held.
@@ -287,7 +287,7 @@
         if at - self._reviewed_at < MAX_ROUND_INTERVAL_S:
             return
         self._reviewed_at = at
-        with self._load.held(Part.REVIEW):
+        with self._load.measure(Part.REVIEW):
             review(self.sched, at, budget)
             evacuate(self.sched, at)
             self._consolidation.review(self.sched, wanted_cpu(self.sched), at, budget)
@@ -302,7 +302,7 @@
 
     async def _store(self) -> bool:
         at = now()
-        with self._load.held(Part.STORE):
+        with self._load.measure(Part.STORE):
             batch = self.sched.take_batch(wall_ms())
             writes = self._journal.writes(batch, self.sched.jobs)
         end = await self.head.commit(writes)
@@ -310,7 +310,7 @@
         self.metrics.latency("commit_ms", (now() - at) * 1000)
         if end is HeadEnd.DEPOSED:
             return False
-        with self._load.held(Part.EFFECTS):
+        with self._load.measure(Part.EFFECTS):
             for effect in batch.effects:
                 effect()
         self._calls.notify_changed()
@@ -320,7 +320,7 @@
         if at - self._surveyed_at < PERIOD_S:
             return
         self._surveyed_at = at
-        with self._load.held(Part.SURVEY):
+        with self._load.measure(Part.SURVEY):
             log_event("INFO", "fleet_seen", **asdict(survey(self.sched, at)))
 
     async def finish(self) -> None:
@@ -380,7 +380,7 @@
 
     def on_report(self, report: AgentReport) -> None:
         """Take an agent's report and answer it."""
-        with self._load.held(Part.REPORTS):
+        with self._load.measure(Part.REPORTS):
             self._handle_report(report)
 
     def _handle_report(self, report: AgentReport) -> None:
@@ -434,7 +434,7 @@
 
     def _flush(self) -> None:
         at = now()
-        with self._load.held(Part.SEND):
+        with self._load.measure(Part.SEND):
             for agent in list(self.sched.outgoing):
                 self._answer(agent, at, 0)
 
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -16,15 +16,15 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_timing import BEAT_S
 
-HELD_S: Final = BEAT_S / 4
+MAX_ROUND_HOLD_S: Final = BEAT_S / 4
 """Longest time for which a round should hold the loop; heartbeats, reports and cancels wait for as
 long."""
 
-UNPLANNED_S: Final = 1.0
+MAX_PLANNING_WAIT_S: Final = 1.0
 """Time for which a step may wait for a look; callers are promised that nothing stands still for 3 s
 while there is room."""
 
-PERIOD_S: Final = 1.0
+LOG_INTERVAL_S: Final = 1.0
 """Time between two lines."""
 
 
@@ -66,7 +66,7 @@
         self._metrics = metrics
         self._round_s = {}
         self._logged_at = at
-        self._behind_logged_at = at - PERIOD_S
+        self._behind_logged_at = at - LOG_INTERVAL_S
         self._reset()
 
     def _reset(self) -> None:
@@ -77,7 +77,7 @@
         self._reports = 0
 
     @contextmanager
-    def held(self, part: Part) -> Iterator[None]:
+    def measure(self, part: Part) -> Iterator[None]:
         """Add the time that the body takes to ``part``; the body must not wait."""
         began = now()
         try:
@@ -101,11 +101,11 @@
         self._total_s += total_s
         self._rounds += 1
         at = now()
-        behind = round_s > HELD_S or waited_s > UNPLANNED_S
-        if behind and at - self._behind_logged_at >= PERIOD_S:
+        behind = round_s > MAX_ROUND_HOLD_S or waited_s > MAX_PLANNING_WAIT_S
+        if behind and at - self._behind_logged_at >= LOG_INTERVAL_S:
             self._behind_logged_at = at
             self._log_behind(sched, round_s, took_s, waited_s)
-        if at - self._logged_at >= PERIOD_S:
+        if at - self._logged_at >= LOG_INTERVAL_S:
             self._log(at)
 
     def _log_behind(
@@ -117,7 +117,7 @@
             "WARNING",
             "leader_behind",
             held_s=round(round_s, 3),
-            over_s=round(max(0.0, round_s - HELD_S), 3),
+            over_s=round(max(0.0, round_s - MAX_ROUND_HOLD_S), 3),
             part=longest,
             part_s=round(took_s.get(longest, 0.0), 3),
             unplanned_s=round(waited_s, 3),
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -9,7 +9,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_leader_load import HELD_S, PERIOD_S, UNPLANNED_S, LoopLoad, Part
+from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LOG_INTERVAL_S, MAX_PLANNING_WAIT_S, LoopLoad, Part
 from sapphirelead.sched_cancels import CancelTimes
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import EndKind
@@ -55,19 +55,19 @@
     load = LoopLoad(metrics, now())
     sched = scheduler()
     for _ in range(3):
-        with load.held(Part.REVIEW):
-            work(HELD_S / 4)
-        with load.held(Part.PLAN):
-            work(HELD_S)
-        with load.held(Part.REPORTS):
-            work(HELD_S)
+        with load.measure(Part.REVIEW):
+            work(MAX_ROUND_HOLD_S / 4)
+        with load.measure(Part.PLAN):
+            work(MAX_ROUND_HOLD_S)
+        with load.measure(Part.REPORTS):
+            work(MAX_ROUND_HOLD_S)
         load.round_ended(sched)
     behind = _of(lines, "leader_behind")
     assert len(behind) == 1, "one line a second"
     assert "held_s=0.125 over_s=0.025 part=plan part_s=0.1" in behind[0]
-    await asyncio.sleep(PERIOD_S)
-    with load.held(Part.PLAN):
-        work(HELD_S / 2)
+    await asyncio.sleep(LOG_INTERVAL_S)
+    with load.measure(Part.PLAN):
+        work(MAX_ROUND_HOLD_S / 2)
     load.round_ended(sched)
     assert len(_of(lines, "leader_behind")) == 1
     (told,) = _of(lines, "leader_load")
@@ -82,9 +82,9 @@
     lines: list[str],
 ) -> None:
     load = LoopLoad(Metrics(now), now())
-    load.round_ended(scheduler(), UNPLANNED_S)
+    load.round_ended(scheduler(), MAX_PLANNING_WAIT_S)
     assert not _of(lines, "leader_behind")
-    load.round_ended(scheduler(), 1.5 * UNPLANNED_S)
+    load.round_ended(scheduler(), 1.5 * MAX_PLANNING_WAIT_S)
     (behind,) = _of(lines, "leader_behind")
     assert "over_s=0 " in behind
     assert "unplanned_s=1.5 " in behind
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -16,7 +16,7 @@
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
 from sapphirelead.node_leader import Leader
-from sapphirelead.node_leader_load import HELD_S
+from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S
 from sapphirelead.node_messages import Call, CallKind, ReplyKind
 from sapphirelead.sched_fleet import Instance, Phase
 from sapphirelead.sched_head import Head, read_head
@@ -173,12 +173,12 @@
         submit_fills(world.leader, estimate_ms)
         began, looked_s = now(), world.looked_s
         await asyncio.sleep(20.0)
-        assert world.looked_s - looked_s <= (now() - began) / 2 + HELD_S
+        assert world.looked_s - looked_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
         assert not world.silences
         assert not [at for agent in world.agents.values() for at in agent.lapses]
         held_ms = world.leader.metrics.percentiles_ms
-        assert held_ms("loop_held_ms", part="plan")[99.9] <= HELD_S * 1000
-        assert held_ms("loop_held_ms", part="review")[99.9] <= HELD_S * 1000
+        assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_HOLD_S * 1000
+        assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_HOLD_S * 1000
 
 
 async def test_an_agent_is_not_sent_its_starts_again_because_its_leader_is_behind(
