--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -16,7 +16,7 @@
 from sapphirelead.clock import awake_now, now, wall_ms
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_leader_advice import AdviceDesk
+from sapphirelead.node_leader_advice import AdviceDispatcher
 from sapphirelead.node_leader_calls import LeaderCalls, MayCome
 from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LoopLoad, Part
 from sapphirelead.node_messages import (
@@ -99,7 +99,7 @@
     _finishing: bool
     _config: QueueConfig
     _calls: LeaderCalls
-    _advice: AdviceDesk
+    _advice: AdviceDispatcher
     _ended: asyncio.Event
     _idle: asyncio.Event
     _reviewed_at: float
@@ -137,7 +137,7 @@
         self._finishing = False
         self._config = QueueConfig()
         self._calls = LeaderCalls(self, may_come)
-        self._advice = AdviceDesk(self.sched, advice, self.metrics, self._wake.set)
+        self._advice = AdviceDispatcher(self.sched, advice, self.metrics, self._wake.set)
         self._ended = asyncio.Event()
         self._idle = asyncio.Event()
         self._reviewed_at = 0.0
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -15,14 +15,14 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import AdviceAsk
 
-AT_ONCE: Final = 2
+MAX_CONCURRENT_ASKS: Final = 2
 """Open questions to the service, which answers one after the other."""
 
-FAILED_PAUSE_S: Final = 0.1
+RETRY_DELAY_S: Final = 0.1
 """Pause before the workers of a question without an answer may be asked about again."""
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Asks what the planner wants to know and gives the answers to the scheduler.
 
     :ivar metrics: where the times of answers go.
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Begin to ask."""
-        self._tasks = [spawn(self._ask_on(), f"advice-{number}") for number in range(AT_ONCE)]
+        self._tasks = [spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)]
 
     def stop(self) -> None:
         """Ask no more."""
@@ -66,7 +66,7 @@
             self._number += 1
             self._asks.put_nowait((float(ask.policy.priority), self._number, ask))
 
-    async def _ask_on(self) -> None:
+    async def _ask_loop(self) -> None:
         while True:
             _, _, ask = await self._asks.get()
             job = self._sched.jobs.get(ask.key[0])
@@ -78,15 +78,15 @@
             found = await self._service.ask(name, ask.workers, policy)
             self.metrics.latency("advice_ms", (now() - began) * 1000)
             if isinstance(found, Err):
-                await self._failed(ask, found.err_value)
+                await self._handle_failure(ask, found.err_value)
                 continue
             tickets = found.ok_value.tickets
             log_event("INFO", "advice", step=name, asked=len(ask.workers), good=len(tickets))
             self._sched.advice.answered(ask.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
-    async def _failed(self, ask: AdviceAsk, failure: Failure) -> None:
+    async def _handle_failure(self, ask: AdviceAsk, failure: Failure) -> None:
         log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
-        await asyncio.sleep(FAILED_PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
         self._sched.advice.unanswered(ask.key, ask.workers)
         self._wake()
