--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -3,7 +3,7 @@
 The store alone makes a leader: whoever changes the head row under the version it read.  What is
 decided here is only when to try, so a wrong belief costs time, never a second leader that can
 write.  An entry tries when the leader has been silent *and* the head row has stood still for
-:data:`WATCH_S`, or when the leader itself asks it to.
+:data:`ELECTION_TIMEOUT_S`, or when the leader itself asks it to.
 """
 
 from enum import StrEnum
@@ -15,19 +15,19 @@
 from sapphirelead.sched_head import NOBODY, Head, HeadRow, read_head
 from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
 
-WATCH_S: Final = 0.7
+ELECTION_TIMEOUT_S: Final = 0.7
 """A living leader renews the head row twice a second; standing still for this long means that it is
 gone or cut off from the store."""
 
-WEAK_WATCH_S: Final = 1.3
+WEAK_ELECTION_TIMEOUT_S: Final = 1.3
 """Watch of an entry that knows of a much stronger one, which reads and takes the row first.  A
 leader without the processors to decide in time delays all work for as long as it leads."""
 
-TAKE_TRIES: Final = 8
+MAX_TAKE_ATTEMPTS: Final = 8
 """Tries of an entry that was offered the lead.  The leader writes the row on until it is taken, and
 each of its writes makes a try fail that had read the row before."""
 
-READ_EVERY_S: Final = 0.3
+HEAD_READ_INTERVAL_S: Final = 0.3
 """Time between two reads of the head row while there is no leader."""
 
 
@@ -90,7 +90,7 @@
         self._leaving = True
         self._offered = 0
 
-    def followed(self, at: float) -> bool:
+    def has_live_leader(self, at: float) -> bool:
         """Whether a leader that takes calls has been heard of lately."""
         if self._leading or not self.leader or not self._serving:
             return False
@@ -106,12 +106,12 @@
             return Move.NOTHING
         if self._may_take(at):
             return Move.TAKE
-        if at - self._read_at < READ_EVERY_S:
+        if at - self._read_at < HEAD_READ_INTERVAL_S:
             return Move.NOTHING
         self._read_at = at
         return Move.READ
 
-    def beat_due(self, at: float) -> bool:
+    def heartbeat_due(self, at: float) -> bool:
         """Return whether a heartbeat is to go to the leader now.
 
         Also to one that has been silent: it answers only to heartbeats.  A follower whose link was
@@ -124,7 +124,7 @@
         return True
 
     def _may_take(self, at: float) -> bool:
-        if self._leaving or self._seen is None or at - self._read_at > READ_EVERY_S:
+        if self._leaving or self._seen is None or at - self._read_at > HEAD_READ_INTERVAL_S:
             return False
         if self._seen.leader == NOBODY:
             return True
@@ -133,9 +133,9 @@
             # itself has given up is left to the entry that it was offered to.
             return True
         weak = is_much_stronger(self.strongest, than=self.cores)
-        return at - self._seen_at >= (WEAK_WATCH_S if weak else WATCH_S)
+        return at - self._seen_at >= (WEAK_ELECTION_TIMEOUT_S if weak else ELECTION_TIMEOUT_S)
 
-    def saw_head(self, head: HeadRow, at: float) -> None:
+    def on_head_read(self, head: HeadRow, at: float) -> None:
         """Take note of the head row as it was read."""
         self.store_ok = True
         if self._seen is None or head.version != self._seen.version:
@@ -146,13 +146,13 @@
         if news and head.leader not in (NOBODY, self.own):
             self._follow(head.epoch, head.leader, at, serving=False)
 
-    def store_failed(self, at: float) -> None:
+    def on_store_failure(self, at: float) -> None:
         """Take note that the store did not answer; what was seen before no longer counts."""
         self.store_ok = False
         self._seen = None
         self._read_at = at
 
-    def told(self, epoch: int, leader: str, at: float) -> bool:
+    def on_leader_announced(self, epoch: int, leader: str, at: float) -> bool:
         """Take another process's word on who leads; return whether it was news."""
         if epoch < self.epoch or (epoch == self.epoch and self.leader == leader):
             return False
@@ -160,7 +160,7 @@
         self._follow(epoch, leader, at, serving=True)
         return True
 
-    def heard(
+    def on_heartbeat(
         self, epoch: int, leader: str, serving: bool, at: float, strongest: float = 0.0
     ) -> bool:
         """Take note of the leader's heartbeat; ``False`` for an outdated one."""
@@ -189,7 +189,7 @@
         """Try to take the lead; ``None`` where it did not come to that."""
         offered = self._offered
         self._offered = 0
-        for _ in range(TAKE_TRIES if offered else 1):
+        for _ in range(MAX_TAKE_ATTEMPTS if offered else 1):
             epoch = self.epoch
             head = await self._take_once(table, offered)
             if head is not None:
@@ -205,17 +205,17 @@
         """
         found = await read_head(table)
         if found.is_err():
-            self.store_failed(now())
+            self.on_store_failure(now())
             return None
         seen = found.unwrap()
         if offered and seen.epoch > offered:
             # Another entry has taken what was offered to this one.
-            self.saw_head(seen, now())
+            self.on_head_read(seen, now())
             return None
         watched = self._seen
         if not offered and watched is not None and seen.version != watched.version:
             # Somebody wrote meanwhile: the leader lives, or there is a new one.
-            self.saw_head(seen, now())
+            self.on_head_read(seen, now())
             return None
         head = await Head.take(table, seen, self.own)
         self._seen = None
@@ -228,7 +228,7 @@
         self.seen_version = seen.version
         return head
 
-    def lost_lead(self) -> None:
+    def on_leadership_lost(self) -> None:
         """Take note that this entry no longer leads."""
         if not self._leading:
             # It has already been told who leads now.
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -127,7 +127,7 @@
     @property
     def leader_known(self) -> bool:
         """Whether calls can be carried out here or passed on."""
-        return self.serving_leader() is not None or self._election.followed(now())
+        return self.serving_leader() is not None or self._election.has_live_leader(now())
 
     def serving_leader(self) -> Leader | None:
         """Return the leader in this process, if it takes calls."""
@@ -135,7 +135,7 @@
 
     def followed_leader(self) -> str:
         """Return the name of the leader elsewhere, if one has been heard of lately."""
-        return self._election.leader if self._election.followed(now()) else ""
+        return self._election.leader if self._election.has_live_leader(now()) else ""
 
     def leader_epoch(self) -> int:
         """Return the epoch of the leader that has been heard of last."""
@@ -221,7 +221,7 @@
     async def _lead_or_follow(self) -> None:
         while True:
             at = now()
-            if self._election.beat_due(at):
+            if self._election.heartbeat_due(at):
                 self._beat()
             move = self._election.next_move(at)
             if move is Move.READ:
@@ -236,11 +236,11 @@
 
     def _note_followed(self, at: float) -> None:
         """Log it when the leader falls silent for this entry, and when it is heard of again."""
-        followed = self._election.followed(at)
-        if followed == self._followed:
+        has_live_leader = self._election.has_live_leader(at)
+        if has_live_leader == self._followed:
             return
-        self._followed = followed
-        if followed:
+        self._followed = has_live_leader
+        if has_live_leader:
             log_event("INFO", "leader_heard", leader=self._election.leader)
         elif self.leader is None:
             log_event("WARNING", "leader_silent", leader=self._election.leader)
@@ -261,10 +261,10 @@
     async def _read_head(self) -> None:
         found = await read_head(self._table)
         if isinstance(found, Err):
-            self._election.store_failed(now())
+            self._election.on_store_failure(now())
             return
         before = self._election.leader
-        self._election.saw_head(found.ok_value, now())
+        self._election.on_head_read(found.ok_value, now())
         if self._election.leader != before:
             log_event(
                 "INFO", "leader_read", leader=self._election.leader, epoch=self._election.epoch
@@ -290,7 +290,7 @@
             # The signal came while the store was writing.  A process that is about to end would
             # hold the lead, and the others would wait until it counts as silent.
             await head.release()
-            self._election.lost_lead()
+            self._election.on_leadership_lost()
             return
         log_event("INFO", "leading", epoch=head.epoch, store_version=self._election.seen_version)
         self.metrics.count("leaderships_total")
@@ -318,7 +318,7 @@
         finally:
             if self.leader is leader:
                 self.leader = None
-                self._election.lost_lead()
+                self._election.on_leadership_lost()
                 self._calls.changed.set()
 
     async def _run_until_over(self, leader: Leader) -> None:
@@ -364,7 +364,7 @@
     def _leads(self) -> Leads:
         if self.serving_leader() is not None:
             return Leads(self._election.epoch, self.name)
-        if self._election.followed(now()):
+        if self._election.has_live_leader(now()):
             return Leads(self._election.epoch, self._election.leader)
         return Leads(self._election.epoch, "")
 
@@ -390,7 +390,7 @@
 
     def _on_entry_beat(self, identity: bytes, beat: EntryBeat) -> None:
         self._know(beat.address)
-        self._keeper.heard(beat)
+        self._keeper.on_heartbeat(beat)
         if self.leader is None:
             self._hub.send(identity, self._leads())
             return
@@ -412,7 +412,7 @@
     def _on_leads(self, message: Leads) -> None:
         if not message.leader or message.leader == self.name:
             return
-        if self._election.told(message.epoch, message.leader, now()):
+        if self._election.on_leader_announced(message.epoch, message.leader, now()):
             log_event("INFO", "following", leader=message.leader, epoch=message.epoch)
             self._calls.changed.set()
             if self.leader is not None and message.epoch > self.leader.head.epoch:
@@ -440,7 +440,7 @@
                 log_event("WARNING", "message_unexpected", kind=type(message).__name__, peer=name)
 
     def _on_leader_beat(self, beat: LeaderBeat) -> None:
-        if not self._election.heard(beat.epoch, beat.leader, beat.serving, now(), beat.strongest):
+        if not self._election.on_heartbeat(beat.epoch, beat.leader, beat.serving, now(), beat.strongest):
             return
         self._take_entries(beat)
         if beat.config_version > self.config.version:
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -23,7 +23,7 @@
         self._heard = {}
         self._offers = Counter()
 
-    def heard(self, beat: EntryBeat, at: float) -> None:
+    def on_heartbeat(self, beat: EntryBeat, at: float) -> None:
         """Take note of a heartbeat."""
         self._heard[beat.address.name] = (at, beat)
 
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -51,9 +51,9 @@
         self._offered_at = -1e9
         self._watched_at = -1e9
 
-    def heard(self, beat: EntryBeat) -> None:
+    def on_heartbeat(self, beat: EntryBeat) -> None:
         """Take note of a follower's heartbeat."""
-        self.followers.heard(beat, now())
+        self.followers.on_heartbeat(beat, now())
 
     def watch(self, leader: Leader) -> None:
         """Hand the lead over when this entry alone has lost the store, or everybody else."""
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -12,7 +12,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
-from sapphirelead.node_election import WATCH_S
+from sapphirelead.node_election import ELECTION_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import decode_spec
@@ -154,7 +154,7 @@
         if self._may_come(call.job_id):
             return True
         being_stored = call.kind is CallKind.CANCEL and call.job_id in self._lead.sched.jobs
-        return being_stored or self._lead.unconfirmed_s() >= WATCH_S - CONFIRM_MARGIN_S
+        return being_stored or self._lead.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
 
     async def _submit(self, call: Call, until: float) -> Reply:
         if call.number in self._refused or (
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -175,7 +175,7 @@
                     await turns.took()
             if at >= self._beat_due:
                 self._beat_due = at + BEAT_S
-                if at > BEAT_S and not self._election.followed(at):
+                if at > BEAT_S and not self._election.has_live_leader(at):
                     self.silences.append(at)
-                self._election.heard(self.leader.head.epoch, "e1", True, at)
+                self._election.on_heartbeat(self.leader.head.epoch, "e1", True, at)
             await asyncio.sleep(LOOK_S)
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -5,7 +5,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.errors import Failure
-from sapphirelead.node_election import READ_EVERY_S, WATCH_S, WEAK_WATCH_S, Election, Move
+from sapphirelead.node_election import HEAD_READ_INTERVAL_S, ELECTION_TIMEOUT_S, WEAK_ELECTION_TIMEOUT_S, Election, Move
 from sapphirelead.ports import Row
 from sapphirelead.sched_head import Head, HeadRow, read_head
 from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
@@ -15,7 +15,7 @@
 def seen(election: Election, head: HeadRow, at: float) -> None:
     """Let ``election`` read the head row."""
     assert election.next_move(at) is Move.READ
-    election.saw_head(head, at)
+    election.on_head_read(head, at)
 
 
 def test_the_first_entry_takes_an_absent_row_at_once() -> None:
@@ -28,9 +28,9 @@
     election = Election("e1")
     at = 0.0
     for version in range(1, 20):
-        at += READ_EVERY_S
+        at += HEAD_READ_INTERVAL_S
         if election.next_move(at) is Move.READ:
-            election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
+            election.on_head_read(HeadRow(version, 1, "e2", str(version)), at)
         assert election.next_move(at + 0.01) is not Move.TAKE
 
 
@@ -41,9 +41,9 @@
     seen(election, head, 0.0)
     began = at
     while election.next_move(at) is not Move.TAKE:
-        election.saw_head(head, at)
+        election.on_head_read(head, at)
         at += 0.1
-    assert at - began < WATCH_S + 2 * READ_EVERY_S
+    assert at - began < ELECTION_TIMEOUT_S + 2 * HEAD_READ_INTERVAL_S
 
 
 def test_a_restarted_process_takes_its_own_row_at_once() -> None:
@@ -59,17 +59,17 @@
     follower, who then ignored the offer: nothing was started for 0.7 s, until the next offer.
     """
     election = Election("e1")
-    assert election.heard(3, "e2", serving=True, at=1.0)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
-    assert election.heard(3, "e2", serving=True, at=1.01)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.TAKE
 
 
 def test_an_offer_ends_with_the_epoch_that_it_was_made_in() -> None:
     election = Election("e1")
-    assert election.heard(3, "e2", serving=True, at=1.0)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
-    assert election.heard(4, "e3", serving=True, at=1.01)
+    assert election.on_heartbeat(4, "e3", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.NOTHING
 
 
@@ -86,8 +86,8 @@
     seen(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
     election.leave()
-    election.lost_lead()
-    later = now() + 2 * READ_EVERY_S
+    election.on_leadership_lost()
+    later = now() + 2 * HEAD_READ_INTERVAL_S
     seen(election, (await read_head(table)).unwrap(), later)
     for step in range(40):
         assert election.next_move(later + step * 0.1) is not Move.TAKE
@@ -106,8 +106,8 @@
     election = Election("e1")
     seen(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
-    election.lost_lead()
-    later = now() + 2 * READ_EVERY_S
+    election.on_leadership_lost()
+    later = now() + 2 * HEAD_READ_INTERVAL_S
     seen(election, (await read_head(table)).unwrap(), later)
     assert election.next_move(later + 0.05) is not Move.TAKE
 
@@ -117,8 +117,8 @@
     table = MemoryTable()
     first, second = Election("e1"), Election("e2")
     head = (await read_head(table)).unwrap()
-    first.saw_head(head, now())
-    second.saw_head(head, now())
+    first.on_head_read(head, now())
+    second.on_head_read(head, now())
     taken = await first.take(table)
     assert taken is not None
     assert taken.epoch == 1
@@ -133,27 +133,27 @@
     only to a leader that had been heard of lately, and a leader answers only to heartbeats.
     """
     election = Election("e1")
-    election.heard(1, "e2", True, 0.0)
+    election.on_heartbeat(1, "e2", True, 0.0)
     at, beats = 0.0, 0
     for version in range(1, 40):
         at += 0.1
-        beats += election.beat_due(at)
+        beats += election.heartbeat_due(at)
         if election.next_move(at) is Move.READ:
-            election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
+            election.on_head_read(HeadRow(version, 1, "e2", str(version)), at)
     assert at > 2 * LEADER_SILENCE_S
-    assert not election.followed(at)
+    assert not election.has_live_leader(at)
     assert beats >= at / BEAT_S - 2
-    election.heard(1, "e2", True, at)
-    assert election.followed(at)
+    election.on_heartbeat(1, "e2", True, at)
+    assert election.has_live_leader(at)
 
 
 def test_heartbeats_go_to_no_leader_that_is_not_known_and_to_nobody_from_the_leader() -> None:
     election = Election("e1")
-    assert not election.beat_due(1.0)
-    election.heard(1, "e2", True, 1.0)
-    assert election.beat_due(1.0)
-    assert not election.beat_due(1.0 + BEAT_S / 2)
-    assert election.beat_due(1.1 + BEAT_S)
+    assert not election.heartbeat_due(1.0)
+    election.on_heartbeat(1, "e2", True, 1.0)
+    assert election.heartbeat_due(1.0)
+    assert not election.heartbeat_due(1.0 + BEAT_S / 2)
+    assert election.heartbeat_due(1.1 + BEAT_S)
 
 
 def taken_after(election: Election, silent_from: float) -> float:
@@ -161,7 +161,7 @@
     head = HeadRow(7, 3, "e2", "t")
     at = silent_from + LEADER_SILENCE_S
     while election.next_move(at) is not Move.TAKE:
-        election.saw_head(head, at)
+        election.on_head_read(head, at)
         at += 0.02
     return at - silent_from - LEADER_SILENCE_S
 
@@ -169,11 +169,11 @@
 @pytest.mark.parametrize(
     ("cores", "strongest", "least_s", "most_s"),
     [
-        (0.5, 2.0, WEAK_WATCH_S, WEAK_WATCH_S + READ_EVERY_S),
-        (2.0, 2.0, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.5, 0.5, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.5, 0.0, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.0, 2.0, WATCH_S, WATCH_S + READ_EVERY_S),
+        (0.5, 2.0, WEAK_ELECTION_TIMEOUT_S, WEAK_ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (2.0, 2.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.5, 0.5, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.5, 0.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.0, 2.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
     ],
 )
 def test_a_weak_entry_waits_for_a_strong_one(
@@ -185,7 +185,7 @@
     ones live, none waits longer than before.
     """
     election = Election("e1", cores)
-    assert election.heard(3, "e2", serving=True, at=1.0, strongest=strongest)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0, strongest=strongest)
     assert least_s <= taken_after(election, 1.0) <= most_s
 
 
@@ -200,7 +200,7 @@
     head = await Head.take(table, (await read_head(table)).unwrap(), "e2")
     assert head is not None
     election = Election("e1", 2.0)
-    assert election.heard(1, "e2", serving=True, at=now())
+    assert election.on_heartbeat(1, "e2", serving=True, at=now())
     election.offered(1)
     reads = 0
     rows = table.rows
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -31,7 +31,7 @@
 async def beat_on(keeper: LeadKeeper) -> None:
     """Let one follower go on sending heartbeats."""
     while True:
-        keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+        keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
         await asyncio.sleep(BEAT_S)
 
 
@@ -83,12 +83,12 @@
     leader = await leading(MemoryTable())
     leader.isolated = lambda at: True  # type: ignore[method-assign]
     keeper = LeadKeeper(noting([]))
-    keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
     keeper.watch(leader)
     await asyncio.sleep(ISOLATION_TIMEOUT_S + LATE_S)
     keeper.watch(leader)
     assert leader.serving
-    keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
     for _ in range(int((ISOLATION_TIMEOUT_S + 0.5) / 0.1)):
         await asyncio.sleep(0.1)
         keeper.watch(leader)
@@ -110,7 +110,7 @@
 
     keeper = LeadKeeper(send, cores=0.5)
     for name, cores in (("weak", 0.5), ("strong", 2.0)):
-        keeper.heard(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
+        keeper.on_heartbeat(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
     keeper.watch(leader)
     assert offered == ["strong"]
     # It leads on until the offer has been taken, and does not repeat it at each look.
@@ -123,7 +123,7 @@
     leader = await leading(MemoryTable())
     offers: list[float] = []
     keeper = LeadKeeper(noting(offers), cores=2.0)
-    keeper.heard(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
+    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
     keeper.watch(leader)
     assert not offers
 
--- a/tests/sched/test_head.py
+++ b/tests/sched/test_head.py
@@ -79,7 +79,7 @@
     assert (row.leader, row.epoch) == (NOBODY, 1)
     election = Election("e2")
     assert election.next_move(0.0) is Move.READ
-    election.saw_head(row, 0.0)
+    election.on_head_read(row, 0.0)
     assert election.next_move(0.01) is Move.TAKE
     head = await election.take(table)
     assert head is not None and head.epoch == 2
