--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -22,7 +22,7 @@
 from sapphirelead.node_calls import HOLD_S, CallDesk, longest_wait_s
 from sapphirelead.node_directory import read_entries, write_entry
 from sapphirelead.node_election import Election, Move
-from sapphirelead.node_handover import LeadKeeper
+from sapphirelead.node_handover import HandoverController
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_links import Hub, Links
 from sapphirelead.node_messages import (
@@ -85,7 +85,7 @@
     _entries: dict[str, EntryAddress]
     _entries_version: int
     _entries_epoch: int
-    _keeper: LeadKeeper
+    _keeper: HandoverController
     _agents: dict[str, bytes]
     _calls: CallDesk
     _tasks: list["asyncio.Task[None]"]
@@ -107,7 +107,7 @@
         self._entries = {node.address.name: node.address}
         self._entries_version = 1
         self._entries_epoch = 0
-        self._keeper = LeadKeeper(self.send_to, node.address.cores)
+        self._keeper = HandoverController(self.send_to, node.address.cores)
         self._agents = {}
         self._calls = CallDesk(self)
         self._tasks = []
@@ -230,7 +230,7 @@
                 await self._take()
             leader = self.serving_leader()
             if leader is not None:
-                self._keeper.watch(leader)
+                self._keeper.check(leader)
             self._note_followed(at)
             await asyncio.sleep(STEP_S * (0.75 + 0.5 * random.random()))
 
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -14,24 +14,24 @@
 from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
 from sapphirelead.node_messages import EntryBeat, Handover
 
-OFFER_EVERY_S: Final = 0.7
+OFFER_INTERVAL_S: Final = 0.7
 """Time between two offers of the lead: a read and a write take half as long at most where the store
 is there."""
 
-LOOK_S: Final = 0.1
+POLL_INTERVAL_S: Final = 0.1
 """Time between two looks for an entry that could lead; a fraction of the heartbeat."""
 
-STRONGER_EVERY_S: Final = 2.0
+STRONGER_OFFER_INTERVAL_S: Final = 2.0
 """Time between two offers of the lead to a stronger entry; the lead is in good order meanwhile."""
 
-LATE_S: Final = 0.5
+STALL_THRESHOLD_S: Final = 0.5
 """A look so long after the one before says that this process has not run in between: heartbeats and
 reports that arrived meanwhile have not been taken yet, and everybody seems silent."""
 
 SendOffer = Callable[[str, Handover], bool]
 
 
-class LeadKeeper:
+class HandoverController:
     """Keeps an entry's lead, or gives it away where another entry can do better.
 
     :ivar followers: the entries that could take it.
@@ -41,7 +41,7 @@
     _send: SendOffer
     _cores: float
     _offered_at: float
-    _watched_at: float
+    _checked_at: float
 
     def __init__(self, send: SendOffer, cores: float = 0.0) -> None:
         """Keep the lead of an entry that may use ``cores`` processors; 0 where it is not known."""
@@ -49,27 +49,27 @@
         self._send = send
         self._cores = cores
         self._offered_at = -1e9
-        self._watched_at = -1e9
+        self._checked_at = -1e9
 
     def on_heartbeat(self, beat: EntryBeat) -> None:
         """Take note of a follower's heartbeat."""
         self.followers.on_heartbeat(beat, now())
 
-    def watch(self, leader: Leader) -> None:
+    def check(self, leader: Leader) -> None:
         """Hand the lead over when this entry alone has lost the store, or everybody else."""
         at = now()
-        late = at - self._watched_at > LATE_S
-        self._watched_at = at
+        late = at - self._checked_at > STALL_THRESHOLD_S
+        self._checked_at = at
         if not late and self._cut_off(leader, at):
             # Its store still confirms it, so the others would never take the lead: they would see
             # the head row move on.
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
             leader.resign()
             return
-        if leader.store_unavailable(at) and at - self._offered_at >= OFFER_EVERY_S:
+        if leader.store_unavailable(at) and at - self._offered_at >= OFFER_INTERVAL_S:
             self._offered_at = at
             self._offer_without_store(leader, at)
-        elif not leader.store_unavailable(at) and at - self._offered_at >= STRONGER_EVERY_S:
+        elif not leader.store_unavailable(at) and at - self._offered_at >= STRONGER_OFFER_INTERVAL_S:
             self._offer_to_stronger(leader, at)
 
     def _offer_without_store(self, leader: Leader, at: float) -> None:
@@ -122,15 +122,15 @@
         """Offer the lead to one entry, if there is one that stays, and wait for it to lead."""
         name = self.followers.next_successor(now(), with_store=True)
         if not name or not leader.serving:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             return
         await leader.finish()
         self._offer(leader, name, "stopping")
         try:
-            async with asyncio.timeout(OFFER_EVERY_S):
+            async with asyncio.timeout(OFFER_INTERVAL_S):
                 await leader.wait_ended()
         except TimeoutError:
             leader.resume_starts()
             # Rounds go on for a while before the next offer: each one holds new starts back, and
             # a leader whose offers nobody takes would start nothing until its end.
-            await asyncio.sleep(OFFER_EVERY_S)
+            await asyncio.sleep(OFFER_INTERVAL_S)
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_handover import LATE_S, OFFER_EVERY_S, LeadKeeper
+from sapphirelead.node_handover import STALL_THRESHOLD_S, OFFER_INTERVAL_S, HandoverController
 from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
 from sapphirelead.node_messages import EntryAddress, EntryBeat, Handover
 from sapphirelead.sched_head import Head, read_head
@@ -28,10 +28,10 @@
     return leader
 
 
-async def beat_on(keeper: LeadKeeper) -> None:
+async def beat_on(controller: HandoverController) -> None:
     """Let one follower go on sending heartbeats."""
     while True:
-        keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+        controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
         await asyncio.sleep(BEAT_S)
 
 
@@ -46,14 +46,14 @@
 
 
 @asynccontextmanager
-async def followed() -> AsyncIterator[tuple[Leader, LeadKeeper, list[float]]]:
+async def followed() -> AsyncIterator[tuple[Leader, HandoverController, list[float]]]:
     """Run a leader with a follower that takes no offer; the list holds the times of the offers."""
     leader = await leading(MemoryTable())
     offers: list[float] = []
-    keeper = LeadKeeper(noting(offers))
-    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(beat_on(keeper))]
+    controller = HandoverController(noting(offers))
+    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(beat_on(controller))]
     await asyncio.sleep(0.1)
-    yield leader, keeper, offers
+    yield leader, controller, offers
     for task in tasks:
         task.cancel()
 
@@ -64,8 +64,8 @@
     Each offer held new starts back until the next one, so that nothing was started until the
     process ended.
     """
-    async with followed() as (leader, keeper, offers):
-        leaving = asyncio.create_task(keeper.leave(lambda: leader, now() + 4.5))
+    async with followed() as (leader, controller, offers):
+        leaving = asyncio.create_task(controller.leave(lambda: leader, now() + 4.5))
         starting = 0.0
         while not leaving.done():
             await asyncio.sleep(0.1)
@@ -82,16 +82,16 @@
     """
     leader = await leading(MemoryTable())
     leader.isolated = lambda at: True  # type: ignore[method-assign]
-    keeper = LeadKeeper(noting([]))
-    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
-    keeper.watch(leader)
-    await asyncio.sleep(ISOLATION_TIMEOUT_S + LATE_S)
-    keeper.watch(leader)
+    controller = HandoverController(noting([]))
+    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    controller.check(leader)
+    await asyncio.sleep(ISOLATION_TIMEOUT_S + STALL_THRESHOLD_S)
+    controller.check(leader)
     assert leader.serving
-    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
     for _ in range(int((ISOLATION_TIMEOUT_S + 0.5) / 0.1)):
         await asyncio.sleep(0.1)
-        keeper.watch(leader)
+        controller.check(leader)
     assert not leader.serving
 
 
@@ -108,28 +108,28 @@
         offered.append(name)
         return True
 
-    keeper = LeadKeeper(send, cores=0.5)
+    controller = HandoverController(send, cores=0.5)
     for name, cores in (("weak", 0.5), ("strong", 2.0)):
-        keeper.on_heartbeat(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
-    keeper.watch(leader)
+        controller.on_heartbeat(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
+    controller.check(leader)
     assert offered == ["strong"]
     # It leads on until the offer has been taken, and does not repeat it at each look.
     assert leader.serving
-    keeper.watch(leader)
+    controller.check(leader)
     assert offered == ["strong"]
 
 
 async def test_a_strong_leader_keeps_its_lead() -> None:
     leader = await leading(MemoryTable())
     offers: list[float] = []
-    keeper = LeadKeeper(noting(offers), cores=2.0)
-    keeper.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
-    keeper.watch(leader)
+    controller = HandoverController(noting(offers), cores=2.0)
+    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
+    controller.check(leader)
     assert not offers
 
 
 async def test_offers_are_given_time() -> None:
-    async with followed() as (leader, keeper, offers):
-        await keeper.leave(lambda: leader, now() + 3.0)
-        assert all(later - earlier >= OFFER_EVERY_S for earlier, later in pairwise(offers))
+    async with followed() as (leader, controller, offers):
+        await controller.leave(lambda: leader, now() + 3.0)
+        assert all(later - earlier >= OFFER_INTERVAL_S for earlier, later in pairwise(offers))
         assert not leader.serving
