--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -6,10 +6,10 @@
 from sapphirelead.node_messages import EntryBeat
 from sapphirelead.sched_timing import BEAT_S
 
-RECENT_S: Final = 2 * BEAT_S
+HEARTBEAT_TIMEOUT_S: Final = 2 * BEAT_S
 """An entry whose last heartbeat is older may be gone; one heartbeat may get lost."""
 
-MUCH_STRONGER: Final = 1.5
+MUCH_STRONGER_FACTOR: Final = 1.5
 """Factor from which on the lead goes to a stronger entry; less is not worth a change."""
 
 
@@ -27,7 +27,7 @@
         """Take note of a heartbeat."""
         self._heard[beat.address.name] = (at, beat)
 
-    def all_silent_s(self, at: float) -> float:
+    def since_last_heartbeat_s(self, at: float) -> float:
         """Return for how long no follower has been heard of; 0 where there never was one."""
         return at - max((heard_at for heard_at, _ in self._heard.values()), default=at)
 
@@ -38,15 +38,15 @@
 
         :param with_store: only entries whose last calls to the store were answered.
         """
-        return self._next_offer(self._able(at, with_store))
+        return self._next_offer(self._eligible(at, with_store))
 
     def strongest(self, at: float) -> float:
         """Return the processors of the strongest follower that could lead; 0 for none."""
-        return max(self._able(at, with_store=True).values(), default=0.0)
+        return max(self._eligible(at, with_store=True).values(), default=0.0)
 
     def much_stronger(self, cores: float, at: float) -> str:
         """Return a follower that is much stronger than ``cores``; empty for none."""
-        able = self._able(at, with_store=True)
+        able = self._eligible(at, with_store=True)
         return self._next_offer(
             {name: theirs for name, theirs in able.items() if is_much_stronger(theirs, than=cores)}
         )
@@ -61,7 +61,7 @@
             self._offers[name] += 1
         return name
 
-    def _able(self, at: float, with_store: bool) -> dict[str, float]:
+    def _eligible(self, at: float, with_store: bool) -> dict[str, float]:
         """Return the followers that could lead, with their processors.
 
         An entry that is about to end ignores an offer.  A leader that gave up in favour of one
@@ -70,7 +70,7 @@
         return {
             name: beat.address.cores
             for name, (heard_at, beat) in self._heard.items()
-            if at - heard_at < RECENT_S and not beat.leaving and (beat.store_ok or not with_store)
+            if at - heard_at < HEARTBEAT_TIMEOUT_S and not beat.leaving and (beat.store_ok or not with_store)
         }
 
 
@@ -82,4 +82,4 @@
     >>> is_much_stronger(2.0, than=0.5), is_much_stronger(2.0, than=1.9), is_much_stronger(2.0, 0.0)
     (True, False, False)
     """
-    return than > 0 and cores >= MUCH_STRONGER * than
+    return than > 0 and cores >= MUCH_STRONGER_FACTOR * than
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -101,7 +101,7 @@
 
     def _cut_off(self, leader: Leader, at: float) -> bool:
         """Whether neither followers nor most agents have been heard of lately."""
-        return self.followers.all_silent_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(at)
+        return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(at)
 
     async def leave(self, current: Callable[[], Leader | None], until: float) -> None:
         """Lead on until another entry can, for as long as ``until`` at most; then release the lead.
--- a/tests/sched/test_followers.py
+++ b/tests/sched/test_followers.py
@@ -1,6 +1,6 @@
 """Whom a leader offers the lead to."""
 
-from sapphirelead.node_followers import RECENT_S, Followers
+from sapphirelead.node_followers import HEARTBEAT_TIMEOUT_S, Followers
 from sapphirelead.node_messages import EntryAddress, EntryBeat
 
 
@@ -12,7 +12,7 @@
 def test_an_entry_that_leaves_or_is_silent_is_no_successor() -> None:
     followers = Followers()
     followers.on_heartbeat(beat("leaving", leaving=True), 10.0)
-    followers.on_heartbeat(beat("silent"), 10.0 - RECENT_S)
+    followers.on_heartbeat(beat("silent"), 10.0 - HEARTBEAT_TIMEOUT_S)
     assert followers.next_successor(10.0, with_store=True) == ""
     followers.on_heartbeat(beat("back"), 10.0)
     assert followers.next_successor(10.0, with_store=True) == "back"
@@ -34,9 +34,9 @@
 
 def test_a_leader_that_never_had_followers_is_not_cut_off() -> None:
     followers = Followers()
-    assert followers.all_silent_s(100.0) == 0
+    assert followers.since_last_heartbeat_s(100.0) == 0
     followers.on_heartbeat(beat("a"), 98.0)
-    assert followers.all_silent_s(100.0) == 2.0
+    assert followers.since_last_heartbeat_s(100.0) == 2.0
 
 
 def test_the_strongest_are_offered_the_lead_first() -> None:
@@ -51,7 +51,7 @@
     followers = Followers()
     followers.on_heartbeat(beat("leaves", cores=4.0, leaving=True), 1.0)
     followers.on_heartbeat(beat("without store", cores=4.0, store_ok=False), 1.0)
-    followers.on_heartbeat(beat("silent", cores=4.0), 1.0 - RECENT_S)
+    followers.on_heartbeat(beat("silent", cores=4.0), 1.0 - HEARTBEAT_TIMEOUT_S)
     followers.on_heartbeat(beat("weak", cores=0.5), 1.0)
     assert followers.strongest(1.0) == 0.5
     assert followers.much_stronger(0.5, 1.0) == ""
