--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -8,17 +8,17 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.sched_timing import BEAT_S
 
-TELL_S: Final = 1.0
+EXPORT_INTERVAL_S: Final = 1.0
 """Time between two looks."""
 
-BEHIND_S: Final = BEAT_S
+BEHIND_THRESHOLD_S: Final = BEAT_S
 """A follower whose heartbeat waits for longer sends the next one before the first is answered."""
 
 
-def kinds(counts: Mapping[str, float]) -> str:
+def format_counts(counts: Mapping[str, float]) -> str:
     """Return numbers by kind as one value.
 
-    >>> kinds({"report": 12, "cancel": 1})
+    >>> format_counts({"report": 12, "cancel": 1})
     'cancel:1,report:12'
     """
     return ",".join(f"{kind}:{counts[kind]:g}" for kind in sorted(counts)) or "-"
@@ -70,13 +70,13 @@
         self._taken[kind] += 1
         self._waits[kind] = max(self._waits.get(kind, 0.0), waited_s)
 
-    def turned(self, took_s: float) -> None:
+    def record_turn(self, took_s: float) -> None:
         """Take note of how long the rest of the process had the loop between two turns."""
         self._turn_s = max(self._turn_s, took_s)
 
-    def look(self, at: float) -> None:
+    def export_if_due(self, at: float) -> None:
         """Export a second that is over, and log it where the hub was behind."""
-        if at - self._began_at < TELL_S:
+        if at - self._began_at < EXPORT_INTERVAL_S:
             return
         merged = self._backlog.merged - self._merged
         dropped = self._backlog.dropped - self._dropped
@@ -86,19 +86,19 @@
         for kind, wait_s in self._waits.items():
             self._metrics.latency("hub_wait_ms", wait_s * 1000, kind=kind)
         self._metrics.latency("hub_turn_ms", self._turn_s * 1000)
-        if dropped or max(self._turn_s, *self._waits.values(), 0.0) > BEHIND_S:
-            self._tell(at, merged, dropped)
+        if dropped or max(self._turn_s, *self._waits.values(), 0.0) > BEHIND_THRESHOLD_S:
+            self._log_behind(at, merged, dropped)
         self._begin(at)
 
-    def _tell(self, at: float, merged: Counter[str], dropped: Counter[str]) -> None:
+    def _log_behind(self, at: float, merged: Counter[str], dropped: Counter[str]) -> None:
         log_event(
             "WARNING",
             "hub_behind",
             period_s=at - self._began_at,
-            taken=kinds(self._taken),
-            waits_ms=kinds({kind: round(wait_s * 1000) for kind, wait_s in self._waits.items()}),
-            waiting=kinds(self._backlog.counts()),
-            merged=kinds(merged),
-            dropped=kinds(dropped),
+            taken=format_counts(self._taken),
+            waits_ms=format_counts({kind: round(wait_s * 1000) for kind, wait_s in self._waits.items()}),
+            waiting=format_counts(self._backlog.counts()),
+            merged=format_counts(merged),
+            dropped=format_counts(dropped),
             turn_ms=self._turn_s * 1000,
         )
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -130,5 +130,5 @@
             self._handler(item.identity, item.message)
             turn_s = await turns.took()
             if turn_s:
-                self._meter.turned(turn_s)
-            self._meter.look(now())
+                self._meter.record_turn(turn_s)
+            self._meter.export_if_due(now())
--- a/tests/sched/test_hub_meter.py
+++ b/tests/sched/test_hub_meter.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_hub_meter import BEHIND_S, TELL_S, HubMeter
+from sapphirelead.node_hub_meter import BEHIND_THRESHOLD_S, EXPORT_INTERVAL_S, HubMeter
 
 
 class Backlog:
@@ -34,9 +34,9 @@
     metrics = Metrics(lambda: 0.0)
     meter = HubMeter(metrics, Backlog(), 0.0)
     for _ in range(3):
-        meter.took("report", BEHIND_S)
-    meter.turned(BEHIND_S)
-    meter.look(TELL_S)
+        meter.took("report", BEHIND_THRESHOLD_S)
+    meter.record_turn(BEHIND_THRESHOLD_S)
+    meter.export_if_due(EXPORT_INTERVAL_S)
     assert not lines
     assert metrics.value("hub_taken_total", kind="report") == 3
     assert b"hub_waiting 7.0" in metrics.render()
@@ -46,19 +46,19 @@
     meter = HubMeter(Metrics(lambda: 0.0), Backlog(), 0.0)
     meter.took("report", 0.0)
     meter.took("cancel", 0.0)
-    meter.turned(1.1 * BEHIND_S)
-    for at in (0.5 * TELL_S, TELL_S, 1.5 * TELL_S, 2 * TELL_S):
-        meter.look(at)
+    meter.record_turn(1.1 * BEHIND_THRESHOLD_S)
+    for at in (0.5 * EXPORT_INTERVAL_S, EXPORT_INTERVAL_S, 1.5 * EXPORT_INTERVAL_S, 2 * EXPORT_INTERVAL_S):
+        meter.export_if_due(at)
     assert [line["taken"] for line in lines] == ["cancel:1,report:1"]
 
 
 def test_a_long_wait_is_logged_with_what_still_waits(lines: list[dict[str, Any]]) -> None:
     meter = HubMeter(Metrics(lambda: 0.0), Backlog(), 0.0)
-    meter.took("cancel", 2 * BEHIND_S)
+    meter.took("cancel", 2 * BEHIND_THRESHOLD_S)
     meter.took("cancel", 0.0)
-    meter.look(TELL_S)
+    meter.export_if_due(EXPORT_INTERVAL_S)
     (line,) = lines
-    assert line["waits_ms"] == f"cancel:{2000 * BEHIND_S:g}"
+    assert line["waits_ms"] == f"cancel:{2000 * BEHIND_THRESHOLD_S:g}"
     assert line["waiting"] == "state:7"
 
 
@@ -66,8 +66,8 @@
     metrics = Metrics(lambda: 0.0)
     backlog = Backlog()
     meter = HubMeter(metrics, backlog, 0.0)
-    for at in (TELL_S, 2 * TELL_S):
+    for at in (EXPORT_INTERVAL_S, 2 * EXPORT_INTERVAL_S):
         backlog.dropped = backlog.dropped + Counter({"state": 2})
-        meter.look(at)
+        meter.export_if_due(at)
     assert [line["dropped"] for line in lines] == ["state:2", "state:2"]
     assert metrics.value("hub_dropped_total", kind="state") == 4
