--- a/sapphirelead/node_directory.py
+++ b/sapphirelead/node_directory.py
@@ -16,7 +16,7 @@
 
 ENTRY_PREFIX: Final = "fleet/entry/"
 
-MOST_ENTRIES: Final = 500
+MAX_ENTRIES: Final = 500
 """Rows read at once; a fleet has a few entries for each availability zone."""
 
 
@@ -39,7 +39,7 @@
 
 async def read_entries(table: Table) -> Result[list[EntryAddress], Failure]:
     """Read where all entries listen."""
-    found = await table.scan(ENTRY_PREFIX, "", MOST_ENTRIES)
+    found = await table.scan(ENTRY_PREFIX, "", MAX_ENTRIES)
     if isinstance(found, Err):
         log_event("INFO", "entries_not_read", reason=str(found.err_value))
         return found
