--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -440,7 +440,9 @@
                 log_event("WARNING", "message_unexpected", kind=type(message).__name__, peer=name)
 
     def _on_leader_beat(self, beat: LeaderBeat) -> None:
-        if not self._election.on_heartbeat(beat.epoch, beat.leader, beat.serving, now(), beat.strongest):
+        if not self._election.on_heartbeat(
+            beat.epoch, beat.leader, beat.serving, now(), beat.strongest
+        ):
             return
         self._take_entries(beat)
         if beat.config_version > self.config.version:
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -70,7 +70,9 @@
         return {
             name: beat.address.cores
             for name, (heard_at, beat) in self._heard.items()
-            if at - heard_at < HEARTBEAT_TIMEOUT_S and not beat.leaving and (beat.store_ok or not with_store)
+            if at - heard_at < HEARTBEAT_TIMEOUT_S
+            and not beat.leaving
+            and (beat.store_ok or not with_store)
         }
 
 
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -69,7 +69,9 @@
         if leader.store_unavailable(at) and at - self._offered_at >= OFFER_INTERVAL_S:
             self._offered_at = at
             self._offer_without_store(leader, at)
-        elif not leader.store_unavailable(at) and at - self._offered_at >= STRONGER_OFFER_INTERVAL_S:
+        elif (
+            not leader.store_unavailable(at) and at - self._offered_at >= STRONGER_OFFER_INTERVAL_S
+        ):
             self._offer_to_stronger(leader, at)
 
     def _offer_without_store(self, leader: Leader, at: float) -> None:
@@ -101,7 +103,9 @@
 
     def _cut_off(self, leader: Leader, at: float) -> bool:
         """Whether neither followers nor most agents have been heard of lately."""
-        return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(at)
+        return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(
+            at
+        )
 
     async def leave(self, current: Callable[[], Leader | None], until: float) -> None:
         """Lead on until another entry can, for as long as ``until`` at most; then release the lead.
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -96,7 +96,9 @@
             "hub_behind",
             period_s=at - self._began_at,
             taken=format_counts(self._taken),
-            waits_ms=format_counts({kind: round(wait_s * 1000) for kind, wait_s in self._waits.items()}),
+            waits_ms=format_counts(
+                {kind: round(wait_s * 1000) for kind, wait_s in self._waits.items()}
+            ),
             waiting=format_counts(self._backlog.counts()),
             merged=format_counts(merged),
             dropped=format_counts(dropped),
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -25,8 +25,8 @@
     Orders,
     Reply,
 )
-from sapphirelead.node_store_timeout import MIN_STORE_TIMEOUT_S, StoreTimeout
 from sapphirelead.node_ports import AdviceService
+from sapphirelead.node_store_timeout import MIN_STORE_TIMEOUT_S, StoreTimeout
 from sapphirelead.ports import Row, Table
 from sapphirelead.sched_cancels import CancelTimes
 from sapphirelead.sched_config import QueueConfig
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -53,7 +53,9 @@
 
     def start(self) -> None:
         """Begin to ask."""
-        self._tasks = [spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)]
+        self._tasks = [
+            spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)
+        ]
 
     def stop(self) -> None:
         """Ask no more."""
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -230,5 +230,8 @@
             # The next leader knows what was stored; the call goes to it again.
             return self._reply(call, ReplyKind.LEAD_LOST)
         return self._reply(
-            call, ReplyKind.UNKNOWN, detail="the store has not answered yet", retry_s=STORE_RETRY_AFTER_S
+            call,
+            ReplyKind.UNKNOWN,
+            detail="the store has not answered yet",
+            retry_s=STORE_RETRY_AFTER_S,
         )
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -5,7 +5,13 @@
 
 from sapphirelead.clock import now
 from sapphirelead.errors import Failure
-from sapphirelead.node_election import HEAD_READ_INTERVAL_S, ELECTION_TIMEOUT_S, WEAK_ELECTION_TIMEOUT_S, Election, Move
+from sapphirelead.node_election import (
+    ELECTION_TIMEOUT_S,
+    HEAD_READ_INTERVAL_S,
+    WEAK_ELECTION_TIMEOUT_S,
+    Election,
+    Move,
+)
 from sapphirelead.ports import Row
 from sapphirelead.sched_head import Head, HeadRow, read_head
 from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_handover import STALL_THRESHOLD_S, OFFER_INTERVAL_S, HandoverController
+from sapphirelead.node_handover import OFFER_INTERVAL_S, STALL_THRESHOLD_S, HandoverController
 from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
 from sapphirelead.node_messages import EntryAddress, EntryBeat, Handover
 from sapphirelead.sched_head import Head, read_head
--- a/tests/sched/test_hub_meter.py
+++ b/tests/sched/test_hub_meter.py
@@ -47,7 +47,12 @@
     meter.took("report", 0.0)
     meter.took("cancel", 0.0)
     meter.record_turn(1.1 * BEHIND_THRESHOLD_S)
-    for at in (0.5 * EXPORT_INTERVAL_S, EXPORT_INTERVAL_S, 1.5 * EXPORT_INTERVAL_S, 2 * EXPORT_INTERVAL_S):
+    for at in (
+        0.5 * EXPORT_INTERVAL_S,
+        EXPORT_INTERVAL_S,
+        1.5 * EXPORT_INTERVAL_S,
+        2 * EXPORT_INTERVAL_S,
+    ):
         meter.export_if_due(at)
     assert [line["taken"] for line in lines] == ["cancel:1,report:1"]
 
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -9,7 +9,13 @@
 
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LOG_INTERVAL_S, MAX_PLANNING_WAIT_S, LoopLoad, Part
+from sapphirelead.node_leader_load import (
+    LOG_INTERVAL_S,
+    MAX_PLANNING_WAIT_S,
+    MAX_ROUND_HOLD_S,
+    LoopLoad,
+    Part,
+)
 from sapphirelead.sched_cancels import CancelTimes
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import EndKind
