--- a/sapphirelead/node_directory.py
+++ b/sapphirelead/node_directory.py
@@ -1,7 +1,7 @@
-"""The list of entries in the store: where each listens.
+"""Service discovery: the addresses of all entries, in the store.
 
-An entry writes its row once, at its start.  Rows of entries that are gone stay; whoever connects to
-such an address just hears nothing from there.
+An entry writes its row once, at startup.  Rows of entries that no longer exist remain; connections
+to their addresses get no response.
 """
 
 from typing import Annotated, Final
@@ -17,11 +17,11 @@
 ENTRY_PREFIX: Final = "fleet/entry/"
 
 MAX_ENTRIES: Final = 500
-"""Rows read at once; a fleet has a few entries for each availability zone."""
+"""Maximum number of rows read."""
 
 
 class EntryRow(msgspec.Struct, frozen=True):
-    """What an entry's row holds."""
+    """The stored row of an entry."""
 
     name: str
     host: Annotated[str, msgspec.Meta(pattern=r"\A[][0-9A-Za-z._:-]+\Z")]
@@ -30,7 +30,7 @@
 
 
 async def write_entry(table: Table, address: EntryAddress) -> bool:
-    """Write the row of an entry; ``False`` where it is not known to be stored."""
+    """Write the row of an entry; ``False`` if the commit is not confirmed."""
     row = EntryRow(address.name, address.host, address.port, address.cores)
     write = Write(ENTRY_PREFIX + address.name, msgspec.to_builtins(row))
     commit = await table.commit(Txn(f"register-{address.name}", (), (write,)))
@@ -38,7 +38,7 @@
 
 
 async def read_entries(table: Table) -> Result[list[EntryAddress], Failure]:
-    """Read where all entries listen."""
+    """Read the addresses of all entries."""
     found = await table.scan(ENTRY_PREFIX, "", MAX_ENTRIES)
     if isinstance(found, Err):
         log_event("INFO", "entries_not_read", reason=str(found.err_value))
@@ -48,10 +48,10 @@
 
 
 def _decode(row: Row) -> EntryAddress | None:
-    """Return where an entry listens; ``None`` for a row of a foreign writer.
+    """Return an entry's address; ``None`` for an invalid row.
 
-    A row under another entry's key would else take that entry's place in the list, and nobody
-    would reach it any more.
+    A row whose name does not match its key is rejected, as it would replace another entry's
+    address.
     """
     try:
         entry = msgspec.convert(row.value, EntryRow)
--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -1,9 +1,10 @@
-"""When an entry follows, asks, or takes the lead: decisions without I/O, but for the taking itself.
+"""Leader election: when an entry follows the leader, reads the head row or tries to take it.
 
-The store alone makes a leader: whoever changes the head row under the version it read.  What is
-decided here is only when to try, so a wrong belief costs time, never a second leader that can
-write.  An entry tries when the leader has been silent *and* the head row has stood still for
-:data:`ELECTION_TIMEOUT_S`, or when the leader itself asks it to.
+The leader is the entry that last changed the head row in the store by compare-and-swap.  This
+module only decides when to try, so a wrong view costs time but never creates a second leader that
+can write.  An entry tries when the leader has sent nothing *and* the head row has not changed for
+:data:`ELECTION_TIMEOUT_S`, or when the leader offers the leadership.  Only :meth:`Election.take`
+does I/O.
 """
 
 from enum import StrEnum
@@ -16,23 +17,23 @@
 from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
 
 ELECTION_TIMEOUT_S: Final = 0.7
-"""A living leader renews the head row twice a second; standing still for this long means that it is
-gone or cut off from the store."""
+"""Time without a change of the head row after which the leader counts as gone or as cut off from
+the store."""
 
 WEAK_ELECTION_TIMEOUT_S: Final = 1.3
-"""Watch of an entry that knows of a much stronger one, which reads and takes the row first.  A
-leader without the processors to decide in time delays all work for as long as it leads."""
+"""Election timeout of an entry that knows of a much stronger one, which is to take the row
+first."""
 
 MAX_TAKE_ATTEMPTS: Final = 8
-"""Tries of an entry that was offered the lead.  The leader writes the row on until it is taken, and
-each of its writes makes a try fail that had read the row before."""
+"""Attempts of an entry that was offered the leadership; the leader's own writes to the row, which
+continue until it is taken, can make an attempt fail."""
 
 HEAD_READ_INTERVAL_S: Final = 0.3
-"""Time between two reads of the head row while there is no leader."""
+"""Interval between reads of the head row while there is no leader."""
 
 
 class Move(StrEnum):
-    """What to do now."""
+    """The next action of an entry."""
 
     NOTHING = "nothing"
     READ = "read"
@@ -40,12 +41,12 @@
 
 
 class Election:
-    """An entry's view of who leads.
+    """An entry's view of the leadership.
 
-    :ivar leader: name of the leader as far as known; empty for none.
+    :ivar leader: name of the known leader; empty for none.
     :ivar store_ok: whether the last call to the store was answered.
-    :ivar cores: processors of this entry.
-    :ivar strongest: processors of the strongest follower, by the leader's newest heartbeat.
+    :ivar cores: processors of this entry; 0 if unknown.
+    :ivar strongest: processors of the strongest follower, from the leader's latest heartbeat.
     """
 
     own: str
@@ -86,18 +87,18 @@
         self._leaving = False
 
     def leave(self) -> None:
-        """Never take the lead again: this process is about to end."""
+        """Never take the leadership again, because this process is shutting down."""
         self._leaving = True
         self._offered = 0
 
     def has_live_leader(self, at: float) -> bool:
-        """Whether a leader that takes calls has been heard of lately."""
+        """Whether another entry leads, accepts calls and has been heard from recently."""
         if self._leading or not self.leader or not self._serving:
             return False
         return at - self._heard_at < LEADER_SILENCE_S
 
     def next_move(self, at: float) -> Move:
-        """Return what to do at time ``at``."""
+        """Return the action to take at time ``at``."""
         if self._leading:
             return Move.NOTHING
         if self._offered and not self._leaving:
@@ -112,11 +113,10 @@
         return Move.READ
 
     def heartbeat_due(self, at: float) -> bool:
-        """Return whether a heartbeat is to go to the leader now.
+        """Return whether a heartbeat to the leader is due, and count it as sent.
 
-        Also to one that has been silent: it answers only to heartbeats.  A follower whose link was
-        cut for longer than the silence would otherwise never hear of it again, since the head row
-        moves on and nobody else takes the lead, and would refuse its callers for good.
+        Heartbeats also go to a leader that has not responded: a leader sends its own only in
+        reply, so a follower whose link was interrupted would otherwise never reconnect.
         """
         if self._leading or not self.leader or at - self._beat_at < BEAT_S:
             return False
@@ -129,14 +129,14 @@
         if self._seen.leader == NOBODY:
             return True
         if self._seen.leader == self.own and self._seen.epoch != self._own_epoch:
-            # From an earlier process of this entry, which is gone.  An epoch that this process
-            # itself has given up is left to the entry that it was offered to.
+            # Left by an earlier process of this entry.  An epoch that this process has resigned
+            # belongs to the entry that it was offered to.
             return True
         weak = is_much_stronger(self.strongest, than=self.cores)
         return at - self._seen_at >= (WEAK_ELECTION_TIMEOUT_S if weak else ELECTION_TIMEOUT_S)
 
     def on_head_read(self, head: HeadRow, at: float) -> None:
-        """Take note of the head row as it was read."""
+        """Record the head row as read from the store."""
         self.store_ok = True
         if self._seen is None or head.version != self._seen.version:
             self._seen = head
@@ -147,13 +147,13 @@
             self._follow(head.epoch, head.leader, at, serving=False)
 
     def on_store_failure(self, at: float) -> None:
-        """Take note that the store did not answer; what was seen before no longer counts."""
+        """Record that the store did not answer, and discard the row seen before."""
         self.store_ok = False
         self._seen = None
         self._read_at = at
 
     def on_leader_announced(self, epoch: int, leader: str, at: float) -> bool:
-        """Take another process's word on who leads; return whether it was news."""
+        """Record a leader announced by another process; return whether it is new."""
         if epoch < self.epoch or (epoch == self.epoch and self.leader == leader):
             return False
         self._leading = False
@@ -163,7 +163,7 @@
     def on_heartbeat(
         self, epoch: int, leader: str, serving: bool, at: float, strongest: float = 0.0
     ) -> bool:
-        """Take note of the leader's heartbeat; ``False`` for an outdated one."""
+        """Record the leader's heartbeat; ``False`` if it is outdated."""
         if epoch < self.epoch or self._leading:
             return False
         self._follow(epoch, leader, at, serving)
@@ -172,8 +172,8 @@
 
     def _follow(self, epoch: int, leader: str, at: float, serving: bool) -> None:
         if epoch != self.epoch:
-            # The leader of the offer has been replaced.  Until then it leads on and sends
-            # heartbeats, which take nothing back.
+            # The leader that made the offer has been replaced.  Its heartbeats within the same
+            # epoch do not withdraw the offer.
             self._offered = 0
         self.epoch = epoch
         self.leader = leader
@@ -181,12 +181,12 @@
         self._serving = serving
 
     def offered(self, epoch: int) -> None:
-        """The leader of ``epoch`` gives the lead to this entry."""
+        """Record that the leader of ``epoch`` offers the leadership to this entry."""
         if epoch >= self.epoch and not self._leading:
             self._offered = epoch
 
     async def take(self, table: Table) -> Head | None:
-        """Try to take the lead; ``None`` where it did not come to that."""
+        """Try to take the leadership; ``None`` if the attempt failed."""
         offered = self._offered
         self._offered = 0
         for _ in range(MAX_TAKE_ATTEMPTS if offered else 1):
@@ -199,9 +199,9 @@
         return None
 
     async def _take_once(self, table: Table, offered: int) -> Head | None:
-        """Read the row and take it.
+        """Read the head row and try to take it.
 
-        :param offered: epoch of the leader that offered the lead; 0 for none.
+        :param offered: epoch of the leader that offered the leadership; 0 for none.
         """
         found = await read_head(table)
         if found.is_err():
@@ -209,12 +209,12 @@
             return None
         seen = found.unwrap()
         if offered and seen.epoch > offered:
-            # Another entry has taken what was offered to this one.
+            # Another entry has taken the leadership since the offer.
             self.on_head_read(seen, now())
             return None
         watched = self._seen
         if not offered and watched is not None and seen.version != watched.version:
-            # Somebody wrote meanwhile: the leader lives, or there is a new one.
+            # The row has changed since the last read: the leader is alive, or there is a new one.
             self.on_head_read(seen, now())
             return None
         head = await Head.take(table, seen, self.own)
@@ -229,9 +229,10 @@
         return head
 
     def on_leadership_lost(self) -> None:
-        """Take note that this entry no longer leads."""
+        """Record that this entry no longer leads."""
         if not self._leading:
-            # It has already been told who leads now.
+            # The new leader is already known.
+@@@@
             return
         self._leading = False
         self.leader = ""
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -1,4 +1,4 @@
-"""The entries that follow this one while it leads, as their heartbeats tell."""
+"""Registry of the entries that follow this leader, from their heartbeats."""
 
 from collections import Counter
 from typing import Final
@@ -7,14 +7,15 @@
 from sapphirelead.sched_timing import BEAT_S
 
 HEARTBEAT_TIMEOUT_S: Final = 2 * BEAT_S
-"""An entry whose last heartbeat is older may be gone; one heartbeat may get lost."""
+"""An entry whose last heartbeat is older is not offered the leadership; tolerates one lost
+heartbeat."""
 
 MUCH_STRONGER_FACTOR: Final = 1.5
-"""Factor from which on the lead goes to a stronger entry; less is not worth a change."""
+"""Minimum ratio of processors for which the leadership moves to a stronger entry."""
 
 
 class Followers:
-    """What is known of each follower."""
+    """The latest heartbeat of each follower and the number of offers made to it."""
 
     _heard: dict[str, tuple[float, EntryBeat]]
     _offers: Counter[str]
@@ -24,35 +25,35 @@
         self._offers = Counter()
 
     def on_heartbeat(self, beat: EntryBeat, at: float) -> None:
-        """Take note of a heartbeat."""
+        """Record a heartbeat."""
         self._heard[beat.address.name] = (at, beat)
 
     def since_last_heartbeat_s(self, at: float) -> float:
-        """Return for how long no follower has been heard of; 0 where there never was one."""
+        """Return the time since the latest heartbeat of any follower; 0 if there was none."""
         return at - max((heard_at for heard_at, _ in self._heard.values()), default=at)
 
     def next_successor(self, at: float, with_store: bool) -> str:
-        """Return the entry to offer the lead to, a different one each time; empty for none.
+        """Return the entry to offer the leadership to next; empty for none.
 
-        The strongest goes first: one process decides, stores and talks to all agents.
+        Rotates over the eligible followers, those with the most processors first.
 
         :param with_store: only entries whose last calls to the store were answered.
         """
         return self._next_offer(self._eligible(at, with_store))
 
     def strongest(self, at: float) -> float:
-        """Return the processors of the strongest follower that could lead; 0 for none."""
+        """Return the processors of the strongest eligible follower; 0 for none."""
         return max(self._eligible(at, with_store=True).values(), default=0.0)
 
     def much_stronger(self, cores: float, at: float) -> str:
-        """Return a follower that is much stronger than ``cores``; empty for none."""
+        """Return an eligible follower that is much stronger than ``cores``; empty for none."""
         able = self._eligible(at, with_store=True)
         return self._next_offer(
             {name: theirs for name, theirs in able.items() if is_much_stronger(theirs, than=cores)}
         )
 
     def _next_offer(self, cores: dict[str, float]) -> str:
-        """Return the strongest of those offered the lead least often; empty for none.
+        """Return the strongest of those with the fewest offers and count an offer; empty for none.
 
         :param cores: processors of each follower to choose from.
         """
@@ -62,10 +63,9 @@
         return name
 
     def _eligible(self, at: float, with_store: bool) -> dict[str, float]:
-        """Return the followers that could lead, with their processors.
+        """Return the processors of each follower that can take over.
 
-        An entry that is about to end ignores an offer.  A leader that gave up in favour of one
-        left callers without a leader for the two to three seconds until somebody else noticed.
+        Entries that are shutting down are excluded, because they ignore offers.
         """
         return {
             name: beat.address.cores
@@ -79,9 +79,10 @@
 def is_much_stronger(cores: float, than: float) -> bool:
     """Whether an entry with ``cores`` should lead rather than one with ``than``.
 
-    An entry of which nothing is known counts neither as weak nor as strong.
+        An unknown number of processors (0) counts neither as weak nor as strong.
 
-    >>> is_much_stronger(2.0, than=0.5), is_much_stronger(2.0, than=1.9), is_much_stronger(2.0, 0.0)
-    (True, False, False)
+    @@@@
+        >>> is_much_stronger(2.0, than=0.5), is_much_stronger(2.0, than=1.9), is_much_stronger(2.0, 0.0)
+        (True, False, False)
     """
     return than > 0 and cores >= MUCH_STRONGER_FACTOR * than
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -1,7 +1,7 @@
-"""When a leader gives the lead to another entry, and to which.
+"""Voluntary handover of the leadership to another entry.
 
-The store alone makes a leader, so an offer is no more than a hint to try at once.  Whoever offers
-the lead goes on leading until the offer has been taken: callers then have a leader at all times.
+The head row in the store decides who leads, so an offer is only a hint to try at once.  The leader
+keeps leading until the offer has been taken, so that callers have a leader at all times.
 """
 
 import asyncio
@@ -15,26 +15,26 @@
 from sapphirelead.node_messages import EntryBeat, Handover
 
 OFFER_INTERVAL_S: Final = 0.7
-"""Time between two offers of the lead: a read and a write take half as long at most where the store
-is there."""
+"""Minimum time between two offers; leaves the follower time for a read and a write of the head
+row."""
 
 POLL_INTERVAL_S: Final = 0.1
-"""Time between two looks for an entry that could lead; a fraction of the heartbeat."""
+"""Interval at which a leader that shuts down checks for a successor."""
 
 STRONGER_OFFER_INTERVAL_S: Final = 2.0
-"""Time between two offers of the lead to a stronger entry; the lead is in good order meanwhile."""
+"""Minimum time between two offers to a stronger entry."""
 
 STALL_THRESHOLD_S: Final = 0.5
-"""A look so long after the one before says that this process has not run in between: heartbeats and
-reports that arrived meanwhile have not been taken yet, and everybody seems silent."""
+"""A gap between two checks that counts as a stall of this process: messages that arrived during it
+are still unread, so peers seem unresponsive."""
 
 SendOffer = Callable[[str, Handover], bool]
 
 
 class HandoverController:
-    """Keeps an entry's lead, or gives it away where another entry can do better.
+    """Decides when a leading entry offers its leadership to a follower or resigns.
 
-    :ivar followers: the entries that could take it.
+    :ivar followers: the entries that could take over.
     """
 
     followers: Followers
@@ -44,7 +44,7 @@
     _checked_at: float
 
     def __init__(self, send: SendOffer, cores: float = 0.0) -> None:
-        """Keep the lead of an entry that may use ``cores`` processors; 0 where it is not known."""
+        """Create the controller of an entry that may use ``cores`` processors; 0 if unknown."""
         self.followers = Followers()
         self._send = send
         self._cores = cores
@@ -52,17 +52,20 @@
         self._checked_at = -1e9
 
     def on_heartbeat(self, beat: EntryBeat) -> None:
-        """Take note of a follower's heartbeat."""
+        """Record a follower's heartbeat."""
         self.followers.on_heartbeat(beat, now())
 
     def check(self, leader: Leader) -> None:
-        """Hand the lead over when this entry alone has lost the store, or everybody else."""
+        """Resign if isolated; offer the leadership if the store is unreachable or a peer is better.
+
+        To be called at regular intervals while this entry leads.
+        """
         at = now()
         late = at - self._checked_at > STALL_THRESHOLD_S
         self._checked_at = at
         if not late and self._cut_off(leader, at):
-            # Its store still confirms it, so the others would never take the lead: they would see
-            # the head row move on.
+            # The store still confirms this leader and the head row keeps changing, so no other
+            # entry would take over.
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
             leader.resign()
             return
@@ -75,22 +78,20 @@
             self._offer_to_stronger(leader, at)
 
     def _offer_without_store(self, leader: Leader, at: float) -> None:
-        """Offer the lead to one follower after the other, and go on leading until one has it.
+        """Offer the leadership to one follower at a time, without resigning.
 
-        Whether the store is away for all or for this entry only, nobody here knows: the follower
-        finds out when it reads the head row.  A leader that gave up first left everybody without
-        one for as long as the store was away, and callers could not even ask for their jobs.
+        The store may be unreachable for this entry only or for all; in the latter case the fleet
+        keeps a leader that can still answer queries.
         """
         name = self.followers.next_successor(at, with_store=False)
         if name:
             self._offer(leader, name, "store_unreachable")
 
     def _offer_to_stronger(self, leader: Leader, at: float) -> None:
-        """Offer the lead to an entry that can carry it better, if there is one.
+        """Offer the leadership to an entry with many more processors, if there is one.
 
-        After a loss the lead goes to whoever is there first.  A weak entry that leads a large fleet
-        falls behind: reports and calls wait for its processors, and work starts seconds late for as
-        long as it leads.  Strengths do not change, so the lead moves once.
+        An election is won by the first entry to try; a weak leader of a large fleet delays reports,
+        calls and starts.
         """
         name = self.followers.much_stronger(self._cores, at)
         if name:
@@ -102,17 +103,15 @@
         self._send(name, Handover(leader.head.epoch, leader.head.leader))
 
     def _cut_off(self, leader: Leader, at: float) -> bool:
-        """Whether neither followers nor most agents have been heard of lately."""
+        """Whether neither the followers nor most agents have sent anything recently."""
         return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(
             at
         )
 
     async def leave(self, current: Callable[[], Leader | None], until: float) -> None:
-        """Lead on until another entry can, for as long as ``until`` at most; then release the lead.
+        """Lead until a successor takes over, or until time ``until``; then release the leadership.
 
-        In a rolling restart the others may all be leaving or away at the moment of the signal.  The
-        first one that is back sends its heartbeat within a fraction of a second and is offered the
-        lead.
+        In a rolling restart all other entries may be shutting down or absent at first.
 
         :param current: returns the leader in this process, if there is one.
         """
@@ -123,7 +122,7 @@
             await leader.release()
 
     async def _offer_on_leaving(self, leader: Leader) -> None:
-        """Offer the lead to one entry, if there is one that stays, and wait for it to lead."""
+        """Offer the leadership to an eligible follower, if any, and wait for it to take over."""
         name = self.followers.next_successor(now(), with_store=True)
         if not name or not leader.serving:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -135,6 +134,6 @@
                 await leader.wait_ended()
         except TimeoutError:
             leader.resume_starts()
-            # Rounds go on for a while before the next offer: each one holds new starts back, and
-            # a leader whose offers nobody takes would start nothing until its end.
+            # Resume starts for a while before the next offer, which suspends them again.
+@@@@
             await asyncio.sleep(OFFER_INTERVAL_S)
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -1,4 +1,4 @@
-"""What a hub takes and how long it is behind: one look a second, a line only while it is behind."""
+"""Metrics of a hub's message processing, and a warning while the hub has a backlog."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -9,14 +9,14 @@
 from sapphirelead.sched_timing import BEAT_S
 
 EXPORT_INTERVAL_S: Final = 1.0
-"""Time between two looks."""
+"""Interval between exports."""
 
 BEHIND_THRESHOLD_S: Final = BEAT_S
-"""A follower whose heartbeat waits for longer sends the next one before the first is answered."""
+"""Wait or loop turn from which on the hub counts as overloaded: the heartbeat interval."""
 
 
 def format_counts(counts: Mapping[str, float]) -> str:
-    """Return numbers by kind as one value.
+    """Return numbers by kind as one string.
 
     >>> format_counts({"report": 12, "cancel": 1})
     'cancel:1,report:12'
@@ -25,7 +25,7 @@
 
 
 class Backlog(Protocol):
-    """What a meter looks at once a second."""
+    """The queue that a meter observes."""
 
     @property
     def merged(self) -> Counter[str]:
@@ -36,11 +36,11 @@
         """Messages that were dropped, by kind."""
 
     def counts(self) -> Counter[str]:
-        """Count what waits by kind."""
+        """Return the number of queued messages by kind."""
 
 
 class HubMeter:
-    """Counts of the second that is under way."""
+    """Counts and maximum waits of the current export interval."""
 
     _metrics: Metrics
     _backlog: Backlog
@@ -66,16 +66,17 @@
         self._dropped = self._backlog.dropped
 
     def took(self, kind: str, waited_s: float) -> None:
-        """Count a message that is worked on."""
+        """Count a message that was taken from the queue after ``waited_s``."""
         self._taken[kind] += 1
         self._waits[kind] = max(self._waits.get(kind, 0.0), waited_s)
 
     def record_turn(self, took_s: float) -> None:
-        """Take note of how long the rest of the process had the loop between two turns."""
+        """Record for how long other tasks had the loop between two turns of the hub."""
         self._turn_s = max(self._turn_s, took_s)
 
     def export_if_due(self, at: float) -> None:
-        """Export a second that is over, and log it where the hub was behind."""
+        """Export a finished interval, and log a warning if the hub was overloaded."""
+@@@@
         if at - self._began_at < EXPORT_INTERVAL_S:
             return
         merged = self._backlog.merged - self._merged
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -1,9 +1,9 @@
-"""The leader's shell: feeds the scheduler, stores its batches, sends its orders.
+"""The leader's main loop: feeds the scheduler, stores its batches and sends its orders.
 
-One loop plans, stores and carries out effects, in this order, so that nothing is sent or answered
-before it is stored.  The time for which a round may plan is limited; while that is not enough, what
-waits to be stored and sent goes first in each round.  While the store is away the loop waits for
-it; reports still come in and what needs no store (stops, the agents' leases for a while) goes on.
+Each round plans, commits, and then runs the effects of the commit, so nothing is sent or answered
+before it is stored.  Planning has a time budget per round; while a backlog remains, each round
+commits and sends before it plans.  While the store is unavailable the loop waits for it; reports
+are still processed, and what needs no store (stops, lease renewals for a while) continues.
 """
 
 import asyncio
@@ -43,39 +43,36 @@
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
 HEAD_RENEW_INTERVAL_S: Final = 0.5
-"""Time between two renewals of the head row while there is nothing else to store."""
+"""Interval between renewals of the head row when there is nothing else to store."""
 
 MIN_ROUND_INTERVAL_S: Final = 0.012
-"""Least time between two rounds of the loop; what arrives meanwhile is stored together.  About the
-time of one transaction."""
+"""Minimum time between two rounds; changes that arrive in between share a transaction."""
 
 MAX_ROUND_INTERVAL_S: Final = 0.25
-"""Longest time between two rounds: ends of pauses, due occurrences and lost agents are noticed."""
+"""Maximum time between two rounds and minimum time between two reviews; bounds the delay of
+timers."""
 
 PLAN_BUDGET_S: Final = MAX_ROUND_HOLD_S / 2
-"""Longest time for which a round looks for places and reviews runs; the other half of what a round
-may hold the loop is for storing and sending."""
+"""Budget of a round for placement and reviews; the rest is for storing and sending."""
 
 FINAL_COMMIT_TIMEOUT_S: Final = MIN_STORE_TIMEOUT_S
-"""How long a leaving leader waits for its last transaction."""
+"""How long a resigning leader waits for its last transaction."""
 
 HANDOVER_DELAY_S: Final = 1.0
-"""How long the leader tries to reach the store before it looks for an entry that can."""
+"""How long a commit may be pending before the leader offers the leadership to another entry."""
 
 ISOLATION_TIMEOUT_S: Final = 1.5
-"""A leader that has heard nobody for so long, three reports, gives the lead up."""
+"""A leader that has received nothing for this long resigns; spans three report intervals."""
 
 KNOWN_AGENT_WINDOW_S: Final = 15.0
-"""Agents heard of within this time count as known."""
+"""Agents that reported within this time are counted when checking for isolation."""
 
 MIN_ACK_INTERVAL_S: Final = 0.3
-"""A report that comes sooner after the agent's newest acknowledgement renews nothing, and is not
-answered unless orders wait or others lie unanswered: it tells of starts or ends, and the word that
-they are stored follows."""
+"""Minimum time between two acknowledgements to an agent.  An earlier report is answered only if
+orders are pending or too many reports are unanswered."""
 
 MAX_UNANSWERED_REPORTS: Final = 1
-"""Reports of an agent left without an answer.  The agent takes an unanswered report for unread and
-reports less often."""
+"""Reports of an agent that may go unanswered; the agent slows its reporting when more are."""
 
 LOAD_RETRY_DELAY_S: Final = 0.1
 
@@ -83,9 +80,9 @@
 
 
 class Leader:
-    """One leadership, from the taking of the head row to its loss.
+    """One term of leadership, from acquiring the head row to losing it.
 
-    :ivar serving: the stored state has been read and calls are taken.
+    :ivar serving: the stored state has been loaded and calls are accepted.
     """
 
     head: Head
@@ -121,10 +118,10 @@
         metrics: Metrics | None = None,
         may_come: MayCome = lambda _: False,
     ) -> None:
-        """Begin a leadership.
+        """Begin a term of leadership.
 
-        :param may_come: whether a submission of a job may still arrive that came before other
-            calls for it.
+        :param may_come: whether a submission of a job, sent before other calls for that job, may
+            still arrive.
         """
         self.head = head
         self.serving = False
@@ -150,48 +147,48 @@
         self._decide_due = 0.0
 
     def set_config(self, config: QueueConfig) -> None:
-        """Decide by ``config`` from now on."""
+        """Apply ``config`` to all further decisions."""
         self._config = config
         self.sched.policies = config.queues
         self._wake.set()
 
     def store_unavailable(self, at: float) -> bool:
-        """Whether the store has been silent long enough to look for another leader."""
+        """Whether a commit has been pending long enough to hand the leadership over."""
         waiting = self.head.waiting_since
         return waiting > 0 and at - waiting > HANDOVER_DELAY_S
 
     def unconfirmed_s(self) -> float:
-        """Return how long ago the store last confirmed this leader."""
+        """Return the time since the store last confirmed this leader."""
         return awake_now() - self.head.stored_at
 
     def commit_overdue(self, at: float) -> bool:
-        """Whether the transaction in flight has waited longer than a caller should."""
+        """Whether the commit in flight has exceeded the timeout for submissions."""
         waiting = self.head.waiting_since
         return waiting > 0 and at - waiting > self._store_timeout.timeout_s
 
     @property
     def store_timeout_s(self) -> float:
-        """How long a submission waits for the store."""
+        """Timeout of a submission that waits for the store."""
         return self._store_timeout.timeout_s
 
     @property
     def config_version(self) -> int:
-        """Version of the configuration in force."""
+        """Version of the current configuration."""
         return self._config.version
 
     @property
     def resigned(self) -> bool:
-        """Whether the lead has been given up or lost."""
+        """Whether the leadership has been resigned or lost."""
         return self._resigned
 
     def wake(self) -> None:
-        """Let the next round begin: there is something to store."""
+        """Start the next round without waiting for the tick."""
         self._wake.set()
 
     # Start and end of a leadership
 
     async def load(self) -> None:
-        """Read every stored job; waits for the store."""
+        """Load all stored jobs; retries until the store answers."""
         began = now()
         specs = await self._scan(SPEC_PREFIX)
         snapshots = await self._scan(SNAPSHOT_PREFIX)
@@ -225,7 +222,7 @@
         return found
 
     async def run(self) -> None:
-        """Plan, store and send until the lead is lost."""
+        """Plan, store and send until the leadership is lost."""
         self._advice.start()
         try:
             while not self._resigned:
@@ -248,7 +245,7 @@
         self._wake.clear()
 
     async def _round(self) -> bool:
-        """Do one round; ``False`` where the lead is lost."""
+        """Run one round; ``False`` if the leadership is lost."""
         at = now()
         with self._load.measure(Part.UPKEEP):
             self.sched.lose_silent(at)
@@ -256,7 +253,7 @@
         if self._turn.behind:
             if not await self._save():
                 return False
-            # Answers go out before planning holds the loop again.
+            # Let answers go out before planning blocks the loop again.
             await asyncio.sleep(MIN_ROUND_INTERVAL_S)
         self._decide(now())
         if not await self._save():
@@ -267,7 +264,7 @@
         return True
 
     def _decide(self, at: float) -> None:
-        """Review what runs and plan what waits, for a limited time."""
+        """Review running work and plan pending work, within the time budget."""
         if at < self._decide_due:
             self._wake.set()
             return
@@ -278,7 +275,7 @@
             with self._load.measure(Part.PLAN):
                 self._turn.budget = budget
                 self._advice.put(plan(self.sched, at, wall_ms(), self._turn))
-        # Others get the loop for as long as it was held.
+        # Planning takes at most half of the loop's time.
         self._decide_due = 2 * now() - at
         if self._turn.behind:
             self._wake.set()
@@ -293,7 +290,7 @@
             self._consolidation.review(self.sched, wanted_cpu(self.sched), at, budget)
 
     async def _save(self) -> bool:
-        """Store what waits, then answer and send; ``False`` where the lead is lost."""
+        """Commit pending changes, then answer and send; ``False`` if the leadership is lost."""
         due = self.sched.unsaved or self.unconfirmed_s() >= HEAD_RENEW_INTERVAL_S
         if due and not await self._store():
             return False
@@ -324,7 +321,7 @@
             log_event("INFO", "fleet_seen", **asdict(survey(self.sched, at)))
 
     async def finish(self) -> None:
-        """Store what has been begun; start nothing more."""
+        """Stop starting runs and wait until pending changes are stored."""
         self._finishing = True
         self._wake.set()
         self._idle.clear()
@@ -336,16 +333,16 @@
 
     @property
     def finishing(self) -> bool:
-        """Whether new starts are held back."""
+        """Whether new starts are suspended."""
         return self._finishing
 
     def resume_starts(self) -> None:
-        """Start runs again after :meth:`finish`: the entry that was offered the lead is silent."""
+        """Resume starts after :meth:`finish`, when nobody took the offered leadership."""
         self._finishing = False
         self._wake.set()
 
     async def release(self) -> None:
-        """Give the lead up without a successor."""
+        """Resign and release the head row, without a successor."""
         await self.finish()
         self.resign()
         try:
@@ -355,7 +352,7 @@
             log_event("INFO", "lead_not_released", reason="the store has not answered")
 
     def resign(self) -> None:
-        """Give the lead up at once; what is in flight is settled by the next leader's reading."""
+        """Resign at once; the next leader resolves commits in flight by reading the store."""
         self._resigned = True
         self.serving = False
         self._wake.set()
@@ -363,7 +360,7 @@
         self._calls.notify_changed()
 
     def isolated(self, at: float) -> bool:
-        """Whether most agents that were there are silent, as after a cut of this machine."""
+        """Whether most known agents have stopped reporting, as in a network partition."""
         known = [
             instance
             for instance in self.sched.fleet.instances.values()
@@ -373,13 +370,13 @@
         return len(known) > 1 and heard * 2 < len(known)
 
     async def wait_ended(self) -> None:
-        """Wait for the end of this leadership."""
+        """Wait for the end of this term of leadership."""
         await self._ended.wait()
 
     # Agents
 
     def on_report(self, report: AgentReport) -> None:
-        """Take an agent's report and answer it."""
+        """Process an agent's report and answer it."""
         with self._load.measure(Part.REPORTS):
             self._handle_report(report)
 
@@ -396,13 +393,14 @@
             self._answer(report.agent, at, 0)
 
     def _answer(self, agent: str, at: float, beat: int) -> None:
-        """Send what waits for ``agent``.
+        """Send pending orders to ``agent``.
 
-        :param beat: report to acknowledge, which renews the agent's lease; 0 for none.
+        :param beat: number of the report to acknowledge, which renews the agent's lease; 0 for
+            none.
         """
         instance = self.sched.fleet.instance(agent)
-        # A leader that the store has not confirmed for so long may have been replaced; its
-        # successor counts on no lease being renewed from then on.
+        # An unconfirmed leader may have been replaced, and its successor relies on leases not
+        # being renewed after that.
         renews = self.unconfirmed_s() < HEAD_LEASE_S and not self._resigned
         instance.orders_sent += 1
         starts, stops, stored = self.sched.orders_for(agent, at)
@@ -441,5 +439,6 @@
     # Callers
 
     async def call(self, call: Call, until: float) -> Reply:
-        """Carry out a call; see :class:`LeaderCalls`."""
+        """Execute a call; see :class:`LeaderCalls`."""
+@@@@
         return await self._calls.call(call, until)
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -1,4 +1,4 @@
-"""The leader's questions to the advice service, the most urgent queue first."""
+"""Sends the planner's questions to the advice service, in the order of queue priority."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -16,16 +16,16 @@
 from sapphirelead.sched_planner import AdviceAsk
 
 MAX_CONCURRENT_ASKS: Final = 2
-"""Open questions to the service, which answers one after the other."""
+"""Requests to the service in flight at once; it processes them one at a time."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Pause before the workers of a question without an answer may be asked about again."""
+"""Delay before the workers of a failed request may be asked about again."""
 
 
 class AdviceDispatcher:
-    """Asks what the planner wants to know and gives the answers to the scheduler.
+    """Queues the planner's questions and passes the answers to the scheduler.
 
-    :ivar metrics: where the times of answers go.
+    :ivar metrics: receives the response times.
     """
 
     metrics: Metrics
@@ -39,9 +39,9 @@
     def __init__(
         self, sched: Scheduler, service: AdviceService, metrics: Metrics, wake: Callable[[], None]
     ) -> None:
-        """Set the desk up.
+        """Create a dispatcher.
 
-        :param wake: called when an answer allows new starts.
+        :param wake: called when an answer may allow new starts.
         """
         self.metrics = metrics
         self._sched = sched
@@ -52,18 +52,19 @@
         self._tasks = []
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the tasks that send requests."""
         self._tasks = [
             spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)
         ]
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Cancel the tasks that send requests."""
         for task in self._tasks:
             task.cancel()
 
     def put(self, asks: Iterable[AdviceAsk]) -> None:
-        """Take new questions."""
+        """Enqueue questions."""
+@@@@
         for ask in asks:
             self._number += 1
             self._asks.put_nowait((float(ask.policy.priority), self._number, ask))
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -1,7 +1,7 @@
-"""Callers' requests as the leader carries them out: each ends in one final answer.
+"""Executes callers' requests on the leader; each request gets exactly one final reply.
 
-"Not run" is said only of what has not been stored and never will be: a submission that was taken
-back before its write was sent, or one that came while the store was known to be away.
+``NOT_RUN`` is returned only for a submission that has not been stored and never will be: it was
+withdrawn before its write was sent, or arrived while the store was known to be unavailable.
 """
 
 import asyncio
@@ -19,52 +19,51 @@
 from sapphirelead.sched_spec import same_content
 
 STORE_RETRY_AFTER_S: Final = 2.0
-"""When a refused caller may come back while the store is away; outages last for seconds."""
 
 CONFIRM_MARGIN_S: Final = 0.1
-"""Kept from the watch of the others, for the way of the confirmation."""
+"""Margin below the election timeout, for the latency of the store's confirmation."""
 
 MAX_REFUSED_CALLS: Final = 4_000
-"""Submissions remembered as refused; an entry tries one again for as long as its caller waits."""
+"""Number of refused submissions that are remembered."""
 
 
 MayCome = Callable[[str], bool]
-"""Whether a submission of the job may still arrive that was sent before other calls for it."""
+"""Whether a submission of the job, sent before other calls for it, may still arrive."""
 
 
 class Leadership(Protocol):
-    """What carrying a call out takes of the leadership that it belongs to."""
+    """The interface of the leader that executing a call needs."""
 
     sched: Scheduler
     serving: bool
 
     @property
     def resigned(self) -> bool:
-        """Whether the lead has been given up or lost."""
+        """Whether the leadership has been resigned or lost."""
 
     @property
     def config_version(self) -> int:
-        """Version of the configuration in force."""
+        """Version of the current configuration."""
 
     @property
     def store_timeout_s(self) -> float:
-        """How long to wait for the store."""
+        """Timeout of a submission that waits for the store."""
 
     def commit_overdue(self, at: float) -> bool:
-        """Whether the transaction in flight has waited for longer than that."""
+        """Whether the commit in flight has exceeded that timeout."""
 
     def unconfirmed_s(self) -> float:
-        """Return how long ago the store last confirmed this leader."""
+        """Return the time since the store last confirmed this leader."""
 
     def wake(self) -> None:
-        """Let the next round begin: there is something to store."""
+        """Start the next round without waiting for the tick."""
 
     async def wait_ended(self) -> None:
-        """Wait for the end of this leadership."""
+        """Wait for the end of this term of leadership."""
 
 
 class LeaderCalls:
-    """The calls that one leadership carries out."""
+    """The calls of one term of leadership."""
 
     _lead: Leadership
     _may_come: MayCome
@@ -78,12 +77,12 @@
         self._changed = asyncio.Event()
 
     def notify_changed(self) -> None:
-        """Let the calls look again: the store has confirmed the lead, or the lead is over."""
+        """Wake waiting calls after the store has confirmed the leader or the leadership ended."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def call(self, call: Call, until: float) -> Reply:
-        """Carry out a call."""
+        """Execute a call."""
         if not self._lead.serving:
             return Reply(call.number, ReplyKind.NOT_LEADER)
         match call.kind:
@@ -120,11 +119,11 @@
         return self._reply(call, ReplyKind.OK, self._lead.sched.state(call.job_id) or "")
 
     async def _wait_until_known(self, call: Call, until: float) -> Reply | None:
-        """Wait until a job is known; return the reply if it is not.
+        """Wait until a job is known; return the reply if it stays unknown.
 
-        Another entry may lead by now and have accepted the job.  Nobody takes the lead from a
-        leader that the store has confirmed within the watch, so a fresh confirmation is waited for
-        before a job is called absent.
+        Another entry may lead by now and have accepted the job.  No entry replaces a leader that
+        the store has confirmed within the election timeout, so a job is reported absent only after
+        a recent confirmation.
         """
         sched = self._lead.sched
         while sched.state(call.job_id) is None and self._may_be_accepted(call) and now() < until:
@@ -147,9 +146,9 @@
             return
 
     def _may_be_accepted(self, call: Call) -> bool:
-        """Whether a job that is not shown may be accepted.
+        """Whether an unknown job may have been accepted.
 
-        That may be elsewhere, by a write in progress, or by a submission sent before this call.
+        That is by another leader, by a write in progress, or by a submission sent before this call.
         """
         if self._may_come(call.job_id):
             return True
@@ -194,11 +193,7 @@
         return msgspec.structs.replace(reply, other=True) if other else reply
 
     def _record_refused(self, call: Call) -> None:
-        """Remember that a submission has been refused, for tries of it that are still on their way.
-
-        An entry that gets no answer within 0.4 s asks again.  Where a leader answered the first try
-        late with "not run" and took a later one, a job ran whose caller had been refused.
-        """
+        """Record a refused submission, so that a retry of the same call is refused as well."""
         self._refused[call.number] = None
         if len(self._refused) > MAX_REFUSED_CALLS:
             del self._refused[next(iter(self._refused))]
@@ -218,7 +213,7 @@
         return await self._outcome(call, ended, until)
 
     async def _outcome(self, call: Call, ended: "asyncio.Future[Reply]", until: float) -> Reply:
-        """Wait for the end of a call, the end of this leadership or the caller's deadline."""
+        """Wait for the call's reply, the end of the leadership or the caller's deadline."""
         wait_ended = asyncio.create_task(self._lead.wait_ended())
         timeout = max(until - now(), 0.0)
         either: set[asyncio.Future[Any]] = {ended, wait_ended}
@@ -227,7 +222,7 @@
         if ended.done():
             return ended.result()
         if self._lead.resigned:
-            # The next leader knows what was stored; the call goes to it again.
+            # The call is retried with the next leader, which knows what was stored.
             return self._reply(call, ReplyKind.LEAD_LOST)
         return self._reply(
             call,
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -1,8 +1,7 @@
-"""How long the leader's work holds its event loop, and with what.
+"""Measures how long each part of a leader's round blocks the event loop.
 
-The pattern that this answers: calls go unanswered, followers hear the leader late and starts are
-sent twice, although the leader lives and its store answers.  What holds the loop delays everything
-else in the process; the longest hold of each part tells which part to look at.
+A blocked loop delays calls, heartbeats and acknowledgements although the leader and its store are
+healthy.  The maximum per part is exported and logged, so that the cause can be identified.
 """
 
 from collections.abc import Iterator
@@ -17,39 +16,38 @@
 from sapphirelead.sched_timing import BEAT_S
 
 MAX_ROUND_HOLD_S: Final = BEAT_S / 4
-"""Longest time for which a round should hold the loop; heartbeats, reports and cancels wait for as
-long."""
+"""Longest time for which a round should block the loop; heartbeats, reports and cancels are delayed
+by as much."""
 
 MAX_PLANNING_WAIT_S: Final = 1.0
-"""Time for which a step may wait for a look; callers are promised that nothing stands still for 3 s
-while there is room."""
+"""Longest time that a ready step should wait for the planner to consider it."""
 
 LOG_INTERVAL_S: Final = 1.0
-"""Time between two lines."""
+"""Minimum time between two log lines of a kind."""
 
 
 class Part(StrEnum):
-    """What holds the loop."""
+    """The parts of a round that block the loop."""
 
     REPORTS = "reports"
-    """Reports taken since the round before."""
+    """Reports processed since the previous round."""
     UPKEEP = "upkeep"
-    """Lost agents and jobs that are no longer kept."""
+    """Detection of lost agents and removal of expired jobs."""
     REVIEW = "review"
-    """Slow runs, leaving workers, workers to empty."""
+    """Stragglers, evacuation of leaving workers, and consolidation."""
     SURVEY = "survey"
     PLAN = "plan"
     STORE = "store"
-    """Encoding of what is stored; the wait for the store holds nothing."""
+    """Encoding of the batch; waiting for the store does not block the loop."""
     EFFECTS = "effects"
-    """Answers and orders that follow from what has been stored."""
+    """Answers and orders that follow from a commit."""
     SEND = "send"
 
 
 class LoopLoad:
-    """Times for which the parts of a round hold the loop.
+    """Blocking times of the parts of a round.
 
-    A line a second gives the longest of each part since the line before.
+    Logs the maximum per part since the previous line, once per :data:`LOG_INTERVAL_S`.
     """
 
     _metrics: Metrics
@@ -78,7 +76,7 @@
 
     @contextmanager
     def measure(self, part: Part) -> Iterator[None]:
-        """Add the time that the body takes to ``part``; the body must not wait."""
+        """Add the duration of the body to ``part``; the body must not await."""
         began = now()
         try:
             yield
@@ -87,10 +85,11 @@
             self._reports += part is Part.REPORTS
 
     def round_ended(self, sched: Scheduler, waited_s: float = 0.0) -> None:
-        """Take note of a round, and log it if it shows that the leader is behind.
+        """Record a finished round, and log a warning if the leader is overloaded.
 
-        :param waited_s: longest time that a step has waited to be looked at by the planner.
+        :param waited_s: longest time that a ready step has waited for the planner, in seconds.
         """
+@@@@
         took_s, self._round_s = self._round_s, {}
         for part, part_s in took_s.items():
             self._metrics.latency("loop_held_ms", part_s * 1000, part=part)
--- a/sapphirelead/node_leaving.py
+++ b/sapphirelead/node_leaving.py
@@ -1,13 +1,13 @@
-"""How an entry ends on request: callers go elsewhere, the lead goes to another entry.
+"""Graceful shutdown of an entry: drains callers and hands the leadership over.
 
-Every request that has been read gets its answer before the process ends.  The sequence fits into
-the time that the site gives between the signal and the kill:
+Every request that has been read is answered before the process ends.  The sequence fits into the
+grace period between the termination signal and the kill:
 
-- at once: the balancer is told, and callers with open connections after each answer;
-- for :data:`DRAIN_S`: calls go on being served while the balancer turns elsewhere; for longer by
-  an entry that still leads, since then no other entry stays that callers could turn to;
-- then no connection is taken any more, and what has been read is waited for;
-- :data:`SHUTDOWN_RESERVE_S` before the kill: whatever is still held gets its final answer.
+- immediately, the load balancer and callers with open connections are told to go elsewhere;
+- for :data:`DRAIN_S`, calls are still served; longer while this entry leads, because then no other
+  entry can serve;
+- then no new connections are accepted, and requests in progress are awaited;
+- :data:`SHUTDOWN_RESERVE_S` before the kill, remaining requests get their final answer.
 """
 
 import asyncio
@@ -19,36 +19,33 @@
 from sapphirelead.node_entry import FleetEntry
 
 DRAIN_S: Final = 2.5
-"""How long a leaving entry goes on serving: the balancer takes two missed looks, a second apart, to
-send new connections elsewhere."""
+"""Minimum time for which a leaving entry keeps serving; the load balancer needs two failed health
+checks, one second apart, to redirect new connections."""
 
 SHUTDOWN_RESERVE_S: Final = 1.5
-"""Kept between the last answers and the kill.  A call that has been passed on returns up to 0.4 s
-after it is given up, a leader stores what it has begun for up to 0.3 s, and the rest is for a
-machine that runs several times slower than usual."""
+"""Part of the grace period reserved for the final answers and the end of the process."""
 
 
 FINAL_ANSWERS_S: Final = 0.8
-"""Part of the reserve in which what was still held gets its answer; the rest is for the process's
-own end."""
+"""Part of the reserve for the final answers; the rest is for the end of the process."""
 
 
 class CallerServer(Protocol):
-    """Where callers reach a leaving entry."""
+    """The server through which callers reach a leaving entry."""
 
     @property
     def in_progress(self) -> int:
-        """Number of requests that have been read and not been answered."""
+        """Number of requests that have been read but not answered."""
 
     def turn_away(self) -> None:
-        """Tell the balancer and callers with open connections to go elsewhere."""
+        """Tell the load balancer and callers with open connections to go elsewhere."""
 
     async def close(self) -> None:
-        """Take no more connections, answer what has been read, and close."""
+        """Stop accepting connections, answer the requests that were read, and close."""
 
 
 async def leave(entry: FleetEntry, callers: CallerServer) -> None:
-    """End an entry's service; what remains can be stopped in any order."""
+    """Shut down an entry's service; its remaining parts can be stopped in any order."""
     grace_s = entry.node.bounds.grace_s
     until = now() + max(grace_s - SHUTDOWN_RESERVE_S, grace_s / 2)
     callers.turn_away()
@@ -59,5 +56,6 @@
         async with asyncio.timeout(max(until + FINAL_ANSWERS_S - now(), 0.1)):
             await callers.close()
     except TimeoutError:
-        # Requests that have not been read whole: their callers have stopped sending.
+        # The remaining requests are incomplete: their callers have stopped sending.
+@@@@
         log_event("INFO", "callers_left", in_progress=callers.in_progress)
