--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -232,7 +232,6 @@
         """Record that this entry no longer leads."""
         if not self._leading:
             # The new leader is already known.
-@@@@
             return
         self._leading = False
         self.leader = ""
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -79,10 +79,9 @@
 def is_much_stronger(cores: float, than: float) -> bool:
     """Whether an entry with ``cores`` should lead rather than one with ``than``.
 
-        An unknown number of processors (0) counts neither as weak nor as strong.
+    An unknown number of processors (0) counts neither as weak nor as strong.
 
-    @@@@
-        >>> is_much_stronger(2.0, than=0.5), is_much_stronger(2.0, than=1.9), is_much_stronger(2.0, 0.0)
-        (True, False, False)
+    >>> is_much_stronger(2.0, than=0.5), is_much_stronger(2.0, than=1.9), is_much_stronger(2.0, 0.0)
+    (True, False, False)
     """
     return than > 0 and cores >= MUCH_STRONGER_FACTOR * than
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -135,5 +135,4 @@
         except TimeoutError:
             leader.resume_starts()
             # Resume starts for a while before the next offer, which suspends them again.
-@@@@
             await asyncio.sleep(OFFER_INTERVAL_S)
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -76,7 +76,6 @@
 
     def export_if_due(self, at: float) -> None:
         """Export a finished interval, and log a warning if the hub was overloaded."""
-@@@@
         if at - self._began_at < EXPORT_INTERVAL_S:
             return
         merged = self._backlog.merged - self._merged
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -440,5 +440,4 @@
 
     async def call(self, call: Call, until: float) -> Reply:
         """Execute a call; see :class:`LeaderCalls`."""
-@@@@
         return await self._calls.call(call, until)
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -64,7 +64,6 @@
 
     def put(self, asks: Iterable[AdviceAsk]) -> None:
         """Enqueue questions."""
-@@@@
         for ask in asks:
             self._number += 1
             self._asks.put_nowait((float(ask.policy.priority), self._number, ask))
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -89,7 +89,6 @@
 
         :param waited_s: longest time that a ready step has waited for the planner, in seconds.
         """
-@@@@
         took_s, self._round_s = self._round_s, {}
         for part, part_s in took_s.items():
             self._metrics.latency("loop_held_ms", part_s * 1000, part=part)
--- a/sapphirelead/node_leaving.py
+++ b/sapphirelead/node_leaving.py
@@ -57,5 +57,4 @@
             await callers.close()
     except TimeoutError:
         # The remaining requests are incomplete: their callers have stopped sending.
-@@@@
         log_event("INFO", "callers_left", in_progress=callers.in_progress)
--- a/sapphirelead/node_store_timeout.py
+++ b/sapphirelead/node_store_timeout.py
@@ -30,16 +30,15 @@
     def timeout_s(self) -> float:
         """Current timeout in seconds.
 
-        @@@@
-                >>> store_timeout = StoreTimeout()
-                >>> store_timeout.record_commit(0.01)
-                >>> store_timeout.timeout_s
-                0.3
-                >>> store_timeout.record_commit(0.32)
-                >>> store_timeout.timeout_s
-                0.8
-                >>> store_timeout.record_commit(6.0)
-                >>> store_timeout.timeout_s
-                1.0
+        >>> store_timeout = StoreTimeout()
+        >>> store_timeout.record_commit(0.01)
+        >>> store_timeout.timeout_s
+        0.3
+        >>> store_timeout.record_commit(0.32)
+        >>> store_timeout.timeout_s
+        0.8
+        >>> store_timeout.record_commit(6.0)
+        >>> store_timeout.timeout_s
+        1.0
         """
         return min(max(MIN_STORE_TIMEOUT_S, TIMEOUT_COMMITS * self._took_s), MAX_STORE_TIMEOUT_S)
