--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -17,20 +17,20 @@
 class Followers:
     """The latest heartbeat of each follower and the number of offers made to it."""
 
-    _heard: dict[str, tuple[float, EntryBeat]]
+    _heartbeats: dict[str, tuple[float, EntryBeat]]
     _offers: Counter[str]
 
     def __init__(self) -> None:
-        self._heard = {}
+        self._heartbeats = {}
         self._offers = Counter()
 
     def on_heartbeat(self, beat: EntryBeat, at: float) -> None:
         """Record a heartbeat."""
-        self._heard[beat.address.name] = (at, beat)
+        self._heartbeats[beat.address.name] = (at, beat)
 
     def since_last_heartbeat_s(self, at: float) -> float:
         """Return the time since the latest heartbeat of any follower; 0 if there was none."""
-        return at - max((heard_at for heard_at, _ in self._heard.values()), default=at)
+        return at - max((heard_at for heard_at, _ in self._heartbeats.values()), default=at)
 
     def next_successor(self, at: float, with_store: bool) -> str:
         """Return the entry to offer the leadership to next; empty for none.
@@ -69,7 +69,7 @@
         """
         return {
             name: beat.address.cores
-            for name, (heard_at, beat) in self._heard.items()
+            for name, (heard_at, beat) in self._heartbeats.items()
             if at - heard_at < HEARTBEAT_TIMEOUT_S
             and not beat.leaving
             and (beat.store_ok or not with_store)
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -65,13 +65,13 @@
 class LeaderCalls:
     """The calls of one term of leadership."""
 
-    _lead: Leadership
+    _leadership: Leadership
     _may_come: MayCome
     _refused: dict[int, None]
     _changed: asyncio.Event
 
-    def __init__(self, lead: Leadership, may_come: MayCome) -> None:
-        self._lead = lead
+    def __init__(self, leadership: Leadership, may_come: MayCome) -> None:
+        self._leadership = leadership
         self._may_come = may_come
         self._refused = {}
         self._changed = asyncio.Event()
@@ -83,7 +83,7 @@
 
     async def call(self, call: Call, until: float) -> Reply:
         """Execute a call."""
-        if not self._lead.serving:
+        if not self._leadership.serving:
             return Reply(call.number, ReplyKind.NOT_LEADER)
         match call.kind:
             case CallKind.SUBMIT:
@@ -96,8 +96,8 @@
                 return Reply(
                     call.number,
                     ReplyKind.OK,
-                    waiting=self._lead.sched.waiting(call.queue),
-                    config_version=self._lead.config_version,
+                    waiting=self._leadership.sched.waiting(call.queue),
+                    config_version=self._leadership.config_version,
                 )
 
     def _reply(
@@ -109,14 +109,14 @@
             state,
             retry_after_s=retry_s,
             detail=detail,
-            config_version=self._lead.config_version,
+            config_version=self._leadership.config_version,
         )
 
     async def _state(self, call: Call, until: float) -> Reply:
         refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
-        return self._reply(call, ReplyKind.OK, self._lead.sched.state(call.job_id) or "")
+        return self._reply(call, ReplyKind.OK, self._leadership.sched.state(call.job_id) or "")
 
     async def _wait_until_known(self, call: Call, until: float) -> Reply | None:
         """Wait until a job is known; return the reply if it stays unknown.
@@ -125,9 +125,9 @@
         the store has confirmed within the election timeout, so a job is reported absent only after
         a recent confirmation.
         """
-        sched = self._lead.sched
+        sched = self._leadership.sched
         while sched.state(call.job_id) is None and self._may_be_accepted(call) and now() < until:
-            if self._lead.resigned:
+            if self._leadership.resigned:
                 return self._reply(call, ReplyKind.NOT_LEADER)
             await self._wait_for_change(until)
         if sched.state(call.job_id) is not None:
@@ -152,19 +152,19 @@
         """
         if self._may_come(call.job_id):
             return True
-        being_stored = call.kind is CallKind.CANCEL and call.job_id in self._lead.sched.jobs
-        return being_stored or self._lead.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
+        being_stored = call.kind is CallKind.CANCEL and call.job_id in self._leadership.sched.jobs
+        return being_stored or self._leadership.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
 
     async def _submit(self, call: Call, until: float) -> Reply:
         if call.number in self._refused or (
-            not self._lead.sched.knows(call.job_id) and self._lead.commit_overdue(now())
+            not self._leadership.sched.knows(call.job_id) and self._leadership.commit_overdue(now())
         ):
             self._record_refused(call)
             return self._reply(
                 call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=STORE_RETRY_AFTER_S
             )
         spec = decode_spec(call.job)
-        known = self._lead.sched.jobs.get(spec.job_id)
+        known = self._leadership.sched.jobs.get(spec.job_id)
         other = known is not None and not same_content(known.spec, spec)
         ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
@@ -183,10 +183,10 @@
                     )
                 )
 
-        self._lead.sched.submit(spec, answer)
-        self._lead.wake()
-        await asyncio.wait({ended}, timeout=self._lead.store_timeout_s)
-        if not ended.done() and self._lead.sched.withdraw(call.job_id):
+        self._leadership.sched.submit(spec, answer)
+        self._leadership.wake()
+        await asyncio.wait({ended}, timeout=self._leadership.store_timeout_s)
+        if not ended.done() and self._leadership.sched.withdraw(call.job_id):
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
             self.notify_changed()
         reply = await self._outcome(call, ended, until)
@@ -208,20 +208,20 @@
             if not ended.done():
                 ended.set_result(self._reply(call, kind, state))
 
-        self._lead.sched.cancel(call.job_id, answer)
-        self._lead.wake()
+        self._leadership.sched.cancel(call.job_id, answer)
+        self._leadership.wake()
         return await self._outcome(call, ended, until)
 
     async def _outcome(self, call: Call, ended: "asyncio.Future[Reply]", until: float) -> Reply:
         """Wait for the call's reply, the end of the leadership or the caller's deadline."""
-        wait_ended = asyncio.create_task(self._lead.wait_ended())
+        wait_ended = asyncio.create_task(self._leadership.wait_ended())
         timeout = max(until - now(), 0.0)
         either: set[asyncio.Future[Any]] = {ended, wait_ended}
         await asyncio.wait(either, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         wait_ended.cancel()
         if ended.done():
             return ended.result()
-        if self._lead.resigned:
+        if self._leadership.resigned:
             # The call is retried with the next leader, which knows what was stored.
             return self._reply(call, ReplyKind.LEAD_LOST)
         return self._reply(
