--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -53,19 +53,19 @@
 
 
 class SlowTable(MemoryTable):
-    """A store that goes away: it does not answer while ``away``.
+    """A store that goes unavailable: it does not answer while ``unavailable``.
 
     :ivar takes_s: time that a transaction takes.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.away = False
+        self.unavailable = False
         self.takes_s = 0.0
 
     async def commit(self, txn: Txn) -> Commit:
         await asyncio.sleep(self.takes_s)
-        if self.away:
+        if self.unavailable:
             await asyncio.sleep(1.0)
             return Commit(CommitStatus.REJECTED)
         return await super().commit(txn)
@@ -92,7 +92,7 @@
     return await leader.call(call, now() + DEADLINE_S)
 
 
-async def test_a_later_try_of_a_refused_submission_is_refused_as_well() -> None:
+async def test_a_retry_of_a_refused_submission_is_refused() -> None:
     """A surveyor is told that her check was not taken; it runs all the same, and she has it twice.
 
     The store is away, and the leader refuses the submission after a while.  The entry had not
@@ -100,10 +100,10 @@
     """
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
-        table.away = False
+        table.unavailable = False
         await asyncio.sleep(2 * FINAL_COMMIT_TIMEOUT_S + 1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
         assert leader.sched.state("a1") is None
@@ -111,7 +111,7 @@
         assert again.kind is ReplyKind.OK, "a new call of the caller is another matter"
 
 
-async def test_a_slow_store_that_answers_refuses_nobody_and_an_absent_one_does_at_once() -> None:
+async def test_a_slow_store_causes_no_refusals_and_an_unreachable_one_immediate_ones() -> None:
     """Members cannot book for five seconds although every transaction is stored.
 
     The store takes 0.39 s for each instead of 0.01 s.  Submissions came while one was on its way,
@@ -128,7 +128,7 @@
             calls.append(asyncio.create_task(leader.call(call, now() + DEADLINE_S)))
             await asyncio.sleep(0.07)
         assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(2.0)
         began = now()
         assert (await submit(leader, 9)).kind is ReplyKind.NOT_RUN
@@ -211,16 +211,16 @@
         assert leader.sched.state("a1") == "cancelled"
 
 
-async def test_a_cancel_of_a_submission_that_is_taken_back_is_called_absent() -> None:
+async def test_a_cancel_of_a_withdrawn_submission_is_called_absent() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(0.6)
         submitting = asyncio.create_task(submit(leader, 7))
         await asyncio.sleep(0.1)
         cancelling = asyncio.create_task(cancel(leader, DEADLINE_S))
         await asyncio.sleep(0.3)
-        table.away = False
+        table.unavailable = False
         assert (await submitting).kind is ReplyKind.NOT_RUN
         assert (await cancelling).kind is ReplyKind.ABSENT
 
@@ -229,7 +229,7 @@
     """A leader cut off from the store answered "no such job" of one that its successor ran."""
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         began = now()
         reply = await cancel(leader, 0.9)
@@ -237,46 +237,46 @@
         assert now() - began == pytest.approx(0.9, abs=0.05)
 
 
-async def test_waiting_cancels_cost_nothing_while_the_store_is_away(
+async def test_waiting_cancels_do_not_poll_while_the_store_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each cancel looked for the store's word 80 times a second; 500 took half a processor."""
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
-        looks = 0
+        lookups = 0
         real = Scheduler.state
 
         def state(sched: Scheduler, job_id: str) -> JobState | None:
-            nonlocal looks
-            looks += 1
+            nonlocal lookups
+            lookups += 1
             return real(sched, job_id)
 
         monkeypatch.setattr(Scheduler, "state", state)
         calls = [Call(number, CallKind.CANCEL, "q", f"a{number}", 1) for number in range(500)]
         replies = await asyncio.gather(*(leader.call(call, now() + 2.5) for call in calls))
         assert {reply.kind for reply in replies} == {ReplyKind.NOT_RUN}
-        assert looks <= 4 * len(calls)
+        assert lookups <= 4 * len(calls)
 
 
 async def test_a_waiting_cancel_is_answered_when_the_store_is_back() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         cancelling = asyncio.create_task(cancel(leader, 10.0))
         await asyncio.sleep(1.0)
-        table.away = False
+        table.unavailable = False
         began = now()
         assert (await cancelling).kind is ReplyKind.ABSENT
         assert now() - began < 2.0
 
 
-async def test_a_waiting_cancel_is_answered_when_the_lead_is_lost() -> None:
+async def test_a_waiting_cancel_is_answered_when_the_leadership_is_lost() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         cancelling = asyncio.create_task(cancel(leader, 10.0))
         await asyncio.sleep(1.0)
