--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -18,7 +18,7 @@
 from tests.unit.fakes import MemoryTable
 
 
-def seen(election: Election, head: HeadRow, at: float) -> None:
+def feed_head_row(election: Election, head: HeadRow, at: float) -> None:
     """Let ``election`` read the head row."""
     assert election.next_move(at) is Move.READ
     election.on_head_read(head, at)
@@ -26,11 +26,11 @@
 
 def test_the_first_entry_takes_an_absent_row_at_once() -> None:
     election = Election("e1")
-    seen(election, HeadRow(0, 0, "", ""), 0.0)
+    feed_head_row(election, HeadRow(0, 0, "", ""), 0.0)
     assert election.next_move(0.01) is Move.TAKE
 
 
-def test_a_row_that_moves_is_left_to_its_leader() -> None:
+def test_a_changing_row_is_left_to_its_leader() -> None:
     election = Election("e1")
     at = 0.0
     for version in range(1, 20):
@@ -40,11 +40,11 @@
         assert election.next_move(at + 0.01) is not Move.TAKE
 
 
-def test_a_row_that_stands_still_is_taken_after_the_watch() -> None:
+def test_an_unchanged_row_is_taken_after_the_election_timeout() -> None:
     election = Election("e1")
     head = HeadRow(7, 3, "e2", "t")
     at = LEADER_SILENCE_S + 1
-    seen(election, head, 0.0)
+    feed_head_row(election, head, 0.0)
     began = at
     while election.next_move(at) is not Move.TAKE:
         election.on_head_read(head, at)
@@ -54,11 +54,11 @@
 
 def test_a_restarted_process_takes_its_own_row_at_once() -> None:
     election = Election("e1")
-    seen(election, HeadRow(7, 3, "e1", "t"), 0.0)
+    feed_head_row(election, HeadRow(7, 3, "e1", "t"), 0.0)
     assert election.next_move(0.01) is Move.TAKE
 
 
-def test_an_offer_outlives_a_heartbeat_of_the_leader_that_made_it() -> None:
+def test_a_heartbeat_does_not_withdraw_an_offer() -> None:
     """A leader that stops offers the lead and leads on until it has been taken.
 
     Its answer to the follower's heartbeat arrived between the offer and the next look of the
@@ -71,7 +71,7 @@
     assert election.next_move(1.02) is Move.TAKE
 
 
-def test_an_offer_ends_with_the_epoch_that_it_was_made_in() -> None:
+def test_an_offer_expires_with_its_epoch() -> None:
     election = Election("e1")
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_stopping_leader_does_not_take_back_what_it_gave_away() -> None:
+async def test_a_stopping_leader_does_not_retake_the_leadership() -> None:
     """The balancer's entries are restarted in turn.
 
     The leader is told to stop and offers the lead to a follower.  While it still finishes requests
@@ -89,12 +89,12 @@
     """
     table = MemoryTable()
     election = Election("e1")
-    seen(election, (await read_head(table)).unwrap(), now())
+    feed_head_row(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
     election.leave()
     election.on_leadership_lost()
     later = now() + 2 * HEAD_READ_INTERVAL_S
-    seen(election, (await read_head(table)).unwrap(), later)
+    feed_head_row(election, (await read_head(table)).unwrap(), later)
     for step in range(40):
         assert election.next_move(later + step * 0.1) is not Move.TAKE
     election.offered(9)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_leader_without_the_store_leaves_the_row_to_the_one_it_was_offered_to() -> None:
+async def test_a_leader_that_lost_the_store_does_not_retake_an_offered_leadership() -> None:
     """The store turns one entry away, and that entry leads.
 
     It offers the lead to a follower that reaches the store.  Its own way to the store comes back at
@@ -110,11 +110,11 @@
     """
     table = MemoryTable()
     election = Election("e1")
-    seen(election, (await read_head(table)).unwrap(), now())
+    feed_head_row(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
     election.on_leadership_lost()
     later = now() + 2 * HEAD_READ_INTERVAL_S
-    seen(election, (await read_head(table)).unwrap(), later)
+    feed_head_row(election, (await read_head(table)).unwrap(), later)
     assert election.next_move(later + 0.05) is not Move.TAKE
 
 
@@ -131,7 +131,7 @@
     assert await second.take(table) is None
 
 
-def test_a_follower_that_has_lost_its_leader_goes_on_asking_it() -> None:
+def test_a_follower_keeps_sending_heartbeats_to_an_unresponsive_leader() -> None:
     """Callers of one entry get 503 all day, while all other entries serve.
 
     Its link to the leader was cut for two seconds, or it learnt of the leader before it knew the
@@ -140,20 +140,20 @@
     """
     election = Election("e1")
     election.on_heartbeat(1, "e2", True, 0.0)
-    at, beats = 0.0, 0
+    at, heartbeats = 0.0, 0
     for version in range(1, 40):
         at += 0.1
-        beats += election.heartbeat_due(at)
+        heartbeats += election.heartbeat_due(at)
         if election.next_move(at) is Move.READ:
             election.on_head_read(HeadRow(version, 1, "e2", str(version)), at)
     assert at > 2 * LEADER_SILENCE_S
     assert not election.has_live_leader(at)
-    assert beats >= at / BEAT_S - 2
+    assert heartbeats >= at / BEAT_S - 2
     election.on_heartbeat(1, "e2", True, at)
     assert election.has_live_leader(at)
 
 
-def test_heartbeats_go_to_no_leader_that_is_not_known_and_to_nobody_from_the_leader() -> None:
+def test_heartbeats_are_sent_at_their_interval_and_only_to_a_known_leader() -> None:
     election = Election("e1")
     assert not election.heartbeat_due(1.0)
     election.on_heartbeat(1, "e2", True, 1.0)
@@ -162,14 +162,14 @@
     assert election.heartbeat_due(1.1 + BEAT_S)
 
 
-def taken_after(election: Election, silent_from: float) -> float:
+def time_until_take(election: Election, last_heard_at: float) -> float:
     """Return how long an entry waits until it takes a row that stands still."""
     head = HeadRow(7, 3, "e2", "t")
-    at = silent_from + LEADER_SILENCE_S
+    at = last_heard_at + LEADER_SILENCE_S
     while election.next_move(at) is not Move.TAKE:
         election.on_head_read(head, at)
         at += 0.02
-    return at - silent_from - LEADER_SILENCE_S
+    return at - last_heard_at - LEADER_SILENCE_S
 
 
 @pytest.mark.parametrize(
@@ -192,11 +192,11 @@
     """
     election = Election("e1", cores)
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0, strongest=strongest)
-    assert least_s <= taken_after(election, 1.0) <= most_s
+    assert least_s <= time_until_take(election, 1.0) <= most_s
 
 
 @pytest.mark.looptime
-async def test_an_offer_is_taken_although_the_leader_writes_on() -> None:
+async def test_an_offer_is_taken_while_the_leader_keeps_writing() -> None:
     """A leader offers the lead and goes on storing a hundred ends a second.
 
     Each of its writes made the try fail that had read the row before, and the entry waited for the
@@ -211,7 +211,7 @@
     reads = 0
     rows = table.rows
 
-    async def overtaken(keys: list[str]) -> Result[list[Row], Failure]:
+    async def rows_before_commit(keys: list[str]) -> Result[list[Row], Failure]:
         nonlocal reads
         found = await rows(keys)
         reads += 1
@@ -219,6 +219,6 @@
             await head.commit([])
         return found
 
-    table.rows = overtaken  # type: ignore[method-assign]
+    table.rows = rows_before_commit  # type: ignore[method-assign]
     taken = await election.take(table)
     assert taken is not None and taken.epoch == 2
