--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -28,14 +28,14 @@
     return leader
 
 
-async def beat_on(controller: HandoverController) -> None:
+async def send_heartbeats(controller: HandoverController) -> None:
     """Let one follower go on sending heartbeats."""
     while True:
         controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
         await asyncio.sleep(BEAT_S)
 
 
-def noting(offers: list[float]) -> Callable[[str, Handover], bool]:
+def recording_sender(offers: list[float]) -> Callable[[str, Handover], bool]:
     """Return a way to send offers that only notes when."""
 
     def send(name: str, offer: Handover) -> bool:
@@ -46,25 +46,25 @@
 
 
 @asynccontextmanager
-async def followed() -> AsyncIterator[tuple[Leader, HandoverController, list[float]]]:
+async def leader_with_follower() -> AsyncIterator[tuple[Leader, HandoverController, list[float]]]:
     """Run a leader with a follower that takes no offer; the list holds the times of the offers."""
     leader = await leading(MemoryTable())
     offers: list[float] = []
-    controller = HandoverController(noting(offers))
-    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(beat_on(controller))]
+    controller = HandoverController(recording_sender(offers))
+    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(send_heartbeats(controller))]
     await asyncio.sleep(0.1)
     yield leader, controller, offers
     for task in tasks:
         task.cancel()
 
 
-async def test_a_leader_whose_offers_nobody_takes_goes_on_starting_work() -> None:
+async def test_a_leader_with_untaken_offers_keeps_starting_runs() -> None:
     """A leader is stopped, and the entry that it offers the lead to does not take it.
 
     Each offer held new starts back until the next one, so that nothing was started until the
     process ended.
     """
-    async with followed() as (leader, controller, offers):
+    async with leader_with_follower() as (leader, controller, offers):
         leaving = asyncio.create_task(controller.leave(lambda: leader, now() + 4.5))
         starting = 0.0
         while not leaving.done():
@@ -74,7 +74,7 @@
         assert starting >= 1.5
 
 
-async def test_a_leader_that_was_held_up_itself_does_not_take_the_others_for_silent() -> None:
+async def test_a_stalled_leader_does_not_count_its_peers_as_unresponsive() -> None:
     """An entry on a busy machine does not run for two seconds while it leads.
 
     What the others sent meanwhile lies unread. It counted them as silent, itself as cut off, and
@@ -82,7 +82,7 @@
     """
     leader = await leading(MemoryTable())
     leader.isolated = lambda at: True  # type: ignore[method-assign]
-    controller = HandoverController(noting([]))
+    controller = HandoverController(recording_sender([]))
     controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
     controller.check(leader)
     await asyncio.sleep(ISOLATION_TIMEOUT_S + STALL_THRESHOLD_S)
@@ -95,7 +95,7 @@
     assert not leader.serving
 
 
-async def test_a_weak_leader_gives_the_lead_to_a_strong_entry() -> None:
+async def test_a_weak_leader_offers_the_leadership_to_a_strong_entry() -> None:
     """After a loss an entry with half a processor leads a hundred workers for the rest of the day.
 
     It had been the first to look.  Reports lay unread, and work was started seconds late, while
@@ -119,17 +119,17 @@
     assert offered == ["strong"]
 
 
-async def test_a_strong_leader_keeps_its_lead() -> None:
+async def test_a_strong_leader_keeps_the_leadership() -> None:
     leader = await leading(MemoryTable())
     offers: list[float] = []
-    controller = HandoverController(noting(offers), cores=2.0)
+    controller = HandoverController(recording_sender(offers), cores=2.0)
     controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
     controller.check(leader)
     assert not offers
 
 
-async def test_offers_are_given_time() -> None:
-    async with followed() as (leader, controller, offers):
+async def test_offers_are_spaced_by_the_offer_interval() -> None:
+    async with leader_with_follower() as (leader, controller, offers):
         await controller.leave(lambda: leader, now() + 3.0)
         assert all(later - earlier >= OFFER_INTERVAL_S for earlier, later in pairwise(offers))
         assert not leader.serving
