--- a/tests/sched/test_directory.py
+++ b/tests/sched/test_directory.py
@@ -16,7 +16,7 @@
     assert await read_entries(table) == Ok(addresses)
 
 
-async def test_a_row_that_cannot_be_read_hides_no_other() -> None:
+async def test_an_unreadable_row_does_not_hide_others() -> None:
     """One entry of a newer release writes a row with another shape.
 
     Reading it as usual ended the process of each entry and agent that looked for the leader.
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -54,7 +54,7 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=6,
 )
-ANY_SPEED = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
+NO_DEADLINE = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 """How long an example takes says nothing here, and a busy machine stretches it."""
 
 
@@ -102,7 +102,7 @@
             return response.status, spy
 
 
-async def test_a_heartbeat_of_the_worker_is_taken() -> None:
+async def test_a_valid_heartbeat_is_accepted() -> None:
     status, spy = await beat(json.dumps(BEAT).encode())
     assert status == 200
     expected = WorkerInfo("w1", "svc", "z1", Resources(16_000, 32_768, 0), ("a", "r1"))
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("name", ["service", "addr", "state", "capacity", "labels", "seq", "zone"])
-async def test_a_heartbeat_without_a_field_names_no_worker(name: str) -> None:
+async def test_a_heartbeat_with_a_missing_field_is_rejected(name: str) -> None:
     """A heartbeat without ``capacity`` arrives under the id of the worker in use.
 
     Taken with a capacity of 0 it made the leader see no room there, and all work went elsewhere
@@ -146,7 +146,7 @@
         {"remaining_ms": -5},
     ],
 )
-async def test_a_heartbeat_that_says_what_cannot_be_names_no_worker(change: dict[str, Any]) -> None:
+async def test_a_heartbeat_with_an_invalid_field_is_rejected(change: dict[str, Any]) -> None:
     """A heartbeat says a state that is not known, or an amount that no message can carry.
 
     An unknown state counted as ready.  A number of more than 64 bits passed the decoding, and the
@@ -157,13 +157,13 @@
 
 
 @pytest.mark.parametrize("body", [*UNREADABLE, b'{"service":"\xff"}'])
-async def test_bytes_that_cannot_be_read_name_no_worker(body: bytes) -> None:
+async def test_an_undecodable_heartbeat_is_rejected(body: bytes) -> None:
     status, spy = await beat(body)
     assert (status, spy.taken) == (400, [])
 
 
 @pytest.mark.parametrize("worker", ["%20", "w%0d%0aX:y", "w%2fx", "a" * 300])
-async def test_an_id_that_fits_into_no_header_names_no_worker(worker: str) -> None:
+async def test_a_worker_id_that_is_invalid_in_a_header_is_rejected(worker: str) -> None:
     status, spy = await beat(json.dumps(BEAT).encode(), worker)
     assert (status, spy.taken) == (404, [])
 
@@ -198,7 +198,7 @@
         wire_row("entry/b", [1, 2]),
     ],
 )
-async def test_an_entry_row_that_cannot_be_read_hides_no_other(row: object) -> None:
+async def test_an_unreadable_entry_row_does_not_hide_others(row: object) -> None:
     """A foreign writer adds a row to the list of entries, before those of ours.
 
     Reading the page raised on its value, in the task that looks for the leader, and the process
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("value", ["abc", "%%%", "é", 7, None, ["x"]])
-async def test_an_unreadable_change_holds_up_no_other(value: object) -> None:
+async def test_an_unreadable_change_does_not_block_others(value: object) -> None:
     """The feed brings a foreign row beside a new version of the configuration.
 
     Its value raised in the task that follows the feed; the process ended and met it again.
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("body", UNREADABLE)
-async def test_answers_that_cannot_be_read_are_no_answers(body: bytes) -> None:
+async def test_undecodable_responses_are_errors(body: bytes) -> None:
     async with listening(Peer(body).handle) as address:
         table = PlatformTable(HttpCaller.connect(address, 1.0))
         worker = PlatformWorker(HttpCaller.connect(address, 1.0), "w1")
@@ -262,7 +262,7 @@
         None,
     ],
 )
-async def test_a_worker_list_with_an_unreadable_row_is_no_list(row: object) -> None:
+async def test_a_worker_list_with_an_unreadable_row_is_an_error(row: object) -> None:
     """A worker's list holds one row that cannot be read.
 
     It raised in the task that renews the lease, and the agent's process ended.  Left out, the run
@@ -275,7 +275,7 @@
         await worker.close()
 
 
-async def test_an_unreadable_row_of_advice_names_no_worker() -> None:
+async def test_unreadable_advice_rows_are_skipped() -> None:
     rows: list[object] = [["w1", "t1"], ["w2"], ["w3", 5], None, ["", "t4"]]
     async with listening(Peer(json.dumps({"good": rows}).encode()).handle) as address:
         advice = PlatformAdvice(HttpCaller.connect(address, 1.0))
@@ -284,20 +284,20 @@
         await advice.close()
 
 
-async def test_an_address_with_a_port_that_is_none_was_not_called() -> None:
+async def test_an_address_with_an_invalid_port_is_an_error() -> None:
     for address in ("10.0.0.9:99999", "10.0.0.9:x"):
         found = await HttpCaller.connect(f"http://{address}", 1.0).call("GET", "/")
         assert found.is_err()
 
 
-def test_a_route_that_cannot_be_read_keeps_out_no_other() -> None:
+def test_an_unreadable_route_does_not_hide_others() -> None:
     good = {"name": "q1", "host": "h", "prefix": "/p/", "service": "svc"}
     bad: list[object] = [{**good, "name": "q2", "slo_ms": "x"}, None, {"name": "q3"}]
     config = decode_config(json.dumps({"version": 7, "routes": [*bad, good]}).encode()).unwrap()
     assert (config.version, list(config.queues)) == (7, ["q1"])
 
 
-def test_an_end_of_a_kind_that_is_not_known_is_neither_done_nor_a_failure() -> None:
+def test_an_unknown_end_kind_is_neither_done_nor_a_failure() -> None:
     """A worker lists an end of a kind that no page names.
 
     It raised in the leader, whose process ended; the agent repeated the end to each successor.
@@ -306,7 +306,7 @@
     assert _end_kind(RunEnded(1, "a.0.0.0", 1, "done", "").kind) == "done"
 
 
-def test_a_foreign_head_row_lets_epochs_grow() -> None:
+def test_epochs_grow_after_a_foreign_head_row() -> None:
     """A foreign writer replaces the head row, without an epoch.
 
     Counted from 0 the next leader's epoch would be lower than that of the agents' last leader, and
@@ -327,14 +327,14 @@
     assert (jobs, journal.length) == ({}, 1)
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
 def test_no_bytes_raise(data: bytes) -> None:
     decode_config(data)
     decode_job(data, "a", "q1", CONFIG, 0)
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.text() | st.binary().map(lambda data: base64.b64encode(data).decode()))
 def test_no_text_raises(text: str) -> None:
     decode_base64(text)
@@ -342,7 +342,7 @@
     TaskRef.parse(f"a.{text}.0.0")
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.sampled_from(sorted(BEAT)), JSON)
 def test_no_heartbeat_fails_the_agent(name: str, value: object) -> None:
     side = WorkerSide(RunnerSpy(), "svc")  # type: ignore[arg-type]
