--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -22,13 +22,13 @@
 from sapphirelead.sched_timing import BEAT_S
 from tests.sched.fakes import worker_info
 
-STOP_TAKES_S: Final = 0.05
+STOP_DURATION_S: Final = 0.05
 """Time from a stop's arrival at an agent to the end of the run."""
 
-SOON_S: Final = 0.02
+REPORT_DELAY_S: Final = 0.02
 """Time from news at an agent to the report that tells it."""
 
-LOOK_S: Final = 0.005
+POLL_INTERVAL_S: Final = 0.005
 """Time between two looks for what has arrived."""
 
 
@@ -70,16 +70,16 @@
     _due: float = 0.0
     _full_at: float = -1e9
     _made_at: dict[int, float] = field(default_factory=dict)
-    _came: deque[tuple[float, Orders]] = field(default_factory=deque)
+    _received: deque[tuple[float, Orders]] = field(default_factory=deque)
     _runs: dict[tuple[str, int], RunStatus] = field(default_factory=dict)
     _ends: dict[tuple[str, int], RunEnded] = field(default_factory=dict)
 
     def get(self, orders: Orders) -> None:
         """Take orders now."""
         at = now()
-        self._came.append((at, orders))
+        self._received.append((at, orders))
         if orders.starts or orders.stops:
-            self._due = min(self._due, at + STOP_TAKES_S + SOON_S)
+            self._due = min(self._due, at + STOP_DURATION_S + REPORT_DELAY_S)
         if orders.beat:
             if at > self.leased_until:
                 self.lapses.append(at)
@@ -94,8 +94,8 @@
         return found
 
     def _report(self, at: float) -> AgentReport:
-        while self._came and self._came[0][0] < at:
-            self._carry_out(*self._came.popleft())
+        while self._received and self._received[0][0] < at:
+            self._execute(*self._received.popleft())
         full = at - self._full_at >= FULL_S
         if full:
             self._full_at = at
@@ -114,7 +114,7 @@
             orders=self._orders,
         )
 
-    def _carry_out(self, at: float, orders: Orders) -> None:
+    def _execute(self, at: float, orders: Orders) -> None:
         self._epoch = orders.epoch
         self._orders = orders.number
         for name in orders.stored:
@@ -123,7 +123,7 @@
         for stop in orders.stops:
             name = (stop.task, stop.attempt)
             if self._runs.pop(name, None) is not None:
-                self.ended_at[name] = at + STOP_TAKES_S
+                self.ended_at[name] = at + STOP_DURATION_S
                 self._ends[name] = RunEnded(0, *name, "stopped", "")
         for start in orders.starts:
             name = (start.task, start.attempt)
@@ -135,9 +135,9 @@
 class LoadedLeader:
     """The agents of a leader, and a follower that hears it.
 
-    :ivar silences: times at which the follower no longer counted on the leader.
+    :ivar leader_losses: times at which the follower no longer counted on the leader.
     :ivar work: takes processor time of the leader's.
-    :ivar looked_s: processor time that looking for places has taken.
+    :ivar placement_s: processor time that looking for places has taken.
     """
 
     def __init__(
@@ -149,12 +149,12 @@
         """
         self.leader = leader
         self.work = work
-        self.looked_s = 0.0
+        self.placement_s = 0.0
         self._read_s = read_s
         names = [f"g{number}" for number in range(agents)]
         lease_s = leader.sched.bounds.lease_s
         self.agents = {name: SimulatedAgent(name, lease_s) for name in names}
-        self.silences: list[float] = []
+        self.leader_losses: list[float] = []
         self._election = Election("e2")
         self._beat_due = 0.0
 
@@ -163,7 +163,7 @@
         self.agents[agent].get(orders)
         return True
 
-    async def arrive(self) -> None:
+    async def deliver_messages(self) -> None:
         """Bring what agents and the follower send to the leader, whenever the loop is free."""
         turns = Turns()
         while True:
@@ -176,6 +176,6 @@
             if at >= self._beat_due:
                 self._beat_due = at + BEAT_S
                 if at > BEAT_S and not self._election.has_live_leader(at):
-                    self.silences.append(at)
+                    self.leader_losses.append(at)
                 self._election.on_heartbeat(self.leader.head.epoch, "e1", True, at)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -31,7 +31,7 @@
 
 WORKERS: Final = 53
 WAITING: Final = 500
-LOOK_S: Final = 0.0004
+FIT_CHECK_S: Final = 0.0004
 """Processor time of one look at one worker for one step."""
 
 READ_S: Final = 0.0015
@@ -66,19 +66,19 @@
 
 @asynccontextmanager
 async def loaded(
-    monkeypatch: pytest.MonkeyPatch, look_s: float = LOOK_S, read_s: float = READ_S
+    monkeypatch: pytest.MonkeyPatch, fit_check_s: float = FIT_CHECK_S, read_s: float = READ_S
 ) -> AsyncIterator[LoadedLeader]:
     """Lead a fleet on which a lasting job runs.
 
-    :param look_s: processor time of one look at one worker for one step.
+    :param fit_check_s: processor time of one look at one worker for one step.
     :param read_s: processor time of reading a report.
     """
     work = simulated_work(monkeypatch)
     fits = Instance.fits
 
     def slow_fits(instance: Instance, step: StepSpec) -> bool:
-        work(look_s)
-        world.looked_s += look_s
+        work(fit_check_s)
+        world.placement_s += fit_check_s
         return fits(instance, step)
 
     monkeypatch.setattr(Instance, "fits", slow_fits)
@@ -89,7 +89,7 @@
     world = LoadedLeader(leader, WORKERS, work, read_s)
     leader._send = world.send
     await leader.load()
-    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(world.arrive())]
+    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(world.deliver_messages())]
     try:
         lasting = StepSpec(tasks=WORKERS, cpu_millicores=8000, lasting=True, per_worker=1)
         leader.sched.submit(job("lasts", lasting), lambda *_: None)
@@ -117,7 +117,7 @@
 
     :param estimate_ms: no task ends within the test, so that those with a short one crawl.
     """
-    assert (WAITING - 4 * WORKERS) * WORKERS * LOOK_S > LEADER_SILENCE_S
+    assert (WAITING - 4 * WORKERS) * WORKERS * FIT_CHECK_S > LEADER_SILENCE_S
     for number in range(WAITING):
         step = StepSpec(
             cpu_millicores=4000,
@@ -137,7 +137,7 @@
     return Cancelled(sent_at, now())
 
 
-async def test_a_cancelled_job_is_gone_in_time_while_more_waits_than_can_be_planned(
+async def test_a_cancelled_job_ends_in_time_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Work runs on for seconds after its job was cancelled, and its caller gets no answer."""
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("estimate_ms", [60_000, 4_000])
-async def test_leases_and_followers_are_served_while_more_waits_than_can_be_planned(
+async def test_leases_and_followers_are_served_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch, estimate_ms: int
 ) -> None:
     """Work is lost because its agent's lease ran out, and followers refuse their callers.
@@ -171,17 +171,17 @@
     """
     async with loaded(monkeypatch) as world:
         submit_fills(world.leader, estimate_ms)
-        began, looked_s = now(), world.looked_s
+        began, placement_s = now(), world.placement_s
         await asyncio.sleep(20.0)
-        assert world.looked_s - looked_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
-        assert not world.silences
+        assert world.placement_s - placement_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
+        assert not world.leader_losses
         assert not [at for agent in world.agents.values() for at in agent.lapses]
         held_ms = world.leader.metrics.percentiles_ms
         assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_HOLD_S * 1000
         assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_HOLD_S * 1000
 
 
-async def test_an_agent_is_not_sent_its_starts_again_because_its_leader_is_behind(
+async def test_an_overloaded_leader_does_not_resend_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A leader that is behind with its reports takes each start that they lack for lost.
@@ -189,7 +189,7 @@
     The reports were made before the starts were sent.  In an overload it sent a good part of its
     starts twice, which took the time to read the reports.
     """
-    async with loaded(monkeypatch, look_s=0.0, read_s=0.006) as world:
+    async with loaded(monkeypatch, fit_check_s=0.0, read_s=0.006) as world:
         world.work(2.0)
         submit_fills(world.leader)
         await asyncio.sleep(6.0)
