--- a/tests/process/test_leaving_entries.py
+++ b/tests/process/test_leaving_entries.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Doors:
+class CallerFleet:
     """A fleet whose entries also listen for callers."""
 
     made: Fleet
@@ -42,7 +42,7 @@
 
 
 @asynccontextmanager
-async def doors() -> AsyncIterator[Doors]:
+async def caller_fleet() -> AsyncIterator[CallerFleet]:
     """Run a fleet that callers reach by HTTP."""
     async with fleet() as made, aiohttp.ClientSession() as session:
         ingresses = {name: Ingress(entry) for name, entry in made.entries.items()}
@@ -51,7 +51,7 @@
             ports[name] = FIRST_CALLER_PORT + 2 * number
             address = Address(HOST, ports[name])
             await ingress.start(address, Address(HOST, ports[name] + 1))
-        yield Doors(made, ingresses, ports, session)
+        yield CallerFleet(made, ingresses, ports, session)
 
 
 async def test_a_submission_at_a_leaving_entry_gets_an_answer() -> None:
@@ -62,7 +62,7 @@
     before that closes waits for a leader until its deadline.  The entry's server gave its handlers
     two seconds and then cancelled them.
     """
-    async with doors() as site:
+    async with caller_fleet() as site:
         leader = await site.made.leader()
         await asyncio.sleep(1)
         first, second = (name for name in site.made.entries if name != leader)
@@ -77,13 +77,13 @@
         await asyncio.gather(*stops)
 
 
-async def test_a_leader_that_stops_leads_on_until_another_entry_stays() -> None:
+async def test_a_stopping_leader_leads_until_a_successor_is_available() -> None:
     """Every entry has its signal when the leading one gets its own.
 
     It used to give the lead up to one of the others, which ignored it, and nobody led until an
     entry was back and had noticed.  Now it serves on, and hands over to the one that comes back.
     """
-    async with doors() as site:
+    async with caller_fleet() as site:
         leader = await site.made.leader()
         await asyncio.sleep(1)
         others = [name for name in site.made.entries if name != leader]
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -30,7 +30,7 @@
         self.reported_at: list[float] = []
         self.acknowledges = True
         self.epoch = 1
-        self.ordered = 0
+        self.order_count = 0
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
         if isinstance(message, AgentReport):
@@ -58,8 +58,8 @@
     ) -> None:
         """Send orders that are based on the report ``after_beat``."""
         boot = self.runner._boot
-        self.ordered += 1
-        given = Orders(
+        self.order_count += 1
+        orders = Orders(
             self.epoch,
             "e",
             boot,
@@ -69,9 +69,9 @@
             list(starts),
             list(stops),
             [],
-            number=self.ordered,
+            number=self.order_count,
         )
-        self.runner._on_message("e", given)
+        self.runner._on_message("e", orders)
 
 
 def reported_worker(leader: FakeLeader) -> str:
@@ -81,7 +81,7 @@
 
 
 @asynccontextmanager
-async def agent_of(
+async def run_agent(
     worker: FakeWorker, table: MemoryTable | None = None
 ) -> AsyncIterator[FakeLeader]:
     """Run an agent beside ``worker`` that follows a leader."""
--- a/tests/sched/busy_loop.py
+++ b/tests/sched/busy_loop.py
@@ -16,7 +16,7 @@
 Arrival = tuple[float, bytes, AnyNodeMessage]
 
 
-class _Skipping(selectors.SelectSelector):
+class _TimeSkippingSelector(selectors.SelectSelector):
     """Passes the time to the next timer at once."""
 
     def __init__(self, loop: "BusyLoop") -> None:
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._now = 0.0
-        super().__init__(_Skipping(self))
+        super().__init__(_TimeSkippingSelector(self))
 
     def time(self) -> float:
         return self._now
@@ -72,11 +72,11 @@
     async def receive(self) -> list[bytes]:
         """Return the next message; a message that has arrived is returned without a wait."""
         loop = asyncio.get_running_loop()
-        self.let_arrive(loop.time())
+        self.enqueue_arrived(loop.time())
         while not self.queues:
             next_at = self.arrivals[0][0] if self.arrivals else loop.time() + IDLE_S
             await asyncio.sleep(max(0.0, next_at - loop.time()))
-            self.let_arrive(loop.time())
+            self.enqueue_arrived(loop.time())
         identity = next(iter(self.queues))
         queue = self.queues.pop(identity)
         message = queue.popleft()
@@ -85,7 +85,7 @@
         spend(self.read_s)
         return [identity, msgspec.msgpack.encode(message)]
 
-    def let_arrive(self, at: float) -> None:
+    def enqueue_arrived(self, at: float) -> None:
         """Put what has arrived by time ``at`` into the queue of its connection."""
         while self.arrivals and self.arrivals[0][0] <= at:
             _, identity, message = self.arrivals.popleft()
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -54,7 +54,7 @@
     return [line for line in lines if f"event={event} " in line]
 
 
-async def test_a_round_that_holds_the_loop_too_long_says_in_which_part(
+async def test_a_long_round_is_logged_with_its_longest_part(
     lines: list[str], work: Callable[[float], None]
 ) -> None:
     metrics = Metrics(now)
@@ -76,15 +76,15 @@
         work(MAX_ROUND_HOLD_S / 2)
     load.round_ended(sched)
     assert len(_of(lines, "leader_behind")) == 1
-    (told,) = _of(lines, "leader_load")
-    assert "rounds=4 reports=3 held_ms=725 round_ms=125" in told
-    assert "reports_ms=100 " in told
-    assert "review_ms=25 " in told
-    assert "plan_ms=100 " in told
+    (load_line,) = _of(lines, "leader_load")
+    assert "rounds=4 reports=3 held_ms=725 round_ms=125" in load_line
+    assert "reports_ms=100 " in load_line
+    assert "review_ms=25 " in load_line
+    assert "plan_ms=100 " in load_line
     assert metrics.percentiles_ms("loop_held_ms", part="plan")[99.0] == pytest.approx(100, rel=0.02)
 
 
-async def test_a_planner_that_is_behind_says_for_how_long_steps_wait(
+async def test_a_planner_backlog_is_logged_with_its_longest_wait(
     lines: list[str],
 ) -> None:
     load = LoopLoad(Metrics(now), now())
@@ -96,7 +96,7 @@
     assert "unplanned_s=1.5 " in behind
 
 
-async def test_a_cancel_tells_how_long_it_waited_and_when_its_last_run_ended(
+async def test_the_latency_of_a_cancel_is_logged_and_measured(
     lines: list[str], work: Callable[[float], None]
 ) -> None:
     metrics = Metrics(now)
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -20,7 +20,7 @@
 from sapphirelead.runner_lease import MUTE_S, RunnerLease
 from sapphirelead.runner_service import Runner
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
-from tests.sched.agent_leader import TASK, FakeLeader, agent_of, reported_worker
+from tests.sched.agent_leader import TASK, FakeLeader, run_agent, reported_worker
 from tests.sched.fakes import FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
 from tests.unit.fakes import MemoryTable
@@ -66,7 +66,7 @@
 
 async def test_reports_go_on_while_the_store_does_not_answer() -> None:
     """Guards against runs that lapse because a slow leader and a slow store meet."""
-    async with agent_of(FakeWorker(work_s=60), SlowTable()) as leader:
+    async with run_agent(FakeWorker(work_s=60), SlowTable()) as leader:
         leader.acknowledges = False
         await asyncio.sleep(2 * runner_service.SILENCE_S)
         await asyncio.sleep(10)
@@ -77,7 +77,7 @@
 async def test_a_worker_that_stays_silent_is_given_up_while_the_leader_is_well() -> None:
     """Guards against runs of a worker that hangs being claimed, and not started anew, for good."""
     worker = FakeWorker(work_s=600)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
@@ -91,7 +91,7 @@
 async def test_a_silent_worker_is_given_up_although_starts_are_ordered() -> None:
     """Guards against runs of a worker that hangs being claimed for good while it is ordered on."""
     worker = FakeWorker(work_s=600)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
@@ -126,7 +126,7 @@
 async def test_a_worker_that_is_silent_for_seconds_keeps_its_runs() -> None:
     """Guards against work that lapses because its worker left a few calls unanswered."""
     worker = FakeWorker(work_s=600)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
@@ -138,11 +138,11 @@
 
 async def test_a_report_names_the_newest_orders_of_the_leader_it_goes_to() -> None:
     """Guards against starts taken for lost by a leader that reads an older report late."""
-    async with agent_of(FakeWorker(work_s=60)) as leader:
+    async with run_agent(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
         leader.order(leader.reports[-1].beat)
         await asyncio.sleep(2 * runner_service.REPORT_S)
-        assert leader.reports[-1].orders == leader.ordered
+        assert leader.reports[-1].orders == leader.order_count
         leader.epoch = 2
         leader.runner._on_message("e", Leads(2, "e"))
         await asyncio.sleep(2 * runner_service.SPACING_S)
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("reports_per_s", [2.5, 5, 20])
 async def test_an_agent_with_much_news_does_not_outrun_a_busy_leader(reports_per_s: float) -> None:
     """Guards against one busy agent whose reports lie unread until its orders are stale."""
-    async with agent_of(FakeWorker(work_s=600)) as patient:
+    async with run_agent(FakeWorker(work_s=600)) as patient:
         runner = patient.runner
         leader = BusyLeader(runner, reports_per_s)
         leader.reports.append(patient.reports[-1])
@@ -195,7 +195,7 @@
 
 async def test_news_goes_out_at_once_while_the_leader_keeps_up() -> None:
     """Guards against ends and starts that are reported late for fear of a leader that is well."""
-    async with agent_of(FakeWorker(work_s=600)) as leader:
+    async with run_agent(FakeWorker(work_s=600)) as leader:
         for _ in range(500):
             leader.runner._wake.set()
             await asyncio.sleep(0.01)
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -19,7 +19,7 @@
 from sapphirelead.runner_life import RunnerLife
 from sapphirelead.runner_slots import Slots
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
-from tests.sched.agent_leader import TASK, FakeLeader, agent_of
+from tests.sched.agent_leader import TASK, FakeLeader, run_agent
 from tests.sched.fakes import FakeRun, FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
 
@@ -76,7 +76,7 @@
     events: list[dict[str, Any]],
 ) -> None:
     """Guards against a leader that renews leases and cannot order, unseen in the agent's log."""
-    async with agent_of(FakeWorker(work_s=60)) as leader:
+    async with run_agent(FakeWorker(work_s=60)) as leader:
         await asyncio.sleep(4)
         for _ in range(30):
             leader.order(1, starts=[order()])
@@ -90,7 +90,7 @@
 
 async def test_an_agent_that_ends_logs_what_runs_on(events: list[dict[str, Any]]) -> None:
     """Guards against runs left to the rest of a lease with no line that says so."""
-    async with agent_of(FakeWorker(work_s=60)) as leader:
+    async with run_agent(FakeWorker(work_s=60)) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
     (line,) = named(events, "runs_left")
@@ -101,7 +101,7 @@
 async def test_a_stop_is_carried_out_however_old_the_report_it_is_based_on() -> None:
     """Guards against a leader that is behind and keeps a run alive that it can no longer stop."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(), order("a.0.0.1")])
         await asyncio.sleep(STALE_ORDER_S + 1)
         leader.order(1, starts=[order("a.0.0.2")], stops=[StopOrder(TASK, 1)])
@@ -112,7 +112,7 @@
 async def test_a_late_stop_of_a_run_leaves_the_next_attempt_alone() -> None:
     """Guards against orders to stop that were held up and end a run that is wanted."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(attempt=2)])
         await asyncio.sleep(STALE_ORDER_S + 1)
         leader.order(1, stops=[StopOrder(TASK, 1)])
@@ -293,7 +293,7 @@
 async def test_an_agent_that_ends_sends_the_stops_that_it_has_first() -> None:
     """Guards against a cancelled task that runs on because its agent ended with its stop."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
         leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
@@ -303,7 +303,7 @@
 async def test_an_agent_ends_although_its_worker_confirms_no_stop() -> None:
     """Guards against a process that outlives its time to end."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         worker.stops_unanswered.add(TASK)
         leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
         ends_at = now()
@@ -313,7 +313,7 @@
 async def test_an_agent_that_ends_takes_stops_and_no_starts(events: list[dict[str, Any]]) -> None:
     """Guards against a start that is cut off, so that its outcome is unknown."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order("a.0.0.1")])
         await asyncio.sleep(1)
         worker.stops_unanswered.add(TASK)
@@ -345,7 +345,7 @@
     """Guards against a cancelled task that runs on: its lease is renewed, its stops are refused."""
     bounds = Bounds()
     worker = FakeWorker(work_s=600)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         runner = leader.runner
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
