--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -20,7 +20,7 @@
 from sapphirelead.runner_lease import MUTE_S, RunnerLease
 from sapphirelead.runner_service import Runner
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
-from tests.sched.agent_leader import TASK, FakeLeader, run_agent, reported_worker
+from tests.sched.agent_leader import TASK, FakeLeader, reported_worker, run_agent
 from tests.sched.fakes import FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
 from tests.unit.fakes import MemoryTable
