--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -153,7 +153,10 @@
         if self._may_come(call.job_id):
             return True
         being_stored = call.kind is CallKind.CANCEL and call.job_id in self._leadership.sched.jobs
-        return being_stored or self._leadership.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
+        return (
+            being_stored
+            or self._leadership.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
+        )
 
     async def _submit(self, call: Call, until: float) -> Reply:
         if call.number in self._refused or (
--- a/tests/sched/test_followers.py
+++ b/tests/sched/test_followers.py
@@ -4,7 +4,9 @@
 from sapphirelead.node_messages import EntryAddress, EntryBeat
 
 
-def heartbeat(name: str, store_ok: bool = True, leaving: bool = False, cores: float = 0.0) -> EntryBeat:
+def heartbeat(
+    name: str, store_ok: bool = True, leaving: bool = False, cores: float = 0.0
+) -> EntryBeat:
     """Return a follower's heartbeat."""
     return EntryBeat(EntryAddress(name, "h", 1, cores), 1, store_ok, 1, leaving)
 
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -245,19 +245,19 @@
     async with leading(table) as leader:
         table.unavailable = True
         await asyncio.sleep(3.0)
-        lookups = 0
+        looks = 0
         real = Scheduler.state
 
         def state(sched: Scheduler, job_id: str) -> JobState | None:
-            nonlocal lookups
-            lookups += 1
+            nonlocal looks
+            looks += 1
             return real(sched, job_id)
 
         monkeypatch.setattr(Scheduler, "state", state)
         calls = [Call(number, CallKind.CANCEL, "q", f"a{number}", 1) for number in range(500)]
         replies = await asyncio.gather(*(leader.call(call, now() + 2.5) for call in calls))
         assert {reply.kind for reply in replies} == {ReplyKind.NOT_RUN}
-        assert lookups <= 4 * len(calls)
+        assert looks <= 4 * len(calls)
 
 
 async def test_a_waiting_cancel_is_answered_when_the_store_is_back() -> None:
