--- a/tests/process/test_leaving_entries.py
+++ b/tests/process/test_leaving_entries.py
@@ -1,4 +1,4 @@
-"""Entries that are stopped one after the other while callers keep their connections."""
+"""Rolling restarts of entries while callers keep their connections open."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 
 @dataclass
 class CallerFleet:
-    """A fleet whose entries also listen for callers."""
+    """A fleet whose entries also accept HTTP requests."""
 
     made: Fleet
     ingresses: dict[str, Ingress]
@@ -43,7 +43,7 @@
 
 @asynccontextmanager
 async def caller_fleet() -> AsyncIterator[CallerFleet]:
-    """Run a fleet that callers reach by HTTP."""
+    """Run a fleet that accepts HTTP requests."""
     async with fleet() as made, aiohttp.ClientSession() as session:
         ingresses = {name: Ingress(entry) for name, entry in made.entries.items()}
         ports = {}
@@ -55,12 +55,9 @@
 
 
 async def test_a_submission_at_a_leaving_entry_gets_an_answer() -> None:
-    """A caller's submission ends with a closed connection, in a rolling restart of all entries.
+    """Guards against closing a connection with an unanswered request in a rolling restart.
 
-    The entries get their signals a second apart.  The last one leads and gives the lead up to
-    entries that are leaving and ignore it, so a submission that reaches the first entry just
-    before that closes waits for a leader until its deadline.  The entry's server gave its handlers
-    two seconds and then cancelled them.
+    A submission at a leaving entry may wait for a leader until its deadline.
     """
     async with caller_fleet() as site:
         leader = await site.made.leader()
@@ -78,11 +75,8 @@
 
 
 async def test_a_stopping_leader_leads_until_a_successor_is_available() -> None:
-    """Every entry has its signal when the leading one gets its own.
+    """Guards against a leader that resigns in favour of an entry that is shutting down itself."""
 
-    It used to give the lead up to one of the others, which ignored it, and nobody led until an
-    entry was back and had noticed.  Now it serves on, and hands over to the one that comes back.
-    """
     async with caller_fleet() as site:
         leader = await site.made.leader()
         await asyncio.sleep(1)
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -1,4 +1,4 @@
-"""One agent beside a fake worker, and a leader in place of its links."""
+"""An agent with a fake worker, and a fake leader in place of the agent's links."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterable
@@ -22,7 +22,7 @@
 
 
 class FakeLeader:
-    """The leader of one agent, in place of its links; acknowledges reports while told to."""
+    """A leader in place of one agent's links; acknowledges reports while ``acknowledges`` is set."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
@@ -75,7 +75,7 @@
 
 
 def reported_worker(leader: FakeLeader) -> str:
-    """Return the worker that the agent says lives beside it."""
+    """Return the worker in the agent's latest report."""
     worker = leader.reports[-1].worker
     return worker.worker if worker is not None else ""
 
--- a/tests/sched/busy_loop.py
+++ b/tests/sched/busy_loop.py
@@ -1,4 +1,4 @@
-"""A loop on which processor time is simulated, and a transport with many connections."""
+"""An event loop with simulated processor time, and a transport with many connections."""
 
 import asyncio
 import selectors
@@ -17,20 +17,20 @@
 
 
 class _TimeSkippingSelector(selectors.SelectSelector):
-    """Passes the time to the next timer at once."""
+    """Advances the loop's clock to the next timer instead of waiting."""
 
     def __init__(self, loop: "BusyLoop") -> None:
         super().__init__()
         self.loop = loop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        assert timeout is not None, "everything waits, and no timer runs"
+        assert timeout is not None, "all tasks are waiting and no timer is scheduled"
         self.loop.spend(timeout)
         return super().select(0)
 
 
 class BusyLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock moves by what its timers wait and by what its callbacks spend."""
+    """An event loop whose clock advances only by timer waits and by time that callbacks spend."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -40,18 +40,18 @@
         return self._now
 
     def spend(self, took_s: float) -> None:
-        """Let the callback that runs have taken so much time."""
+        """Advance the clock by processor time of the current callback."""
         self._now += took_s
 
 
 def run_busy(work: Coroutine[Any, Any, None]) -> None:
-    """Run ``work`` on a loop of its own."""
+    """Run ``work`` on a new :class:`BusyLoop`."""
     with asyncio.Runner(loop_factory=BusyLoop) as runner:
         runner.run(work)
 
 
 def spend(took_s: float) -> None:
-    """Let the callback that runs have taken so much time."""
+    """Advance the running loop's clock by processor time of the current callback."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, BusyLoop)
     loop.spend(took_s)
@@ -59,9 +59,9 @@
 
 @dataclass
 class Transport:
-    """Takes one message of each connection in turn, as a router does.
+    """Returns one message of each connection in turn, as a ROUTER socket does.
 
-    :ivar arrivals: what arrives, by time.
+    :ivar arrivals: messages to deliver, ordered by time.
     :ivar read_s: processor time to read and decode a message.
     """
 
@@ -70,7 +70,7 @@
     queues: dict[bytes, deque[AnyNodeMessage]] = field(default_factory=dict)
 
     async def receive(self) -> list[bytes]:
-        """Return the next message; a message that has arrived is returned without a wait."""
+        """Return the next message; does not suspend if one has arrived."""
         loop = asyncio.get_running_loop()
         self.enqueue_arrived(loop.time())
         while not self.queues:
@@ -86,7 +86,7 @@
         return [identity, msgspec.msgpack.encode(message)]
 
     def enqueue_arrived(self, at: float) -> None:
-        """Put what has arrived by time ``at`` into the queue of its connection."""
+        """Queue the messages that have arrived by time ``at``, by connection."""
         while self.arrivals and self.arrivals[0][0] <= at:
             _, identity, message = self.arrivals.popleft()
             self.queues.setdefault(identity, deque()).append(message)
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -1,8 +1,7 @@
-"""A leader whose processor is too slow for what waits, with agents and a follower that are not.
+"""Simulation of an overloaded leader with agents and a follower that are not overloaded.
 
-Processor time is simulated: work advances the loop's clock without waiting, so that whatever is due
-meanwhile comes late, as on a busy machine.  What agents and the follower send lies unread until the
-loop gets to it.
+Processor time is simulated: work advances the loop's clock without waiting, so that timers fire
+late, as on a busy machine.  Messages to the leader stay unread until the loop gets to them.
 """
 
 import asyncio
@@ -26,14 +25,14 @@
 """Time from a stop's arrival at an agent to the end of the run."""
 
 REPORT_DELAY_S: Final = 0.02
-"""Time from news at an agent to the report that tells it."""
+"""Time from a change at an agent to the report of it."""
 
 POLL_INTERVAL_S: Final = 0.005
-"""Time between two looks for what has arrived."""
+"""Interval at which the leader reads messages that have arrived."""
 
 
 def simulated_work(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Return a function that takes processor time of the running loop."""
+    """Return a function that consumes simulated processor time of the running loop."""
     loop: Any = asyncio.get_running_loop()
     time = loop.time
     worked_s = 0.0
@@ -48,13 +47,13 @@
 
 @dataclass(slots=True)
 class SimulatedAgent:
-    """An agent with a processor of its own: it reports in time, however late that is read.
+    """An agent with its own processor: it reports in time even if reports are read late.
 
     :ivar leased_until: end of its lease.
-    :ivar lapses: times at which the lease had run out before it was renewed.
-    :ivar ended_at: when each run ended, by task and attempt.
-    :ivar stored_at: when the word came that an end is stored.
-    :ivar starts: number of start orders got for each run.
+    :ivar lapses: times at which a renewal arrived after the lease had expired.
+    :ivar ended_at: time at which each run ended, by task and attempt.
+    :ivar stored_at: time at which the leader confirmed that the end of a run is stored.
+    :ivar starts: number of start orders received for each run.
     """
 
     name: str
@@ -75,7 +74,7 @@
     _ends: dict[tuple[str, int], RunEnded] = field(default_factory=dict)
 
     def get(self, orders: Orders) -> None:
-        """Take orders now."""
+        """Receive orders."""
         at = now()
         self._received.append((at, orders))
         if orders.starts or orders.stops:
@@ -133,17 +132,17 @@
 
 
 class LoadedLeader:
-    """The agents of a leader, and a follower that hears it.
+    """The agents of a leader, and a follower that receives its heartbeats.
 
-    :ivar leader_losses: times at which the follower no longer counted on the leader.
-    :ivar work: takes processor time of the leader's.
-    :ivar placement_s: processor time that looking for places has taken.
+    :ivar leader_losses: times at which the follower had no live leader.
+    :ivar work: consumes processor time of the leader.
+    :ivar placement_s: processor time spent on placement.
     """
 
     def __init__(
         self, leader: Leader, agents: int, work: Callable[[float], None], read_s: float
     ) -> None:
-        """Set the world up.
+        """Create the agents and the follower.
 
         :param read_s: processor time of reading a report.
         """
@@ -159,12 +158,12 @@
         self._beat_due = 0.0
 
     def send(self, agent: str, orders: Orders) -> bool:
-        """Bring orders to an agent."""
+        """Deliver orders to an agent."""
         self.agents[agent].get(orders)
         return True
 
     async def deliver_messages(self) -> None:
-        """Bring what agents and the follower send to the leader, whenever the loop is free."""
+        """Deliver reports and heartbeats to the leader whenever the loop is free."""
         turns = Turns()
         while True:
             at = now()
--- a/tests/sched/test_directory.py
+++ b/tests/sched/test_directory.py
@@ -1,4 +1,4 @@
-"""The list of entries in the store."""
+"""Service discovery by the entries' rows in the store."""
 
 from result import Ok
 
@@ -17,10 +17,7 @@
 
 
 async def test_an_unreadable_row_does_not_hide_others() -> None:
-    """One entry of a newer release writes a row with another shape.
-
-    Reading it as usual ended the process of each entry and agent that looked for the leader.
-    """
+    """Guards against a process crash on a row of another shape, as by a newer release."""
     table = MemoryTable()
     await write_entry(table, EntryAddress("a", "10.0.0.1", 7000))
     odd = Write(ENTRY_PREFIX + "b", {"name": "b"})
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -1,4 +1,4 @@
-"""When entries follow, ask, and take the lead."""
+"""When entries follow the leader, read the head row and take the leadership."""
 
 import pytest
 from result import Result
@@ -59,11 +59,7 @@
 
 
 def test_a_heartbeat_does_not_withdraw_an_offer() -> None:
-    """A leader that stops offers the lead and leads on until it has been taken.
-
-    Its answer to the follower's heartbeat arrived between the offer and the next look of the
-    follower, who then ignored the offer: nothing was started for 0.7 s, until the next offer.
-    """
+    """Guards against dropping an offer when a heartbeat of the same leader arrives after it."""
     election = Election("e1")
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
@@ -81,12 +77,7 @@
 
 @pytest.mark.looptime
 async def test_a_stopping_leader_does_not_retake_the_leadership() -> None:
-    """The balancer's entries are restarted in turn.
-
-    The leader is told to stop and offers the lead to a follower.  While it still finishes requests
-    it sees that nobody leads and that the row names itself, and takes the lead back; when it ends a
-    moment later nobody leads, and callers get no answer for seconds.
-    """
+    """Guards against a stopping entry taking the leadership back from its own head row."""
     table = MemoryTable()
     election = Election("e1")
     feed_head_row(election, (await read_head(table)).unwrap(), now())
@@ -103,11 +94,7 @@
 
 @pytest.mark.looptime
 async def test_a_leader_that_lost_the_store_does_not_retake_an_offered_leadership() -> None:
-    """The store turns one entry away, and that entry leads.
-
-    It offers the lead to a follower that reaches the store.  Its own way to the store comes back at
-    that moment; it must not take the lead back because the row still names it.
-    """
+    """Guards against retaking an offered leadership because the row still names this entry."""
     table = MemoryTable()
     election = Election("e1")
     feed_head_row(election, (await read_head(table)).unwrap(), now())
@@ -132,11 +119,9 @@
 
 
 def test_a_follower_keeps_sending_heartbeats_to_an_unresponsive_leader() -> None:
-    """Callers of one entry get 503 all day, while all other entries serve.
+    """Guards against a follower that never reconnects after its link to the leader failed.
 
-    Its link to the leader was cut for two seconds, or it learnt of the leader before it knew the
-    leader's address.  The head row moves on, so the lead is not to be taken; but heartbeats went
-    only to a leader that had been heard of lately, and a leader answers only to heartbeats.
+    The leader sends heartbeats only in reply, and the changing head row prevents an election.
     """
     election = Election("e1")
     election.on_heartbeat(1, "e2", True, 0.0)
@@ -163,7 +148,7 @@
 
 
 def time_until_take(election: Election, last_heard_at: float) -> float:
-    """Return how long an entry waits until it takes a row that stands still."""
+    """Return the time until an entry takes an unchanged row, in seconds."""
     head = HeadRow(7, 3, "e2", "t")
     at = last_heard_at + LEADER_SILENCE_S
     while election.next_move(at) is not Move.TAKE:
@@ -185,11 +170,7 @@
 def test_a_weak_entry_waits_for_a_strong_one(
     cores: float, strongest: float, least_s: float, most_s: float
 ) -> None:
-    """The leader is lost, and whoever looks first leads next, also the weakest.
-
-    A strong entry lives, as the leader has told, and gets the time to be first.  Where only weak
-    ones live, none waits longer than before.
-    """
+    """Guards against a weak entry winning the election before a known strong one can try."""
     election = Election("e1", cores)
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0, strongest=strongest)
     assert least_s <= time_until_take(election, 1.0) <= most_s
@@ -197,11 +178,7 @@
 
 @pytest.mark.looptime
 async def test_an_offer_is_taken_while_the_leader_keeps_writing() -> None:
-    """A leader offers the lead and goes on storing a hundred ends a second.
-
-    Each of its writes made the try fail that had read the row before, and the entry waited for the
-    next offer.
-    """
+    """Guards against giving up on an offer when the leader's writes make attempts fail."""
     table = MemoryTable()
     head = await Head.take(table, (await read_head(table)).unwrap(), "e2")
     assert head is not None
--- a/tests/sched/test_followers.py
+++ b/tests/sched/test_followers.py
@@ -1,4 +1,4 @@
-"""Whom a leader offers the lead to."""
+"""The follower that a leader selects for a handover."""
 
 from sapphirelead.node_followers import HEARTBEAT_TIMEOUT_S, Followers
 from sapphirelead.node_messages import EntryAddress, EntryBeat
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows and heartbeats of foreign writers: fields missing or of another type, unreadable bytes."""
+"""Invalid rows and heartbeats: missing fields, wrong types and undecodable bytes."""
 
 import base64
 import json
@@ -55,11 +55,11 @@
     max_leaves=6,
 )
 NO_DEADLINE = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
-"""How long an example takes says nothing here, and a busy machine stretches it."""
+"""The duration of an example depends on the machine's load."""
 
 
 class RunnerSpy:
-    """Remembers which workers were taken."""
+    """Records the workers whose heartbeats were accepted."""
 
     def __init__(self) -> None:
         self.taken: list[tuple[WorkerInfo, str, int]] = []
@@ -72,7 +72,7 @@
 
 
 class Peer:
-    """Answers every call with the same body."""
+    """Responds to every request with the same body."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -83,7 +83,7 @@
 
 @asynccontextmanager
 async def listening(handler: Any) -> AsyncIterator[str]:
-    """Serve ``handler`` on loopback and return its address."""
+    """Serve ``handler`` on the loopback interface; yields its address."""
     app = web.Application()
     app.router.add_route("*", "/{tail:.*}", handler)
     server = TestServer(app)
@@ -93,7 +93,7 @@
 
 
 async def beat(body: bytes, worker: str = "w1") -> tuple[int, RunnerSpy]:
-    """Send a heartbeat; return the answer's status and what the agent took of it."""
+    """Send a heartbeat; return the response status and the accepted workers."""
     spy = RunnerSpy()
     side = WorkerSide(spy, "svc")  # type: ignore[arg-type]
     async with listening(side.handle) as address, ClientSession() as session:
@@ -111,11 +111,7 @@
 
 @pytest.mark.parametrize("name", ["service", "addr", "state", "capacity", "labels", "seq", "zone"])
 async def test_a_heartbeat_with_a_missing_field_is_rejected(name: str) -> None:
-    """A heartbeat without ``capacity`` arrives under the id of the worker in use.
-
-    Taken with a capacity of 0 it made the leader see no room there, and all work went elsewhere
-    until the next heartbeat.
-    """
+    """Guards against accepting an incomplete heartbeat, such as with a capacity of 0."""
     status, spy = await beat(json.dumps({**BEAT, name: None}).encode())
     assert (status, spy.taken) == (400, [])
     status, spy = await beat(json.dumps({k: v for k, v in BEAT.items() if k != name}).encode())
@@ -147,11 +143,7 @@
     ],
 )
 async def test_a_heartbeat_with_an_invalid_field_is_rejected(change: dict[str, Any]) -> None:
-    """A heartbeat says a state that is not known, or an amount that no message can carry.
-
-    An unknown state counted as ready.  A number of more than 64 bits passed the decoding, and the
-    agent's next report could not be encoded: its process ended.
-    """
+    """Guards against treating an unknown state as ready, and against numbers over 64 bits."""
     status, spy = await beat(json.dumps({**BEAT, **change}).encode())
     assert (status, spy.taken) == (400, [])
 
@@ -169,7 +161,7 @@
 
 
 def wire_row(key: str, value: object, ver: int = 3) -> dict[str, object]:
-    """Return a row as the store sends it, its value as the product writes it."""
+    """Return a row in the store's wire format, with an encoded value."""
     text = base64.b64encode(msgspec.msgpack.encode(value)).decode()
     return {"table": "fleet", "part": "", "key": key, "value": text, "ver": ver}
 
@@ -199,11 +191,7 @@
     ],
 )
 async def test_an_unreadable_entry_row_does_not_hide_others(row: object) -> None:
-    """A foreign writer adds a row to the list of entries, before those of ours.
-
-    Reading the page raised on its value, in the task that looks for the leader, and the process
-    ended; so did the next one, and that of every other entry and agent, while the row stayed.
-    """
+    """Guards against a process crash on an invalid row in the list of entries."""
     body = json.dumps({"rows": [row, GOOD_ENTRY], "ver": 9}).encode()
     async with listening(Peer(body).handle) as address:
         table = PlatformTable(HttpCaller.connect(address, 1.0))
@@ -213,10 +201,7 @@
 
 @pytest.mark.parametrize("value", ["abc", "%%%", "é", 7, None, ["x"]])
 async def test_an_unreadable_change_does_not_block_others(value: object) -> None:
-    """The feed brings a foreign row beside a new version of the configuration.
-
-    Its value raised in the task that follows the feed; the process ended and met it again.
-    """
+    """Guards against a crash on an invalid row in the change feed, next to a valid one."""
     config = {"table": "op", "key": "config", "value": base64.b64encode(b"{}").decode(), "ver": 8}
     body = json.dumps({"rows": [{**config, "key": "x", "value": value}, config], "ver": 9})
     async with listening(Peer(body.encode()).handle) as address:
@@ -263,11 +248,7 @@
     ],
 )
 async def test_a_worker_list_with_an_unreadable_row_is_an_error(row: object) -> None:
-    """A worker's list holds one row that cannot be read.
-
-    It raised in the task that renews the lease, and the agent's process ended.  Left out, the run
-    would count as gone although it may go on.
-    """
+    """Guards against a crash, and against skipping the row: its run would count as ended."""
     body = json.dumps({"clock_ms": 5, "running": [["b.0.0.0", 1, "", 3], row], "ended": []})
     async with listening(Peer(body.encode()).handle) as address:
         worker = PlatformWorker(HttpCaller.connect(address, 1.0), "w1")
@@ -298,20 +279,13 @@
 
 
 def test_an_unknown_end_kind_is_neither_done_nor_a_failure() -> None:
-    """A worker lists an end of a kind that no page names.
-
-    It raised in the leader, whose process ended; the agent repeated the end to each successor.
-    """
+    """Guards against a leader crash on an unknown end kind, repeated for each successor."""
     assert _end_kind("vanished") == "broken"
     assert _end_kind(RunEnded(1, "a.0.0.0", 1, "done", "").kind) == "done"
 
 
 def test_epochs_grow_after_a_foreign_head_row() -> None:
-    """A foreign writer replaces the head row, without an epoch.
-
-    Counted from 0 the next leader's epoch would be lower than that of the agents' last leader, and
-    they would refuse its orders for good.
-    """
+    """Guards against an epoch lower than that of the last leader, whose agents would refuse it."""
     for value in (None, {}, {"epoch": "x"}, {"epoch": -3, "leader": "", "txn": ""}):
         assert HeadRow.from_row(Row(HEAD_KEY, 50, value)).epoch == 50
     assert HeadRow.from_row(Row(HEAD_KEY, 0, None)).epoch == 0
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -1,4 +1,4 @@
-"""How a leader gives the lead away, on a paused clock."""
+"""Handover of the leadership."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -20,7 +20,7 @@
 
 
 async def leading(table: MemoryTable) -> Leader:
-    """Return a leader that serves."""
+    """Return a leader that accepts calls."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
     leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True)
@@ -29,14 +29,14 @@
 
 
 async def send_heartbeats(controller: HandoverController) -> None:
-    """Let one follower go on sending heartbeats."""
+    """Send the heartbeats of one follower."""
     while True:
         controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
         await asyncio.sleep(BEAT_S)
 
 
 def recording_sender(offers: list[float]) -> Callable[[str, Handover], bool]:
-    """Return a way to send offers that only notes when."""
+    """Return a send function that appends the time of each offer to ``offers``."""
 
     def send(name: str, offer: Handover) -> bool:
         offers.append(now())
@@ -47,7 +47,7 @@
 
 @asynccontextmanager
 async def leader_with_follower() -> AsyncIterator[tuple[Leader, HandoverController, list[float]]]:
-    """Run a leader with a follower that takes no offer; the list holds the times of the offers."""
+    """Run a leader with a follower that ignores offers; the list holds the times of the offers."""
     leader = await leading(MemoryTable())
     offers: list[float] = []
     controller = HandoverController(recording_sender(offers))
@@ -59,11 +59,7 @@
 
 
 async def test_a_leader_with_untaken_offers_keeps_starting_runs() -> None:
-    """A leader is stopped, and the entry that it offers the lead to does not take it.
-
-    Each offer held new starts back until the next one, so that nothing was started until the
-    process ended.
-    """
+    """Guards against suspending starts for the whole shutdown when nobody takes the offers."""
     async with leader_with_follower() as (leader, controller, offers):
         leaving = asyncio.create_task(controller.leave(lambda: leader, now() + 4.5))
         starting = 0.0
@@ -75,11 +71,7 @@
 
 
 async def test_a_stalled_leader_does_not_count_its_peers_as_unresponsive() -> None:
-    """An entry on a busy machine does not run for two seconds while it leads.
-
-    What the others sent meanwhile lies unread. It counted them as silent, itself as cut off, and
-    gave the lead up although nothing had happened to anybody.
-    """
+    """Guards against resigning after a stall, while the peers' messages are still unread."""
     leader = await leading(MemoryTable())
     leader.isolated = lambda at: True  # type: ignore[method-assign]
     controller = HandoverController(recording_sender([]))
@@ -96,11 +88,7 @@
 
 
 async def test_a_weak_leader_offers_the_leadership_to_a_strong_entry() -> None:
-    """After a loss an entry with half a processor leads a hundred workers for the rest of the day.
-
-    It had been the first to look.  Reports lay unread, and work was started seconds late, while
-    entries with four times its processors passed callers on to it.
-    """
+    """Guards against a weak entry that keeps the leadership while a much stronger one follows."""
     leader = await leading(MemoryTable())
     offered: list[str] = []
 
@@ -113,7 +101,7 @@
         controller.on_heartbeat(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
     controller.check(leader)
     assert offered == ["strong"]
-    # It leads on until the offer has been taken, and does not repeat it at each look.
+    # It leads until the offer is taken, and does not repeat the offer at each check.
     assert leader.serving
     controller.check(leader)
     assert offered == ["strong"]
--- a/tests/sched/test_hub_meter.py
+++ b/tests/sched/test_hub_meter.py
@@ -1,4 +1,4 @@
-"""What a hub says of itself while it is behind."""
+"""Metrics and log lines of an overloaded hub."""
 
 from collections import Counter
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class Backlog:
-    """A backlog set by the test."""
+    """A backlog controlled by the test."""
 
     def __init__(self) -> None:
         self.merged: Counter[str] = Counter()
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Return the fields of the lines that are logged."""
+    """Return the fields of the logged lines."""
     found: list[dict[str, Any]] = []
     monkeypatch.setattr(
         "sapphirelead.node_hub_meter.log_event", lambda _level, _event, **kw: found.append(kw)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's answers to submissions that reach it late or more than once, on a paused clock."""
+"""A leader's replies to submissions and cancels that arrive late, repeatedly or without a store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -47,7 +47,7 @@
 
 @pytest.fixture(autouse=True)
 def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+    # No suspension is simulated, so the clock that includes suspensions equals the loop's clock.
     monkeypatch.setattr(node_leader, "awake_now", now)
     monkeypatch.setattr(sched_head, "awake_now", now)
 
@@ -73,7 +73,7 @@
 
 @asynccontextmanager
 async def leading(table: SlowTable, may_come: MayCome = lambda _: False) -> AsyncIterator[Leader]:
-    """Lead on ``table``."""
+    """Run a leader on ``table``."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
     leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_come)
@@ -87,17 +87,13 @@
 
 
 async def submit(leader: Leader, number: int) -> Reply:
-    """Submit the job, as the try of a call with this number."""
+    """Submit the job as one attempt of call ``number``."""
     call = Call(number, CallKind.SUBMIT, "q", "a1", 1, encode_spec(job("a1")))
     return await leader.call(call, now() + DEADLINE_S)
 
 
 async def test_a_retry_of_a_refused_submission_is_refused() -> None:
-    """A surveyor is told that her check was not taken; it runs all the same, and she has it twice.
-
-    The store is away, and the leader refuses the submission after a while.  The entry had not
-    waited for that: a second try of the same call reaches the leader when the store is back.
-    """
+    """Guards against running a refused job when a retry of the same call arrives later."""
     table = SlowTable()
     async with leading(table) as leader:
         table.unavailable = True
@@ -108,14 +104,13 @@
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
         assert leader.sched.state("a1") is None
         again = await submit(leader, 8)
-        assert again.kind is ReplyKind.OK, "a new call of the caller is another matter"
+        assert again.kind is ReplyKind.OK, "a new call of the caller must be accepted"
 
 
 async def test_a_slow_store_causes_no_refusals_and_an_unreachable_one_immediate_ones() -> None:
-    """Members cannot book for five seconds although every transaction is stored.
+    """Guards against refusing submissions, or holding them, on a wrong estimate of the store.
 
-    The store takes 0.39 s for each instead of 0.01 s.  Submissions came while one was on its way,
-    and were refused before the next could take them.  Once it does not answer at all, they are.
+    They wait for a store that is slow but answers, and are refused at once when it does not answer.
     """
     table = SlowTable()
     async with leading(table) as leader:
@@ -139,11 +134,7 @@
 async def test_a_call_of_an_earlier_leadership_is_not_carried_out(
     asked: int, carried_out: int
 ) -> None:
-    """A job runs although its caller has been told that it never would.
-
-    The call lay unread while its entry lost the lead; its caller was refused, and the entry took
-    the lead again before it read the call.
-    """
+    """Guards against executing a call that was refused when an earlier leadership ended."""
     calls = 0
     replies: list[Reply] = []
 
@@ -168,10 +159,9 @@
 
 
 async def test_a_new_leader_renews_leases_from_the_first_report_on() -> None:
-    """Everything was off, and comes back; tasks start, and all of them lapse after a second.
+    """Guards against a new leader that mistakes its predecessor's possible renewals for its own.
 
-    The new leader counts with renewals that the one before may have sent up to 4 s later than it
-    took over. Taken for its own last answer, that time kept it from renewing any lease until then.
+    It would renew no lease until that time had passed, and running tasks would be lost.
     """
     table = SlowTable()
     info = worker_info("w1")
@@ -193,12 +183,12 @@
 
 
 async def cancel(leader: Leader, wait_s: float) -> Reply:
-    """Cancel the job, as another entry does that waits for ``wait_s``."""
+    """Cancel the job with a deadline in ``wait_s``."""
     return await leader.call(Call(8, CallKind.CANCEL, "q", "a1", 1), now() + wait_s)
 
 
 async def test_a_cancel_of_a_job_that_is_being_stored_is_not_called_absent() -> None:
-    """A job whose submission was being stored was cancelled as "no such job", and then ran."""
+    """Guards against reporting a job as absent while its submission is being stored."""
     table = SlowTable()
     async with leading(table) as leader:
         table.takes_s = 0.39
@@ -226,7 +216,7 @@
 
 
 async def test_a_cancel_is_not_called_absent_by_a_leader_that_may_have_been_replaced() -> None:
-    """A leader cut off from the store answered "no such job" of one that its successor ran."""
+    """Guards against reporting a job as absent that a successor may have accepted."""
     table = SlowTable()
     async with leading(table) as leader:
         table.unavailable = True
@@ -240,7 +230,7 @@
 async def test_waiting_cancels_do_not_poll_while_the_store_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each cancel looked for the store's word 80 times a second; 500 took half a processor."""
+    """Guards against busy polling by cancels that wait for the store."""
     table = SlowTable()
     async with leading(table) as leader:
         table.unavailable = True
@@ -287,7 +277,7 @@
 
 
 async def test_a_late_cancel_ends_a_job_that_was_accepted_while_it_was_on_its_way() -> None:
-    """A job that its client had given up ran on, as its submission came in before its cancel."""
+    """Guards against losing a cancel that was delayed until after the job was accepted."""
     table = SlowTable()
     async with leading(table) as leader:
 
@@ -326,7 +316,7 @@
 async def test_a_cancel_is_not_called_absent_while_a_dropped_submission_may_come_again(
     comes_again: bool,
 ) -> None:
-    """A submission was dropped past the inbox's bound, its cancel answered 410, and the job ran."""
+    """Guards against reporting a job as absent while its dropped submission may be retried."""
     inbox = Inbox(HOLD_S)
     async with leading(SlowTable(), lambda job_id: inbox.may_come(job_id, now())) as leader:
         for number in range(CALLS_KEPT + 1):
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -1,4 +1,4 @@
-"""What a leader logs and counts of its own load and of cancels, on a paused clock."""
+"""Logs and metrics of a leader's load and of cancels."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """Collect the lines logged."""
+    """Collect the logged lines."""
     found: list[str] = []
     number = logger.add(lambda message: found.append(message.record["message"]), format="")
     yield found
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 async def work(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Return a function that takes processor time: it advances the clock without waiting."""
+    """Return a function that consumes simulated processor time by advancing the clock."""
     loop: Any = asyncio.get_running_loop()
     time = loop.time
     worked_s = 0.0
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -1,8 +1,4 @@
-"""What a leader must do in time although more work waits than it can plan.
-
-The load that this stands for: five hundred filling steps of different images wait, and looking for
-their places takes an entry with a third of a core longer than any of its callers waits.
-"""
+"""Deadlines that a leader must keep while it has more work than it can plan in time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -32,35 +28,35 @@
 WORKERS: Final = 53
 WAITING: Final = 500
 FIT_CHECK_S: Final = 0.0004
-"""Processor time of one look at one worker for one step."""
+"""Processor time of one check whether a step fits on a worker."""
 
 READ_S: Final = 0.0015
 """Processor time of reading a report."""
 
 BOUNDS: Final = Bounds(lease_max_s=6.0, kill_grace_s=0.2)
 CANCEL_S: Final = 4.0
-"""A cancelled job's tasks are gone so long after the acknowledgement, plus the time of a stop."""
+"""Time from the acknowledgement of a cancel to the end of the job's tasks, without the stop."""
 UNACKED_S: Final = 6.0
-"""A cancel that is not acknowledged counts from so long after it was sent."""
+"""Time after which a cancel takes effect even if it is not acknowledged."""
 
 
 @pytest.fixture(autouse=True)
 def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+    # No suspension is simulated, so the clock that includes suspensions equals the loop's clock.
     monkeypatch.setattr(node_leader, "awake_now", now)
     monkeypatch.setattr(sched_head, "awake_now", now)
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """How a cancel went; seconds of the loop's clock."""
+    """The times of a cancel, in seconds of the loop's clock."""
 
     sent_at: float
     acked_at: float
 
     @property
     def gone_by(self) -> float:
-        """When the job's tasks must be gone."""
+        """Deadline for the end of the job's tasks."""
         return min(self.acked_at, self.sent_at + UNACKED_S) + CANCEL_S + BOUNDS.kill_grace_s
 
 
@@ -68,9 +64,9 @@
 async def loaded(
     monkeypatch: pytest.MonkeyPatch, fit_check_s: float = FIT_CHECK_S, read_s: float = READ_S
 ) -> AsyncIterator[LoadedLeader]:
-    """Lead a fleet on which a lasting job runs.
+    """Run a leader whose fleet runs a lasting job.
 
-    :param fit_check_s: processor time of one look at one worker for one step.
+    :param fit_check_s: processor time of one check whether a step fits on a worker.
     :param read_s: processor time of reading a report.
     """
     work = simulated_work(monkeypatch)
@@ -103,7 +99,7 @@
 
 
 def running(leader: Leader, job_id: str) -> list[tuple[str, int]]:
-    """Return the runs of a job that an agent has listed."""
+    """Return the runs of a job that agents report as running."""
     runs = leader.sched.fleet.runs.values()
     return [
         (run.ref.text(), run.attempt)
@@ -113,9 +109,10 @@
 
 
 def submit_fills(leader: Leader, estimate_ms: int = 60_000) -> None:
-    """Submit more filling work than there is room for, of images that are all looked at.
+    """Submit more filling work than fits, with a distinct image per step.
 
-    :param estimate_ms: no task ends within the test, so that those with a short one crawl.
+    :param estimate_ms: estimated duration; no task ends within the test, so tasks with a short
+        estimate become stragglers.
     """
     assert (WAITING - 4 * WORKERS) * WORKERS * FIT_CHECK_S > LEADER_SILENCE_S
     for number in range(WAITING):
@@ -130,7 +127,7 @@
 
 
 async def cancel(leader: Leader, job_id: str, sent_at: float) -> Cancelled:
-    """Cancel a job by a call that was sent at ``sent_at`` and lay unread until now."""
+    """Cancel a job by a call that was sent at ``sent_at`` and is read now."""
     call = Call(1, CallKind.CANCEL, "q", job_id, 1)
     reply = await leader.call(call, now() + 60.0)
     assert reply.kind is ReplyKind.OK
@@ -140,11 +137,11 @@
 async def test_a_cancelled_job_ends_in_time_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Work runs on for seconds after its job was cancelled, and its caller gets no answer."""
+    """Guards against late stops and late replies to cancels while planning is overloaded."""
     async with loaded(monkeypatch) as world:
         runs = running(world.leader, "lasts")
         submit_fills(world.leader)
-        # The caller's clock goes on while the leader's loop is held.
+        # The caller's clock advances while the leader's loop is blocked.
         sent_at = now() + 0.1
         await asyncio.sleep(0.1)
         cancelled = await cancel(world.leader, "lasts", sent_at)
@@ -165,9 +162,9 @@
 async def test_leases_and_followers_are_served_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch, estimate_ms: int
 ) -> None:
-    """Work is lost because its agent's lease ran out, and followers refuse their callers.
+    """Guards against expired leases and missed heartbeats while planning is overloaded.
 
-    With the short estimate all that runs crawls, and each review looks for other places.
+    With the short estimate all runs become stragglers, and each review searches for placements.
     """
     async with loaded(monkeypatch) as world:
         submit_fills(world.leader, estimate_ms)
@@ -184,11 +181,7 @@
 async def test_an_overloaded_leader_does_not_resend_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A leader that is behind with its reports takes each start that they lack for lost.
-
-    The reports were made before the starts were sent.  In an overload it sent a good part of its
-    starts twice, which took the time to read the reports.
-    """
+    """Guards against resending starts because of reports that were made before they were sent."""
     async with loaded(monkeypatch, fit_check_s=0.0, read_s=0.006) as world:
         world.work(2.0)
         submit_fills(world.leader)
