--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -22,7 +22,7 @@
 
 
 class FakeLeader:
-    """A leader in place of one agent's links; acknowledges reports while ``acknowledges`` is set."""
+    """A leader in place of one agent's links; acknowledges reports if ``acknowledges`` is set."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -53,9 +53,9 @@
 
 
 class SlowTable(MemoryTable):
-    """A store that goes unavailable: it does not answer while ``unavailable``.
+    """A store that rejects commits after a delay while ``unavailable``.
 
-    :ivar takes_s: time that a transaction takes.
+    :ivar takes_s: duration of a transaction in seconds.
     """
 
     def __init__(self) -> None:
