--- a/sapphirelead/node_directory.py
+++ b/sapphirelead/node_directory.py
@@ -1,4 +1,4 @@
-"""Service discovery: the addresses of all entries, in the store.
+"""Service discovery: the addresses of all entries, kept in the store.
 
 An entry writes its row once, at startup.  Rows of entries that no longer exist remain; connections
 to their addresses get no response.
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -182,10 +182,10 @@
         return self._resigned
 
     def wake(self) -> None:
-        """Start the next round without waiting for the tick."""
+        """Start the next round without waiting for the interval to end."""
         self._wake.set()
 
-    # Start and end of a leadership
+    # Start and end of a term
 
     async def load(self) -> None:
         """Load all stored jobs; retries until the store answers."""
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -56,7 +56,7 @@
         """Return the time since the store last confirmed this leader."""
 
     def wake(self) -> None:
-        """Start the next round without waiting for the tick."""
+        """Start the next round without waiting for the interval to end."""
 
     async def wait_ended(self) -> None:
         """Wait for the end of this term of leadership."""
--- a/tests/sched/test_followers.py
+++ b/tests/sched/test_followers.py
@@ -27,7 +27,7 @@
     assert {followers.next_successor(1.0, with_store=False) for _ in range(3)} == {"a", "b", "c"}
 
 
-def test_an_entry_without_the_store_is_offered_the_lead_only_where_nobody_has_it() -> None:
+def test_an_entry_without_the_store_is_eligible_only_if_the_store_is_not_required() -> None:
     followers = Followers()
     followers.on_heartbeat(heartbeat("a", store_ok=False), 1.0)
     assert followers.next_successor(1.0, with_store=True) == ""
