--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -251,7 +251,7 @@
         """Do one round; ``False`` where the lead is lost."""
         at = now()
         with self._load.held(Part.UPKEEP):
-            self.sched.lose_silent(at)
+            self.sched.end_runs_of_lost_agents(at)
             self.sched.forget_ended(wall_ms())
         if self._turn.behind:
             if not await self._save():
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -133,7 +133,7 @@
         if not places:
             break
         tightest = min(places, key=lambda item: item.free_cpu)
-        trials.append(sched.trial_run(job, run.ref, tightest, run.attempt + 1))
+        trials.append(sched.add_tentative_run(job, run.ref, tightest, run.attempt + 1))
     for trial in trials:
         sched.fleet.drop(trial)
     return len(trials) == len(runs)
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -1,7 +1,7 @@
 """The leader's decisions: takes events and a time, changes jobs and runs, returns what to do.
 
 The scheduler opens nothing.  Its shell feeds it calls and reports, asks it to plan, stores the
-batch that :meth:`Scheduler.take_batch` returns, and only then carries out the batch's effects.
+batch that :meth:`Scheduler.take_batch` returns, and only then carries outgoing_for the batch's effects.
 
 Invariants:
 
@@ -90,7 +90,7 @@
     ends_in_store: set[RunKey]
     _answers: dict[str, list[Answer]]
     ready_since: dict[tuple[str, int, int], float]
-    look_again_at: dict[tuple[str, int, int], float]
+    retry_at: dict[tuple[str, int, int], float]
     no_room: NoRoom
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
@@ -108,7 +108,7 @@
         self.began_at = at
         self.shown = {}
         self.ready_since = {}
-        self.look_again_at = {}
+        self.retry_at = {}
         self.no_room = NoRoom()
         self.avoid = {}
         self.moves = {}
@@ -235,7 +235,7 @@
 
     # Agents
 
-    def lose_silent(self, at: float) -> None:
+    def end_runs_of_lost_agents(self, at: float) -> None:
         """Give up the runs of agents whose lease has surely run out."""
         for instance in list(self.fleet.instances.values()):
             since = max(instance.renewed_at, instance.heard_at)
@@ -268,7 +268,7 @@
         self.effects.append(lambda: self._claim_stored(run))
         return run
 
-    def trial_run(self, job: Job, ref: TaskRef, instance: Instance, attempt: int) -> Run:
+    def add_tentative_run(self, job: Job, ref: TaskRef, instance: Instance, attempt: int) -> Run:
         """Count a run without a claim, to see whether a whole gang fits; drop it afterwards."""
         worker = instance.worker.worker if instance.worker is not None else ""
         run = Run(ref, attempt, instance.agent, worker, job.spec.steps[ref.step])
@@ -286,7 +286,7 @@
             return
         if self.shown.get(run.ref.job_id) is JobState.QUEUED:
             self.shown[run.ref.job_id] = JobState.RUNNING
-        self.out(run.agent).starts.append(run)
+        self.outgoing_for(run.agent).starts.append(run)
 
     def stop(self, run: Run, reason: str) -> None:
         """Ask for the end of a run."""
@@ -295,7 +295,7 @@
         run.stop_wanted = True
         run.stop_reason = reason
         if run.phase is not Phase.CLAIMED:
-            self.out(run.agent).stops.append((run.ref.text(), run.attempt))
+            self.outgoing_for(run.agent).stops.append((run.ref.text(), run.attempt))
 
     def _stop_all(self, job_id: str, reason: str) -> None:
         for run in list(self.fleet.runs.values()):
@@ -410,7 +410,7 @@
         for ended in running:
             heappush(self._ended, ended)
 
-    def out(self, agent: str) -> Outgoing:
+    def outgoing_for(self, agent: str) -> Outgoing:
         """Return the orders that wait to be sent to ``agent``."""
         found = self.outgoing.get(agent)
         if found is None:
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -150,7 +150,7 @@
                 if occurrence.left[number] == 0 or not occurrence.step_ready(step):
                     continue
                 key = (job.spec.job_id, occurrence.number, number)
-                if at < sched.look_again_at.get(key, 0.0):
+                if at < sched.retry_at.get(key, 0.0):
                     seen.add(key)
                     continue
                 tasks = _unclaimed(occurrence, number, step)
@@ -160,7 +160,7 @@
                     found.append(Ready(job, occurrence, number, step, policy, tasks, slack))
     for key in [key for key in sched.ready_since if key not in seen]:
         del sched.ready_since[key]
-        sched.look_again_at.pop(key, None)
+        sched.retry_at.pop(key, None)
     return found
 
 
@@ -208,7 +208,7 @@
         places = _places(sched, item, openings) if item.tickets is None else live
         if not places:
             if ready.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+                sched.retry_at[ready.key] = at + LOOK_AGAIN_S
             continue
         need = Need(
             ready.step,
@@ -336,7 +336,7 @@
         place = choice.take(sched.avoid.get(ref, frozenset()))
         if place is None:
             if need.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+                sched.retry_at[ready.key] = at + LOOK_AGAIN_S
             return False
         sched.claim(ready.job, ref, place, at)
         if need.starving:
@@ -363,7 +363,7 @@
             place = choose(group, need, ref, sched.avoid.get(ref, frozenset()))
             if place is None:
                 break
-            runs.append(sched.trial_run(ready.job, ref, place, attempt))
+            runs.append(sched.add_tentative_run(ready.job, ref, place, attempt))
         for run in runs:
             sched.fleet.drop(run)
         if len(runs) == len(ready.tasks):
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -113,7 +113,7 @@
     run = sched.fleet.runs.get(key) if key is not None else None
     if run is None or run.agent != instance.agent:
         # Known already, or of a job that is no longer kept: nothing to store.
-        sched.out(instance.agent).stored.append((end.task, end.attempt))
+        sched.outgoing_for(instance.agent).stored.append((end.task, end.attempt))
         return
     sched.ends_in_store.add(run.key)
     sched.end(run, _end_kind(end.kind), end.saved, end.reason, at)
@@ -136,7 +136,7 @@
 
 def _end_stored(sched: Scheduler, run: Run) -> None:
     sched.ends_in_store.discard(run.key)
-    sched.out(run.agent).stored.append((run.ref.text(), run.attempt))
+    sched.outgoing_for(run.agent).stored.append((run.ref.text(), run.attempt))
 
 
 def _take_status(sched: Scheduler, instance: Instance, status: RunStatus, at: float) -> None:
@@ -147,7 +147,7 @@
             return
         # A run without a claim: its job has ended meanwhile, or its agent was given up.
         log_event("INFO", "run_unclaimed", task=status.task, attempt=status.attempt)
-        sched.out(instance.agent).stops.append((status.task, status.attempt))
+        sched.outgoing_for(instance.agent).stops.append((status.task, status.attempt))
         return
     if status.phase is RunPhase.STARTING:
         return
@@ -188,11 +188,11 @@
             continue
         if run.stop_wanted:
             run.sent_at = at
-            sched.out(instance.agent).stops.append(name)
+            sched.outgoing_for(instance.agent).stops.append(name)
         elif name not in listed and _after_order(report, run):
             log_event("INFO", "start_sent_again", task=name[0], attempt=name[1])
             run.sent_at = at
-            sched.out(instance.agent).starts.append(run)
+            sched.outgoing_for(instance.agent).starts.append(run)
 
 
 def _after_order(report: AgentReport, run: Run) -> bool:
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -295,10 +295,10 @@
     agents = Agents(after, epoch=2)
     over_at = 5.0 + HEAD_LEASE_S + Bounds().loss_s
     agents.report("g2", at=over_at - 0.1)
-    after.lose_silent(over_at - 0.1)
+    after.end_runs_of_lost_agents(over_at - 0.1)
     plan(after, over_at - 0.1, 0)
     assert runs(after) == [("a1.0.0.0", 1)]
-    after.lose_silent(over_at + 0.1)
+    after.end_runs_of_lost_agents(over_at + 0.1)
     plan(after, over_at + 0.1, 0)
     assert runs(after) == [("a1.0.0.0", 2)]
     assert only_run(after).agent == "g2"
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -214,7 +214,7 @@
         consolidation = Consolidation()
         while now() < ends_at or self.calm:
             at = now()
-            sched.lose_silent(at)
+            sched.end_runs_of_lost_agents(at)
             review(sched, at)
             evacuate(sched, at)
             consolidation.review(sched, wanted_cpu(sched), at)
