--- a/bench/bench_leader.py
+++ b/bench/bench_leader.py
@@ -156,7 +156,7 @@
             review(sched, self._at)
         with self._counting("plan"):
             plan(sched, self._at, self._wall_ms)
-        while sched.unsaved:
+        while sched.has_pending_writes:
             with self._counting("store"):
                 batch = sched.take_batch(self._wall_ms)
                 self._journal.writes(batch, sched.jobs)
--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -283,7 +283,7 @@
         self._sched.submit(spec, lambda *_: None)
 
     def _store(self) -> None:
-        while self._sched.unsaved:
+        while self._sched.has_pending_writes:
             for effect in self._sched.take_batch(self._wall_ms).effects:
                 effect()
         for worker in self._workers:
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -252,7 +252,7 @@
         at = now()
         with self._load.held(Part.UPKEEP):
             self.sched.end_runs_of_lost_agents(at)
-            self.sched.forget_ended(wall_ms())
+            self.sched.evict_ended(wall_ms())
         if self._turn.behind:
             if not await self._save():
                 return False
@@ -261,7 +261,7 @@
         self._decide(now())
         if not await self._save():
             return False
-        if not self.sched.unsaved:
+        if not self.sched.has_pending_writes:
             self._idle.set()
         self._load.round_ended(self.sched, self._turn.waited_s)
         return True
@@ -294,7 +294,7 @@
 
     async def _save(self) -> bool:
         """Store what waits, then answer and send; ``False`` where the lead is lost."""
-        due = self.sched.unsaved or self.unconfirmed_s() >= RENEW_S
+        due = self.sched.has_pending_writes or self.unconfirmed_s() >= RENEW_S
         if due and not await self._store():
             return False
         self._flush()
@@ -387,7 +387,7 @@
         at = now()
         if not take_report(self.sched, report, self.head.epoch, at):
             return
-        if self.sched.unsaved:
+        if self.sched.has_pending_writes:
             self._wake.set()
         instance = self.sched.fleet.instance(report.agent)
         if at - instance.answered_at >= ANSWER_S or report.agent in self.sched.outgoing:
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -69,8 +69,8 @@
     :ivar open_jobs: those of ``jobs`` whose end is not in a batch yet.
     :ivar began_at: when this leader took over.
     :ivar effects: what is to be done once the next batch is stored.
-    :ivar ends_in_store: runs whose end is on its way to the store.
-    :ivar cancels: how long cancels take.
+    :ivar unstored_ends: runs whose end is on its way to the store.
+    :ivar cancel_latency: how long cancel_latency take.
     """
 
     jobs: dict[str, Job]
@@ -81,13 +81,13 @@
     policies: dict[str, QueuePolicy]
     outgoing: dict[str, Outgoing]
     began_at: float
-    shown: dict[str, JobState]
+    visible_states: dict[str, JobState]
     _dirty: dict[str, None]
-    _fresh: set[str]
+    _unstored: set[str]
     _removed: set[str]
     _ended: list[tuple[int, str]]
     effects: list[Callable[[], None]]
-    ends_in_store: set[RunKey]
+    unstored_ends: set[RunKey]
     _answers: dict[str, list[Answer]]
     ready_since: dict[tuple[str, int, int], float]
     retry_at: dict[tuple[str, int, int], float]
@@ -95,9 +95,9 @@
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
     press: GuardedPress
-    cancels: CancelTimes
+    cancel_latency: CancelTimes
 
-    def __init__(self, bounds: Bounds, at: float, cancels: CancelTimes | None = None) -> None:
+    def __init__(self, bounds: Bounds, at: float, cancel_latency: CancelTimes | None = None) -> None:
         self.jobs = {}
         self.open_jobs = {}
         self.fleet = Fleet()
@@ -106,20 +106,20 @@
         self.policies = {}
         self.outgoing = {}
         self.began_at = at
-        self.shown = {}
+        self.visible_states = {}
         self.ready_since = {}
         self.retry_at = {}
         self.no_room = NoRoom()
         self.avoid = {}
         self.moves = {}
         self.press = GuardedPress()
-        self.cancels = cancels or CancelTimes(Metrics(lambda: at), lambda: at)
+        self.cancel_latency = cancel_latency or CancelTimes(Metrics(lambda: at), lambda: at)
         self._dirty = {}
-        self._fresh = set()
+        self._unstored = set()
         self._removed = set()
         self._ended = []
         self.effects = []
-        self.ends_in_store = set()
+        self.unstored_ends = set()
         self._answers = {}
 
     # Taking over what is stored
@@ -136,7 +136,7 @@
             heappush(self._ended, (job.ended_ms, job.spec.job_id))
         else:
             self.open_jobs[job.spec.job_id] = job
-        self.shown[job.spec.job_id] = job.state
+        self.visible_states[job.spec.job_id] = job.state
         for ref, claim in job.claims():
             step = job.spec.steps[ref.step]
             run = Run(ref, claim.attempt, claim.agent, claim.worker, step, Phase.SENT)
@@ -157,17 +157,17 @@
         known = self.jobs.get(spec.job_id)
         if known is None:
             job = self.jobs[spec.job_id] = self.open_jobs[spec.job_id] = Job.accept(spec)
-            self._fresh.add(spec.job_id)
+            self._unstored.add(spec.job_id)
             self._answers[spec.job_id] = [answer]
-            self._mark(spec.job_id)
-            self.effects.append(lambda: self._accepted(job))
+            self._mark_dirty(spec.job_id)
+            self.effects.append(lambda: self._acceptance_stored(job))
             return
         if spec.job_id in self._answers:
             self._answers[spec.job_id].append(answer)
             return
-        answer(ReplyKind.OK, self.shown[spec.job_id])
+        answer(ReplyKind.OK, self.visible_states[spec.job_id])
 
-    def _accepted(self, job: Job) -> None:
+    def _acceptance_stored(self, job: Job) -> None:
         """Tell the callers of a job that it is stored.
 
         A submission can be withdrawn and repeated while an earlier batch is on its way.  The batch
@@ -177,16 +177,16 @@
         spec = job.spec
         if self.jobs.get(spec.job_id) is not job:
             return
-        self.shown[spec.job_id] = JobState.QUEUED
+        self.visible_states[spec.job_id] = JobState.QUEUED
         for answer in self._answers.pop(spec.job_id, []):
             answer(ReplyKind.OK, JobState.QUEUED)
         log_event("INFO", "job_accepted", job=spec.job_id, queue=spec.queue, steps=len(spec.steps))
 
     def withdraw(self, job_id: str) -> bool:
         """Take a submission back whose write has not been sent; ``False`` where it has been."""
-        if job_id not in self._fresh:
+        if job_id not in self._unstored:
             return False
-        self._fresh.discard(job_id)
+        self._unstored.discard(job_id)
         job = self.jobs.pop(job_id)
         self.open_jobs.pop(job_id, None)
         for ref, claim in job.claims():
@@ -194,18 +194,18 @@
             if run is not None:
                 self.fleet.drop(run)
         self._dirty.pop(job_id, None)
-        self.shown.pop(job_id, None)
+        self.visible_states.pop(job_id, None)
         for answer in self._answers.pop(job_id, []):
             answer(ReplyKind.NOT_RUN, "the store does not answer")
         return True
 
     def knows(self, job_id: str) -> bool:
         """Whether a job is stored, or its write has been sent and is not settled."""
-        return job_id in self.jobs and job_id not in self._fresh
+        return job_id in self.jobs and job_id not in self._unstored
 
     def state(self, job_id: str) -> JobState | None:
         """Return the state to show; ``None`` where there is no such job."""
-        return self.shown.get(job_id)
+        return self.visible_states.get(job_id)
 
     def waiting(self, queue: str) -> int:
         """Count the queue's accepted jobs of which nothing has started."""
@@ -219,18 +219,18 @@
             answer(ReplyKind.ABSENT, "")
             return
         if not job.open:
-            self.effects.append(lambda: answer(ReplyKind.OK, self.shown.get(job_id, "")))
+            self.effects.append(lambda: answer(ReplyKind.OK, self.visible_states.get(job_id, "")))
             return
         job.cancelled = True
-        self.cancels.came(job_id)
-        self._mark(job_id)
-        self.effects.append(lambda: self._cancelled(job_id, answer))
+        self.cancel_latency.came(job_id)
+        self._mark_dirty(job_id)
+        self.effects.append(lambda: self._cancellation_stored(job_id, answer))
 
-    def _cancelled(self, job_id: str, answer: Answer) -> None:
-        self._show(job_id)
+    def _cancellation_stored(self, job_id: str, answer: Answer) -> None:
+        self._publish_state(job_id)
         answer(ReplyKind.OK, JobState.CANCELLED)
         runs = [run.key for run in self.fleet.runs.values() if run.ref.job_id == job_id]
-        self.cancels.stored(job_id, runs)
+        self.cancel_latency.stored(job_id, runs)
         self._stop_all(job_id, "cancelled")
 
     # Agents
@@ -264,7 +264,7 @@
         run = Run(ref, claim.attempt, instance.agent, claim.worker, step, claimed_at=at)
         run.ticket = self.advice.ticket(ref, claim.worker)
         self.fleet.add(run)
-        self._mark(job.spec.job_id)
+        self._mark_dirty(job.spec.job_id)
         self.effects.append(lambda: self._claim_stored(run))
         return run
 
@@ -284,8 +284,8 @@
             # Nothing was ever sent for this claim.
             self.end(run, EndKind.NOT_STARTED, "", "no_longer_wanted", 0.0)
             return
-        if self.shown.get(run.ref.job_id) is JobState.QUEUED:
-            self.shown[run.ref.job_id] = JobState.RUNNING
+        if self.visible_states.get(run.ref.job_id) is JobState.QUEUED:
+            self.visible_states[run.ref.job_id] = JobState.RUNNING
         self.outgoing_for(run.agent).starts.append(run)
 
     def stop(self, run: Run, reason: str) -> None:
@@ -307,12 +307,12 @@
         self.fleet.drop(run)
         instance = self.fleet.instances.get(run.agent)
         if instance is not None and run.stop_reason != "cancelled":
-            self._judge(instance, run, kind, at)
+            self._update_track_record(instance, run, kind, at)
         job = self.jobs.get(run.ref.job_id)
         effect = EndEffect.IGNORED
         if job is not None:
             effect = job.end_run(run.ref, run.attempt, kind, saved)
-            self._mark(run.ref.job_id)
+            self._mark_dirty(run.ref.job_id)
         log_event(
             "INFO",
             "run_ended",
@@ -328,11 +328,11 @@
         )
         if kind in (EndKind.FAILED, EndKind.NOT_STARTED) and job is not None:
             self.avoid[run.ref] = self.avoid.get(run.ref, frozenset()) | {run.agent}
-        self.cancels.run_ended(run.ref.job_id, run.key)
+        self.cancel_latency.run_ended(run.ref.job_id, run.key)
         if job is not None:
             self._after_end(job, run, effect)
 
-    def _judge(self, instance: Instance, run: Run, kind: EndKind, at: float) -> None:
+    def _update_track_record(self, instance: Instance, run: Run, kind: EndKind, at: float) -> None:
         if instance.worker is None or instance.worker.worker != run.worker or not at:
             return
         if kind is EndKind.DONE and run.step.estimate_ms and run.running_at:
@@ -353,22 +353,22 @@
             self._stop_all(job.spec.job_id, "job_failed")
         if effect in (EndEffect.JOB_COMPLETED, EndEffect.JOB_FAILED):
             job_id = job.spec.job_id
-            self.effects.append(lambda: self._show(job_id))
+            self.effects.append(lambda: self._publish_state(job_id))
 
-    def _show(self, job_id: str) -> None:
+    def _publish_state(self, job_id: str) -> None:
         job = self.jobs.get(job_id)
         if job is None:
             return
-        self.shown[job_id] = job.state
+        self.visible_states[job_id] = job.state
         log_event("INFO", "job_state", job=job_id, state=job.state)
 
     # Storing and sending
 
-    def _mark(self, job_id: str) -> None:
+    def _mark_dirty(self, job_id: str) -> None:
         self._dirty[job_id] = None
 
     @property
-    def unsaved(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Whether there is something to store or an effect that waits."""
         return bool(self._dirty or self.effects or self._removed)
 
@@ -383,16 +383,16 @@
                 job.ended_ms = wall_ms
                 self.open_jobs.pop(job_id, None)
                 heappush(self._ended, (wall_ms, job_id))
-            if job_id in self._fresh:
+            if job_id in self._unstored:
                 batch.specs.append(job.spec)
             batch.deltas.append(job.take_delta())
         self._dirty = {}
-        self._fresh = set()
+        self._unstored = set()
         self._removed = set()
         self.effects = []
         return batch
 
-    def forget_ended(self, wall_ms: int) -> None:
+    def evict_ended(self, wall_ms: int) -> None:
         """Drop jobs that ended longer ago than callers may ask for."""
         keep_ms = int(self.bounds.keep_ended_s * 1000) * 2
         running = []
@@ -403,7 +403,7 @@
                 running.append(ended)
                 continue
             del self.jobs[job_id]
-            self.shown.pop(job_id, None)
+            self.visible_states.pop(job_id, None)
             self._dirty.pop(job_id, None)
             self._removed.add(job_id)
             self.press.forget(job_id)
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -108,14 +108,14 @@
 def _take_end(sched: Scheduler, instance: Instance, end: RunEnded, at: float) -> None:
     ref = TaskRef.parse(end.task)
     key = (ref, end.attempt) if ref is not None else None
-    if key in sched.ends_in_store:
+    if key in sched.unstored_ends:
         return
     run = sched.fleet.runs.get(key) if key is not None else None
     if run is None or run.agent != instance.agent:
         # Known already, or of a job that is no longer kept: nothing to store.
         sched.outgoing_for(instance.agent).stored.append((end.task, end.attempt))
         return
-    sched.ends_in_store.add(run.key)
+    sched.unstored_ends.add(run.key)
     sched.end(run, _end_kind(end.kind), end.saved, end.reason, at)
     sched.effects.append(lambda: _end_stored(sched, run))
 
@@ -135,7 +135,7 @@
 
 
 def _end_stored(sched: Scheduler, run: Run) -> None:
-    sched.ends_in_store.discard(run.key)
+    sched.unstored_ends.discard(run.key)
     sched.outgoing_for(run.agent).stored.append((run.ref.text(), run.attempt))
 
 
@@ -143,7 +143,7 @@
     ref = TaskRef.parse(status.task)
     run = sched.fleet.runs.get((ref, status.attempt)) if ref is not None else None
     if run is None or run.agent != instance.agent:
-        if ref is not None and (ref, status.attempt) in sched.ends_in_store:
+        if ref is not None and (ref, status.attempt) in sched.unstored_ends:
             return
         # A run without a claim: its job has ended meanwhile, or its agent was given up.
         log_event("INFO", "run_unclaimed", task=status.task, attempt=status.attempt)
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -167,7 +167,7 @@
         return found
 
     monkeypatch.setattr(Job, "state", property(counting))
-    sched.forget_ended(0)
+    sched.evict_ended(0)
     plan(sched, 0.0, 0)
     assert sched.waiting("q") == 1
     assert looked <= 3
@@ -183,11 +183,11 @@
     for name in ("runs", "waits"):
         sched.cancel(name, lambda *_: None)
     sched.take_batch(1000)
-    sched.forget_ended(2999)
+    sched.evict_ended(2999)
     assert sched.jobs.keys() == {"runs", "waits"}
-    sched.forget_ended(3000)
+    sched.evict_ended(3000)
     assert sched.jobs.keys() == {"runs"}
     run = next(iter(sched.fleet.runs.values()))
     sched.end(run, EndKind.STOPPED, "", "", 3.0)
-    sched.forget_ended(3000)
+    sched.evict_ended(3000)
     assert not sched.jobs
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -135,7 +135,7 @@
         }
         tasks = self.sched.jobs["a1"].occurrences[0].tasks[0]
         saved = [(task.done, task.saved) for task in tasks]
-        return runs, saved, instance.beat, instance.worker, self.sched.ends_in_store
+        return runs, saved, instance.beat, instance.worker, self.sched.unstored_ends
 
 
 def word(book: RunnerBook, beat: int, full: bool) -> AgentReport:
