--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -28,7 +28,7 @@
 from sapphirelead.node_patience import LEAST_S, StorePatience
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.ports import Row, Table
-from sapphirelead.sched_cancels import CancelTimes
+from sapphirelead.sched_cancels import CancelLatency
 from sapphirelead.sched_config import QueueConfig
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_core import Scheduler
@@ -129,7 +129,7 @@
         self.head = head
         self.serving = False
         self.metrics = metrics if metrics is not None else Metrics()
-        self.sched = Scheduler(bounds, now(), CancelTimes(self.metrics, now))
+        self.sched = Scheduler(bounds, now(), CancelLatency(self.metrics, now))
         self._table = table
         self._send = send
         self._wake = asyncio.Event()
--- a/sapphirelead/sched_cancels.py
+++ b/sapphirelead/sched_cancels.py
@@ -9,55 +9,55 @@
 
 
 @dataclass(slots=True)
-class _Stopping:
+class _StoppingJob:
     """Runs of a cancelled job that have not ended."""
 
     stored_at: float
     runs: int
-    left: set[RunKey]
+    remaining: set[RunKey]
 
 
-class CancelTimes:
+class CancelLatency:
     """Cancels in progress, by job."""
 
     _metrics: Metrics
     _clock: Callable[[], float]
-    _came_at: dict[str, float]
-    _stopping: dict[str, _Stopping]
+    _received_at: dict[str, float]
+    _stopping: dict[str, _StoppingJob]
 
     def __init__(self, metrics: Metrics, clock: Callable[[], float]) -> None:
         self._metrics = metrics
         self._clock = clock
-        self._came_at = {}
+        self._received_at = {}
         self._stopping = {}
 
-    def came(self, job_id: str) -> None:
+    def received(self, job_id: str) -> None:
         """Take note of a cancel that the leader has taken; repeats count from the first."""
-        self._came_at.setdefault(job_id, self._clock())
+        self._received_at.setdefault(job_id, self._clock())
 
     def stored(self, job_id: str, runs: Iterable[RunKey]) -> None:
         """Take note that a cancel is stored.
 
         :param runs: runs of the job that have not ended.
         """
-        came_at = self._came_at.pop(job_id, None)
-        if came_at is None:
+        received_at = self._received_at.pop(job_id, None)
+        if received_at is None:
             # A repeat that was stored together with the first.
             return
         at = self._clock()
-        left = set(runs)
-        self._metrics.latency("cancel_stored_ms", (at - came_at) * 1000)
-        log_event("INFO", "job_cancelled", job=job_id, waited_s=at - came_at, runs=len(left))
-        if left:
-            self._stopping[job_id] = _Stopping(at, len(left), left)
+        remaining = set(runs)
+        self._metrics.latency("cancel_stored_ms", (at - received_at) * 1000)
+        log_event("INFO", "job_cancelled", job=job_id, waited_s=at - received_at, runs=len(remaining))
+        if remaining:
+            self._stopping[job_id] = _StoppingJob(at, len(remaining), remaining)
 
     def run_ended(self, job_id: str, run: RunKey) -> None:
         """Take note of the end of a run."""
         stopping = self._stopping.get(job_id)
         if stopping is None:
             return
-        stopping.left.discard(run)
-        if stopping.left:
+        stopping.remaining.discard(run)
+        if stopping.remaining:
             return
         del self._stopping[job_id]
         took_s = self._clock() - stopping.stored_at
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -24,7 +24,7 @@
     StopOrder,
 )
 from sapphirelead.sched_advice import AdviceBook
-from sapphirelead.sched_cancels import CancelTimes
+from sapphirelead.sched_cancels import CancelLatency
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
 from sapphirelead.sched_press_guard import GuardedPress
@@ -95,9 +95,9 @@
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
     press: GuardedPress
-    cancel_latency: CancelTimes
+    cancel_latency: CancelLatency
 
-    def __init__(self, bounds: Bounds, at: float, cancel_latency: CancelTimes | None = None) -> None:
+    def __init__(self, bounds: Bounds, at: float, cancel_latency: CancelLatency | None = None) -> None:
         self.jobs = {}
         self.open_jobs = {}
         self.fleet = Fleet()
@@ -113,7 +113,7 @@
         self.avoid = {}
         self.moves = {}
         self.press = GuardedPress()
-        self.cancel_latency = cancel_latency or CancelTimes(Metrics(lambda: at), lambda: at)
+        self.cancel_latency = cancel_latency or CancelLatency(Metrics(lambda: at), lambda: at)
         self._dirty = {}
         self._unstored = set()
         self._removed = set()
@@ -222,7 +222,7 @@
             self.effects.append(lambda: answer(ReplyKind.OK, self.visible_states.get(job_id, "")))
             return
         job.cancelled = True
-        self.cancel_latency.came(job_id)
+        self.cancel_latency.received(job_id)
         self._mark_dirty(job_id)
         self.effects.append(lambda: self._cancellation_stored(job_id, answer))
 
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -10,7 +10,7 @@
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_leader_load import HELD_S, PERIOD_S, UNPLANNED_S, LoopLoad, Part
-from sapphirelead.sched_cancels import CancelTimes
+from sapphirelead.sched_cancels import CancelLatency
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import EndKind
 from sapphirelead.sched_planner import plan
@@ -94,7 +94,7 @@
     lines: list[str], work: Callable[[float], None]
 ) -> None:
     metrics = Metrics(now)
-    sched = Scheduler(Bounds(), now(), CancelTimes(metrics, now))
+    sched = Scheduler(Bounds(), now(), CancelLatency(metrics, now))
     agents = Agents(sched)
     agents.report("g1", at=now())
     for name in ("a1", "a2"):
