--- a/sapphirelead/sched_job.py
+++ b/sapphirelead/sched_job.py
@@ -22,7 +22,7 @@
 
 from sapphirelead.sched_spec import JobSpec, StepSpec
 
-STORED_FORM: Final = 1
+STORED_FORMAT_VERSION: Final = 1
 
 
 class JobState(StrEnum):
@@ -35,7 +35,7 @@
     CANCELLED = "cancelled"
 
 
-NUMBER_DIGITS: Final = 18
+MAX_NUMBER_DIGITS: Final = 18
 """Most digits of a number in the name of a task; such numbers fit into 64 bits."""
 
 
@@ -57,7 +57,7 @@
 
 def _is_number(text: str) -> bool:
     # Other digits than those of ASCII are digits too, but not all of them are numbers to int().
-    return text.isascii() and text.isdigit() and len(text) <= NUMBER_DIGITS
+    return text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
 
 
 class TaskRef(NamedTuple):
@@ -210,7 +210,7 @@
 
 _ENCODER: Final = msgspec.msgpack.Encoder()
 _DECODER: Final = msgspec.msgpack.Decoder(_Stored)
-_DELTAS: Final = msgspec.msgpack.Decoder(list[JobDelta])
+_DELTAS_DECODER: Final = msgspec.msgpack.Decoder(list[JobDelta])
 
 
 def encode_deltas(deltas: list[JobDelta]) -> bytes:
@@ -223,7 +223,7 @@
 
     :raises msgspec.DecodeError: where ``data`` holds none.
     """
-    return _DELTAS.decode(data)
+    return _DELTAS_DECODER.decode(data)
 
 
 @dataclass(slots=True)
@@ -245,8 +245,8 @@
     ended_ms: int = 0
     occurrences: dict[int, Occurrence] = field(default_factory=dict)
     finished: set[int] = field(default_factory=set)
-    _touched: set[tuple[int, int, int]] = field(default_factory=set, compare=False)
-    _told: JobFlags | None = field(default=None, compare=False)
+    _changed_tasks: set[tuple[int, int, int]] = field(default_factory=set, compare=False)
+    _last_flags: JobFlags | None = field(default=None, compare=False)
 
     @classmethod
     def accept(cls, spec: JobSpec) -> "Job":
@@ -284,7 +284,7 @@
             return None
         return self.spec.first_due_ms + number * self.spec.interval_ms
 
-    def bring_due(self, wall_ms: int) -> bool:
+    def add_due_occurrences(self, wall_ms: int) -> bool:
         """Add the occurrences that are due at time of day ``wall_ms``."""
         changed = False
         while (due := self.next_due_ms()) is not None and due <= wall_ms:
@@ -341,32 +341,32 @@
         if self.spec.steps[ref.step].gang:
             # What one member's end says holds for all of them.
             for number in range(self.spec.steps[ref.step].tasks):
-                self._touched.add((ref.occurrence, ref.step, number))
-        effect = self._note_end(ref, task, kind, saved)
-        self._tidy(ref.occurrence)
+                self._changed_tasks.add((ref.occurrence, ref.step, number))
+        effect = self._record_end(ref, task, kind, saved)
+        self._drop_finished(ref.occurrence)
         return effect
 
-    def _note_end(self, ref: TaskRef, task: Task, kind: EndKind, saved: str) -> EndEffect:
+    def _record_end(self, ref: TaskRef, task: Task, kind: EndKind, saved: str) -> EndEffect:
         if task.done:
             return EndEffect.IGNORED
         step = self.spec.steps[ref.step]
         if saved and step.saves:
-            self._keep_saved(ref, step, saved)
+            self._set_saved(ref, step, saved)
         if step.lasting:
             return EndEffect.AGAIN
         if kind is EndKind.DONE:
-            return self._note_done(ref, step)
+            return self._record_done(ref, step)
         if kind is EndKind.FAILED:
-            return self._note_failed(ref, task, step)
+            return self._record_failed(ref, task, step)
         return EndEffect.AGAIN
 
-    def _keep_saved(self, ref: TaskRef, step: StepSpec, saved: str) -> None:
+    def _set_saved(self, ref: TaskRef, step: StepSpec, saved: str) -> None:
         # The saved progress of any member of a gang stands for all of them.
         tasks = self.occurrences[ref.occurrence].tasks[ref.step]
         for task in tasks if step.gang else [tasks[ref.number]]:
             task.saved = saved
 
-    def _note_done(self, ref: TaskRef, step: StepSpec) -> EndEffect:
+    def _record_done(self, ref: TaskRef, step: StepSpec) -> EndEffect:
         occurrence = self.occurrences[ref.occurrence]
         tasks = occurrence.tasks[ref.step]
         for task in tasks if step.gang else [tasks[ref.number]]:
@@ -379,7 +379,7 @@
         completed = self.state is JobState.COMPLETED
         return EndEffect.JOB_COMPLETED if completed else EndEffect.TASK_DONE
 
-    def _note_failed(self, ref: TaskRef, task: Task, step: StepSpec) -> EndEffect:
+    def _record_failed(self, ref: TaskRef, task: Task, step: StepSpec) -> EndEffect:
         tasks = self.occurrences[ref.occurrence].tasks[ref.step]
         # A gang fails as one: each member carries the same number of failures.
         for member in tasks if step.gang else [task]:
@@ -389,7 +389,7 @@
         self.failed = True
         return EndEffect.JOB_FAILED
 
-    def _tidy(self, number: int) -> None:
+    def _drop_finished(self, number: int) -> None:
         """Drop a finished occurrence once no claim of it is open; copies may outlive the winner."""
         occurrence = self.occurrences.get(number)
         if occurrence is None or number not in self.finished:
@@ -398,7 +398,7 @@
             del self.occurrences[number]
 
     def _touch(self, ref: TaskRef) -> None:
-        self._touched.add((ref.occurrence, ref.step, ref.number))
+        self._changed_tasks.add((ref.occurrence, ref.step, ref.number))
 
     @property
     def flags(self) -> JobFlags:
@@ -415,14 +415,14 @@
     def take_delta(self) -> JobDelta:
         """Return what has changed since the last call."""
         flags = self.flags
-        changed = flags if flags != self._told else None
-        self._told = flags
+        changed = flags if flags != self._last_flags else None
+        self._last_flags = flags
         tasks = []
-        for occurrence, step, number in sorted(self._touched):
+        for occurrence, step, number in sorted(self._changed_tasks):
             found = self.occurrences.get(occurrence)
             if found is not None:
                 tasks.append(TaskDelta(occurrence, step, number, found.tasks[step][number]))
-        self._touched.clear()
+        self._changed_tasks.clear()
         return JobDelta(self.spec.job_id, changed, tasks)
 
     def apply(self, delta: JobDelta) -> None:
@@ -459,7 +459,7 @@
                 if task.attempts
             ]
             occurrences.append(_StoredOccurrence(occurrence.number, rows))
-        return _ENCODER.encode(_Stored(STORED_FORM, self.flags, occurrences))
+        return _ENCODER.encode(_Stored(STORED_FORMAT_VERSION, self.flags, occurrences))
 
     @classmethod
     def decode(cls, spec: JobSpec, data: bytes) -> "Job":
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -177,11 +177,11 @@
     return free
 
 
-def bring_due(sched: Scheduler, wall_ms: int) -> None:
+def add_due_occurrences(sched: Scheduler, wall_ms: int) -> None:
     """Let occurrences begin that are due; never early, whatever the clock's error."""
     for job in sched.open_jobs.values():
         if job.spec.occurrences and job.open:
-            job.bring_due(wall_ms)
+            job.add_due_occurrences(wall_ms)
 
 
 def plan(
@@ -192,7 +192,7 @@
     :param turn: limits the time; without it every step is looked at.
     """
     turn = turn or PlanTurn()
-    bring_due(sched, wall_ms)
+    add_due_occurrences(sched, wall_ms)
     asks: list[AdviceAsk] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -160,10 +160,10 @@
     run.figure = status.figure
     run.paced = status.paced
     if status.saved:
-        _keep_saved(sched, run, status.saved)
+        _set_saved(sched, run, status.saved)
 
 
-def _keep_saved(sched: Scheduler, run: Run, saved: str) -> None:
+def _set_saved(sched: Scheduler, run: Run, saved: str) -> None:
     # Kept in memory only and stored with the next move of the job: losing it costs work, never
     # correctness.
     job = sched.jobs.get(run.ref.job_id)
