--- a/sapphirelead/sched_journal.py
+++ b/sapphirelead/sched_journal.py
@@ -33,28 +33,28 @@
 SPEC_PREFIX: Final = "job/"
 SNAPSHOT_PREFIX: Final = "run/"
 JOURNAL_PREFIX: Final = "log/"
-DATA: Final = "data"
-SEQ: Final = "seq"
+DATA_FIELD: Final = "data"
+SEQ_FIELD: Final = "seq"
 
-UNREADABLE: Final = (msgspec.DecodeError, LookupError, TypeError, ValueError)
+DECODE_ERRORS: Final = (msgspec.DecodeError, LookupError, TypeError, ValueError)
 """What decoding raises on a row of another version or another writer: no bytes of this form, fields
 that are missing or of another type, or a task that its job does not have."""
 
-ROW_BYTES: Final = 40_000
+MAX_ROW_BYTES: Final = 40_000
 """Bytes of changes in one journal row; the store takes 64 KB."""
 
-DELTA_BYTES: Final = 300
+ESTIMATED_DELTA_BYTES: Final = 300
 """Assumed size of a job's changes, by which they are split into rows."""
 
-LONG_JOURNAL: Final = 256
+COMPACTION_THRESHOLD_ROWS: Final = 256
 """Journal rows from which on jobs are written whole: about ten seconds of a busy site.
 
 A new leader reads so many rows in one or two calls."""
 
-SNAPSHOTS_AT_ONCE: Final = 3
+MAX_SNAPSHOTS_PER_TXN: Final = 3
 """Jobs written whole in one transaction, some 5 KB."""
 
-REMOVED_AT_ONCE: Final = 30
+MAX_REMOVALS_PER_TXN: Final = 30
 """Journal rows removed in one transaction, which holds at most 100 entries."""
 
 
@@ -63,12 +63,12 @@
 
     _seq: int
     _rows: dict[int, None]
-    _oldest: dict[str, int]
+    _first_unsnapshotted: dict[str, int]
 
     def __init__(self) -> None:
         self._seq = 0
         self._rows = {}
-        self._oldest = {}
+        self._first_unsnapshotted = {}
 
     @property
     def length(self) -> int:
@@ -78,35 +78,35 @@
     def writes(self, batch: Batch, jobs: dict[str, Job]) -> list[Write]:
         """Return the rows that store ``batch``."""
         writes = [
-            Write(SPEC_PREFIX + spec.job_id, {DATA: encode_spec(spec)}) for spec in batch.specs
+            Write(SPEC_PREFIX + spec.job_id, {DATA_FIELD: encode_spec(spec)}) for spec in batch.specs
         ]
         for chunk in _chunks(batch.deltas):
             self._seq += 1
             self._rows[self._seq] = None
             for delta in chunk:
-                self._oldest.setdefault(delta.job_id, self._seq)
-            writes.append(Write(_journal_key(self._seq), {DATA: encode_deltas(chunk)}))
+                self._first_unsnapshotted.setdefault(delta.job_id, self._seq)
+            writes.append(Write(_journal_key(self._seq), {DATA_FIELD: encode_deltas(chunk)}))
         for job_id in batch.removed:
-            self._oldest.pop(job_id, None)
+            self._first_unsnapshotted.pop(job_id, None)
             writes.append(Write(SPEC_PREFIX + job_id, None))
             writes.append(Write(SNAPSHOT_PREFIX + job_id, None))
-        if len(self._rows) > LONG_JOURNAL:
-            writes.extend(self._shorten(jobs))
+        if len(self._rows) > COMPACTION_THRESHOLD_ROWS:
+            writes.extend(self._compact(jobs))
         return writes
 
-    def _shorten(self, jobs: dict[str, Job]) -> Iterator[Write]:
+    def _compact(self, jobs: dict[str, Job]) -> Iterator[Write]:
         """Write the jobs with the oldest changes whole, and remove rows that none needs."""
-        oldest = sorted(self._oldest.items(), key=lambda item: item[1])
-        for job_id, _ in oldest[:SNAPSHOTS_AT_ONCE]:
-            del self._oldest[job_id]
+        candidates = sorted(self._first_unsnapshotted.items(), key=lambda item: item[1])
+        for job_id, _ in candidates[:MAX_SNAPSHOTS_PER_TXN]:
+            del self._first_unsnapshotted[job_id]
             job = jobs.get(job_id)
             if job is not None:
-                value = {DATA: job.encode(), SEQ: self._seq}
+                value = {DATA_FIELD: job.encode(), SEQ_FIELD: self._seq}
                 yield Write(SNAPSHOT_PREFIX + job_id, value)
         # The rows removed are older than the snapshots of this very transaction, which takes
         # effect as a whole.
-        needed = min(self._oldest.values(), default=self._seq)
-        removable = [seq for seq in self._rows if seq < needed][:REMOVED_AT_ONCE]
+        needed = min(self._first_unsnapshotted.values(), default=self._seq)
+        removable = [seq for seq in self._rows if seq < needed][:MAX_REMOVALS_PER_TXN]
         for seq in removable:
             del self._rows[seq]
             yield Write(_journal_key(seq), None)
@@ -117,36 +117,36 @@
     ) -> tuple["Journal", dict[str, Job]]:
         """Rebuild the jobs, and the account of the journal, from the store's rows."""
         journal = cls()
-        wholes = {row.key[len(SNAPSHOT_PREFIX) :]: row.value or {} for row in snapshots}
+        snapshot_values = {row.key[len(SNAPSHOT_PREFIX) :]: row.value or {} for row in snapshots}
         jobs: dict[str, Job] = {}
-        since: dict[str, int] = {}
+        snapshot_seqs: dict[str, int] = {}
         for row in specs:
             job_id = row.key[len(SPEC_PREFIX) :]
-            whole = wholes.get(job_id)
-            decoded = _decode(job_id, row, whole)
+            snapshot = snapshot_values.get(job_id)
+            decoded = _decode(job_id, row, snapshot)
             if decoded is not None:
-                jobs[job_id], since[job_id] = decoded
+                jobs[job_id], snapshot_seqs[job_id] = decoded
         for row in sorted(rows, key=lambda item: item.key):
             if row.key[len(JOURNAL_PREFIX) :].isdecimal():
-                journal._replay(row, jobs, since)
+                journal._replay(row, jobs, snapshot_seqs)
             else:
                 log_event("ERROR", "journal_row_misplaced", key=row.key)
         return journal, jobs
 
-    def _replay(self, row: Row, jobs: dict[str, Job], since: dict[str, int]) -> None:
+    def _replay(self, row: Row, jobs: dict[str, Job], snapshot_seqs: dict[str, int]) -> None:
         seq = int(row.key[len(JOURNAL_PREFIX) :])
         self._seq = max(self._seq, seq)
         self._rows[seq] = None
         try:
-            deltas = decode_deltas((row.value or {})[DATA])
-        except UNREADABLE as exc:
+            deltas = decode_deltas((row.value or {})[DATA_FIELD])
+        except DECODE_ERRORS as exc:
             log_event("ERROR", "journal_row_unreadable", seq=seq, reason=str(exc))
             return
         for delta in deltas:
             job = jobs.get(delta.job_id)
-            if job is not None and seq > since[delta.job_id]:
+            if job is not None and seq > snapshot_seqs[delta.job_id]:
                 _apply(job, delta, seq)
-                self._oldest.setdefault(delta.job_id, seq)
+                self._first_unsnapshotted.setdefault(delta.job_id, seq)
 
 
 def _chunks(deltas: list[JobDelta]) -> Iterator[list[JobDelta]]:
@@ -154,8 +154,8 @@
     chunk: list[JobDelta] = []
     size = 0
     for delta in deltas:
-        length = DELTA_BYTES + 80 * len(delta.tasks)
-        if chunk and size + length > ROW_BYTES:
+        length = ESTIMATED_DELTA_BYTES + 80 * len(delta.tasks)
+        if chunk and size + length > MAX_ROW_BYTES:
             yield chunk
             chunk, size = [], 0
         chunk.append(delta)
@@ -175,12 +175,12 @@
         log_event("ERROR", "journal_row_unreadable", seq=seq, job=delta.job_id, reason=repr(exc))
 
 
-def _decode(job_id: str, row: Row, whole: dict[str, Any] | None) -> tuple[Job, int] | None:
+def _decode(job_id: str, row: Row, snapshot: dict[str, Any] | None) -> tuple[Job, int] | None:
     """Return a job and the newest journal row that it contains; ``None`` where it is unreadable."""
     try:
-        spec = decode_spec((row.value or {})[DATA])
-        return (Job.decode(spec, whole[DATA]), int(whole[SEQ])) if whole else (Job.accept(spec), 0)
-    except UNREADABLE as exc:
+        spec = decode_spec((row.value or {})[DATA_FIELD])
+        return (Job.decode(spec, snapshot[DATA_FIELD]), int(snapshot[SEQ_FIELD])) if snapshot else (Job.accept(spec), 0)
+    except DECODE_ERRORS as exc:
         # Written by another version, or damaged.  It is left in the store for the operators;
         # nothing is started for it.
         log_event("ERROR", "job_unreadable", job=job_id, reason=str(exc))
--- a/tests/sched/test_journal.py
+++ b/tests/sched/test_journal.py
@@ -7,7 +7,7 @@
 
 from sapphirelead.ports import Row
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_journal import LONG_JOURNAL, Journal
+from sapphirelead.sched_journal import COMPACTION_THRESHOLD_ROWS, Journal
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, worker_info
@@ -64,7 +64,7 @@
 
 
 def test_a_long_journal_is_shortened_without_losing_a_change() -> None:
-    play(1, LONG_JOURNAL)
+    play(1, COMPACTION_THRESHOLD_ROWS)
 
 
 def test_the_journal_stays_short_while_jobs_go_on() -> None:
@@ -74,13 +74,13 @@
     for number in range(6):
         sched.submit(job(f"j{number}", StepSpec(cpu_millicores=100, lasting=True)), lambda *_: None)
     plan(sched, 0.0, 0)
-    for number in range(3 * LONG_JOURNAL):
+    for number in range(3 * COMPACTION_THRESHOLD_ROWS):
         at = 1.0 + number * 0.01
         plan(sched, at, 0)
         apply(table, sched, journal)
         run = next(iter(sched.fleet.runs.values()))
         agents.report(ends=[ended(run, "done", number)], at=at)
-    assert journal.length <= LONG_JOURNAL + 20
+    assert journal.length <= COMPACTION_THRESHOLD_ROWS + 20
     assert sum(key.startswith("log/") for key in table.data) == journal.length
     apply(table, sched, journal)
     assert load_jobs(table)[1] == sched.jobs
