--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -12,7 +12,7 @@
 from sapphirelead.clock import now
 from sapphirelead.node_followers import is_much_stronger
 from sapphirelead.ports import Table
-from sapphirelead.sched_head import NOBODY, Head, HeadRow, read_head
+from sapphirelead.sched_head import NO_LEADER, Head, HeadRow, read_head
 from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
 
 WATCH_S: Final = 0.7
@@ -126,7 +126,7 @@
     def _may_take(self, at: float) -> bool:
         if self._leaving or self._seen is None or at - self._read_at > READ_EVERY_S:
             return False
-        if self._seen.leader == NOBODY:
+        if self._seen.leader == NO_LEADER:
             return True
         if self._seen.leader == self.own and self._seen.epoch != self._own_epoch:
             # From an earlier process of this entry, which is gone.  An epoch that this process
@@ -143,7 +143,7 @@
             self._seen_at = at
             self.seen_version = head.version
         news = head.epoch > self.epoch or (head.epoch == self.epoch and head.leader != self.leader)
-        if news and head.leader not in (NOBODY, self.own):
+        if news and head.leader not in (NO_LEADER, self.own):
             self._follow(head.epoch, head.leader, at, serving=False)
 
     def store_failed(self, at: float) -> None:
--- a/sapphirelead/sched_head.py
+++ b/sapphirelead/sched_head.py
@@ -27,19 +27,19 @@
 
 HEAD_KEY: Final = "fleet/head"
 
-RETRY_FIRST_S: Final = 0.05
-RETRY_MOST_S: Final = 0.4
+RETRY_MIN_S: Final = 0.05
+RETRY_MAX_S: Final = 0.4
 """Pauses between tries while the store is away: each call costs, and its return is to be noticed
 well within the two seconds in which entries should be back."""
 
-MAX_ENTRIES: Final = 90
+MAX_TXN_ROWS: Final = 90
 """Rows in one transaction; the store takes 100, and the head row is one of them."""
 
-MAX_BYTES: Final = 600_000
+MAX_TXN_BYTES: Final = 600_000
 """Bytes in one transaction before their encoding, which makes a third more of them; the store
 takes 1 MB."""
 
-NOBODY: Final = ""
+NO_LEADER: Final = ""
 """Named in the head row where nobody leads."""
 
 
@@ -72,16 +72,16 @@
         versions, so that the next epoch is higher than any before it.
         """
         if row.version == 0:
-            return cls(0, 0, NOBODY, "")
+            return cls(0, 0, NO_LEADER, "")
         try:
             value = msgspec.convert(row.value, _HeadValue)
         except msgspec.ValidationError as exc:
             log_event("ERROR", "head_row_unreadable", version=row.version, reason=str(exc))
-            return cls(row.version, row.version, NOBODY, "")
+            return cls(row.version, row.version, NO_LEADER, "")
         return cls(row.version, value.epoch, value.leader, value.txn)
 
 
-class HeadEnd(StrEnum):
+class CommitOutcome(StrEnum):
     """How a commit ended."""
 
     STORED = "stored"
@@ -148,60 +148,60 @@
         the same epoch, and the condition fails once somebody has taken it.
         """
         txn = secrets.token_hex(6)
-        value = {"epoch": self.epoch, "leader": NOBODY, "txn": txn}
+        value = {"epoch": self.epoch, "leader": NO_LEADER, "txn": txn}
         condition = Condition(HEAD_KEY, self._version)
         commit = await self._table.commit(Txn(txn, (condition,), (Write(HEAD_KEY, value),)))
         log_event("INFO", "lead_released", epoch=self.epoch, stored=commit.status.value)
 
-    async def commit(self, writes: Iterable[Write]) -> HeadEnd:
+    async def commit(self, writes: Iterable[Write]) -> CommitOutcome:
         """Store ``writes``, in as many transactions as they need; wait out an absent store."""
         for chunk in _chunks(writes):
-            if await self._commit_one(chunk) is HeadEnd.DEPOSED:
-                return HeadEnd.DEPOSED
-        return HeadEnd.STORED
+            if await self._commit_one(chunk) is CommitOutcome.DEPOSED:
+                return CommitOutcome.DEPOSED
+        return CommitOutcome.STORED
 
-    async def _commit_one(self, writes: list[Write]) -> HeadEnd:
+    async def _commit_one(self, writes: list[Write]) -> CommitOutcome:
         txn = secrets.token_hex(6)
         value: dict[str, Any] = {"epoch": self.epoch, "leader": self.leader, "txn": txn}
-        whole = Txn(txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value)))
-        pause = RETRY_FIRST_S
+        transaction = Txn(txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value)))
+        pause = RETRY_MIN_S
         self.waiting_since = now()
         tries = 0
         while True:
             sent_at = awake_now()
             tries += 1
-            commit = await self._table.commit(whole)
+            commit = await self._table.commit(transaction)
             if commit.status is CommitStatus.COMMITTED:
-                return self._stored(commit.version, sent_at, tries)
+                return self._record_commit(commit.version, sent_at, tries)
             if commit.status is CommitStatus.CONFLICT:
-                end = await self._settle(txn, sent_at, tries)
-                if end is not None:
-                    return end
+                outcome = await self._resolve_conflict(txn, sent_at, tries)
+                if outcome is not None:
+                    return outcome
             # Rejected or without an answer: the same transaction goes again under the same
             # condition, so that at most one of the tries takes effect.
             await asyncio.sleep(pause)
-            pause = min(pause * 2, RETRY_MOST_S)
+            pause = min(pause * 2, RETRY_MAX_S)
 
-    async def _settle(self, txn: str, sent_at: float, tries: int) -> HeadEnd | None:
+    async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> CommitOutcome | None:
         """Find out whose change the conflict is; ``None`` where the row cannot be read now."""
         found = await read_head(self._table)
         if isinstance(found, Err):
             return None
         head = found.ok_value
         if head.txn == txn:
-            return self._stored(head.version, sent_at, tries)
+            return self._record_commit(head.version, sent_at, tries)
         log_event(
             "WARNING", "leader_deposed", epoch=self.epoch, by=head.leader, new_epoch=head.epoch
         )
-        return HeadEnd.DEPOSED
+        return CommitOutcome.DEPOSED
 
-    def _stored(self, version: int, sent_at: float, tries: int) -> HeadEnd:
+    def _record_commit(self, version: int, sent_at: float, tries: int) -> CommitOutcome:
         if tries > 1:
             log_event("INFO", "commit_settled", tries=tries, waited_s=now() - self.waiting_since)
         self._version = version
         self.stored_at = sent_at
         self.waiting_since = 0.0
-        return HeadEnd.STORED
+        return CommitOutcome.STORED
 
 
 def _chunks(writes: Iterable[Write]) -> list[list[Write]]:
@@ -210,7 +210,7 @@
     size = 0
     for write in writes:
         length = len((write.value or {}).get("data", b""))
-        if len(chunks[-1]) >= MAX_ENTRIES or size + length > MAX_BYTES:
+        if len(chunks[-1]) >= MAX_TXN_ROWS or size + length > MAX_TXN_BYTES:
             chunks.append([])
             size = 0
         chunks[-1].append(write)
