--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -339,11 +339,11 @@
             took_s = max(at - run.running_at, 0.05)
             share = (100 - run.seen_percent) / 100
             speed = share * run.step.estimate_ms / 1000 / took_s
-            instance.track.note_done(1.0 if run.step.fills and speed < 1.0 else speed)
+            instance.track.record_success(1.0 if run.step.fills and speed < 1.0 else speed)
         elif kind is EndKind.FAILED or (kind is EndKind.NOT_STARTED and not run.stop_wanted):
             # A start that the worker did not take is as bad a sign as a failed run, and without the
             # pause that follows the task would be claimed for the same worker again and again.
-            instance.track.note_failed(at)
+            instance.track.record_failure(at)
 
     def _after_end(self, job: Job, run: Run, effect: EndEffect) -> None:
         if effect in (EndEffect.TASK_DONE, EndEffect.JOB_COMPLETED):
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -93,8 +93,8 @@
         return False
     if starving:
         # Where every worker looks unsound the job still has to run somewhere.
-        return at - instance.track.bad_at >= LAST_RESORT_S
-    if not instance.track.sound(at):
+        return at - instance.track.last_fault_at >= LAST_RESORT_S
+    if not instance.track.is_available(at):
         return False
     # One run at a time decides a trial, so that an unsound worker spoils little.
     track = instance.track
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -147,7 +147,7 @@
     instance = sched.fleet.instance(run.agent)
     if not run.slow_noted and _worker_is_to_blame(run, instance):
         run.slow_noted = True
-        instance.track.note_slow(at, speed)
+        instance.track.record_slow(at, speed)
     job = sched.jobs.get(run.ref.job_id)
     task = job.task(run.ref) if job is not None else None
     if (
--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-FAILURES_IN_A_ROW: Final = 2
-SLOW_BELOW: Final = 0.45
-SLOW_WEIGHT: Final = 0.35
+MAX_CONSECUTIVE_FAILURES: Final = 2
+SLOW_SPEED_THRESHOLD: Final = 0.45
+SPEED_SMOOTHING_FACTOR: Final = 0.35
 """Weight of the newest run in a worker's speed; three runs outweigh the past."""
-FIRST_PAUSE_S: Final = 2.0
-LONGEST_PAUSE_S: Final = 12.0
+MIN_PAUSE_S: Final = 2.0
+MAX_PAUSE_S: Final = 12.0
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     :ivar failures: failed runs since the last success.
     :ivar paused_until: no new work before this time.
     :ivar on_trial: a single run decides what becomes of the worker.
-    :ivar bad_at: time of the newest bad sign.
+    :ivar last_fault_at: time of the newest bad sign.
     """
 
     speed: float = 1.0
@@ -38,44 +38,44 @@
     pause_s: float = 0.0
     paused_until: float = 0.0
     on_trial: bool = False
-    bad_at: float = -1e9
+    last_fault_at: float = -1e9
 
-    def note_done(self, speed: float) -> None:
+    def record_success(self, speed: float) -> None:
         """Take note of a run that ended well at ``speed``."""
         self.failures = 0
-        self._learn(speed)
-        if self.speed >= SLOW_BELOW:
+        self._update_speed(speed)
+        if self.speed >= SLOW_SPEED_THRESHOLD:
             self.on_trial = False
             self.pause_s = 0.0
 
-    def note_failed(self, at: float) -> None:
+    def record_failure(self, at: float) -> None:
         """Take note of a failed run."""
-        self.bad_at = at
+        self.last_fault_at = at
         self.failures += 1
-        if self.on_trial or self.failures >= FAILURES_IN_A_ROW:
-            self._pause(at)
+        if self.on_trial or self.failures >= MAX_CONSECUTIVE_FAILURES:
+            self._start_pause(at)
 
-    def note_slow(self, at: float, speed: float) -> None:
+    def record_slow(self, at: float, speed: float) -> None:
         """Take note of a run that was seen to crawl or stand still."""
-        self.bad_at = at
-        self._learn(speed)
-        if self.on_trial or self.speed < SLOW_BELOW:
-            self._pause(at)
+        self.last_fault_at = at
+        self._update_speed(speed)
+        if self.on_trial or self.speed < SLOW_SPEED_THRESHOLD:
+            self._start_pause(at)
 
-    def _learn(self, speed: float) -> None:
+    def _update_speed(self, speed: float) -> None:
         bounded = min(max(speed, 0.0), 1.5)
-        self.speed += SLOW_WEIGHT * (bounded - self.speed)
+        self.speed += SPEED_SMOOTHING_FACTOR * (bounded - self.speed)
 
-    def _pause(self, at: float) -> None:
+    def _start_pause(self, at: float) -> None:
         if at < self.paused_until:
             return
-        self.pause_s = min(max(FIRST_PAUSE_S, self.pause_s * 2), LONGEST_PAUSE_S)
+        self.pause_s = min(max(MIN_PAUSE_S, self.pause_s * 2), MAX_PAUSE_S)
         self.paused_until = at + self.pause_s
         self.on_trial = True
         # The trial is judged by itself: what went before no longer weighs.
         self.speed = 1.0
         self.failures = 0
 
-    def sound(self, at: float) -> bool:
+    def is_available(self, at: float) -> bool:
         """Return whether the worker may get work at time ``at``."""
         return at >= self.paused_until
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -149,7 +149,7 @@
         agents = Agents(sched)
         agents.report(at=1.0)
         for _ in range(3):
-            sched.fleet.instance("g1").track.note_failed(1.0)
+            sched.fleet.instance("g1").track.record_failure(1.0)
         submit(sched, job("a1", StepSpec(cpu_millicores=100)))
         plan(sched, 1.1, 0)
         assert runs(sched) == []
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -54,9 +54,9 @@
         if place.runs and rng.random() < 0.2:
             place.drop(rng.choice(list(place.runs.values())))
         if rng.random() < 0.05:
-            place.track.note_failed(at)
+            place.track.record_failure(at)
         if rng.random() < 0.05:
-            place.track.note_done(1.0)
+            place.track.record_success(1.0)
 
 
 @pytest.mark.parametrize("seed", range(30))
--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -1,45 +1,45 @@
 """Track records: workers that fail or crawl are left alone, tried again, and trusted again."""
 
-from sapphirelead.sched_track import FIRST_PAUSE_S, LONGEST_PAUSE_S, TrackRecord
+from sapphirelead.sched_track import MIN_PAUSE_S, MAX_PAUSE_S, TrackRecord
 
 
 def test_one_failure_is_bad_luck_two_in_a_row_are_not() -> None:
     track = TrackRecord()
-    track.note_failed(1.0)
-    assert track.sound(1.0)
-    track.note_done(1.0)
-    track.note_failed(2.0)
-    assert track.sound(2.0)
-    track.note_failed(2.1)
-    assert not track.sound(2.2)
+    track.record_failure(1.0)
+    assert track.is_available(1.0)
+    track.record_success(1.0)
+    track.record_failure(2.0)
+    assert track.is_available(2.0)
+    track.record_failure(2.1)
+    assert not track.is_available(2.2)
 
 
 def test_a_good_trial_restores_a_worker() -> None:
     track = TrackRecord()
-    track.note_failed(1.0)
-    track.note_failed(1.0)
+    track.record_failure(1.0)
+    track.record_failure(1.0)
     assert track.on_trial
-    assert track.sound(1.0 + FIRST_PAUSE_S)
-    track.note_done(0.9)
+    assert track.is_available(1.0 + MIN_PAUSE_S)
+    track.record_success(0.9)
     assert not track.on_trial
 
 
 def test_each_bad_trial_doubles_the_pause_up_to_a_bound() -> None:
     track = TrackRecord()
     at, pauses = 0.0, []
-    track.note_failed(at)
+    track.record_failure(at)
     for _ in range(6):
-        track.note_failed(at)
+        track.record_failure(at)
         pauses.append(track.paused_until - at)
         at = track.paused_until
-    assert pauses[:3] == [FIRST_PAUSE_S, 2 * FIRST_PAUSE_S, 4 * FIRST_PAUSE_S]
-    assert pauses[-1] == LONGEST_PAUSE_S
+    assert pauses[:3] == [MIN_PAUSE_S, 2 * MIN_PAUSE_S, 4 * MIN_PAUSE_S]
+    assert pauses[-1] == MAX_PAUSE_S
 
 
 def test_a_worker_that_crawls_is_found_after_a_few_runs() -> None:
     track = TrackRecord()
     noted = 0
-    while track.sound(1.0):
+    while track.is_available(1.0):
         noted += 1
-        track.note_slow(1.0, 0.1)
+        track.record_slow(1.0, 0.1)
     assert noted <= 3
