--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -33,7 +33,7 @@
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_press import PressModel
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_stragglers import review
 from sapphirelead.sched_timing import Bounds
@@ -399,7 +399,7 @@
 
     def _deliver(self, report: AgentReport) -> None:
         """Let the leader take a report."""
-        take_report(self._sched, report, 1, self._at)
+        apply_report(self._sched, report, 1, self._at)
         self._sched.fleet.instance(report.agent).renewed_at = self._at
 
 
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -37,7 +37,7 @@
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
 from sapphirelead.sched_plan_turn import Budget, PlanTurn
 from sapphirelead.sched_planner import plan, wanted_cpu
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_stragglers import review
 from sapphirelead.sched_survey import PERIOD_S, survey
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
@@ -385,7 +385,7 @@
 
     def _take(self, report: AgentReport) -> None:
         at = now()
-        if not take_report(self.sched, report, self.head.epoch, at):
+        if not apply_report(self.sched, report, self.head.epoch, at):
             return
         if self.sched.has_pending_writes:
             self._wake.set()
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Returning:
+class ReturningBoot:
     """First report of a process that counted as an earlier one, while the newer one is silent."""
 
     boot: str
@@ -109,7 +109,7 @@
     :ivar answered_beat: newest report that it knows to be read, by an answer or by orders.
     :ivar listed_at: when its last report with all runs arrived.
     :ivar beat: number of its last report.
-    :ivar returning: set while a process that counted as an earlier one may turn out to live.
+    :ivar returning_boot: set while a process that counted as an earlier one may turn out to live.
     :ivar orders_sent: number of the newest orders that this leader has sent to it.
     :ivar leaves_at: earliest end of a draining worker; 0 where it is not draining.
     :ivar changes: grows with each report and with each run that is added or dropped, so that what
@@ -131,7 +131,7 @@
     leaves_at: float = 0.0
     changes: int = 0
     old_boots: set[str] = field(default_factory=set)
-    returning: Returning | None = None
+    returning_boot: ReturningBoot | None = None
     runs: dict[RunKey, Run] = field(default_factory=dict)
     used: Resources = NOTHING
     fill_cpu: int = 0
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -10,67 +10,67 @@
 from sapphirelead.logs import log_event
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_fleet import Instance, Phase, Returning, Run
+from sapphirelead.sched_fleet import Instance, Phase, ReturningBoot, Run
 from sapphirelead.sched_job import EndKind, TaskRef
 from sapphirelead.sched_track import TrackRecord
 
-RESEND_S: Final = 0.6
+RESEND_TIMEOUT_S: Final = 0.6
 """An order that no report has confirmed for this long is sent again: one report and a margin."""
 
-BOOT_SILENCE_S: Final = 1.1
+BOOT_TIMEOUT_S: Final = 1.1
 """Silence of an agent's process, two reports, after which an earlier one may be heard again.  They
 use two connections, so the last report of the ended one may arrive after the first of its
 successor."""
 
-BOOT_RETURN_S: Final = 0.5
+MIN_BOOT_RETURN_S: Final = 0.5
 """Time between two reports of a process by which it is known to live on: just under the longest
 time between two reports of an agent.  What an ended one has sent is read sooner."""
 
 
-def take_report(sched: Scheduler, report: AgentReport, epoch: int, at: float) -> bool:
+def apply_report(sched: Scheduler, report: AgentReport, epoch: int, at: float) -> bool:
     """Take an agent's report; ``False`` where it is an outdated one."""
     instance = sched.fleet.instance(report.agent)
-    if report.boot in instance.old_boots and not _lives_on(instance, report, at):
+    if report.boot in instance.old_boots and not _has_outlived_successor(instance, report, at):
         return False
     if report.boot != instance.boot:
-        _new_boot(instance, report.boot)
+        _replace_boot(instance, report.boot)
     if report.beat <= instance.beat:
         return False
     instance.beat = report.beat
     instance.heard_at = at
-    instance.returning = None
+    instance.returning_boot = None
     instance.changes += 1
     instance.entries_version = report.entries_version
-    _take_worker(sched, instance, report, at)
+    _update_worker(sched, instance, report, at)
     for end in report.ends:
-        _take_end(sched, instance, end, at)
+        _apply_end(sched, instance, end, at)
     for status in report.runs:
-        _take_status(sched, instance, status, at)
+        _apply_status(sched, instance, status, at)
     if report.full:
         instance.listed_at = at
         sched.press.learn(instance, at)
     if report.full and report.epoch == epoch:
-        _check_orders(sched, instance, report, at)
+        _resend_missing_orders(sched, instance, report, at)
     return True
 
 
-def _lives_on(instance: Instance, report: AgentReport, at: float) -> bool:
+def _has_outlived_successor(instance: Instance, report: AgentReport, at: float) -> bool:
     """Return whether a process that counted as an earlier one has outlived the one heard last.
 
     A leader that has read nothing for a while may read the last report of the ended process first,
     and take the silence for that of its successor.  So one report is not enough: its worker would
     be believed, and all runs on the successor's worker would count as lost.
     """
-    if at - instance.heard_at < BOOT_SILENCE_S:
+    if at - instance.heard_at < BOOT_TIMEOUT_S:
         return False
-    first = instance.returning
+    first = instance.returning_boot
     if first is None or first.boot != report.boot:
-        instance.returning = Returning(report.boot, report.beat, at)
+        instance.returning_boot = ReturningBoot(report.boot, report.beat, at)
         return False
-    return report.beat > first.beat and at - first.at >= BOOT_RETURN_S
+    return report.beat > first.beat and at - first.at >= MIN_BOOT_RETURN_S
 
 
-def _new_boot(instance: Instance, boot: str) -> None:
+def _replace_boot(instance: Instance, boot: str) -> None:
     instance.old_boots.discard(boot)
     if instance.boot:
         instance.old_boots.add(instance.boot)
@@ -84,10 +84,10 @@
         run.watch.interrupt()
 
 
-def _take_worker(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
+def _update_worker(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
     before = instance.worker
     instance.worker = report.worker
-    _note_leaving(instance, at)
+    _update_leaves_at(instance, at)
     now_id = report.worker.worker if report.worker else ""
     if (before.worker if before else "") != now_id:
         instance.track = TrackRecord()
@@ -97,7 +97,7 @@
             sched.end(run, EndKind.LOST, "", "worker_gone", at)
 
 
-def _note_leaving(instance: Instance, at: float) -> None:
+def _update_leaves_at(instance: Instance, at: float) -> None:
     worker = instance.worker
     if worker is None or not worker.draining:
         instance.leaves_at = 0.0
@@ -105,7 +105,7 @@
         instance.leaves_at = at + worker.remaining_ms / 1000
 
 
-def _take_end(sched: Scheduler, instance: Instance, end: RunEnded, at: float) -> None:
+def _apply_end(sched: Scheduler, instance: Instance, end: RunEnded, at: float) -> None:
     ref = TaskRef.parse(end.task)
     key = (ref, end.attempt) if ref is not None else None
     if key in sched.unstored_ends:
@@ -139,7 +139,7 @@
     sched.outgoing_for(run.agent).stored.append((run.ref.text(), run.attempt))
 
 
-def _take_status(sched: Scheduler, instance: Instance, status: RunStatus, at: float) -> None:
+def _apply_status(sched: Scheduler, instance: Instance, status: RunStatus, at: float) -> None:
     ref = TaskRef.parse(status.task)
     run = sched.fleet.runs.get((ref, status.attempt)) if ref is not None else None
     if run is None or run.agent != instance.agent:
@@ -172,7 +172,7 @@
         task.saved = saved
 
 
-def _check_orders(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
+def _resend_missing_orders(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
     """Send again what the agent has not got.
 
     A restarted agent lists runs whose orders it does not know.  Without them it can tell neither
@@ -184,18 +184,18 @@
         name = (run.ref.text(), run.attempt)
         if run.phase is Phase.CLAIMED or name in ended:
             continue
-        if at - run.sent_at < RESEND_S:
+        if at - run.sent_at < RESEND_TIMEOUT_S:
             continue
         if run.stop_wanted:
             run.sent_at = at
             sched.outgoing_for(instance.agent).stops.append(name)
-        elif name not in listed and _after_order(report, run):
+        elif name not in listed and _shows_missing_order(report, run):
             log_event("INFO", "start_sent_again", task=name[0], attempt=name[1])
             run.sent_at = at
             sched.outgoing_for(instance.agent).starts.append(run)
 
 
-def _after_order(report: AgentReport, run: Run) -> bool:
+def _shows_missing_order(report: AgentReport, run: Run) -> bool:
     """Return whether a report can tell that the agent has not got the order to start ``run``.
 
     Orders arrive in their sequence, so one that has got these or later ones has got all it will.
--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -20,7 +20,7 @@
     WorkerView,
 )
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import AdvicePolicy, JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import Bounds
 
@@ -84,7 +84,7 @@
         report = AgentReport(
             agent, boot, self.beats[agent], self.epoch, 1, info, True, statuses, ends or [], gone
         )
-        take_report(self.sched, report, self.epoch, at)
+        apply_report(self.sched, report, self.epoch, at)
         self.sched.fleet.instance(agent).renewed_at = at
 
 
--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -5,7 +5,7 @@
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import GATHER_S, plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -28,7 +28,7 @@
         for run in instance.runs.values()
     ]
     info = worker_info(f"w-{agent}", cpu=32_000)
-    take_report(
+    apply_report(
         sched, AgentReport(agent, "b", agents.beats[agent], 1, 1, info, True, statuses, []), 1, at
     )
     instance.renewed_at = at
--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -7,7 +7,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import BOOT_RETURN_S, BOOT_SILENCE_S, take_report
+from sapphirelead.sched_reports import MIN_BOOT_RETURN_S, BOOT_TIMEOUT_S, apply_report
 from tests.sched.fakes import job, scheduler, store, worker_info
 
 
@@ -17,7 +17,7 @@
     """Let a process of the agent report; return whether the report is taken."""
     runs = [RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10)] if run else []
     message = AgentReport("g1", boot, beat, 1, 1, worker_info(worker), True, runs, [])
-    return take_report(sched, message, 1, at)
+    return apply_report(sched, message, 1, at)
 
 
 def running_beside_the_later(sched: Scheduler) -> Run:
@@ -48,11 +48,11 @@
     sched = scheduler()
     assert report(sched, "old", 90, 0.0)
     assert report(sched, "new", 1, 0.5)
-    assert not report(sched, "old", 91, 0.5 + 0.9 * BOOT_SILENCE_S)
+    assert not report(sched, "old", 91, 0.5 + 0.9 * BOOT_TIMEOUT_S)
     assert sched.fleet.instance("g1").boot == "new"
 
 
-@pytest.mark.parametrize("behind_s", [BOOT_SILENCE_S, 2.0, 5.0])
+@pytest.mark.parametrize("behind_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
 def test_no_run_is_lost_by_a_late_word_of_an_earlier_process(behind_s: float) -> None:
     """Guards against a leader that has read nothing for a while and starts running tasks anew."""
     sched = scheduler()
@@ -60,9 +60,9 @@
     at = 0.7 + behind_s + 0.01
     assert not report(sched, "old", 91, at, "w1")
     assert not report(sched, "old", 92, at + 0.1, "w1")
-    assert not report(sched, "old", 91, at + 2 * BOOT_RETURN_S, "w1"), "the same word again"
-    assert report(sched, "new", 3, at + 2 * BOOT_RETURN_S, "w2", run)
-    assert not report(sched, "old", 93, at + 3 * BOOT_RETURN_S, "w1")
+    assert not report(sched, "old", 91, at + 2 * MIN_BOOT_RETURN_S, "w1"), "the same word again"
+    assert report(sched, "new", 3, at + 2 * MIN_BOOT_RETURN_S, "w2", run)
+    assert not report(sched, "old", 93, at + 3 * MIN_BOOT_RETURN_S, "w1")
     assert run.key in sched.fleet.runs
 
 
@@ -70,10 +70,10 @@
     """Guards against two late words, with the living process heard between, that pass for life."""
     sched = scheduler()
     run = running_beside_the_later(sched)
-    at = 0.7 + BOOT_SILENCE_S + 0.1
+    at = 0.7 + BOOT_TIMEOUT_S + 0.1
     assert not report(sched, "old", 91, at, "w1")
     assert report(sched, "new", 3, at + 0.1, "w2", run)
-    assert not report(sched, "old", 92, at + 0.2 + BOOT_SILENCE_S, "w1")
+    assert not report(sched, "old", 92, at + 0.2 + BOOT_TIMEOUT_S, "w1")
     assert run.key in sched.fleet.runs
 
 
@@ -81,7 +81,7 @@
     """Guards against runs that stay claimed on the worker of a process that is gone."""
     sched = scheduler()
     run = running_beside_the_later(sched)
-    at = 0.7 + BOOT_SILENCE_S + 0.1
+    at = 0.7 + BOOT_TIMEOUT_S + 0.1
     assert not report(sched, "old", 91, at, "w1")
     assert report(sched, "old", 92, at + REPORT_S, "w1")
     assert run.key not in sched.fleet.runs
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -15,7 +15,7 @@
 from sapphirelead.sched_place import has_room
 from sapphirelead.sched_planner import LOOK_AGAIN_S, plan
 from sapphirelead.sched_press import PressModel
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -153,7 +153,7 @@
             word = AgentReport(
                 run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [held], []
             )
-            assert take_report(sched, word, 1, at)
+            assert apply_report(sched, word, 1, at)
 
     for number in range(1, 9):
         report(0.5 * number)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -33,7 +33,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_job import JobState, encode_spec
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice, job, worker_info
@@ -176,7 +176,7 @@
     table = SlowTable()
     info = worker_info("w1")
     async with leading(table) as before:
-        assert take_report(before.sched, AgentReport("g1", "b", 1, 1, 1, info, True, [], []), 1, 0)
+        assert apply_report(before.sched, AgentReport("g1", "b", 1, 1, 1, info, True, [], []), 1, 0)
         assert (await submit(before, 7)).kind is ReplyKind.OK
         await asyncio.sleep(0.5)
         assert before.sched.fleet.runs
--- a/tests/sched/test_new_leader.py
+++ b/tests/sched/test_new_leader.py
@@ -4,7 +4,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import Job
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 from tests.sched.serving import fill, report, serving_fleet
@@ -25,7 +25,7 @@
     agents.beats[agent] = agents.beats.get(agent, 0) + 1
     info = worker_info(f"w-{agent}", cpu=32_000)
     short = AgentReport(agent, "b", agents.beats[agent], 1, 1, info, False, [], [])
-    take_report(agents.sched, short, 1, at)
+    apply_report(agents.sched, short, 1, at)
 
 
 def fills_running(sched: Scheduler) -> int:
@@ -74,7 +74,7 @@
     status = RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 100, 25)
     info = worker_info("w-g0", cpu=32_000)
     assert not sched.fleet.instance("g0").listed_at
-    take_report(sched, AgentReport("g0", "b", 1, 1, 1, info, True, [status], []), 1, 0.5)
+    apply_report(sched, AgentReport("g0", "b", 1, 1, 1, info, True, [status], []), 1, 0.5)
     assert sched.fleet.instance("g0").listed_at
     assert run.shows_tail
     assert agents.sched is sched
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -12,7 +12,7 @@
 from sapphirelead.runner_book import ENDS_IN_REPORT, RunnerBook, RunnerRun
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -124,7 +124,7 @@
         assert len(self.names) == TASKS
 
     def take(self, word: AgentReport) -> None:
-        assert take_report(self.sched, word, 1, 1.0)
+        assert apply_report(self.sched, word, 1, 1.0)
 
     def seen(self) -> object:
         """Return all that the leader has learnt from reports."""
--- a/tests/sched/test_resend.py
+++ b/tests/sched/test_resend.py
@@ -5,7 +5,7 @@
 from sapphirelead.node_messages import AgentReport
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import RESEND_S, take_report
+from sapphirelead.sched_reports import RESEND_TIMEOUT_S, apply_report
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
 
@@ -26,7 +26,7 @@
     """Take a full report that lists no run; return whether a start waits to be sent."""
     beat = sched.fleet.instance("g1").beat + 1
     report = AgentReport("g1", "b", beat, 1, 1, worker_info("w-g1"), True, [], [], orders=orders)
-    assert take_report(sched, report, 1, at)
+    assert apply_report(sched, report, 1, at)
     return "g1" in sched.outgoing and bool(sched.outgoing["g1"].starts)
 
 
@@ -40,15 +40,15 @@
     that has got none (it has restarted, or is of an earlier version) is judged by the time alone.
     """
     sched = ordered(7)
-    assert not report_without_runs(sched, got, 0.9 * RESEND_S)
-    assert report_without_runs(sched, got, 1.1 * RESEND_S) is again
+    assert not report_without_runs(sched, got, 0.9 * RESEND_TIMEOUT_S)
+    assert report_without_runs(sched, got, 1.1 * RESEND_TIMEOUT_S) is again
 
 
 def test_a_start_that_was_lost_on_the_way_is_sent_again_with_the_next_orders_that_arrive() -> None:
     sched = ordered(7)
-    assert not report_without_runs(sched, 6, 2 * RESEND_S)
-    assert report_without_runs(sched, 8, 3 * RESEND_S)
+    assert not report_without_runs(sched, 6, 2 * RESEND_TIMEOUT_S)
+    assert report_without_runs(sched, 8, 3 * RESEND_TIMEOUT_S)
     sched.fleet.instance("g1").orders_sent = 9
-    starts, _, _ = sched.orders_for("g1", 3 * RESEND_S)
+    starts, _, _ = sched.orders_for("g1", 3 * RESEND_TIMEOUT_S)
     assert [start.task for start in starts] == ["a1.0.0.0"]
-    assert not report_without_runs(sched, 8, 5 * RESEND_S), "these orders are on their way"
+    assert not report_without_runs(sched, 8, 5 * RESEND_TIMEOUT_S), "these orders are on their way"
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -7,7 +7,7 @@
 from sapphirelead.sched_job import Job, JobState, TaskRef
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import AdvicePolicy, JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 from tests.sched.fakes import POLICY, Agents, job, scheduler, store, worker_info
@@ -357,7 +357,7 @@
     status = RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10, order_known=False)
     info = worker_info("w-g1")
     for beat, at in ((1, 5.0), (2, 5.1)):
-        take_report(sched, AgentReport("g1", "b2", beat, 1, 1, info, True, [status], []), 1, at)
+        apply_report(sched, AgentReport("g1", "b2", beat, 1, 1, info, True, [status], []), 1, at)
     starts, stops, _ = sched.orders_for("g1", 5.2)
     assert [(order.task, order.attempt) for order in starts] == [(run.ref.text(), run.attempt)]
     assert not stops
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -21,7 +21,7 @@
 from sapphirelead.sched_job import EndKind, JobState, TaskRef
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
 from sapphirelead.sched_planner import plan, wanted_cpu
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import JobSpec
 from sapphirelead.sched_stragglers import review
 from sapphirelead.sched_timing import Bounds
@@ -171,7 +171,7 @@
         elif (
             isinstance(message, AgentReport)
             and message.epoch <= self.epoch
-            and take_report(self.sched, message, self.epoch, now())
+            and apply_report(self.sched, message, self.epoch, now())
         ):
             self.answer(slot, message.beat)
 
