--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -18,12 +18,12 @@
 
 RunKey = tuple[TaskRef, int]
 
-LASTING_USE: Final = 0.6
+DEFAULT_LASTING_CPU_SHARE: Final = 0.6
 """Share of its processors that a lasting task is counted with where filling work looks for room, as
 long as no tail of it tells its load.  More asked than is left only slows the filling work."""
 
 
-LEAST_COUNTED: Final = 70
+MIN_COUNTED_PACE_PERCENT: Final = 70
 """Pace in percent with which a filling task is counted at least: it gets more again when the load
 beside it falls."""
 
@@ -73,7 +73,7 @@
     stop_wanted: bool = False
     stop_reason: str = ""
     slow_noted: bool = False
-    load: float = LASTING_USE
+    load: float = DEFAULT_LASTING_CPU_SHARE
 
     @property
     def key(self) -> RunKey:
@@ -81,7 +81,7 @@
         return self.ref, self.attempt
 
     @property
-    def shows_tail(self) -> bool:
+    def has_tail_latency(self) -> bool:
         """Whether it serves, and a report has brought its tail as ``figure``."""
         return self.step.target_ms > 0 and self.figure >= 0 and self.phase is Phase.RUNNING
 
@@ -139,8 +139,8 @@
     lasting: int = 0
     lasting_cpu: int = 0
     track: TrackRecord = field(default_factory=TrackRecord)
-    _use_at: int = -1
-    _unused: int = 0
+    _unused_version: int = -1
+    _unused_cpu: int = 0
 
     @property
     def reachable(self) -> bool:
@@ -176,12 +176,12 @@
     @property
     def spare_cpu(self) -> int:
         """Processors that are likely to be left for one more filling task."""
-        if self._use_at != self.changes:
-            self._use_at = self.changes
-            self._unused = self._lasting_unused() - self._filling_use()
-        return self.free_cpu + self._unused
+        if self._unused_version != self.changes:
+            self._unused_version = self.changes
+            self._unused_cpu = self._unused_lasting_cpu() - self._used_fill_cpu()
+        return self.free_cpu + self._unused_cpu
 
-    def _lasting_unused(self) -> int:
+    def _unused_lasting_cpu(self) -> int:
         """Return the processors that lasting tasks have asked for and do not use."""
         return sum(
             int(run.step.cpu_millicores * (1 - run.load))
@@ -189,10 +189,10 @@
             if run.step.lasting
         )
 
-    def _filling_use(self) -> int:
+    def _used_fill_cpu(self) -> int:
         """Return the processors that filling tasks are likely to use at their present pace."""
         return sum(
-            run.step.cpu_millicores * max(run.paced, LEAST_COUNTED) // 100
+            run.step.cpu_millicores * max(run.paced, MIN_COUNTED_PACE_PERCENT) // 100
             for run in self.runs.values()
             if run.step.fills
         )
@@ -233,7 +233,7 @@
         """When the newest of its open runs was claimed."""
         return max((run.claimed_at for run in self.runs.values()), default=-1.0)
 
-    def of_step(self, ref: TaskRef) -> int:
+    def count_of_step(self, ref: TaskRef) -> int:
         """Count the runs of ``ref``'s step and occurrence here."""
         return sum(1 for run in self.runs.values() if run.ref[:3] == ref[:3])
 
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -120,7 +120,7 @@
         return False
     if step.fills and not need.starving and not _has_spare(instance, need):
         return False
-    return not (step.per_worker and instance.of_step(ref) >= step.per_worker)
+    return not (step.per_worker and instance.count_of_step(ref) >= step.per_worker)
 
 
 def _has_spare(instance: Instance, need: Need) -> bool:
@@ -159,7 +159,7 @@
     """
     step = need.step
     value = SERVING_PENALTY if instance.serving else 0
-    if instance.of_step(ref):
+    if instance.count_of_step(ref):
         return float(value + BESIDE_ITS_LIKE * SERVING_PENALTY - instance.free_cpu)
     filling = FILLING_WEIGHT * instance.fill_cpu
     whole = need.tasks * step.cpu_millicores <= instance.free_cpu
--- a/sapphirelead/sched_press.py
+++ b/sapphirelead/sched_press.py
@@ -158,7 +158,7 @@
         found: dict[GroupKey, list[int]] = {}
         images: dict[GroupKey, str] = {}
         for run in instance.runs.values():
-            if not run.shows_tail or run.figure == 0:
+            if not run.has_tail_latency or run.figure == 0:
                 continue
             key, image = run.ref[:3], run.step.image
             known = self.idle_ms.get(image, IDLE_SHARE * run.step.target_ms)
@@ -315,7 +315,7 @@
             if run.step.fills:
                 share = _share(run.step.cpu_millicores, instance)
                 wanted[image] = wanted.get(image, 0.0) + share
-            elif run.shows_tail and image in self.idle_ms:
+            elif run.has_tail_latency and image in self.idle_ms:
                 most = load_of(run.step.target_ms, self.idle_ms[image])
                 room = Room(image, self._own(run.ref[:3], image, instance), most)
                 known = rooms.get(image)
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -51,7 +51,7 @@
     live = list(sched.fleet.live())
     running = [run for run in sched.fleet.runs.values() if run.phase is Phase.RUNNING]
     fills = [run for run in running if run.step.fills]
-    tails = [run.figure / run.step.target_ms for run in running if run.shows_tail]
+    tails = [run.figure / run.step.target_ms for run in running if run.has_tail_latency]
     waiting = list(waiting_tasks(sched))
     return Survey(
         workers=len(live),
--- a/tests/sched/test_new_leader.py
+++ b/tests/sched/test_new_leader.py
@@ -76,5 +76,5 @@
     assert not sched.fleet.instance("g0").listed_at
     apply_report(sched, AgentReport("g0", "b", 1, 1, 1, info, True, [status], []), 1, 0.5)
     assert sched.fleet.instance("g0").listed_at
-    assert run.shows_tail
+    assert run.has_tail_latency
     assert agents.sched is sched
