--- a/sapphirelead/sched_spec.py
+++ b/sapphirelead/sched_spec.py
@@ -192,22 +192,22 @@
     >>> same_content(first, JobSpec("a", "q", "", (StepSpec(tasks=2),), QueuePolicy("s")))
     False
     """
-    dated = msgspec.structs.replace(other, policy=one.policy, accepted_ms=one.accepted_ms)
-    return one == dated
+    normalized = msgspec.structs.replace(other, policy=one.policy, accepted_ms=one.accepted_ms)
+    return one == normalized
 
 
-def rest_ms(steps: tuple[StepSpec, ...]) -> list[int]:
+def critical_paths_ms(steps: tuple[StepSpec, ...]) -> list[int]:
     """Return for each step the longest chain from its start to the end of the job.
 
     The longest of them is the job's longest chain.
 
-    >>> rest_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,))))
+    >>> critical_paths_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,))))
     [12, 7]
-    >>> max(rest_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,)), StepSpec())))
+    >>> max(critical_paths_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,)), StepSpec())))
     12
     """
-    rest = [step.estimate_ms for step in steps]
+    paths = [step.estimate_ms for step in steps]
     for number in range(len(steps) - 1, -1, -1):
         for earlier in steps[number].after:
-            rest[earlier] = max(rest[earlier], steps[earlier].estimate_ms + rest[number])
-    return rest
+            paths[earlier] = max(paths[earlier], steps[earlier].estimate_ms + paths[number])
+    return paths
