--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -13,7 +13,7 @@
 from sapphirelead.node_followers import is_much_stronger
 from sapphirelead.ports import Table
 from sapphirelead.sched_head import NO_LEADER, Head, HeadRow, read_head
-from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S
 
 WATCH_S: Final = 0.7
 """A living leader renews the head row twice a second; standing still for this long means that it is
@@ -94,7 +94,7 @@
         """Whether a leader that takes calls has been heard of lately."""
         if self._leading or not self.leader or not self._serving:
             return False
-        return at - self._heard_at < LEADER_SILENCE_S
+        return at - self._heard_at < LEADER_TIMEOUT_S
 
     def next_move(self, at: float) -> Move:
         """Return what to do at time ``at``."""
@@ -102,7 +102,7 @@
             return Move.NOTHING
         if self._offered and not self._leaving:
             return Move.TAKE
-        if self.leader and at - self._heard_at < LEADER_SILENCE_S:
+        if self.leader and at - self._heard_at < LEADER_TIMEOUT_S:
             return Move.NOTHING
         if self._may_take(at):
             return Move.TAKE
@@ -118,7 +118,7 @@
         cut for longer than the silence would otherwise never hear of it again, since the head row
         moves on and nobody else takes the lead, and would refuse its callers for good.
         """
-        if self._leading or not self.leader or at - self._beat_at < BEAT_S:
+        if self._leading or not self.leader or at - self._beat_at < HEARTBEAT_INTERVAL_S:
             return False
         self._beat_at = at
         return True
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from sapphirelead.node_messages import EntryBeat
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
-RECENT_S: Final = 2 * BEAT_S
+RECENT_S: Final = 2 * HEARTBEAT_INTERVAL_S
 """An entry whose last heartbeat is older may be gone; one heartbeat may get lost."""
 
 MUCH_STRONGER: Final = 1.5
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -6,12 +6,12 @@
 
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
 TELL_S: Final = 1.0
 """Time between two looks."""
 
-BEHIND_S: Final = BEAT_S
+BEHIND_S: Final = HEARTBEAT_INTERVAL_S
 """A follower whose heartbeat waits for longer sends the next one before the first is answered."""
 
 
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -14,9 +14,9 @@
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
-HELD_S: Final = BEAT_S / 4
+HELD_S: Final = HEARTBEAT_INTERVAL_S / 4
 """Longest time for which a round should hold the loop; heartbeats, reports and cancels wait for as
 long."""
 
--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -9,10 +9,10 @@
 from typing import Final
 
 from sapphirelead.sched_timing import (
-    CLOCK_DRIFT,
+    CLOCK_DRIFT_SHARE,
     LEASE_MARGIN_S,
     LOSS_MARGIN_S,
-    STALE_ORDER_S,
+    MAX_ORDER_AGE_S,
 )
 
 MUTE_S: Final = 3.0
@@ -39,7 +39,7 @@
     def __init__(self, lease_s: float, at: float) -> None:
         self.until = 0.0
         # An earlier process of this agent may have renewed the worker's lease just before.
-        self.bound = at + (lease_s + LEASE_MARGIN_S) * (1 + 2 * CLOCK_DRIFT)
+        self.bound = at + (lease_s + LEASE_MARGIN_S) * (1 + 2 * CLOCK_DRIFT_SHARE)
         self._lease_s = lease_s
         self._sent = {}
         self._clock = None
@@ -49,7 +49,7 @@
         """Remember when a report was sent."""
         self._sent[beat] = at
         # The acknowledgement of an older one extends nothing.
-        kept_s = max(self._lease_s, STALE_ORDER_S)
+        kept_s = max(self._lease_s, MAX_ORDER_AGE_S)
         while at - next(iter(self._sent.values())) > kept_s:
             del self._sent[next(iter(self._sent))]
 
@@ -64,7 +64,7 @@
         Starts that were held up on the way may have been overtaken by a cancellation; the leader
         repeats those that still hold.
         """
-        return self.report_age(beat, at) <= STALE_ORDER_S
+        return self.report_age(beat, at) <= MAX_ORDER_AGE_S
 
     def report_age(self, beat: int, at: float) -> float:
         """Return how long ago a report was sent; infinite where that is no longer known."""
@@ -106,7 +106,7 @@
         if self._clock is None:
             return 0
         clock_ms, seen_at = self._clock
-        return clock_ms + int((at - seen_at) * (1 - CLOCK_DRIFT) * 1000)
+        return clock_ms + int((at - seen_at) * (1 - CLOCK_DRIFT_SHARE) * 1000)
 
     def worker_lease(self, at: float) -> int:
         """Return the lease to ask for, as a time on the worker's clock; 0 for none.
@@ -126,7 +126,7 @@
 
         To be asked only for a worker that is not mute: the bound moves on.
         """
-        self.bound = max(self.bound, at + within_s * (1 + 2 * CLOCK_DRIFT))
+        self.bound = max(self.bound, at + within_s * (1 + 2 * CLOCK_DRIFT_SHARE))
         return self.worker_time(at) + int(within_s * 1000)
 
     def surely_over(self, at: float) -> bool:
--- a/sapphirelead/sched_plan_turn.py
+++ b/sapphirelead/sched_plan_turn.py
@@ -15,9 +15,9 @@
 from typing import Final, Protocol, TypeVar
 
 from sapphirelead.sched_advice import StepKey
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
-LOOK_EVERY_S: Final = BEAT_S
+LOOK_EVERY_S: Final = HEARTBEAT_INTERVAL_S
 """Time between two looks at a step by its rank while not all can be looked at."""
 
 
--- a/sapphirelead/sched_timing.py
+++ b/sapphirelead/sched_timing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-CLOCK_DRIFT: Final = 0.02
+CLOCK_DRIFT_SHARE: Final = 0.02
 """Share by which a worker's steady clock may be slow; given by the platform's contract."""
 
 LEASE_MARGIN_S: Final = 0.5
@@ -24,11 +24,11 @@
 work in outages of the store (3 to 9 s are usual), longer delays the restart of what was lost
 together with its leader."""
 
-BEAT_S: Final = 0.4
+HEARTBEAT_INTERVAL_S: Final = 0.4
 """Time between two heartbeats of a follower: three fit into the silence after which it suspects the
 leader."""
 
-LEADER_SILENCE_S: Final = 1.2
+LEADER_TIMEOUT_S: Final = 1.2
 """Silence after which a follower suspects the leader: three heartbeats.  A wrong suspicion costs a
 read of every job, never a second run, because commits are conditioned on the leader's row."""
 
@@ -36,7 +36,7 @@
 """A start that reaches the worker later than this is refused by it.  Covers two tries of 0.5 s; a
 start that is carried out seconds late then never runs."""
 
-STALE_ORDER_S: Final = 2.5
+MAX_ORDER_AGE_S: Final = 2.5
 """An agent refuses starts ordered on the ground of a report older than this; they may be overtaken
 by a cancellation."""
 
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -19,7 +19,7 @@
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AgentReport, Orders, RunEnded, RunPhase, RunStatus
 from sapphirelead.runner_service import FULL_S, REPORT_S
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 from tests.sched.fakes import worker_info
 
 STOP_TAKES_S: Final = 0.05
@@ -174,8 +174,8 @@
                     self.leader.on_report(report)
                     await turns.took()
             if at >= self._beat_due:
-                self._beat_due = at + BEAT_S
-                if at > BEAT_S and not self._election.followed(at):
+                self._beat_due = at + HEARTBEAT_INTERVAL_S
+                if at > HEARTBEAT_INTERVAL_S and not self._election.followed(at):
                     self.silences.append(at)
                 self._election.heard(self.leader.head.epoch, "e1", True, at)
             await asyncio.sleep(LOOK_S)
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -8,7 +8,7 @@
 from sapphirelead.node_election import READ_EVERY_S, WATCH_S, WEAK_WATCH_S, Election, Move
 from sapphirelead.ports import Row
 from sapphirelead.sched_head import Head, HeadRow, read_head
-from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S
 from tests.unit.fakes import MemoryTable
 
 
@@ -37,7 +37,7 @@
 def test_a_row_that_stands_still_is_taken_after_the_watch() -> None:
     election = Election("e1")
     head = HeadRow(7, 3, "e2", "t")
-    at = LEADER_SILENCE_S + 1
+    at = LEADER_TIMEOUT_S + 1
     seen(election, head, 0.0)
     began = at
     while election.next_move(at) is not Move.TAKE:
@@ -140,9 +140,9 @@
         beats += election.beat_due(at)
         if election.next_move(at) is Move.READ:
             election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
-    assert at > 2 * LEADER_SILENCE_S
+    assert at > 2 * LEADER_TIMEOUT_S
     assert not election.followed(at)
-    assert beats >= at / BEAT_S - 2
+    assert beats >= at / HEARTBEAT_INTERVAL_S - 2
     election.heard(1, "e2", True, at)
     assert election.followed(at)
 
@@ -152,18 +152,18 @@
     assert not election.beat_due(1.0)
     election.heard(1, "e2", True, 1.0)
     assert election.beat_due(1.0)
-    assert not election.beat_due(1.0 + BEAT_S / 2)
-    assert election.beat_due(1.1 + BEAT_S)
+    assert not election.beat_due(1.0 + HEARTBEAT_INTERVAL_S / 2)
+    assert election.beat_due(1.1 + HEARTBEAT_INTERVAL_S)
 
 
 def taken_after(election: Election, silent_from: float) -> float:
     """Return how long an entry waits until it takes a row that stands still."""
     head = HeadRow(7, 3, "e2", "t")
-    at = silent_from + LEADER_SILENCE_S
+    at = silent_from + LEADER_TIMEOUT_S
     while election.next_move(at) is not Move.TAKE:
         election.saw_head(head, at)
         at += 0.02
-    return at - silent_from - LEADER_SILENCE_S
+    return at - silent_from - LEADER_TIMEOUT_S
 
 
 @pytest.mark.parametrize(
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -12,7 +12,7 @@
 from sapphirelead.node_leader import ALONE_S, Leader
 from sapphirelead.node_messages import EntryAddress, EntryBeat, Handover
 from sapphirelead.sched_head import Head, read_head
-from sapphirelead.sched_timing import BEAT_S, Bounds
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, Bounds
 from tests.sched.fakes import NoAdvice
 from tests.unit.fakes import MemoryTable
 
@@ -32,7 +32,7 @@
     """Let one follower go on sending heartbeats."""
     while True:
         keeper.heard(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
-        await asyncio.sleep(BEAT_S)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
 def noting(offers: list[float]) -> Callable[[str, Handover], bool]:
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -25,7 +25,7 @@
     RunEnded,
     WhoLeads,
 )
-from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S, STALE_ORDER_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S, MAX_ORDER_AGE_S
 from tests.sched.busy_loop import Arrival, Transport, run_busy, spend
 from tests.sched.fakes import worker_info
 
@@ -79,7 +79,7 @@
         address = EntryAddress(name.decode(), "h", 1)
         for count, at in times(share * CALLS_A_S, number / 1000):
             found.append((at, name, Call(count, call_kind(count), "q", f"{at}", 1)))
-        for count, at in times(1 / BEAT_S, number / 1000):
+        for count, at in times(1 / HEARTBEAT_INTERVAL_S, number / 1000):
             found.append((at, name, EntryBeat(address, count, True, 1)))
     return deque(sorted(found, key=lambda arrival: arrival[0]))
 
@@ -106,7 +106,7 @@
                     self.note(f"{who}_end", float(end.reason))
             case EntryBeat():
                 offset = FOLLOWERS.index(identity) / 1000
-                self.note("beat", offset + message.epoch * BEAT_S)
+                self.note("beat", offset + message.epoch * HEARTBEAT_INTERVAL_S)
             case Call():
                 self.note(message.kind.value, float(message.job_id))
         spend(WORK_S)
@@ -151,18 +151,18 @@
 
 def test_heartbeats_of_a_follower_do_not_wait_behind_its_calls(waits: Waits) -> None:
     """A follower with many calls holds its leader for silent and refuses its callers."""
-    assert waits.longest["beat"] < LEADER_SILENCE_S - BEAT_S
+    assert waits.longest["beat"] < LEADER_TIMEOUT_S - HEARTBEAT_INTERVAL_S
 
 
 def test_renewals_of_the_busiest_agent_do_not_wait_behind_its_reports(waits: Waits) -> None:
     """The agent with the most to report gets its lease late and refuses all orders as stale."""
-    assert waits.longest["busiest_renewal"] < STALE_ORDER_S / 2
-    assert waits.longest["agent_renewal"] < STALE_ORDER_S / 2
+    assert waits.longest["busiest_renewal"] < MAX_ORDER_AGE_S / 2
+    assert waits.longest["agent_renewal"] < MAX_ORDER_AGE_S / 2
 
 
 def test_no_end_of_a_run_is_lost_or_late(waits: Waits) -> None:
     """Room that is free stays empty for seconds, because the leader does not know of an end."""
-    assert waits.longest["busiest_end"] < STALE_ORDER_S / 2
+    assert waits.longest["busiest_end"] < MAX_ORDER_AGE_S / 2
     assert waits.worked["busiest_end"] >= (LASTS_S - 2) * BUSY_REPORTS_A_S
 
 
@@ -188,9 +188,9 @@
     """Twice the load of a leader that is behind already makes it lose its followers."""
     waits = play(load(share), round_s)
     assert waits.longest["cancel"] < CANCEL_S / 4
-    assert waits.longest["beat"] < LEADER_SILENCE_S - BEAT_S
-    assert waits.longest["busiest_end"] < STALE_ORDER_S / 2
-    assert waits.longest["agent_renewal"] < STALE_ORDER_S / 2
+    assert waits.longest["beat"] < LEADER_TIMEOUT_S - HEARTBEAT_INTERVAL_S
+    assert waits.longest["busiest_end"] < MAX_ORDER_AGE_S / 2
+    assert waits.longest["agent_renewal"] < MAX_ORDER_AGE_S / 2
     assert waits.longest["submit"] < HOLD_S
     assert waits.worked["state"] >= LASTS_S
 
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -22,7 +22,7 @@
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_job import JobState
 from sapphirelead.sched_spec import StepSpec
-from sapphirelead.sched_timing import LEADER_SILENCE_S, Bounds
+from sapphirelead.sched_timing import LEADER_TIMEOUT_S, Bounds
 from tests.sched.fakes import NoAdvice, job
 from tests.sched.loaded import LoadedLeader, simulated_work
 from tests.unit.fakes import MemoryTable
@@ -117,7 +117,7 @@
 
     :param estimate_ms: no task ends within the test, so that those with a short one crawl.
     """
-    assert (WAITING - 4 * WORKERS) * WORKERS * LOOK_S > LEADER_SILENCE_S
+    assert (WAITING - 4 * WORKERS) * WORKERS * LOOK_S > LEADER_TIMEOUT_S
     for number in range(WAITING):
         step = StepSpec(
             cpu_millicores=4000,
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -18,7 +18,7 @@
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, EntryAddress, Leads, Orders
 from sapphirelead.runner_service import SPACING_S, Runner
 from sapphirelead.sched_head import Head, read_head
-from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S, Bounds
 from tests.sched.fakes import FakeWorker, NoAdvice, worker_info
 from tests.unit.fakes import MemoryTable
 
@@ -140,7 +140,7 @@
     """Guards against news that waits ever longer for a leader that is behind."""
     async with reporting(messages_per_s) as path:
         await make_news(path)
-        assert max(path.waited_s) <= STALE_ORDER_S / 2
+        assert max(path.waited_s) <= MAX_ORDER_AGE_S / 2
         assert len(path.waited_s) >= LASTS_S * min(messages_per_s, 1 / runner_service.REPORT_S) - 2
 
 
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -12,7 +12,7 @@
 from sapphirelead.node_messages import StartOrder, StopOrder
 from sapphirelead.runner_lease import RunnerLease
 from sapphirelead.runner_life import FencingToken, RunnerLife
-from sapphirelead.sched_timing import STALE_ORDER_S
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S
 from tests.sched.fakes import FakeRun, FakeWorker, worker_info
 
 pytestmark = pytest.mark.looptime
@@ -230,8 +230,8 @@
     """
     lease = RunnerLease(LEASE_S, 0.0)
     lease.sent(7, 10.0)
-    assert lease.bears_starts(7, 10.0 + STALE_ORDER_S)
-    assert not lease.bears_starts(7, 10.1 + STALE_ORDER_S)
+    assert lease.bears_starts(7, 10.0 + MAX_ORDER_AGE_S)
+    assert not lease.bears_starts(7, 10.1 + MAX_ORDER_AGE_S)
     assert not lease.bears_starts(8, 10.0)
 
 
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -19,7 +19,7 @@
 from sapphirelead.ports import Row
 from sapphirelead.runner_lease import MUTE_S, RunnerLease
 from sapphirelead.runner_service import Runner
-from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S, Bounds
 from tests.sched.agent_leader import TASK, FakeLeader, agent_of, reported_worker
 from tests.sched.fakes import FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
@@ -45,7 +45,7 @@
 def test_an_acknowledgement_extends_the_lease_however_many_reports_went_out_since() -> None:
     """Guards against runs that lapse, and starts that are refused, once reports follow quickly."""
     lease = RunnerLease(9.5, 0.0)
-    count = int(STALE_ORDER_S / runner_service.SPACING_S)
+    count = int(MAX_ORDER_AGE_S / runner_service.SPACING_S)
     for beat in range(1, count + 1):
         lease.sent(beat, beat * runner_service.SPACING_S)
     at = count * runner_service.SPACING_S
@@ -189,7 +189,7 @@
             taken - sent for sent, taken in zip(leader.reported_at, leader.taken_at, strict=False)
         ]
         leader.task.cancel()
-        assert max(waited) <= STALE_ORDER_S
+        assert max(waited) <= MAX_ORDER_AGE_S
         assert len(leader.taken_at) >= 20 * min(reports_per_s, 1 / runner_service.REPORT_S) - 2
 
 
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -18,14 +18,14 @@
 from sapphirelead.platform.worker import CONNECTIONS
 from sapphirelead.runner_life import RunnerLife
 from sapphirelead.runner_slots import Slots
-from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S, Bounds
 from tests.sched.agent_leader import TASK, FakeLeader, agent_of
 from tests.sched.fakes import FakeRun, FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
 
 pytestmark = pytest.mark.looptime
 
-LATE_S = STALE_ORDER_S + 0.5
+LATE_S = MAX_ORDER_AGE_S + 0.5
 
 
 @pytest.fixture(autouse=True)
@@ -103,7 +103,7 @@
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(), order("a.0.0.1")])
-        await asyncio.sleep(STALE_ORDER_S + 1)
+        await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, starts=[order("a.0.0.2")], stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(0.5)
         assert list(worker.runs) == [("a.0.0.1", 1)], "only the start is refused"
@@ -114,7 +114,7 @@
     worker = FakeWorker(work_s=60)
     async with agent_of(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(attempt=2)])
-        await asyncio.sleep(STALE_ORDER_S + 1)
+        await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(2)
         assert list(worker.runs) == [(TASK, 2)]
--- a/tests/unit/test_fleet_config.py
+++ b/tests/unit/test_fleet_config.py
@@ -18,7 +18,7 @@
 from sapphirelead.sched_job import encode_spec
 from sapphirelead.sched_journal import Journal
 from sapphirelead.sched_spec import AdvicePolicy, QueuePolicy
-from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S
 from tests.sched.fakes import job
 from tests.unit.fakes import MemoryTable
 
@@ -109,7 +109,7 @@
     table = PackedTable(SilentTable())
     began = now()
     assert (await table.rows(["fleet/head"])).unwrap_err().code is Code.STORE_UNAVAILABLE
-    assert now() - began < LEADER_SILENCE_S - BEAT_S
+    assert now() - began < LEADER_TIMEOUT_S - HEARTBEAT_INTERVAL_S
     commit = await table.commit(Txn("t", (), (Write("job/a", {"data": b"x"}),)))
     assert commit.status is CommitStatus.AMBIGUOUS
 
