--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -156,7 +156,7 @@
         run.running_at = at
         run.seen_percent = status.percent
     run.percent = max(run.percent, status.percent)
-    run.watch.take(status.percent, at)
+    run.watch.observe(status.percent, at)
     run.figure = status.figure
     run.paced = status.paced
     if status.saved:
--- a/sapphirelead/sched_watch.py
+++ b/sapphirelead/sched_watch.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-GAP_S: Final = 2.0
+MAX_REPORT_GAP_S: Final = 2.0
 """Longest time between two reports that list a run for which it counts as watched: two periods of
 full reports and the delay of their delivery."""
 
-STALLED_S: Final = 1.6
+STALL_TIMEOUT_S: Final = 1.6
 """Watched time without progress after which a run stands still: two reports, since one alone may
 come just before the next percent."""
 
@@ -25,24 +25,24 @@
     :ivar percent: progress by that report.
     :ivar watched_s: time for which it has been watched.
     :ivar gained: progress in that time, in percent.
-    :ivar still_s: watched time since it was last seen to progress.
+    :ivar stalled_s: watched time since it was last seen to progress.
     """
 
     seen_at: float = 0.0
     percent: int = 0
     watched_s: float = 0.0
     gained: int = 0
-    still_s: float = 0.0
+    stalled_s: float = 0.0
 
-    def take(self, percent: int, at: float) -> None:
+    def observe(self, percent: int, at: float) -> None:
         """Take a report that brings the run at ``percent``."""
-        if self.seen_at and at - self.seen_at <= GAP_S:
+        if self.seen_at and at - self.seen_at <= MAX_REPORT_GAP_S:
             gained = max(percent - self.percent, 0)
             self.watched_s += at - self.seen_at
             self.gained += gained
-            self.still_s = 0.0 if gained else self.still_s + at - self.seen_at
+            self.stalled_s = 0.0 if gained else self.stalled_s + at - self.seen_at
         elif percent > self.percent:
-            self.still_s = 0.0
+            self.stalled_s = 0.0
         self.seen_at = at
         self.percent = max(percent, self.percent)
 
@@ -53,4 +53,4 @@
     @property
     def stalled(self) -> bool:
         """Whether the run stands still."""
-        return self.still_s >= STALLED_S
+        return self.stalled_s >= STALL_TIMEOUT_S
