--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -33,7 +33,7 @@
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_evacuation import evacuate
-from sapphirelead.sched_head import Head, CommitOutcome
+from sapphirelead.sched_head import Head, HeadEnd
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
 from sapphirelead.sched_plan_turn import Budget, PlanTurn
 from sapphirelead.sched_planner import plan, wanted_cpu
@@ -308,7 +308,7 @@
         end = await self.head.commit(writes)
         self._patience.note(now() - at)
         self.metrics.latency("commit_ms", (now() - at) * 1000)
-        if end is CommitOutcome.DEPOSED:
+        if end is HeadEnd.DEPOSED:
             return False
         with self._load.held(Part.EFFECTS):
             for effect in batch.effects:
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -55,7 +55,7 @@
         """
         if at - self._acted_at < PAUSE_S:
             return
-        live = [instance for instance in sched.fleet.live() if instance.track.is_available(at)]
+        live = [instance for instance in sched.fleet.live() if instance.track.sound(at)]
         if wanted_cpu < WANTED_SHARE * sum(instance.capacity_cpu for instance in live):
             self._tried.clear()
             return
--- a/sapphirelead/sched_head.py
+++ b/sapphirelead/sched_head.py
@@ -81,7 +81,7 @@
         return cls(row.version, value.epoch, value.leader, value.txn)
 
 
-class CommitOutcome(StrEnum):
+class HeadEnd(StrEnum):
     """How a commit ended."""
 
     STORED = "stored"
@@ -153,14 +153,14 @@
         commit = await self._table.commit(Txn(txn, (condition,), (Write(HEAD_KEY, value),)))
         log_event("INFO", "lead_released", epoch=self.epoch, stored=commit.status.value)
 
-    async def commit(self, writes: Iterable[Write]) -> CommitOutcome:
+    async def commit(self, writes: Iterable[Write]) -> HeadEnd:
         """Store ``writes``, in as many transactions as they need; wait out an absent store."""
         for chunk in _chunks(writes):
-            if await self._commit_one(chunk) is CommitOutcome.DEPOSED:
-                return CommitOutcome.DEPOSED
-        return CommitOutcome.STORED
+            if await self._commit_one(chunk) is HeadEnd.DEPOSED:
+                return HeadEnd.DEPOSED
+        return HeadEnd.STORED
 
-    async def _commit_one(self, writes: list[Write]) -> CommitOutcome:
+    async def _commit_one(self, writes: list[Write]) -> HeadEnd:
         txn = secrets.token_hex(6)
         value: dict[str, Any] = {"epoch": self.epoch, "leader": self.leader, "txn": txn}
         transaction = Txn(txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value)))
@@ -182,7 +182,7 @@
             await asyncio.sleep(pause)
             pause = min(pause * 2, RETRY_MAX_S)
 
-    async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> CommitOutcome | None:
+    async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> HeadEnd | None:
         """Find out whose change the conflict is; ``None`` where the row cannot be read now."""
         found = await read_head(self._table)
         if isinstance(found, Err):
@@ -193,15 +193,15 @@
         log_event(
             "WARNING", "leader_deposed", epoch=self.epoch, by=head.leader, new_epoch=head.epoch
         )
-        return CommitOutcome.DEPOSED
+        return HeadEnd.DEPOSED
 
-    def _record_commit(self, version: int, sent_at: float, tries: int) -> CommitOutcome:
+    def _record_commit(self, version: int, sent_at: float, tries: int) -> HeadEnd:
         if tries > 1:
             log_event("INFO", "commit_settled", tries=tries, waited_s=now() - self.waiting_since)
         self._version = version
         self.stored_at = sent_at
         self.waiting_since = 0.0
-        return CommitOutcome.STORED
+        return HeadEnd.STORED
 
 
 def _chunks(writes: Iterable[Write]) -> list[list[Write]]:
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -94,7 +94,7 @@
     if starving:
         # Where every worker looks unsound the job still has to run somewhere.
         return at - instance.track.last_fault_at >= LAST_RESORT_S
-    if not instance.track.is_available(at):
+    if not instance.track.sound(at):
         return False
     # One run at a time decides a trial, so that an unsound worker spoils little.
     track = instance.track
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -55,7 +55,7 @@
     waiting = list(waiting_tasks(sched))
     return Survey(
         workers=len(live),
-        unsound=sum(1 for instance in live if not instance.track.is_available(at)),
+        unsound=sum(1 for instance in live if not instance.track.sound(at)),
         serving=sum(1 for instance in live if instance.serving),
         fills_waiting=sum(tasks for step, tasks in waiting if step.fills),
         others_waiting=sum(tasks for step, tasks in waiting if not step.fills),
--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -76,6 +76,6 @@
         self.speed = 1.0
         self.failures = 0
 
-    def is_available(self, at: float) -> bool:
+    def sound(self, at: float) -> bool:
         """Return whether the worker may get work at time ``at``."""
         return at >= self.paused_until
--- a/sapphirelead/sched_usual_speed.py
+++ b/sapphirelead/sched_usual_speed.py
@@ -9,7 +9,7 @@
 
 
 def usual_speeds(sched: Scheduler, slow: list[Run], at: float) -> dict[Run, float]:
-    """Return for each of ``slow`` the speed that its step has at other is_available workers, at most 1.
+    """Return for each of ``slow`` the speed that its step has at other sound workers, at most 1.
 
     A step that runs nowhere else is expected to be as fast as estimated.
     """
@@ -21,7 +21,7 @@
         if speeds is None or speed is None:
             continue
         track = sched.fleet.instance(run.agent).track
-        if track.is_available(at) and not track.on_trial:
+        if track.sound(at) and not track.on_trial:
             speeds[run.agent] = max(speed, speeds.get(run.agent, 0.0))
     return {run: _best_elsewhere(seen[run.ref[:3]], run.agent) for run in slow}
 
--- a/tests/sched/test_head.py
+++ b/tests/sched/test_head.py
@@ -6,7 +6,7 @@
 
 from sapphirelead.node_election import Election, Move
 from sapphirelead.ports import Write
-from sapphirelead.sched_head import NO_LEADER, Head, CommitOutcome, read_head
+from sapphirelead.sched_head import NO_LEADER, Head, HeadEnd, read_head
 from tests.unit.fakes import MemoryTable
 
 pytestmark = pytest.mark.looptime
@@ -24,9 +24,9 @@
     table = MemoryTable()
     head = await leading(table)
     table.faults = [fault]
-    assert await head.commit([Write("run/a", {"data": b"1"})]) is CommitOutcome.STORED
+    assert await head.commit([Write("run/a", {"data": b"1"})]) is HeadEnd.STORED
     assert table.get("run/a").value == {"data": b"1"}
-    assert await head.commit([Write("run/a", {"data": b"2"})]) is CommitOutcome.STORED
+    assert await head.commit([Write("run/a", {"data": b"2"})]) is HeadEnd.STORED
     assert table.get("run/a").value == {"data": b"2"}
 
 
@@ -39,8 +39,8 @@
     table = MemoryTable()
     old = await leading(table, "e1")
     new = await leading(table, "e2")
-    assert await new.commit([Write("run/a", {"data": b"new"})]) is CommitOutcome.STORED
-    assert await old.commit([Write("run/a", {"data": b"old"})]) is CommitOutcome.DEPOSED
+    assert await new.commit([Write("run/a", {"data": b"new"})]) is HeadEnd.STORED
+    assert await old.commit([Write("run/a", {"data": b"old"})]) is HeadEnd.DEPOSED
     assert table.get("run/a").value == {"data": b"new"}
 
 
@@ -53,7 +53,7 @@
     assert not commit.done()
     assert head.waiting_since > 0
     table.down = False
-    assert await commit is CommitOutcome.STORED
+    assert await commit is HeadEnd.STORED
     assert head.waiting_since == 0
 
 
@@ -62,7 +62,7 @@
     head = await leading(table)
     before = table.commits
     writes = [Write(f"run/{number}", {"data": b"x" * 20_000}) for number in range(200)]
-    assert await head.commit(writes) is CommitOutcome.STORED
+    assert await head.commit(writes) is HeadEnd.STORED
     assert table.commits - before >= 200 * 20_000 // 600_000
     assert sum(key.startswith("run/") for key in table.data) == 200
 
--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -6,12 +6,12 @@
 def test_one_failure_is_bad_luck_two_in_a_row_are_not() -> None:
     track = TrackRecord()
     track.record_failure(1.0)
-    assert track.is_available(1.0)
+    assert track.sound(1.0)
     track.record_success(1.0)
     track.record_failure(2.0)
-    assert track.is_available(2.0)
+    assert track.sound(2.0)
     track.record_failure(2.1)
-    assert not track.is_available(2.2)
+    assert not track.sound(2.2)
 
 
 def test_a_good_trial_restores_a_worker() -> None:
@@ -19,7 +19,7 @@
     track.record_failure(1.0)
     track.record_failure(1.0)
     assert track.on_trial
-    assert track.is_available(1.0 + MIN_PAUSE_S)
+    assert track.sound(1.0 + MIN_PAUSE_S)
     track.record_success(0.9)
     assert not track.on_trial
 
@@ -39,7 +39,7 @@
 def test_a_worker_that_crawls_is_found_after_a_few_runs() -> None:
     track = TrackRecord()
     noted = 0
-    while track.is_available(1.0):
+    while track.sound(1.0):
         noted += 1
         track.record_slow(1.0, 0.1)
     assert noted <= 3
