--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -1,15 +1,14 @@
-"""The leader's decisions: takes events and a time, changes jobs and runs, returns what to do.
+"""State machine of the leader: turns calls, agent reports and time into changes and orders.
 
-The scheduler opens nothing.  Its shell feeds it calls and reports, asks it to plan, stores the
-batch that :meth:`Scheduler.take_batch` returns, and only then carries outgoing_for the batch's effects.
+Performs no I/O.  The caller stores the batch that :meth:`Scheduler.take_batch` returns, and then
+runs the batch's effects.
 
 Invariants:
 
-- A start is sent only after its claim is stored; an end is acknowledged to the agent only after
-  its effect is stored; a caller is told of an acceptance, a cancellation or a final state only
-  after it is stored.
-- A run holds its room and its claim until its end is known: listed by the worker, the worker's life
-  known to be over, or the agent's lease run out.
+- A start is sent only after its claim is stored.  Ends are acknowledged to agents, and acceptances,
+  cancellations and final states to callers, only after they are stored.
+- A run keeps its claim and its resources until its end is known: the worker reports it, the worker
+  process is known to have ended, or the agent's lease has expired.
 """
 
 from collections.abc import Callable
@@ -33,16 +32,15 @@
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
 Answer = Callable[[ReplyKind, str], None]
-"""Tells a caller how the call ended, with the job's state or a reason."""
+"""Replies to a call, with the job's state or a reason."""
 
 
 @dataclass(slots=True)
 class Batch:
-    """What to store, and what to do once it is stored.
+    """Changes to store, and the effects to run once they are stored.
 
     :ivar specs: new jobs.
-    :ivar deltas: what has changed of jobs.
-    :ivar removed: jobs that are no longer kept.
+    :ivar removed: ids of jobs to delete.
     """
 
     specs: list[JobSpec]
@@ -53,7 +51,10 @@
 
 @dataclass(slots=True)
 class Outgoing:
-    """Orders that wait to be sent to one agent."""
+    """Orders queued for one agent.
+
+    :ivar stored: ends to acknowledge, by task and attempt.
+    """
 
     starts: list[Run] = field(default_factory=list)
     stops: list[tuple[str, int]] = field(default_factory=list)
@@ -64,13 +65,14 @@
 
 
 class Scheduler:
-    """Jobs, runs and what has to be stored and sent because of them.
+    """Jobs, runs, and the pending writes and orders that follow from them.
 
-    :ivar open_jobs: those of ``jobs`` whose end is not in a batch yet.
+    :ivar open_jobs: the jobs whose end is not part of a batch yet.
     :ivar began_at: when this leader took over.
-    :ivar effects: what is to be done once the next batch is stored.
-    :ivar unstored_ends: runs whose end is on its way to the store.
-    :ivar cancel_latency: how long cancel_latency take.
+    :ivar visible_states: stored states, as reported to callers.
+    :ivar effects: callbacks to run once the next batch is stored.
+    :ivar unstored_ends: runs whose end has been reported but not stored.
+    :ivar avoid: agents on which a task has failed or did not start.
     """
 
     jobs: dict[str, Job]
@@ -97,7 +99,9 @@
     press: GuardedPress
     cancel_latency: CancelLatency
 
-    def __init__(self, bounds: Bounds, at: float, cancel_latency: CancelLatency | None = None) -> None:
+    def __init__(
+        self, bounds: Bounds, at: float, cancel_latency: CancelLatency | None = None
+    ) -> None:
         self.jobs = {}
         self.open_jobs = {}
         self.fleet = Fleet()
@@ -122,14 +126,13 @@
         self.unstored_ends = set()
         self._answers = {}
 
-    # Taking over what is stored
+    # Loading stored jobs
 
     def load(self, job: Job) -> None:
-        """Take a stored job over.
+        """Add a stored job.
 
-        Its claims count as sent: whether their starts ever arrived, the agents' reports will tell.
-        Until an agent reports, its runs may go on for as long as the leader before may have renewed
-        its lease.
+        Its claims count as sent until the agents' reports show which starts arrived.  The previous
+        leader may have renewed an agent's lease until ``HEAD_LEASE_S`` after this one took over.
         """
         self.jobs[job.spec.job_id] = job
         if job.ended_ms:
@@ -153,7 +156,7 @@
     # Callers
 
     def submit(self, spec: JobSpec, answer: Answer) -> None:
-        """Accept a job; a repeat joins the first."""
+        """Accept a job; a repeated submission is answered together with the first."""
         known = self.jobs.get(spec.job_id)
         if known is None:
             job = self.jobs[spec.job_id] = self.open_jobs[spec.job_id] = Job.accept(spec)
@@ -168,11 +171,10 @@
         answer(ReplyKind.OK, self.visible_states[spec.job_id])
 
     def _acceptance_stored(self, job: Job) -> None:
-        """Tell the callers of a job that it is stored.
+        """Answer the callers of a job that has been stored.
 
-        A submission can be withdrawn and repeated while an earlier batch is on its way.  The batch
-        after that still brings the first one's acceptance; taken for the repeat's, it promises a
-        job that is not stored and that a change of the leader loses.
+        Ignores the effect of a submission that was withdrawn: a repeat under the same id is not
+        stored yet, so acknowledging it could lose the job when the leader changes.
         """
         spec = job.spec
         if self.jobs.get(spec.job_id) is not job:
@@ -183,7 +185,7 @@
         log_event("INFO", "job_accepted", job=spec.job_id, queue=spec.queue, steps=len(spec.steps))
 
     def withdraw(self, job_id: str) -> bool:
-        """Take a submission back whose write has not been sent; ``False`` where it has been."""
+        """Drop a submission; return ``False`` if its write has already been sent."""
         if job_id not in self._unstored:
             return False
         self._unstored.discard(job_id)
@@ -200,20 +202,20 @@
         return True
 
     def knows(self, job_id: str) -> bool:
-        """Whether a job is stored, or its write has been sent and is not settled."""
+        """Whether a job is stored, or its write has been sent."""
         return job_id in self.jobs and job_id not in self._unstored
 
     def state(self, job_id: str) -> JobState | None:
-        """Return the state to show; ``None`` where there is no such job."""
+        """Return the stored state of a job, or ``None`` if there is no such job."""
         return self.visible_states.get(job_id)
 
     def waiting(self, queue: str) -> int:
-        """Count the queue's accepted jobs of which nothing has started."""
+        """Count the queue's accepted jobs that have not started."""
         jobs = self.open_jobs.values()
         return sum(1 for job in jobs if job.spec.queue == queue and job.waiting)
 
     def cancel(self, job_id: str, answer: Answer) -> None:
-        """Cancel a job; one that has ended stays as it ended."""
+        """Cancel a job; has no effect on a job that has ended."""
         job = self.jobs.get(job_id)
         if job is None:
             answer(ReplyKind.ABSENT, "")
@@ -236,7 +238,7 @@
     # Agents
 
     def end_runs_of_lost_agents(self, at: float) -> None:
-        """Give up the runs of agents whose lease has surely run out."""
+        """End the runs of agents whose lease has certainly expired."""
         for instance in list(self.fleet.instances.values()):
             since = max(instance.renewed_at, instance.heard_at)
             if not instance.runs or at - since <= self.bounds.loss_s:
@@ -269,7 +271,10 @@
         return run
 
     def add_tentative_run(self, job: Job, ref: TaskRef, instance: Instance, attempt: int) -> Run:
-        """Count a run without a claim, to see whether a whole gang fits; drop it afterwards."""
+        """Reserve resources for a run without a claim, to test whether a gang fits.
+
+        The caller must drop the run afterwards.
+        """
         worker = instance.worker.worker if instance.worker is not None else ""
         run = Run(ref, attempt, instance.agent, worker, job.spec.steps[ref.step])
         self.fleet.add(run)
@@ -281,7 +286,7 @@
         job = self.jobs.get(run.ref.job_id)
         run.phase = Phase.SENT
         if job is None or not job.open or run.stop_wanted or self._task_done(job, run.ref):
-            # Nothing was ever sent for this claim.
+            # No start has been sent for this claim.
             self.end(run, EndKind.NOT_STARTED, "", "no_longer_wanted", 0.0)
             return
         if self.visible_states.get(run.ref.job_id) is JobState.QUEUED:
@@ -289,7 +294,7 @@
         self.outgoing_for(run.agent).starts.append(run)
 
     def stop(self, run: Run, reason: str) -> None:
-        """Ask for the end of a run."""
+        """Request that a run stops."""
         if run.stop_wanted:
             return
         run.stop_wanted = True
@@ -303,7 +308,7 @@
                 self.stop(run, reason)
 
     def end(self, run: Run, kind: EndKind, saved: str, reason: str, at: float) -> None:
-        """Take note that a run is over."""
+        """Record the end of a run and its effect on the job."""
         self.fleet.drop(run)
         instance = self.fleet.instances.get(run.agent)
         if instance is not None and run.stop_reason != "cancelled":
@@ -341,8 +346,8 @@
             speed = share * run.step.estimate_ms / 1000 / took_s
             instance.track.record_success(1.0 if run.step.fills and speed < 1.0 else speed)
         elif kind is EndKind.FAILED or (kind is EndKind.NOT_STARTED and not run.stop_wanted):
-            # A start that the worker did not take is as bad a sign as a failed run, and without the
-            # pause that follows the task would be claimed for the same worker again and again.
+            # A refused start counts as a failure too; otherwise the task would be claimed for the
+            # same worker in every planning pass.
             instance.track.record_failure(at)
 
     def _after_end(self, job: Job, run: Run, effect: EndEffect) -> None:
@@ -369,11 +374,11 @@
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether there is something to store or an effect that waits."""
+        """Whether changes or effects are pending."""
         return bool(self._dirty or self.effects or self._removed)
 
     def take_batch(self, wall_ms: int) -> Batch:
-        """Return everything that is to be stored now."""
+        """Return all pending changes and effects, and reset them."""
         batch = Batch([], [], sorted(self._removed), self.effects)
         for job_id in self._dirty:
             job = self.jobs.get(job_id)
@@ -393,7 +398,7 @@
         return batch
 
     def evict_ended(self, wall_ms: int) -> None:
-        """Drop jobs that ended longer ago than callers may ask for."""
+        """Delete jobs whose retention period after their end has expired."""
         keep_ms = int(self.bounds.keep_ended_s * 1000) * 2
         running = []
         while self._ended and wall_ms - self._ended[0][0] >= keep_ms:
@@ -411,14 +416,14 @@
             heappush(self._ended, ended)
 
     def outgoing_for(self, agent: str) -> Outgoing:
-        """Return the orders that wait to be sent to ``agent``."""
+        """Return the queue of orders for ``agent``."""
         found = self.outgoing.get(agent)
         if found is None:
             found = self.outgoing[agent] = Outgoing()
         return found
 
     def start_order(self, run: Run) -> StartOrder | None:
-        """Return the order that starts ``run``; ``None`` where it is no longer wanted."""
+        """Return the order that starts ``run``, or ``None`` if it is no longer wanted."""
         job = self.jobs.get(run.ref.job_id)
         if job is None or run.stop_wanted or self.fleet.runs.get(run.key) is not run:
             return None
@@ -442,9 +447,9 @@
     def orders_for(
         self, agent: str, at: float
     ) -> tuple[list[StartOrder], list[StopOrder], list[tuple[str, int]]]:
-        """Take what waits for ``agent`` and goes out in its newest orders.
+        """Remove and return the orders queued for ``agent``.
 
-        :return: starts, stops, and ends that are stored.
+        :return: starts, stops, and the ends to acknowledge.
         """
         out = self.outgoing.pop(agent, None)
         if out is None:
@@ -461,5 +466,5 @@
         return starts, stops, out.stored
 
     def policy_of(self, job: Job) -> QueuePolicy:
-        """Return the queue's policy in force, or the one at acceptance where the queue is gone."""
+        """Return the queue's current policy, or the one at acceptance if the queue was removed."""
         return self.policies.get(job.spec.queue, job.spec.policy)
