--- a/sapphirelead/sched_job.py
+++ b/sapphirelead/sched_job.py
@@ -1,15 +1,13 @@
-"""A job in progress: which tasks are done, what runs where, and what may start next.
+"""Durable state of a job: completed tasks, claims and retries, and their stored form.
 
-The aggregate holds every fact about a job that has to last and turns ends of runs into moves.  It
-opens nothing and reads no clock.  :meth:`Job.encode` and :meth:`Job.decode` convert to the stored
-form; whatever a method changes is stored before anything is done outside because of it.
+Performs no I/O and reads no clock.  Changes are stored before they have effects elsewhere.
 
 Invariants:
 
-- Attempt numbers of a task only grow, also over restarts of the scheduler, because the highest one
-  handed out is stored with the claim, before the start is sent.
+- Attempt numbers of a task only grow, also across leader changes: the highest one is stored with
+  the claim before the start is sent.
 - A task without ``copies`` has at most one claim at a time.
-- A task that is done never gets another claim; its job is completed only once all are done.
+- A task that is done never gets another claim; a job is completed only once all tasks are done.
 - The members of a gang carry the same attempt number.
 """
 
@@ -26,7 +24,7 @@
 
 
 class JobState(StrEnum):
-    """What a caller is shown."""
+    """State of a job, as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -36,13 +34,13 @@
 
 
 MAX_NUMBER_DIGITS: Final = 18
-"""Most digits of a number in the name of a task; such numbers fit into 64 bits."""
+"""Limit for numbers in task names, so that they fit into 64 bits."""
 
 
 class EndKind(StrEnum):
     """How a run ended.
 
-    ``LOST`` and ``NOT_STARTED`` are found out by the scheduler, the others are the worker's word.
+    ``LOST`` and ``NOT_STARTED`` can be set by the scheduler, the others are reported by workers.
     """
 
     DONE = "done"
@@ -56,12 +54,12 @@
 
 
 def _is_number(text: str) -> bool:
-    # Other digits than those of ASCII are digits too, but not all of them are numbers to int().
+    # str.isdigit() accepts non-ASCII digits that int() rejects.
     return text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
 
 
 class TaskRef(NamedTuple):
-    """Names a task of a job."""
+    """Identifies a task of a job."""
 
     job_id: str
     occurrence: int
@@ -69,12 +67,12 @@
     number: int
 
     def text(self) -> str:
-        """Return the task's name as workers know it."""
+        """Return the task's name as sent to workers."""
         return f"{self.job_id}.{self.occurrence}.{self.step}.{self.number}"
 
     @classmethod
     def parse(cls, text: str) -> "TaskRef | None":
-        """Return the reference in ``text``, or ``None`` where it is none.
+        """Parse a task name; return ``None`` if it is malformed.
 
         >>> TaskRef.parse("ab.0.1.17")
         TaskRef(job_id='ab', occurrence=0, step=1, number=17)
@@ -88,10 +86,9 @@
 
 
 class Claim(msgspec.Struct, array_like=True):
-    """A stored claim: this attempt may run on this worker.
+    """Assignment of an attempt to a worker.
 
-    :ivar agent: name of the agent beside the worker.
-    :ivar worker: the worker's id, which is new after each of its crashes.
+    :ivar worker: id of the worker process; changes when the worker restarts.
     """
 
     attempt: int
@@ -100,11 +97,12 @@
 
 
 class Task(msgspec.Struct, array_like=True, omit_defaults=True):
-    """One task.
+    """Progress of one task.
 
-    :ivar attempts: highest attempt number handed out.
-    :ivar failures: runs that ended failed, through the task's own fault or the worker's.
-    :ivar saved: newest saved progress; empty for none.
+    :ivar attempts: highest attempt number assigned.
+    :ivar failures: number of failed runs, whatever their cause.
+    :ivar saved: latest checkpoint; empty for none.
+    :ivar claims: open claims.
     """
 
     done: bool = False
@@ -114,7 +112,7 @@
     claims: list[Claim] = []
 
     def claim_of(self, attempt: int) -> Claim | None:
-        """Return the claim of ``attempt`` if it is still open."""
+        """Return the open claim of ``attempt``, or ``None``."""
         for claim in self.claims:
             if claim.attempt == attempt:
                 return claim
@@ -123,10 +121,10 @@
 
 @dataclass(slots=True)
 class Occurrence:
-    """One run through the steps.
+    """One execution of the steps of a job.
 
-    :ivar tasks: for each step its tasks.
-    :ivar left: for each step the number of tasks that are not done.
+    :ivar tasks: tasks by step.
+    :ivar left: number of unfinished tasks by step.
     """
 
     number: int
@@ -135,7 +133,7 @@
 
     @classmethod
     def fresh(cls, number: int, steps: tuple[StepSpec, ...]) -> "Occurrence":
-        """Make an occurrence in which nothing has started."""
+        """Create an occurrence in which nothing has started."""
         tasks = [[Task() for _ in range(step.tasks)] for step in steps]
         return cls(number, tasks, [step.tasks for step in steps])
 
@@ -145,12 +143,12 @@
         return not any(self.left)
 
     def step_ready(self, step: StepSpec) -> bool:
-        """Return whether the steps before ``step`` are done."""
+        """Return whether all steps that ``step`` depends on are done."""
         return all(self.left[earlier] == 0 for earlier in step.after)
 
 
 class EndEffect(StrEnum):
-    """What the end of a run meant for its job."""
+    """Effect of the end of a run on its job; ``AGAIN`` means that the task is to be rerun."""
 
     IGNORED = "ignored"
     TASK_DONE = "task_done"
@@ -171,7 +169,7 @@
 
 
 class JobFlags(msgspec.Struct, array_like=True):
-    """Everything about a job's progress but its tasks.
+    """State of a job without its tasks.
 
     :ivar finished: numbers of the finished occurrences.
     :ivar in_progress: numbers of the occurrences in progress.
@@ -195,7 +193,7 @@
 
 
 class JobDelta(msgspec.Struct, array_like=True):
-    """What has changed of a job since the delta before; applying it twice changes nothing more."""
+    """Changes of a job since the previous delta; applying one is idempotent."""
 
     job_id: str
     flags: JobFlags | None
@@ -214,14 +212,14 @@
 
 
 def encode_deltas(deltas: list[JobDelta]) -> bytes:
-    """Return deltas in their stored form."""
+    """Serialize deltas."""
     return _ENCODER.encode(deltas)
 
 
 def decode_deltas(data: bytes) -> list[JobDelta]:
-    """Return the deltas in ``data``.
+    """Deserialize deltas.
 
-    :raises msgspec.DecodeError: where ``data`` holds none.
+    :raises msgspec.DecodeError: if ``data`` is malformed.
     """
     return _DELTAS_DECODER.decode(data)
 
@@ -230,11 +228,10 @@
 class Job:
     """A job and its progress.
 
-    :ivar cancelled: a caller has cancelled it.
-    :ivar failed: a task has failed too often.
+    :ivar failed: a task has reached its maximum number of failures.
     :ivar started: a task has been claimed at least once.
-    :ivar ended_ms: time of day at which it ended, 0 before; it is kept for a while after.
-    :ivar occurrences: those that are due and not finished, by number.
+    :ivar ended_ms: end as Unix time in milliseconds; 0 while the job is open.
+    :ivar occurrences: due occurrences by number; finished ones only while claims are open.
     :ivar finished: numbers of the finished occurrences.
     """
 
@@ -250,7 +247,7 @@
 
     @classmethod
     def accept(cls, spec: JobSpec) -> "Job":
-        """Make a new job."""
+        """Create a new job."""
         job = cls(spec)
         if spec.occurrences == 0:
             job.occurrences[0] = Occurrence.fresh(0, spec.steps)
@@ -258,7 +255,7 @@
 
     @property
     def state(self) -> JobState:
-        """What a caller is shown."""
+        """State as reported to callers."""
         if self.cancelled:
             return JobState.CANCELLED
         if self.failed:
@@ -269,23 +266,23 @@
 
     @property
     def open(self) -> bool:
-        """Whether tasks of it may still be started."""
+        """Whether the job has not ended."""
         return self.state in (JobState.QUEUED, JobState.RUNNING)
 
     @property
     def waiting(self) -> bool:
-        """Whether it counts as waiting: accepted, without a schedule, nothing started."""
+        """Whether it is a job without a schedule of which nothing has started."""
         return self.spec.occurrences == 0 and self.state is JobState.QUEUED
 
     def next_due_ms(self) -> int | None:
-        """Return the time of day of the next occurrence that is not due yet."""
+        """Return the Unix time in milliseconds at which the next occurrence is due."""
         number = self._next_occurrence()
         if number is None:
             return None
         return self.spec.first_due_ms + number * self.spec.interval_ms
 
     def add_due_occurrences(self, wall_ms: int) -> bool:
-        """Add the occurrences that are due at time of day ``wall_ms``."""
+        """Add the occurrences due at ``wall_ms``; return whether there were any."""
         changed = False
         while (due := self.next_due_ms()) is not None and due <= wall_ms:
             number = self._next_occurrence()
@@ -317,10 +314,10 @@
     def claim(self, ref: TaskRef, agent: str, worker: str, attempt: int = 0) -> Claim:
         """Claim the next attempt of a task for a worker.
 
-        :param attempt: the number for all members of a gang; 0 takes the task's next one.
+        :param attempt: attempt number shared by a gang; 0 for the task's next one.
         """
         task = self.task(ref)
-        assert task is not None and not task.done, f"{ref} cannot be claimed"
+        assert task is not None and not task.done, f"{ref} is already done or does not exist"
         claim = Claim(max(task.attempts + 1, attempt), agent, worker)
         task.attempts = claim.attempt
         task.claims = [*task.claims, claim]
@@ -329,7 +326,7 @@
         return claim
 
     def end_run(self, ref: TaskRef, attempt: int, kind: EndKind, saved: str) -> EndEffect:
-        """Take note of the end of a run."""
+        """Record the end of a run; ignores attempts without an open claim."""
         task = self.task(ref)
         if task is None:
             return EndEffect.IGNORED
@@ -339,7 +336,7 @@
         task.claims = [open_claim for open_claim in task.claims if open_claim is not claim]
         self._touch(ref)
         if self.spec.steps[ref.step].gang:
-            # What one member's end says holds for all of them.
+            # The end of one member can change the state of all members.
             for number in range(self.spec.steps[ref.step].tasks):
                 self._changed_tasks.add((ref.occurrence, ref.step, number))
         effect = self._record_end(ref, task, kind, saved)
@@ -361,7 +358,7 @@
         return EndEffect.AGAIN
 
     def _set_saved(self, ref: TaskRef, step: StepSpec, saved: str) -> None:
-        # The saved progress of any member of a gang stands for all of them.
+        # The members of a gang share their checkpoint.
         tasks = self.occurrences[ref.occurrence].tasks[ref.step]
         for task in tasks if step.gang else [tasks[ref.number]]:
             task.saved = saved
@@ -381,7 +378,7 @@
 
     def _record_failed(self, ref: TaskRef, task: Task, step: StepSpec) -> EndEffect:
         tasks = self.occurrences[ref.occurrence].tasks[ref.step]
-        # A gang fails as one: each member carries the same number of failures.
+        # A gang fails as a unit, so its members share the number of failures.
         for member in tasks if step.gang else [task]:
             member.failures += 1
         if task.failures < self.spec.policy.max_failures or not self.open:
@@ -390,7 +387,7 @@
         return EndEffect.JOB_FAILED
 
     def _drop_finished(self, number: int) -> None:
-        """Drop a finished occurrence once no claim of it is open; copies may outlive the winner."""
+        """Drop a finished occurrence once none of its claims is open; copies may still run."""
         occurrence = self.occurrences.get(number)
         if occurrence is None or number not in self.finished:
             return
@@ -402,7 +399,7 @@
 
     @property
     def flags(self) -> JobFlags:
-        """Everything about its progress but the tasks."""
+        """State of the job without its tasks."""
         return JobFlags(
             self.cancelled,
             self.failed,
@@ -413,7 +410,7 @@
         )
 
     def take_delta(self) -> JobDelta:
-        """Return what has changed since the last call."""
+        """Return the changes since the last call."""
         flags = self.flags
         changed = flags if flags != self._last_flags else None
         self._last_flags = flags
@@ -426,7 +423,7 @@
         return JobDelta(self.spec.job_id, changed, tasks)
 
     def apply(self, delta: JobDelta) -> None:
-        """Take a stored delta over."""
+        """Apply a stored delta."""
         if delta.flags is not None:
             self._set_flags(delta.flags)
         for item in delta.tasks:
@@ -449,7 +446,7 @@
                 self.occurrences[number] = Occurrence.fresh(number, self.spec.steps)
 
     def encode(self) -> bytes:
-        """Return the whole progress in its stored form."""
+        """Serialize the progress."""
         occurrences = []
         for occurrence in self.occurrences.values():
             rows = [
@@ -463,9 +460,9 @@
 
     @classmethod
     def decode(cls, spec: JobSpec, data: bytes) -> "Job":
-        """Return the job with the progress in ``data``.
+        """Restore a job from its serialized progress.
 
-        :raises msgspec.DecodeError: where ``data`` is no stored progress.
+        :raises msgspec.DecodeError: if ``data`` is malformed.
         """
         stored = _DECODER.decode(data)
         job = cls(spec)
@@ -479,7 +476,7 @@
 
 
 def encode_spec(spec: JobSpec) -> bytes:
-    """Return an accepted job in its stored form."""
+    """Serialize an accepted job."""
     return _ENCODER.encode(spec)
 
 
@@ -487,9 +484,9 @@
 
 
 def decode_spec(data: bytes) -> JobSpec:
-    """Return the accepted job in ``data``.
+    """Deserialize an accepted job.
 
-    :raises msgspec.DecodeError: where ``data`` is no stored job.
+    :raises msgspec.DecodeError: if ``data`` is malformed.
     """
     spec: JobSpec = _SPEC_DECODER.decode(data)
     return spec
