--- a/sapphirelead/sched_journal.py
+++ b/sapphirelead/sched_journal.py
@@ -1,16 +1,14 @@
-"""How jobs lie in the store: descriptions, a journal of changes, and snapshots.
+"""Write-ahead journal of job changes, with snapshots and compaction.
 
-Each transaction writes one journal row with what has changed of the jobs it speaks of; each job's
-whole progress would be more than the link of a small entry carries.  Once the journal has grown
-long, jobs with the oldest changes are written whole, a few in each transaction, and journal rows
-that no job needs any more are removed.
+Each batch writes journal rows with the changed state only.  Once the journal exceeds
+``COMPACTION_THRESHOLD_ROWS``, each batch also snapshots the jobs with the oldest unsnapshotted
+changes and removes journal rows that no job needs.
 
 Invariants:
 
-- A change is in the journal, or in a snapshot that names a later journal row, at any time.
-- A snapshot names the newest journal row that it contains; on loading only later rows are applied
-  to it, so that an old row never replaces a newer state.
-- Journal rows are numbered without gaps being needed; a higher number is a later change.
+- Every change is in the journal or in a snapshot with a later sequence number.
+- A snapshot names the newest journal row that it contains; on loading, only later rows are applied.
+- A higher sequence number is a later change; gaps are allowed.
 """
 
 from collections.abc import Iterator
@@ -37,29 +35,24 @@
 SEQ_FIELD: Final = "seq"
 
 DECODE_ERRORS: Final = (msgspec.DecodeError, LookupError, TypeError, ValueError)
-"""What decoding raises on a row of another version or another writer: no bytes of this form, fields
-that are missing or of another type, or a task that its job does not have."""
+"""Raised on decoding a damaged row or one of another version."""
 
 MAX_ROW_BYTES: Final = 40_000
-"""Bytes of changes in one journal row; the store takes 64 KB."""
+"""Limit for the changes in one journal row; the store accepts 64 KB."""
 
 ESTIMATED_DELTA_BYTES: Final = 300
-"""Assumed size of a job's changes, by which they are split into rows."""
+"""Estimated size of a job's changes without its tasks."""
 
 COMPACTION_THRESHOLD_ROWS: Final = 256
-"""Journal rows from which on jobs are written whole: about ten seconds of a busy site.
+"""Journal length above which compaction runs."""
 
-A new leader reads so many rows in one or two calls."""
-
-MAX_SNAPSHOTS_PER_TXN: Final = 3
-"""Jobs written whole in one transaction, some 5 KB."""
-
-MAX_REMOVALS_PER_TXN: Final = 30
-"""Journal rows removed in one transaction, which holds at most 100 entries."""
+MAX_SNAPSHOTS_PER_BATCH: Final = 3
+MAX_REMOVALS_PER_BATCH: Final = 30
+"""Limit for removed rows; a transaction of the store holds at most 100 entries."""
 
 
 class Journal:
-    """The leader's account of what the journal holds."""
+    """Sequence numbers of the stored journal rows, and of each job's oldest needed row."""
 
     _seq: int
     _rows: dict[int, None]
@@ -72,13 +65,14 @@
 
     @property
     def length(self) -> int:
-        """Number of journal rows that are kept."""
+        """Number of stored journal rows."""
         return len(self._rows)
 
     def writes(self, batch: Batch, jobs: dict[str, Job]) -> list[Write]:
         """Return the rows that store ``batch``."""
         writes = [
-            Write(SPEC_PREFIX + spec.job_id, {DATA_FIELD: encode_spec(spec)}) for spec in batch.specs
+            Write(SPEC_PREFIX + spec.job_id, {DATA_FIELD: encode_spec(spec)})
+            for spec in batch.specs
         ]
         for chunk in _chunks(batch.deltas):
             self._seq += 1
@@ -95,18 +89,18 @@
         return writes
 
     def _compact(self, jobs: dict[str, Job]) -> Iterator[Write]:
-        """Write the jobs with the oldest changes whole, and remove rows that none needs."""
+        """Snapshot the jobs with the oldest changes, and remove rows that no job needs."""
         candidates = sorted(self._first_unsnapshotted.items(), key=lambda item: item[1])
-        for job_id, _ in candidates[:MAX_SNAPSHOTS_PER_TXN]:
+        for job_id, _ in candidates[:MAX_SNAPSHOTS_PER_BATCH]:
             del self._first_unsnapshotted[job_id]
             job = jobs.get(job_id)
             if job is not None:
                 value = {DATA_FIELD: job.encode(), SEQ_FIELD: self._seq}
                 yield Write(SNAPSHOT_PREFIX + job_id, value)
-        # The rows removed are older than the snapshots of this very transaction, which takes
-        # effect as a whole.
+        # The snapshots precede the removals, so they are stored in the same or an earlier
+        # transaction.
         needed = min(self._first_unsnapshotted.values(), default=self._seq)
-        removable = [seq for seq in self._rows if seq < needed][:MAX_REMOVALS_PER_TXN]
+        removable = [seq for seq in self._rows if seq < needed][:MAX_REMOVALS_PER_BATCH]
         for seq in removable:
             del self._rows[seq]
             yield Write(_journal_key(seq), None)
@@ -115,7 +109,7 @@
     def load(
         cls, specs: list[Row], snapshots: list[Row], rows: list[Row]
     ) -> tuple["Journal", dict[str, Job]]:
-        """Rebuild the jobs, and the account of the journal, from the store's rows."""
+        """Rebuild the jobs and the journal's index from the stored rows."""
         journal = cls()
         snapshot_values = {row.key[len(SNAPSHOT_PREFIX) :]: row.value or {} for row in snapshots}
         jobs: dict[str, Job] = {}
@@ -150,7 +144,7 @@
 
 
 def _chunks(deltas: list[JobDelta]) -> Iterator[list[JobDelta]]:
-    """Split changes into rows of bounded size."""
+    """Split changes into chunks of at most ``MAX_ROW_BYTES``, by their estimated size."""
     chunk: list[JobDelta] = []
     size = 0
     for delta in deltas:
@@ -176,12 +170,15 @@
 
 
 def _decode(job_id: str, row: Row, snapshot: dict[str, Any] | None) -> tuple[Job, int] | None:
-    """Return a job and the newest journal row that it contains; ``None`` where it is unreadable."""
+    """Return a job and the newest journal row it contains, or ``None`` if it is unreadable."""
     try:
         spec = decode_spec((row.value or {})[DATA_FIELD])
-        return (Job.decode(spec, snapshot[DATA_FIELD]), int(snapshot[SEQ_FIELD])) if snapshot else (Job.accept(spec), 0)
+        return (
+            (Job.decode(spec, snapshot[DATA_FIELD]), int(snapshot[SEQ_FIELD]))
+            if snapshot
+            else (Job.accept(spec), 0)
+        )
     except DECODE_ERRORS as exc:
-        # Written by another version, or damaged.  It is left in the store for the operators;
-        # nothing is started for it.
+        # Skips rows that are damaged or of another version; they stay in the store for operators.
         log_event("ERROR", "job_unreadable", job=job_id, reason=str(exc))
         return None
