--- a/sapphirelead/sched_head.py
+++ b/sapphirelead/sched_head.py
@@ -1,13 +1,11 @@
-"""The row that says who leads, and the leader's one way to write.
+"""The head row, which names the leader and fences all of its writes.
 
-Every transaction of a leader is conditioned on the version of the head row and rewrites it.  So
+Every transaction of a leader is conditional on the version of the head row and rewrites it, so
 
-- at most one leader can write: a successor's first act changes the row, and whatever an earlier
-  leader still has on its way fails;
-- a leader's own transactions take effect in the order in which they were sent: one whose answer
-  was lost, and which the store may carry out seconds later, fails once a later one has been
-  committed;
-- a lost answer can be settled: the row carries the id of the last transaction.
+- at most one leader can write: a successor changes the row first, which makes the pending
+  transactions of the previous leader fail;
+- a leader's transactions take effect in order, even if the store applies one late;
+- a lost reply can be resolved, because the row holds the id of the last transaction.
 """
 
 import asyncio
@@ -29,22 +27,20 @@
 
 RETRY_MIN_S: Final = 0.05
 RETRY_MAX_S: Final = 0.4
-"""Pauses between tries while the store is away: each call costs, and its return is to be noticed
-well within the two seconds in which entries should be back."""
+"""Backoff between attempts while the store is unavailable."""
 
 MAX_TXN_ROWS: Final = 90
-"""Rows in one transaction; the store takes 100, and the head row is one of them."""
+"""Limit for rows besides the head row; the store accepts 100."""
 
 MAX_TXN_BYTES: Final = 600_000
-"""Bytes in one transaction before their encoding, which makes a third more of them; the store
-takes 1 MB."""
+"""Limit before encoding, which adds a third; the store accepts 1 MB."""
 
 NO_LEADER: Final = ""
-"""Named in the head row where nobody leads."""
+"""Leader name in a head row that has no leader."""
 
 
 class _HeadValue(msgspec.Struct):
-    """What the head row holds."""
+    """Value of the head row."""
 
     epoch: Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
     leader: str
@@ -53,9 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadRow:
-    """The head row as it was read.
+    """The head row as read from the store.
 
-    :ivar version: version of the row; 0 where it does not exist.
+    :ivar version: version of the row; 0 if it does not exist.
+    :ivar txn: id of the last transaction.
     """
 
     version: int
@@ -67,9 +64,8 @@
     def from_row(cls, row: Row) -> "HeadRow":
         """Decode a row.
 
-        One that cannot be read was written by somebody else.  Its version then stands for its
-        epoch: each epoch began with a transaction, and the store counts all transactions in its
-        versions, so that the next epoch is higher than any before it.
+        Uses the version as the epoch if the value cannot be decoded.  Versions grow with every
+        transaction and each epoch begins with one, so the next epoch is higher than any before it.
         """
         if row.version == 0:
             return cls(0, 0, NO_LEADER, "")
@@ -82,7 +78,7 @@
 
 
 class HeadEnd(StrEnum):
-    """How a commit ended."""
+    """Outcome of a commit."""
 
     STORED = "stored"
     DEPOSED = "deposed"
@@ -98,12 +94,11 @@
 
 
 class Head:
-    """A leader's hold on the head row.
+    """A leader's ownership of the head row.
 
-    :ivar stored_at: when the newest committed transaction was sent, on the clock that also counts
-        while the machine is suspended: a leader that was suspended has to know how old its
-        confirmation is.
-    :ivar waiting_since: when the transaction in flight was first sent; 0 while there is none.
+    :ivar stored_at: when the last committed transaction was sent, on a clock that includes the time
+        for which the machine was suspended.
+    :ivar waiting_since: when the transaction in flight was first sent; 0 if there is none.
     """
 
     epoch: int
@@ -123,10 +118,10 @@
 
     @classmethod
     async def take(cls, table: Table, seen: HeadRow, leader: str) -> "Head | None":
-        """Try once to become the leader after the head row ``seen``.
+        """Try once to become the leader, replacing the head row ``seen``.
 
-        Where the answer is lost this returns ``None`` although the write may take effect.  That
-        is harmless: the row is read before the next try, by whoever makes it.
+        Returns ``None`` also if the reply is lost and the write takes effect; callers must read the
+        row again before the next attempt.
         """
         txn = secrets.token_hex(6)
         at = awake_now()
@@ -140,12 +135,10 @@
         return cls(table, epoch, leader, commit.version, at)
 
     async def release(self) -> None:
-        """Mark the row as having no leader, in one try, so that the next one takes it at once.
+        """Try once to clear the leader, so that a successor need not wait for the leader timeout.
 
-        Where every entry is stopped together nobody can be offered the lead.  The first one that
-        was back then watched the row of a leader that had long ended, 1.5 s in which callers were
-        refused.  A try that fails or is carried out late changes nothing but that: the row names
-        the same epoch, and the condition fails once somebody has taken it.
+        Safe to fail or to take effect late: the epoch stays, and the condition fails once a
+        successor has taken over.
         """
         txn = secrets.token_hex(6)
         value = {"epoch": self.epoch, "leader": NO_LEADER, "txn": txn}
@@ -154,7 +147,7 @@
         log_event("INFO", "lead_released", epoch=self.epoch, stored=commit.status.value)
 
     async def commit(self, writes: Iterable[Write]) -> HeadEnd:
-        """Store ``writes``, in as many transactions as they need; wait out an absent store."""
+        """Store ``writes`` in one or more transactions; retries while the store is unavailable."""
         for chunk in _chunks(writes):
             if await self._commit_one(chunk) is HeadEnd.DEPOSED:
                 return HeadEnd.DEPOSED
@@ -163,7 +156,9 @@
     async def _commit_one(self, writes: list[Write]) -> HeadEnd:
         txn = secrets.token_hex(6)
         value: dict[str, Any] = {"epoch": self.epoch, "leader": self.leader, "txn": txn}
-        transaction = Txn(txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value)))
+        transaction = Txn(
+            txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value))
+        )
         pause = RETRY_MIN_S
         self.waiting_since = now()
         tries = 0
@@ -177,13 +172,12 @@
                 outcome = await self._resolve_conflict(txn, sent_at, tries)
                 if outcome is not None:
                     return outcome
-            # Rejected or without an answer: the same transaction goes again under the same
-            # condition, so that at most one of the tries takes effect.
+            # Retries with the same condition, so that at most one of the attempts takes effect.
             await asyncio.sleep(pause)
             pause = min(pause * 2, RETRY_MAX_S)
 
     async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> HeadEnd | None:
-        """Find out whose change the conflict is; ``None`` where the row cannot be read now."""
+        """Check who changed the row; return ``None`` if it cannot be read."""
         found = await read_head(self._table)
         if isinstance(found, Err):
             return None
@@ -205,7 +199,7 @@
 
 
 def _chunks(writes: Iterable[Write]) -> list[list[Write]]:
-    """Split writes into transactions of bounded size; an empty list still renews the row."""
+    """Split writes by the limits of a transaction; an empty list gives one empty chunk."""
     chunks: list[list[Write]] = [[]]
     size = 0
     for write in writes:
