--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -1,14 +1,8 @@
-"""Track records of workers: which to trust with work, learnt from how runs went.
+"""Circuit breaker for workers that fail or slow down the tasks they run.
 
-A worker may be alive and answer well while it fails, stalls or crawls through everything it runs.
-Its own word tells nothing, so its runs are counted: failures in a row, and the speed at which tasks
-progress against their estimates.  An unsound worker gets no work for a while, then single trials;
-one good trial restores it, a bad one doubles the pause.
-
-Grounds for the figures: a sound run fails by its own fault in 2 of 100 cases, so two failures in a
-row of a worker without a success in between are its own fault with a likelihood of over 0.99 once
-several workers have been seen to do better.  Estimates are off by about 0.2 and tasks uneven by
-0.3, so a worker at under 0.45 of the expected speed over three runs is slow, not unlucky.
+Tracks each worker's consecutive failures and a moving average of its speed relative to the
+estimates.  An unsound worker gets no work for a pause and then one trial run: a good trial restores
+it, a bad one doubles the pause.
 """
 
 from dataclasses import dataclass
@@ -17,20 +11,21 @@
 MAX_CONSECUTIVE_FAILURES: Final = 2
 SLOW_SPEED_THRESHOLD: Final = 0.45
 SPEED_SMOOTHING_FACTOR: Final = 0.35
-"""Weight of the newest run in a worker's speed; three runs outweigh the past."""
+"""Weight of the latest run in the moving average of a worker's speed."""
 MIN_PAUSE_S: Final = 2.0
 MAX_PAUSE_S: Final = 12.0
 
 
 @dataclass(slots=True)
 class TrackRecord:
-    """What the runs of one worker have shown.
+    """Failures and speed of one worker.
 
-    :ivar speed: learnt speed against estimates; 1 is as expected.
-    :ivar failures: failed runs since the last success.
+    :ivar speed: moving average of the speed relative to the estimates.
+    :ivar failures: consecutive failed runs.
+    :ivar pause_s: length of the latest pause, 0 after a good trial.
     :ivar paused_until: no new work before this time.
-    :ivar on_trial: a single run decides what becomes of the worker.
-    :ivar last_fault_at: time of the newest bad sign.
+    :ivar on_trial: the next run decides whether the worker is restored or paused again.
+    :ivar last_fault_at: time of the last failed or slow run.
     """
 
     speed: float = 1.0
@@ -41,7 +36,7 @@
     last_fault_at: float = -1e9
 
     def record_success(self, speed: float) -> None:
-        """Take note of a run that ended well at ``speed``."""
+        """Record a run that succeeded at ``speed``."""
         self.failures = 0
         self._update_speed(speed)
         if self.speed >= SLOW_SPEED_THRESHOLD:
@@ -49,14 +44,14 @@
             self.pause_s = 0.0
 
     def record_failure(self, at: float) -> None:
-        """Take note of a failed run."""
+        """Record a failed run."""
         self.last_fault_at = at
         self.failures += 1
         if self.on_trial or self.failures >= MAX_CONSECUTIVE_FAILURES:
             self._start_pause(at)
 
     def record_slow(self, at: float, speed: float) -> None:
-        """Take note of a run that was seen to crawl or stand still."""
+        """Record a run that progresses slowly or not at all."""
         self.last_fault_at = at
         self._update_speed(speed)
         if self.on_trial or self.speed < SLOW_SPEED_THRESHOLD:
@@ -72,7 +67,7 @@
         self.pause_s = min(max(MIN_PAUSE_S, self.pause_s * 2), MAX_PAUSE_S)
         self.paused_until = at + self.pause_s
         self.on_trial = True
-        # The trial is judged by itself: what went before no longer weighs.
+        # Resets the history, so that only the trial counts.
         self.speed = 1.0
         self.failures = 0
 
