--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -1,8 +1,8 @@
-"""What the leader makes of an agent's report: who lives, what runs, what has ended, what got lost.
+"""Applies agent reports to the scheduler: worker changes, run progress, ends and lost orders.
 
-A report is taken whole or not at all; reports of an earlier process of the agent, and such that
-were overtaken by a newer one, are left.  An end counts at once, but the agent is told that it is
-stored only by the effect of the batch that stores it.
+A report is applied as a whole or ignored.  Reports of a previous agent process and reports older
+than the last one are ignored.  An end takes effect at once, but is acknowledged to the agent only
+by an effect of the batch that stores it.
 """
 
 from typing import Final
@@ -15,20 +15,19 @@
 from sapphirelead.sched_track import TrackRecord
 
 RESEND_TIMEOUT_S: Final = 0.6
-"""An order that no report has confirmed for this long is sent again: one report and a margin."""
+"""Time without confirmation by a report after which an order is sent again."""
 
 BOOT_TIMEOUT_S: Final = 1.1
-"""Silence of an agent's process, two reports, after which an earlier one may be heard again.  They
-use two connections, so the last report of the ended one may arrive after the first of its
-successor."""
+"""Time without a report of the current agent process before a previous one can become current
+again.  The processes use separate connections, so their reports can arrive out of order."""
 
 MIN_BOOT_RETURN_S: Final = 0.5
-"""Time between two reports of a process by which it is known to live on: just under the longest
-time between two reports of an agent.  What an ended one has sent is read sooner."""
+"""Minimum time between two reports that show that a previous agent process is still alive; queued
+reports of a process that has ended arrive closer together."""
 
 
 def apply_report(sched: Scheduler, report: AgentReport, epoch: int, at: float) -> bool:
-    """Take an agent's report; ``False`` where it is an outdated one."""
+    """Apply an agent's report; return ``False`` if it is outdated."""
     instance = sched.fleet.instance(report.agent)
     if report.boot in instance.old_boots and not _has_outlived_successor(instance, report, at):
         return False
@@ -55,11 +54,10 @@
 
 
 def _has_outlived_successor(instance: Instance, report: AgentReport, at: float) -> bool:
-    """Return whether a process that counted as an earlier one has outlived the one heard last.
+    """Return whether an agent process taken for a previous one has outlived the current one.
 
-    A leader that has read nothing for a while may read the last report of the ended process first,
-    and take the silence for that of its successor.  So one report is not enough: its worker would
-    be believed, and all runs on the successor's worker would count as lost.
+    Requires two reports: after a stall, the leader may read the last report of an ended process
+    before those of its successor, and must not count the successor's runs as lost.
     """
     if at - instance.heard_at < BOOT_TIMEOUT_S:
         return False
@@ -112,7 +110,7 @@
         return
     run = sched.fleet.runs.get(key) if key is not None else None
     if run is None or run.agent != instance.agent:
-        # Known already, or of a job that is no longer kept: nothing to store.
+        # The end is already stored, or its job has been deleted.
         sched.outgoing_for(instance.agent).stored.append((end.task, end.attempt))
         return
     sched.unstored_ends.add(run.key)
@@ -123,9 +121,8 @@
 def _end_kind(text: str) -> EndKind:
     """Return the kind of end that ``text`` names.
 
-    A worker's word that is not known would else end the process of each leader in turn, since the
-    agent repeats the end until it is stored.  The run is over in any case; it counts as ended by
-    another member's end, which is neither done nor a failure of its own, and the task runs again.
+    Maps unknown kinds to ``BROKEN``, so that the task is run again without counting a failure.  An
+    exception here would crash every leader, since the agent repeats the end until it is stored.
     """
     try:
         return EndKind(text)
@@ -145,7 +142,7 @@
     if run is None or run.agent != instance.agent:
         if ref is not None and (ref, status.attempt) in sched.unstored_ends:
             return
-        # A run without a claim: its job has ended meanwhile, or its agent was given up.
+        # The run has no claim: its job has ended, or its agent was considered lost.
         log_event("INFO", "run_unclaimed", task=status.task, attempt=status.attempt)
         sched.outgoing_for(instance.agent).stops.append((status.task, status.attempt))
         return
@@ -164,19 +161,20 @@
 
 
 def _set_saved(sched: Scheduler, run: Run, saved: str) -> None:
-    # Kept in memory only and stored with the next move of the job: losing it costs work, never
-    # correctness.
+    # Stored with the next change of the job; losing a checkpoint only costs repeated work.
     job = sched.jobs.get(run.ref.job_id)
     task = job.task(run.ref) if job is not None else None
     if task is not None and run.step.saves and not task.done:
         task.saved = saved
 
 
-def _resend_missing_orders(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
-    """Send again what the agent has not got.
+def _resend_missing_orders(
+    sched: Scheduler, instance: Instance, report: AgentReport, at: float
+) -> None:
+    """Resend orders that the agent has not received.
 
-    A restarted agent lists runs whose orders it does not know.  Without them it can tell neither
-    which runs to pace nor whose tails to watch; an order for a run that is there starts nothing.
+    Includes orders of active runs that a restarted agent does not know, which it needs for pacing
+    and monitoring; such an order does not start the run again.
     """
     listed = {(status.task, status.attempt) for status in report.runs if status.order_known}
     ended = {(end.task, end.attempt) for end in report.ends}
@@ -196,10 +194,9 @@
 
 
 def _shows_missing_order(report: AgentReport, run: Run) -> bool:
-    """Return whether a report can tell that the agent has not got the order to start ``run``.
+    """Return whether a report that does not list ``run`` shows that its start order was lost.
 
-    Orders arrive in their sequence, so one that has got these or later ones has got all it will.
-    An older report, which a leader behind with its reports reads after it has sent the order, tells
-    nothing; nor does one of an agent that has got none, except by the time that has passed.
+    Orders arrive in sequence, so the report must have been made after these or later orders.  A
+    report of an agent that has received no orders counts too; the caller checks the timeout.
     """
     return not report.orders or report.orders >= run.sent_in
