--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -1,7 +1,7 @@
-"""What the leader knows of the workers: who lives, what each runs, what room is left.
+"""The leader's view of agents and workers, their runs and their free resources.
 
-A run occupies its room from the claim until its end is known; what is being stopped still counts.
-So the sum of all claims never exceeds a worker's capacity, whatever is late or lost.
+Invariant: a run, also one that is being stopped, occupies its resources from its claim until its
+end is known, so that the claims on a worker never exceed its capacity.
 """
 
 from collections.abc import Iterator
@@ -19,20 +19,18 @@
 RunKey = tuple[TaskRef, int]
 
 DEFAULT_LASTING_CPU_SHARE: Final = 0.6
-"""Share of its processors that a lasting task is counted with where filling work looks for room, as
-long as no tail of it tells its load.  More asked than is left only slows the filling work."""
-
+"""Assumed CPU utilization of a lasting task until its load is known.  An underestimate only slows
+filling tasks."""
 
 MIN_COUNTED_PACE_PERCENT: Final = 70
-"""Pace in percent with which a filling task is counted at least: it gets more again when the load
-beside it falls."""
+"""Minimum pace assumed for the CPU use of a filling task, since its pace can rise again."""
 
 
 class Phase(StrEnum):
-    """How far a run has got, as the leader knows it."""
+    """Progress of a run, as known to the leader."""
 
     CLAIMED = "claimed"
-    """Claim not stored yet; nothing has been sent."""
+    """The claim is not stored yet, and no start has been sent."""
     SENT = "sent"
     RUNNING = "running"
     STOPPING = "stopping"
@@ -42,15 +40,19 @@
 class Run:
     """One attempt of a task on a worker.
 
-    :ivar sent_at: when its newest order went out.
-    :ivar sent_in: number of the orders in which it last went out to be started.
-    :ivar running_at: when it was first seen to run.
-    :ivar seen_percent: progress when it was first seen.
-    :ivar percent: newest progress.
-    :ivar watch: what its reports have shown of its speed.
-    :ivar reviewed_at: time of the report by whose word its speed was last judged.
-    :ivar stop_wanted: the stop is to be sent, again where needed.
-    :ivar load: of a lasting task the share of its processors that it uses, by its newest tail.
+    :ivar ticket: ticket of the advice service; empty for none.
+    :ivar sent_at: when its last order was sent.
+    :ivar sent_in: number of the orders message that last contained its start.
+    :ivar running_at: when it was first reported to run; 0 before.
+    :ivar seen_percent: progress when it was first reported to run.
+    :ivar percent: latest progress; -1 before the first report.
+    :ivar watch: observed progress.
+    :ivar reviewed_at: time of the report by which its speed was last reviewed.
+    :ivar figure: reported tail latency of a serving task in milliseconds, or CPU use of another
+        task in millicores; -1 if unknown.
+    :ivar paced: pace in percent; -1 if unknown.
+    :ivar stop_wanted: a stop has been requested; sent again until the run has ended.
+    :ivar load: estimated CPU utilization of a lasting task, from its latest tail latency.
     """
 
     ref: TaskRef
@@ -82,13 +84,13 @@
 
     @property
     def has_tail_latency(self) -> bool:
-        """Whether it serves, and a report has brought its tail as ``figure``."""
+        """Whether it is a running serving task whose tail latency has been reported."""
         return self.step.target_ms > 0 and self.figure >= 0 and self.phase is Phase.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
 class ReturningBoot:
-    """First report of a process that counted as an earlier one, while the newer one is silent."""
+    """Report of a previous agent process, received while the current one is unresponsive."""
 
     boot: str
     beat: int
@@ -97,23 +99,28 @@
 
 @dataclass(slots=True, eq=False)
 class Instance:
-    """An agent, the worker beside it, and the runs claimed there.
+    """An agent, its worker, and the runs claimed there.
 
-    :ivar boot: id of the agent's process.
-    :ivar worker: ``None`` while no worker is known to live there.
+    :ivar boot: id of the agent process.
+    :ivar worker: ``None`` while no worker is known to be alive.
     :ivar heard_at: when its last report arrived.
-    :ivar unsent_at: when orders for it last found no connection.
-    :ivar renewed_at: when a renewal of its lease was last sent; for runs that were claimed under an
-        earlier leader the latest time at which that one can have sent one, which may be to come.
+    :ivar unsent_at: when sending orders to it last failed for lack of a connection.
+    :ivar renewed_at: when its lease was last renewed; after a leader change the latest time, which
+        may be in the future, at which the previous leader can have renewed it.
     :ivar answered_at: when this leader last acknowledged a report.
-    :ivar answered_beat: newest report that it knows to be read, by an answer or by orders.
-    :ivar listed_at: when its last report with all runs arrived.
+    :ivar answered_beat: number of the last report covered by orders sent to it.
+    :ivar listed_at: when its last full report arrived.
     :ivar beat: number of its last report.
-    :ivar returning_boot: set while a process that counted as an earlier one may turn out to live.
-    :ivar orders_sent: number of the newest orders that this leader has sent to it.
-    :ivar leaves_at: earliest end of a draining worker; 0 where it is not draining.
-    :ivar changes: grows with each report and with each run that is added or dropped, so that what
-        was worked out of its runs can be kept until then.
+    :ivar orders_sent: number of the last orders message sent to it.
+    :ivar leaves_at: earliest time at which a draining worker leaves; 0 if it is not draining.
+    :ivar changes: version of the runs and the last report, for caching derived values.
+    :ivar old_boots: ids of previous agent processes.
+    :ivar returning_boot: set while a previous agent process may still be alive.
+    :ivar used: resources occupied by its runs.
+    :ivar fill_cpu: CPU requested by filling tasks, in millicores.
+    :ivar serving: number of runs with a latency target.
+    :ivar lasting: number of runs of lasting tasks.
+    :ivar lasting_cpu: CPU requested by lasting tasks, in millicores.
     """
 
     agent: str
@@ -144,21 +151,21 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether it has been heard since orders for it last found no connection."""
+        """Whether it has reported since sending orders to it last failed."""
         return self.unsent_at < self.heard_at
 
     @property
     def rack(self) -> str:
-        """The worker's rack: the last of its labels."""
+        """The worker's rack, which is the last of its labels."""
         return self.worker.labels[-1] if self.worker and self.worker.labels else ""
 
     @property
     def free_cpu(self) -> int:
-        """Processors that no counted task has asked for, in thousandths."""
+        """CPU not requested by any run, in millicores."""
         return self.capacity_cpu - self.used.cpu_millicores
 
     def fits(self, step: StepSpec) -> bool:
-        """Return whether one more task of ``step`` fits; asked for each task and worker."""
+        """Return whether one more task of ``step`` fits."""
         if self.worker is None:
             return False
         capacity, used = self.worker.capacity, self.used
@@ -170,19 +177,19 @@
 
     @property
     def capacity_cpu(self) -> int:
-        """Processors of the worker, in thousandths."""
+        """CPU capacity of the worker, in millicores."""
         return self.worker.capacity.cpu_millicores if self.worker is not None else 0
 
     @property
     def spare_cpu(self) -> int:
-        """Processors that are likely to be left for one more filling task."""
+        """Estimated CPU available to another filling task, in millicores."""
         if self._unused_version != self.changes:
             self._unused_version = self.changes
             self._unused_cpu = self._unused_lasting_cpu() - self._used_fill_cpu()
         return self.free_cpu + self._unused_cpu
 
     def _unused_lasting_cpu(self) -> int:
-        """Return the processors that lasting tasks have asked for and do not use."""
+        """Return the CPU that lasting tasks requested but are estimated not to use."""
         return sum(
             int(run.step.cpu_millicores * (1 - run.load))
             for run in self.runs.values()
@@ -190,7 +197,7 @@
         )
 
     def _used_fill_cpu(self) -> int:
-        """Return the processors that filling tasks are likely to use at their present pace."""
+        """Return the estimated CPU use of filling tasks at their current pace."""
         return sum(
             run.step.cpu_millicores * max(run.paced, MIN_COUNTED_PACE_PERCENT) // 100
             for run in self.runs.values()
@@ -199,7 +206,7 @@
 
     @property
     def unseen_fill_cpu(self) -> int:
-        """Processors asked for by filling tasks whose effect no report shows yet."""
+        """CPU requested by filling tasks that no report has measured yet, in millicores."""
         return sum(
             run.step.cpu_millicores
             for run in self.runs.values()
@@ -207,12 +214,12 @@
         )
 
     def add(self, run: Run) -> None:
-        """Count a run."""
+        """Add a run and the resources it occupies."""
         self.runs[run.key] = run
         self._count(run, 1)
 
     def drop(self, run: Run) -> None:
-        """Stop counting a run that is over."""
+        """Remove a run and free its resources."""
         if self.runs.pop(run.key, None) is not None:
             self._count(run, -1)
 
@@ -230,7 +237,7 @@
 
     @property
     def newest_claim_at(self) -> float:
-        """When the newest of its open runs was claimed."""
+        """When the latest of its runs was claimed; -1 if there is none."""
         return max((run.claimed_at for run in self.runs.values()), default=-1.0)
 
     def count_of_step(self, ref: TaskRef) -> int:
@@ -251,20 +258,20 @@
         self._by_task = {}
 
     def instance(self, agent: str) -> Instance:
-        """Return the instance of ``agent``, new where it was not known."""
+        """Return the instance of ``agent``; creates it if necessary."""
         found = self.instances.get(agent)
         if found is None:
             found = self.instances[agent] = Instance(agent)
         return found
 
     def add(self, run: Run) -> None:
-        """Count a run on its instance."""
+        """Add a run to its instance."""
         self.runs[run.key] = run
         self._by_task.setdefault(run.ref, []).append(run)
         self.instance(run.agent).add(run)
 
     def drop(self, run: Run) -> None:
-        """Forget a run that is over."""
+        """Remove a run from its instance."""
         if self.runs.pop(run.key, None) is None:
             return
         same = self._by_task[run.ref]
@@ -278,5 +285,5 @@
         return list(self._by_task.get(ref, ()))
 
     def live(self) -> Iterator[Instance]:
-        """Yield the instances whose worker lives."""
+        """Yield the instances with a live worker."""
         return (instance for instance in self.instances.values() if instance.worker is not None)
