--- a/sapphirelead/sched_spec.py
+++ b/sapphirelead/sched_spec.py
@@ -1,8 +1,8 @@
-"""What a caller hands in: a job of steps, and the policy of the queue it goes to.
+"""Job specifications and queue policies.
 
-A job is a list of steps; a step is a number of equal tasks.  A task starts once every task of the
-steps named in ``after`` is done.  The structures here are immutable, checked by :func:`check_job`
-before a job is accepted, and stored as they are.
+A job is a list of steps, and a step is a number of identical tasks.  A task starts once every task
+of the steps named in ``after`` is done.  The structures are immutable and stored as they are;
+:func:`check_job` validates a job before it is accepted.
 """
 
 from typing import Final
@@ -12,36 +12,35 @@
 from sapphirelead.model_resources import Resources
 
 MAX_TASKS: Final = 5_000
-"""Tasks of one occurrence of a job; the progress of more would not fit into one row of 64 KB."""
+"""Limit per occurrence of a job, so that its progress fits into a row of 64 KB."""
 
 MAX_PAYLOAD_BYTES: Final = 4_000
-"""Longest payload; each start of a task carries it, and each row of a job holds it."""
+"""Limit for the payload, which is sent with each start and stored with the job."""
 
 MAX_NUMBER: Final = 2**53
-"""Largest number in a job.  Larger ones than 2**64 cannot be stored, and those above 2**53 come
-back changed from stores that keep numbers as JSON does."""
+"""Limit for numbers in a job; larger ones lose precision in stores that use JSON."""
 
 
 class StepSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One step: ``tasks`` equal tasks.
-
-    :ivar cpu_millicores: processors that a task asks for, in thousandths of a core.
-    :ivar memory_mb: memory that a task asks for.
-    :ivar accelerators: accelerators that a task asks for.
-    :ivar estimate_ms: the caller's rough estimate of one task's run time.
-    :ivar after: steps whose tasks must all be done first, by number from 0.
-    :ivar saves: a task saves its progress as it runs and when it is stopped.
-    :ivar gang: the tasks work only while all of them are present, and end together.
-    :ivar same_rack: the tasks of a gang work slower when they are spread over racks.
-    :ivar label: label that the worker must carry; empty for any.
+    """A step of ``tasks`` identical tasks.
+
+    :ivar cpu_millicores: CPU request of a task.
+    :ivar memory_mb: memory request of a task.
+    :ivar accelerators: accelerator request of a task.
+    :ivar estimate_ms: the caller's estimate of the run time of a task.
+    :ivar after: indexes of the steps that must be done first.
+    :ivar saves: a task checkpoints its progress while it runs and when it is stopped.
+    :ivar gang: the tasks run only while all of them are present, and end together.
+    :ivar same_rack: the tasks of a gang run slower when they are spread over racks.
+    :ivar label: label required of the worker; empty for any.
     :ivar near_rack: rack that holds the data; empty for any.
-    :ivar per_worker: most tasks of this step on one worker; 0 for no bound.
-    :ivar copies: more than one run of a task may exist at a time; the first to finish counts.
-    :ivar lasting: the tasks run until the job is cancelled and are restarted however they end.
-    :ivar image: tasks of the same image behave alike.
-    :ivar target_ms: a lasting task's tail latency must stay below this; 0 for none.
-    :ivar fills: the task uses what processors others leave and is not counted against them.
-    :ivar absent_max: tasks of the step that may be away at one time by the scheduler's doing.
+    :ivar per_worker: maximum number of tasks of this step on one worker; 0 for no limit.
+    :ivar copies: a task may have several runs at a time; the first to finish counts.
+    :ivar lasting: the tasks run until the job is cancelled, and are restarted whenever they end.
+    :ivar image: identifies tasks with the same resource behaviour.
+    :ivar target_ms: upper limit for the tail latency of a lasting task; 0 for none.
+    :ivar fills: the task runs on idle CPU, which is not counted as used.
+    :ivar absent_max: maximum number of tasks that the scheduler may keep stopped at a time.
     """
 
     tasks: int = 1
@@ -65,17 +64,17 @@
 
     @property
     def room(self) -> Resources:
-        """What a task occupies of a worker's capacity."""
+        """Resources that a task occupies on a worker."""
         cpu = 0 if self.fills else self.cpu_millicores
         return Resources(cpu, self.memory_mb, self.accelerators)
 
 
 class AdvicePolicy(msgspec.Struct, frozen=True):
-    """How the advice service of a queue behaves.
+    """Timing of a queue's advice service.
 
-    :ivar base_ms: time of one call, in milliseconds.
-    :ivar each_ms: further time for each worker asked about, in milliseconds.
-    :ivar valid_ms: how long a ticket may be used, in milliseconds.
+    :ivar base_ms: duration of one call.
+    :ivar each_ms: additional duration for each worker in the call.
+    :ivar valid_ms: validity period of a ticket.
     """
 
     base_ms: int = 0
@@ -84,14 +83,14 @@
 
 
 class QueuePolicy(msgspec.Struct, frozen=True):
-    """What the operators' configuration says of a queue.
+    """Configured policy of a queue.
 
     :ivar service: service whose workers run the queue's tasks.
-    :ivar priority: 0 goes first.
-    :ivar max_failures: failed runs of one task after which its job has failed.
-    :ivar stretch: factor on a job's longest chain that gives its objective.
-    :ivar slack_ms: added to the objective, in milliseconds.
-    :ivar advice: set where starts need a ticket of the advice service.
+    :ivar priority: 0 is the highest.
+    :ivar max_failures: failed runs of one task after which its job fails.
+    :ivar stretch: multiple of a job's critical path that is its completion time objective.
+    :ivar slack_ms: added to the objective.
+    :ivar advice: set if starts need a ticket of the advice service.
     """
 
     service: str
@@ -103,16 +102,15 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An accepted job, as it is stored.
-
-    :ivar job_id: chosen by the caller, unique over all queues.
-    :ivar queue: name of the queue.
-    :ivar payload: handed to every task as it is.
-    :ivar policy: the queue's policy at the time of acceptance, used once the queue is gone.
-    :ivar accepted_ms: time of day of the acceptance, in milliseconds since 1970.
-    :ivar first_due_ms: time of day at which the first occurrence is due.
+    """An accepted job.
+
+    :ivar job_id: chosen by the caller, unique across all queues.
+    :ivar payload: passed unchanged to every task.
+    :ivar policy: the queue's policy at acceptance, used after the queue is removed.
+    :ivar accepted_ms: Unix time of the acceptance, in milliseconds.
+    :ivar first_due_ms: Unix time at which the first occurrence is due, in milliseconds.
     :ivar interval_ms: time between two occurrences.
-    :ivar occurrences: how often the steps run; 0 for a job that runs once, at once.
+    :ivar occurrences: number of scheduled occurrences; 0 for a job that runs once, immediately.
     """
 
     job_id: str
@@ -132,7 +130,7 @@
 
 
 def check_job(spec: JobSpec) -> str:
-    """Return what is wrong with ``spec``, or an empty text.
+    """Return the first problem of ``spec``, or an empty string if it is valid.
 
     >>> policy = QueuePolicy("s")
     >>> check_job(JobSpec("a", "q", "", (StepSpec(after=(0,)),), policy))
@@ -165,7 +163,7 @@
     if any(abs(number) > MAX_NUMBER for number in _numbers(step)):
         return f"numbers must not be larger than {MAX_NUMBER}"
     for earlier in step.after:
-        # Steps may only follow earlier ones, so that there can be no cycle.
+        # Only earlier steps are allowed, which rules out cycles.
         if not 0 <= earlier < number:
             return f"after names step {earlier}, which is not an earlier one"
     return ""
@@ -184,7 +182,7 @@
 
 
 def same_content(one: JobSpec, other: JobSpec) -> bool:
-    """Whether two submissions ask for the same; when and under which policy does not count.
+    """Whether two submissions are equal but for their policy and acceptance time.
 
     >>> first = JobSpec("a", "q", "", (StepSpec(),), QueuePolicy("s"), accepted_ms=1)
     >>> same_content(first, JobSpec("a", "q", "", (StepSpec(),), QueuePolicy("t"), accepted_ms=2))
@@ -196,14 +194,14 @@
     return one == normalized
 
 
-def critical_paths_ms(steps: tuple[StepSpec, ...]) -> list[int]:
-    """Return for each step the longest chain from its start to the end of the job.
+def chain_ms(steps: tuple[StepSpec, ...]) -> list[int]:
+    """Return for each step the longest dependency chain from its start to the end of the job.
 
-    The longest of them is the job's longest chain.
+    The maximum is the critical path of the job.
 
-    >>> critical_paths_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,))))
+    >>> chain_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,))))
     [12, 7]
-    >>> max(critical_paths_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,)), StepSpec())))
+    >>> max(chain_ms((StepSpec(estimate_ms=5), StepSpec(estimate_ms=7, after=(0,)), StepSpec())))
     12
     """
     paths = [step.estimate_ms for step in steps]
