--- a/sapphirelead/sched_config.py
+++ b/sapphirelead/sched_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration of queues: which paths lead to which queue, and its policy."""
+"""Queue configuration: routes from request paths to queues, and queue policies."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests to ``host`` whose path begins with ``prefix`` go to ``queue``."""
+    """Routes requests to ``host`` whose path starts with ``prefix`` to ``queue``."""
 
     host: str
     prefix: str
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueConfig:
-    """One version of the configuration, complete.
+    """A complete version of the queue configuration.
 
-    :ivar version: grows with every accepted change; 0 before the first.
-    :ivar routes: by host, the longest prefix first.
-    :ivar queues: policies by name.
-    :ivar body_bytes: largest body of a request; 0 for no bound.
+    :ivar version: increases with every accepted change; 0 before the first.
+    :ivar routes: routes by host, longest prefix first.
+    :ivar queues: policies by queue name.
+    :ivar body_bytes: maximum size of a request body; 0 for no limit.
     """
 
     version: int = 0
@@ -37,7 +37,7 @@
         queues: dict[str, QueuePolicy],
         body_bytes: int = 0,
     ) -> "QueueConfig":
-        """Index ``routes`` for :meth:`match`."""
+        """Create a configuration with ``routes`` indexed for :meth:`match`."""
         by_host: dict[str, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
@@ -48,7 +48,7 @@
         return cls(version, indexed, queues, body_bytes)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a request: the longest prefix wins.
+        """Return the route with the longest matching prefix, or ``None``.
 
         >>> routes = [Route("h", "/a", "x"), Route("h", "/a/b", "y")]
         >>> config = QueueConfig.from_routes(1, routes, {})
