--- a/sapphirelead/sched_timing.py
+++ b/sapphirelead/sched_timing.py
@@ -1,62 +1,53 @@
-"""Bounds and periods of a fleet, in seconds unless a name says otherwise.
-
-What the site gives stands in :class:`Bounds` and comes with the settings.  What the project chose
-stands here as constants, each with its reason.
-"""
+"""Timing constants, and the time limits that a deployment configures in :class:`Bounds`."""
 
 from dataclasses import dataclass
 from typing import Final
 
 CLOCK_DRIFT_SHARE: Final = 0.02
-"""Share by which a worker's steady clock may be slow; given by the platform's contract."""
+"""Maximum share by which a worker's monotonic clock may run slow."""
 
 LEASE_MARGIN_S: Final = 0.5
-"""Taken off the longest lease a worker grants.  Covers the way of the renewal to the worker (a hold
-call waits up to half a second before the next one goes)."""
+"""Subtracted from the maximum lease to cover the delay of a renewal on its way to the worker."""
 
 LOSS_MARGIN_S: Final = 0.5
-"""Waited beyond an agent's lease before its runs count as over; covers the late firing of timers
-and the time a worker takes to end what lapsed."""
+"""Added to an agent's lease before its runs count as ended, to cover timer delays and the time that
+a worker takes to end expired runs."""
 
 HEAD_LEASE_S: Final = 4.0
-"""How long after its last commit a leader still renews agents' leases.  A successor that has not
-heard of an agent waits this much longer before it takes the agent's runs for over.  Shorter spoils
-work in outages of the store (3 to 9 s are usual), longer delays the restart of what was lost
-together with its leader."""
+"""Time after its last commit for which a leader renews agents' leases.  A successor waits this much
+longer before it counts the runs of an agent that has not reported as lost."""
 
 HEARTBEAT_INTERVAL_S: Final = 0.4
-"""Time between two heartbeats of a follower: three fit into the silence after which it suspects the
-leader."""
+"""Time between two heartbeats of a follower."""
 
 LEADER_TIMEOUT_S: Final = 1.2
-"""Silence after which a follower suspects the leader: three heartbeats.  A wrong suspicion costs a
-read of every job, never a second run, because commits are conditioned on the leader's row."""
+"""Time without an answer after which a follower suspects the leader; a false suspicion is safe,
+because commits are conditional on the head row."""
 
 START_DEADLINE_S: Final = 1.2
-"""A start that reaches the worker later than this is refused by it.  Covers two tries of 0.5 s; a
-start that is carried out seconds late then never runs."""
+"""Time after which a worker refuses a start that reaches it late."""
 
 MAX_ORDER_AGE_S: Final = 2.5
-"""An agent refuses starts ordered on the ground of a report older than this; they may be overtaken
-by a cancellation."""
+"""Maximum age of the report on which a start order is based; an agent refuses older orders, which
+may precede a cancellation."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the site gives.
-
-    :ivar lease_max_s: longest lease that a worker grants.
-    :ivar kill_grace_s: longest time that a stop takes.
-    :ivar early_s: how much before its due time an occurrence may start.
-    :ivar restore_s: time to resume from saved progress.
-    :ivar save_every_s: a task that saves has new saved progress after so much work.
-    :ivar remote_factor: factor on the run time away from the data's rack.
-    :ivar drain_s: time from the word that a worker leaves until no more work may start there.
-    :ivar harm_s: longest time that a serving task may be over its target because of filling tasks.
-    :ivar pace_s: time from a change of pace until it works.
-    :ivar grace_s: time a process has to end after SIGTERM.
-    :ivar keep_ended_s: how long an ended job can be asked for.
-    :ivar config_apply_s: time within which an accepted configuration is in force.
+    """Time limits of a deployment.
+
+    :ivar lease_max_s: maximum lease that a worker grants.
+    :ivar kill_grace_s: maximum duration of a stop.
+    :ivar early_s: how long before its due time an occurrence may start.
+    :ivar restore_s: time to restore a checkpoint.
+    :ivar save_every_s: work between two checkpoints of a task that saves.
+    :ivar remote_factor: factor on the run time outside the rack that holds the data.
+    :ivar drain_s: time from the notice that a worker leaves until no more work may start there.
+    :ivar harm_s: maximum time for which filling tasks may keep a serving task over its target.
+    :ivar pace_s: time until a change of pace takes effect.
+    :ivar grace_s: time that a process has to exit after SIGTERM.
+    :ivar keep_ended_s: retention period of ended jobs.
+    :ivar config_apply_s: time within which an accepted configuration is applied.
     """
 
     lease_max_s: float = 10.0
@@ -74,10 +65,10 @@
 
     @property
     def lease_s(self) -> float:
-        """How far beyond a report an agent's lease reaches."""
+        """Duration of an agent's lease after the report that renews it."""
         return self.lease_max_s - LEASE_MARGIN_S
 
     @property
     def loss_s(self) -> float:
-        """Time after the last renewal at which an agent's runs are surely over."""
+        """Time after the last renewal at which an agent's runs have certainly ended."""
         return self.lease_s + LOSS_MARGIN_S
