--- a/sapphirelead/sched_watch.py
+++ b/sapphirelead/sched_watch.py
@@ -1,31 +1,28 @@
-"""How long a run has been watched, and what it did meanwhile.
+"""Observed progress of a run.
 
-Only time between two reports of one process of its agent counts, and only where the second came in
-time: nothing is known of the time in which nobody reported.  A leader that takes its reports late
-sees such gaps as well.
+Counts only the time between consecutive reports of the same agent process that are at most
+``MAX_REPORT_GAP_S`` apart.  Longer gaps, also those due to a slow leader, do not count.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
 MAX_REPORT_GAP_S: Final = 2.0
-"""Longest time between two reports that list a run for which it counts as watched: two periods of
-full reports and the delay of their delivery."""
+"""Maximum time between two reports of a run that counts as observed."""
 
 STALL_TIMEOUT_S: Final = 1.6
-"""Watched time without progress after which a run stands still: two reports, since one alone may
-come just before the next percent."""
+"""Observed time without progress after which a run counts as stalled."""
 
 
 @dataclass(slots=True)
 class RunWatch:
-    """What the reports of one run have shown.
+    """Observed time and progress of one run.
 
-    :ivar seen_at: when the newest report brought it; 0 where none of this agent's process has.
-    :ivar percent: progress by that report.
-    :ivar watched_s: time for which it has been watched.
-    :ivar gained: progress in that time, in percent.
-    :ivar stalled_s: watched time since it was last seen to progress.
+    :ivar seen_at: time of the last report of the current agent process; 0 if there is none.
+    :ivar percent: latest progress.
+    :ivar watched_s: total observed time.
+    :ivar gained: progress in the observed time, in percent.
+    :ivar stalled_s: observed time since the last progress.
     """
 
     seen_at: float = 0.0
@@ -35,7 +32,7 @@
     stalled_s: float = 0.0
 
     def observe(self, percent: int, at: float) -> None:
-        """Take a report that brings the run at ``percent``."""
+        """Record a report of the run's progress."""
         if self.seen_at and at - self.seen_at <= MAX_REPORT_GAP_S:
             gained = max(percent - self.percent, 0)
             self.watched_s += at - self.seen_at
@@ -47,10 +44,10 @@
         self.percent = max(percent, self.percent)
 
     def interrupt(self) -> None:
-        """Take note that another process of the agent reports from now on."""
+        """Start a new observation after a restart of the agent."""
         self.seen_at = 0.0
 
     @property
     def stalled(self) -> bool:
-        """Whether the run stands still."""
+        """Whether the run makes no progress."""
         return self.stalled_s >= STALL_TIMEOUT_S
