--- a/sapphirelead/sched_cancels.py
+++ b/sapphirelead/sched_cancels.py
@@ -1,4 +1,4 @@
-"""How long cancels take: until they are stored, and until the job's last run has ended."""
+"""Measures the latency of cancellations until they are stored and until the last run has ended."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True)
 class _StoppingJob:
-    """Runs of a cancelled job that have not ended."""
+    """A cancelled job with runs that have not ended.
+
+    :ivar runs: number of runs when the cancellation was stored.
+    """
 
     stored_at: float
     runs: int
@@ -18,7 +21,7 @@
 
 
 class CancelLatency:
-    """Cancels in progress, by job."""
+    """Cancellations in progress."""
 
     _metrics: Metrics
     _clock: Callable[[], float]
@@ -32,27 +35,29 @@
         self._stopping = {}
 
     def received(self, job_id: str) -> None:
-        """Take note of a cancel that the leader has taken; repeats count from the first."""
+        """Record the receipt of a cancellation; repeats keep the time of the first."""
         self._received_at.setdefault(job_id, self._clock())
 
     def stored(self, job_id: str, runs: Iterable[RunKey]) -> None:
-        """Take note that a cancel is stored.
+        """Record that a cancellation is stored.
 
         :param runs: runs of the job that have not ended.
         """
         received_at = self._received_at.pop(job_id, None)
         if received_at is None:
-            # A repeat that was stored together with the first.
+            # Already recorded: a repeat was stored in the same batch.
             return
         at = self._clock()
         remaining = set(runs)
         self._metrics.latency("cancel_stored_ms", (at - received_at) * 1000)
-        log_event("INFO", "job_cancelled", job=job_id, waited_s=at - received_at, runs=len(remaining))
+        log_event(
+            "INFO", "job_cancelled", job=job_id, waited_s=at - received_at, runs=len(remaining)
+        )
         if remaining:
             self._stopping[job_id] = _StoppingJob(at, len(remaining), remaining)
 
     def run_ended(self, job_id: str, run: RunKey) -> None:
-        """Take note of the end of a run."""
+        """Record the end of a run."""
         stopping = self._stopping.get(job_id)
         if stopping is None:
             return
