--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -22,7 +22,7 @@
 from sapphirelead.sched_place import Need, can_take_work, choose
 from sapphirelead.sched_plan_turn import Budget, PlanTurn
 from sapphirelead.sched_room import Kind, Openings
-from sapphirelead.sched_spec import QueuePolicy, StepSpec, critical_paths_ms
+from sapphirelead.sched_spec import QueuePolicy, StepSpec, chain_ms
 
 STARVING_S: Final = 1.5
 """How long a job may wait with nothing running although its turn has come.  Callers are promised
@@ -126,7 +126,7 @@
     begin_ms = spec.accepted_ms
     if spec.occurrences:
         begin_ms = spec.first_due_ms + occurrence.number * spec.interval_ms
-    rest = critical_paths_ms(spec.steps)
+    rest = chain_ms(spec.steps)
     objective_ms = policy.stretch * max(rest) + policy.slack_ms
     return (begin_ms + objective_ms - wall - rest[number]) / 1000
 
--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -7,7 +7,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import MIN_BOOT_RETURN_S, BOOT_TIMEOUT_S, apply_report
+from sapphirelead.sched_reports import BOOT_TIMEOUT_S, MIN_BOOT_RETURN_S, apply_report
 from tests.sched.fakes import job, scheduler, store, worker_info
 
 
--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -1,6 +1,6 @@
 """Track records: workers that fail or crawl are left alone, tried again, and trusted again."""
 
-from sapphirelead.sched_track import MIN_PAUSE_S, MAX_PAUSE_S, TrackRecord
+from sapphirelead.sched_track import MAX_PAUSE_S, MIN_PAUSE_S, TrackRecord
 
 
 def test_one_failure_is_bad_luck_two_in_a_row_are_not() -> None:
