--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-MAX_CONSECUTIVE_FAILURES: Final = 2
+FAILURE_THRESHOLD: Final = 2
 SLOW_SPEED_THRESHOLD: Final = 0.45
 SPEED_SMOOTHING_FACTOR: Final = 0.35
 """Weight of the latest run in the moving average of a worker's speed."""
@@ -47,7 +47,7 @@
         """Record a failed run."""
         self.last_fault_at = at
         self.failures += 1
-        if self.on_trial or self.failures >= MAX_CONSECUTIVE_FAILURES:
+        if self.on_trial or self.failures >= FAILURE_THRESHOLD:
             self._start_pause(at)
 
     def record_slow(self, at: float, speed: float) -> None:
