--- a/tests/sched/test_random_faults.py
+++ b/tests/sched/test_random_faults.py
@@ -41,13 +41,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-async def test_promises_hold_under_random_faults(
+async def test_invariants_hold_under_random_faults(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
     rng = random.Random(seed)
     world = World(seed, [random_job(rng, number) for number in range(12)])
-    await world.play(trouble_s=40, calm_s=60)
-    assert world.problems == []
+    await world.run_simulation(faults_s=40, recovery_s=60)
+    assert world.violations == []
     assert world.ended()
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -55,10 +55,10 @@
     async def hold(self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int) -> Any:
         for end in self.ended:
             if end.number <= noted and end.kind == EndKind.DONE:
-                self.world.noted_done.add(end.task)
+                self.world.acknowledged_done.add(end.task)
         return await super().hold(fencing_token, noted, lease_ms, wait_ms)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Crash."""
         self.dead = True
         self.refuses = True
@@ -67,20 +67,20 @@
 
 @dataclass
 class Slot:
-    """A worker's place, with the agent beside it; ``cut`` off from the leader at times."""
+    """A worker's place, with the agent beside it; ``partitioned`` off from the leader at times."""
 
     name: str
     worker: CheckedWorker
-    life: int = 0
-    cut: bool = False
+    generation: int = 0
+    partitioned: bool = False
     runner: Runner | None = None
 
     @property
     def worker_id(self) -> str:
-        return f"w-{self.name}-{self.life}"
+        return f"w-{self.name}-{self.generation}"
 
 
-class Wires:
+class FaultyLinks:
     """An agent's links, with messages that get lost or late."""
 
     def __init__(self, world: "World", slot: Slot) -> None:
@@ -88,8 +88,8 @@
         self.slot = slot
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
-        if not self.slot.cut:
-            self.world.carry(lambda: self.world.to_leader(self.slot, message))
+        if not self.slot.partitioned:
+            self.world.deliver_later(lambda: self.world.deliver_to_leader(self.slot, message))
         return True
 
     def send_all(self, message: AnyNodeMessage) -> None:
@@ -113,11 +113,11 @@
     slots: list[Slot] = field(default_factory=list)
     sched: Scheduler | None = None
     epoch: int = 0
-    noted_done: set[str] = field(default_factory=set)
+    acknowledged_done: set[str] = field(default_factory=set)
     done: set[str] = field(default_factory=set)
-    problems: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     background: set["asyncio.Task[None]"] = field(default_factory=set)
-    calm: bool = False
+    faults_stopped: bool = False
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -129,21 +129,21 @@
         ref = TaskRef.parse(task)
         assert ref is not None
         spec = next(job for job in self.jobs if job.job_id == ref.job_id)
-        if task in self.noted_done:
-            self.problems.append(f"{now():.2f} {task} begins after its end was noted")
+        if task in self.acknowledged_done:
+            self.violations.append(f"{now():.2f} {task} begins after its end was noted")
         for slot in self.slots:
             other = slot.worker
             other.advance()
             if other is not worker and any(run.task == task for run in other.runs.values()):
-                self.problems.append(f"{now():.2f} {task} runs twice")
+                self.violations.append(f"{now():.2f} {task} runs twice")
         for earlier in spec.steps[ref.step].after:
             for number in range(spec.steps[earlier].tasks):
                 name = TaskRef(ref.job_id, ref.occurrence, earlier, number).text()
                 if name not in self.done:
-                    self.problems.append(f"{now():.2f} {task} begins before {name} is done")
+                    self.violations.append(f"{now():.2f} {task} begins before {name} is done")
         used = sum(self.cpu(run.task) for run in worker.runs.values())
         if used > CPU:
-            self.problems.append(f"{now():.2f} {used} of {CPU} in use")
+            self.violations.append(f"{now():.2f} {used} of {CPU} in use")
 
     def cpu(self, task: str) -> int:
         ref = TaskRef.parse(task)
@@ -153,21 +153,21 @@
 
     # Messages
 
-    def carry(self, deliver: Any) -> None:
+    def deliver_later(self, deliver: Any) -> None:
         """Deliver after a while, or never."""
-        if not self.calm and self.rng.random() < 0.08:
+        if not self.faults_stopped and self.rng.random() < 0.08:
             return
-        slow = not self.calm and self.rng.random() < 0.05
+        slow = not self.faults_stopped and self.rng.random() < 0.05
         delay = self.rng.uniform(0.5, 4.0) if slow else 0.002
         asyncio.get_running_loop().call_later(delay, deliver)
 
-    def to_leader(self, slot: Slot, message: AnyNodeMessage) -> None:
+    def deliver_to_leader(self, slot: Slot, message: AnyNodeMessage) -> None:
         if self.sched is None or slot.runner is None:
             return
         runner = slot.runner
         if isinstance(message, WhoLeads):
             leads = Leads(self.epoch, LEADER)
-            self.carry(lambda: runner._on_message(LEADER, leads))
+            self.deliver_later(lambda: runner._on_message(LEADER, leads))
         elif (
             isinstance(message, AgentReport)
             and message.epoch <= self.epoch
@@ -187,12 +187,12 @@
         orders = Orders(
             self.epoch, LEADER, instance.boot, beat, instance.beat, worker, starts, stops, stored
         )
-        if not slot.cut:
-            self.carry(lambda: runner._on_message(LEADER, orders))
+        if not slot.partitioned:
+            self.deliver_later(lambda: runner._on_message(LEADER, orders))
 
     # The leader
 
-    async def lead(self) -> None:
+    async def run_leaders(self) -> None:
         """Lead, be replaced, lead again."""
         while True:
             self.epoch += 1
@@ -205,14 +205,14 @@
             for job in jobs.values():
                 sched.load(job)
             self.sched = sched
-            ends_at = now() + (1e9 if self.calm else self.rng.uniform(2, 15))
-            await self.rounds(sched, journal, ends_at)
+            ends_at = now() + (1e9 if self.faults_stopped else self.rng.uniform(2, 15))
+            await self.run_rounds(sched, journal, ends_at)
             self.sched = None
             await asyncio.sleep(self.rng.uniform(0.5, 3))
 
-    async def rounds(self, sched: Scheduler, journal: Journal, ends_at: float) -> None:
+    async def run_rounds(self, sched: Scheduler, journal: Journal, ends_at: float) -> None:
         consolidation = Consolidation()
-        while now() < ends_at or self.calm:
+        while now() < ends_at or self.faults_stopped:
             at = now()
             sched.end_runs_of_lost_agents(at)
             review(sched, at)
@@ -221,9 +221,9 @@
             plan(sched, at, int(at * 1000))
             batch = sched.take_batch(int(at * 1000))
             writes = journal.writes(batch, sched.jobs)
-            if not self.calm and self.rng.random() < 0.01:
+            if not self.faults_stopped and self.rng.random() < 0.01:
                 await asyncio.sleep(self.rng.uniform(0.5, 5))
-            crashed = now() >= ends_at and not self.calm
+            crashed = now() >= ends_at and not self.faults_stopped
             if not crashed or self.rng.random() < 0.5:
                 for write in writes:
                     self.table.data.pop(write.key, None)
@@ -241,7 +241,7 @@
 
     async def start_agent(self, slot: Slot) -> None:
         runner = Runner(slot.name, Bounds(), self.table, lambda *_: slot.worker, cast(Any, None))
-        runner._links = cast(Any, Wires(self, slot))
+        runner._links = cast(Any, FaultyLinks(self, slot))
         slot.runner = runner
         runner.start()
         await self.beat(slot)
@@ -253,23 +253,23 @@
             info = worker_info(slot.worker_id, cpu=CPU)
             await slot.runner.worker_beat(info, "x", seq)
 
-    async def beats(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             for slot in self.slots:
                 slot.worker.advance()
                 await self.beat(slot)
             await asyncio.sleep(0.3)
 
-    async def trouble(self) -> None:
+    async def inject_faults(self) -> None:
         """Break something every now and then."""
-        while not self.calm:
+        while not self.faults_stopped:
             await asyncio.sleep(self.rng.uniform(0.2, 2))
             slot = self.rng.choice(self.slots)
             match self.rng.randrange(6):
                 case 0:
-                    slot.worker.die()
+                    slot.worker.crash()
                     await asyncio.sleep(self.rng.uniform(0.1, 2))
-                    slot.life += 1
+                    slot.generation += 1
                     slot.worker = CheckedWorker(self)
                 case 1:
                     slot.worker.silent = True
@@ -284,13 +284,13 @@
                     kind = self.rng.choice(["lost", "late", "unanswered"])
                     slot.worker.faults = [kind] * self.rng.randint(1, 4)
                 case 5:
-                    slot.cut = True
+                    slot.partitioned = True
                     await asyncio.sleep(self.rng.uniform(1, 14))
-                    slot.cut = False
+                    slot.partitioned = False
                 case 4 if slot.worker.runs:
                     self.rng.choice(list(slot.worker.runs.values())).kind = "failed"
 
-    async def callers(self) -> None:
+    async def submit_jobs(self) -> None:
         """Submit every job, again where its acceptance was lost."""
         for spec in self.jobs:
             while True:
@@ -300,18 +300,18 @@
                 if SPEC_PREFIX + spec.job_id in self.table.data:
                     break
 
-    async def play(self, trouble_s: float, calm_s: float) -> None:
+    async def run_simulation(self, faults_s: float, recovery_s: float) -> None:
         """Run with trouble, then in calm until every job has ended or time is up."""
         self.slots = [Slot(f"g{number}", CheckedWorker(self)) for number in range(3)]
         for slot in self.slots:
             await self.start_agent(slot)
         tasks = [
             asyncio.create_task(work)
-            for work in (self.lead(), self.beats(), self.callers(), self.trouble())
+            for work in (self.run_leaders(), self.send_heartbeats(), self.submit_jobs(), self.inject_faults())
         ]
-        await asyncio.sleep(trouble_s)
-        self.calm = True
-        until = now() + calm_s
+        await asyncio.sleep(faults_s)
+        self.faults_stopped = True
+        until = now() + recovery_s
         while now() < until and not self.ended():
             await asyncio.sleep(0.2)
         for task in tasks:
@@ -321,9 +321,9 @@
             if slot.runner is not None:
                 await slot.runner.stop()
             await slot.worker.close()
-        broken = [r for r in results if isinstance(r, Exception)]
-        if broken:
-            raise broken[0]
+        errors = [r for r in results if isinstance(r, Exception)]
+        if errors:
+            raise errors[0]
 
     def ended(self) -> bool:
         """Whether every job has been shown to end."""
