--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -60,7 +60,7 @@
     def __init__(self, sched: Scheduler, epoch: int = 1) -> None:
         self.sched = sched
         self.epoch = epoch
-        self.beats: dict[str, int] = {}
+        self.report_numbers: dict[str, int] = {}
 
     def report(
         self,
@@ -75,14 +75,14 @@
         paced: int = 100,
     ) -> None:
         """Let ``agent`` report; a worker ``w-AGENT`` lives there where none is given."""
-        self.beats[agent] = self.beats.get(agent, 0) + 1
+        self.report_numbers[agent] = self.report_numbers.get(agent, 0) + 1
         statuses = [
             RunStatus(task, attempt, RunPhase.RUNNING, percent, paced=paced)
             for task, attempt in runs or []
         ]
         info = worker or worker_info(f"w-{agent}")
         report = AgentReport(
-            agent, boot, self.beats[agent], self.epoch, 1, info, True, statuses, ends or [], gone
+            agent, boot, self.report_numbers[agent], self.epoch, 1, info, True, statuses, ends or [], gone
         )
         apply_report(self.sched, report, self.epoch, at)
         self.sched.fleet.instance(agent).renewed_at = at
@@ -121,7 +121,7 @@
     :ivar stops_unanswered: tasks whose stops are neither answered nor carried out.
     :ivar stops_without_effect: so many stops are confirmed and not carried out.
     :ivar grace_s: time that a stop takes.
-    :ivar most_at_once: most calls that were left unanswered together.
+    :ivar max_unanswered_calls: most calls that were left unanswered together.
     """
 
     def __init__(self, work_s: float = 1.0) -> None:
@@ -139,13 +139,13 @@
         self.stops_without_effect = 0
         self.grace_s = 0.0
         self.stops = 0
-        self.most_at_once = 0
-        self._open = 0
+        self.max_unanswered_calls = 0
+        self._unanswered = 0
         self.starts = 0
         self.holds = 0
         self.paces: list[tuple[str, int]] = []
         self.figures: dict[str, int] = {}
-        self._numbers = 0
+        self._last_number = 0
         self._background: set[asyncio.Task[None]] = set()
 
     @property
@@ -157,9 +157,9 @@
         """End a run."""
         if self.runs.pop((run.task, run.attempt), None) is None:
             return
-        self._numbers += 1
+        self._last_number += 1
         self.sealed[run.task] = max(self.sealed.get(run.task, 0), run.attempt)
-        self.ended.append(WorkerEnd(self._numbers, run.task, run.attempt, kind, ""))
+        self.ended.append(WorkerEnd(self._last_number, run.task, run.attempt, kind, ""))
 
     def advance(self) -> None:
         """End what is done or has lapsed."""
@@ -170,7 +170,7 @@
             for run in list(self.runs.values()):
                 self.end(run, "lapsed")
 
-    async def _fail(self) -> CallFailure | None:
+    async def _injected_failure(self) -> CallFailure | None:
         await asyncio.sleep(0.001)
         self.advance()
         if self.refuses:
@@ -181,18 +181,18 @@
         return None
 
     async def _no_answer(self) -> None:
-        self._open += 1
-        self.most_at_once = max(self.most_at_once, self._open)
+        self._unanswered += 1
+        self.max_unanswered_calls = max(self.max_unanswered_calls, self._unanswered)
         try:
             await asyncio.sleep(0.5)
         finally:
-            self._open -= 1
+            self._unanswered -= 1
 
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         self.holds += 1
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         if fencing_token < self.token:
@@ -212,7 +212,7 @@
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
         self.starts += 1
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         fault = self.faults.pop(0) if self.faults else ""
@@ -220,21 +220,21 @@
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
         if fault == "late":
-            task = asyncio.create_task(self._later(call))
+            task = asyncio.create_task(self._start_late(call))
             self._background.add(task)
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
-        answer = self._take(call)
+        answer = self._accept_start(call)
         if fault == "lost":
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
         return Ok(StartResult(answer, self.clock_ms))
 
-    async def _later(self, call: StartCall) -> None:
+    async def _start_late(self, call: StartCall) -> None:
         await asyncio.sleep(self.late_s)
-        self._take(call)
+        self._accept_start(call)
 
-    def _take(self, call: StartCall) -> StartAnswer:
+    def _accept_start(self, call: StartCall) -> StartAnswer:
         if call.fencing_token < self.token:
             return StartAnswer.FENCED
         self.token = call.fencing_token
@@ -248,7 +248,7 @@
         return StartAnswer.STARTED
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         if task in self.stops_unanswered:
@@ -271,7 +271,7 @@
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         self.paces.append((task, percent))
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -218,7 +218,7 @@
             life.start(order(f"b.0.0.{number}", room=Resources(10, 10)))
             life.stop(StopOrder(f"c.0.0.{number}", 1))
         await asyncio.sleep(5)
-        assert worker.most_at_once <= most
+        assert worker.max_unanswered_calls <= most
 
 
 async def test_a_run_that_is_listed_after_its_confirmed_stop_is_stopped_again() -> None:
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -40,9 +40,9 @@
         self.world = world
         self.dead = False
 
-    def _take(self, call: StartCall) -> StartAnswer:
+    def _accept_start(self, call: StartCall) -> StartAnswer:
         known = (call.task, call.attempt) in self.runs
-        answer = super()._take(call)
+        answer = super()._accept_start(call)
         if answer is StartAnswer.STARTED and not known and not self.dead:
             self.world.check_start(self, call.task)
         return answer
