--- a/tests/sched/test_head.py
+++ b/tests/sched/test_head.py
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def leading(table: MemoryTable, name: str = "e1") -> Head:
+async def take_leadership(table: MemoryTable, name: str = "e1") -> Head:
     """Take the lead."""
     head = await Head.take(table, (await read_head(table)).unwrap(), name)
     assert head is not None
@@ -20,9 +20,9 @@
 
 
 @pytest.mark.parametrize("fault", ["lost_after", "lost_before", "rejected"])
-async def test_a_transaction_takes_effect_once_whatever_its_answer(fault: str) -> None:
+async def test_commit_takes_effect_once_despite_store_faults(fault: str) -> None:
     table = MemoryTable()
-    head = await leading(table)
+    head = await take_leadership(table)
     table.faults = [fault]
     assert await head.commit([Write("run/a", {"data": b"1"})]) is HeadEnd.STORED
     assert table.get("run/a").value == {"data": b"1"}
@@ -30,23 +30,23 @@
     assert table.get("run/a").value == {"data": b"2"}
 
 
-async def test_an_earlier_leader_cannot_write() -> None:
+async def test_deposed_leader_cannot_write() -> None:
     """Two entries believe that they lead.
 
     The first was cut off and a second took over.  When the first comes back, what it still wanted
     to write must not replace the progress that the second has stored.
     """
     table = MemoryTable()
-    old = await leading(table, "e1")
-    new = await leading(table, "e2")
+    old = await take_leadership(table, "e1")
+    new = await take_leadership(table, "e2")
     assert await new.commit([Write("run/a", {"data": b"new"})]) is HeadEnd.STORED
     assert await old.commit([Write("run/a", {"data": b"old"})]) is HeadEnd.DEPOSED
     assert table.get("run/a").value == {"data": b"new"}
 
 
-async def test_a_store_that_is_away_is_waited_for() -> None:
+async def test_commit_waits_while_store_is_unavailable() -> None:
     table = MemoryTable()
-    head = await leading(table)
+    head = await take_leadership(table)
     table.down = True
     commit = asyncio.create_task(head.commit([Write("run/a", {"data": b"1"})]))
     await asyncio.sleep(5)
@@ -57,9 +57,9 @@
     assert head.waiting_since == 0
 
 
-async def test_many_rows_go_in_transactions_of_bounded_size() -> None:
+async def test_large_commit_is_split_into_transactions() -> None:
     table = MemoryTable()
-    head = await leading(table)
+    head = await take_leadership(table)
     before = table.commits
     writes = [Write(f"run/{number}", {"data": b"x" * 20_000}) for number in range(200)]
     assert await head.commit(writes) is HeadEnd.STORED
@@ -67,14 +67,14 @@
     assert sum(key.startswith("run/") for key in table.data) == 200
 
 
-async def test_a_released_lead_is_free_for_the_next_entry() -> None:
+async def test_released_leadership_can_be_taken_immediately() -> None:
     """Every entry is stopped together, so that the leader can offer the lead to nobody.
 
     The first entry that is back finds a row that names nobody.  It need not watch it for the time
     after which a silent leader counts as gone, during which callers were refused.
     """
     table = MemoryTable()
-    await (await leading(table, "e1")).release()
+    await (await take_leadership(table, "e1")).release()
     row = (await read_head(table)).unwrap()
     assert (row.leader, row.epoch) == (NO_LEADER, 1)
     election = Election("e2")
@@ -85,9 +85,9 @@
     assert head is not None and head.epoch == 2
 
 
-async def test_a_lead_that_has_been_taken_cannot_be_released_by_the_one_before() -> None:
+async def test_deposed_leader_cannot_release_leadership() -> None:
     table = MemoryTable()
-    old = await leading(table, "e1")
-    await leading(table, "e2")
+    old = await take_leadership(table, "e1")
+    await take_leadership(table, "e2")
     await old.release()
     assert (await read_head(table)).unwrap().leader == "e2"
