--- a/tests/sched/test_journal.py
+++ b/tests/sched/test_journal.py
@@ -15,7 +15,7 @@
 from tests.unit.fakes import MemoryTable
 
 
-def apply(table: MemoryTable, sched: Scheduler, journal: Journal) -> None:
+def store_batch(table: MemoryTable, sched: Scheduler, journal: Journal) -> None:
     """Store a batch as one transaction and carry out its effects."""
     batch = sched.take_batch(0)
     for write in journal.writes(batch, sched.jobs):
@@ -26,7 +26,7 @@
         effect()
 
 
-def play(seed: int, rounds: int) -> None:
+def run_random_jobs(seed: int, rounds: int) -> None:
     """Let jobs come, run and end at random; after each round a successor must read the same."""
     rng = random.Random(seed)
     sched, table, journal = scheduler(), MemoryTable(), Journal()
@@ -42,7 +42,7 @@
         if rng.random() < 0.3:
             sched.submit(job(f"j{number}", *steps), lambda *_: None)
         plan(sched, at, 0)
-        apply(table, sched, journal)
+        store_batch(table, sched, journal)
         for run in list(sched.fleet.runs.values()):
             if rng.random() < 0.3:
                 kind = rng.choice(["done", "done", "failed", "stopped", "lapsed"])
@@ -51,7 +51,7 @@
                 )
         if rng.random() < 0.1 and sched.jobs:
             sched.cancel(rng.choice(list(sched.jobs)), lambda *_: None)
-        apply(table, sched, journal)
+        store_batch(table, sched, journal)
         if number % 7 == 0:
             _, jobs = load_jobs(table)
             assert jobs == sched.jobs
@@ -59,15 +59,15 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 2**32))
-def test_a_successor_reads_what_the_leader_had(seed: int) -> None:
-    play(seed, 40)
+def test_successor_loads_the_same_jobs(seed: int) -> None:
+    run_random_jobs(seed, 40)
 
 
-def test_a_long_journal_is_shortened_without_losing_a_change() -> None:
-    play(1, COMPACTION_THRESHOLD_ROWS)
+def test_compaction_preserves_all_changes() -> None:
+    run_random_jobs(1, COMPACTION_THRESHOLD_ROWS)
 
 
-def test_the_journal_stays_short_while_jobs_go_on() -> None:
+def test_compaction_bounds_the_journal_length() -> None:
     sched, table, journal = scheduler(), MemoryTable(), Journal()
     agents = Agents(sched)
     agents.report(at=0.0)
@@ -77,10 +77,10 @@
     for number in range(3 * COMPACTION_THRESHOLD_ROWS):
         at = 1.0 + number * 0.01
         plan(sched, at, 0)
-        apply(table, sched, journal)
+        store_batch(table, sched, journal)
         run = next(iter(sched.fleet.runs.values()))
         agents.report(ends=[ended(run, "done", number)], at=at)
     assert journal.length <= COMPACTION_THRESHOLD_ROWS + 20
     assert sum(key.startswith("log/") for key in table.data) == journal.length
-    apply(table, sched, journal)
+    store_batch(table, sched, journal)
     assert load_jobs(table)[1] == sched.jobs
