--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -3,7 +3,7 @@
 from sapphirelead.sched_track import MAX_PAUSE_S, MIN_PAUSE_S, TrackRecord
 
 
-def test_one_failure_is_bad_luck_two_in_a_row_are_not() -> None:
+def test_worker_is_paused_after_consecutive_failures() -> None:
     track = TrackRecord()
     track.record_failure(1.0)
     assert track.sound(1.0)
@@ -14,7 +14,7 @@
     assert not track.sound(2.2)
 
 
-def test_a_good_trial_restores_a_worker() -> None:
+def test_successful_trial_restores_worker() -> None:
     track = TrackRecord()
     track.record_failure(1.0)
     track.record_failure(1.0)
@@ -24,7 +24,7 @@
     assert not track.on_trial
 
 
-def test_each_bad_trial_doubles_the_pause_up_to_a_bound() -> None:
+def test_failed_trials_double_the_pause_up_to_a_limit() -> None:
     track = TrackRecord()
     at, pauses = 0.0, []
     track.record_failure(at)
@@ -36,10 +36,10 @@
     assert pauses[-1] == MAX_PAUSE_S
 
 
-def test_a_worker_that_crawls_is_found_after_a_few_runs() -> None:
+def test_slow_worker_is_paused_after_a_few_runs() -> None:
     track = TrackRecord()
-    noted = 0
+    recorded = 0
     while track.sound(1.0):
-        noted += 1
+        recorded += 1
         track.record_slow(1.0, 0.1)
-    assert noted <= 3
+    assert recorded <= 3
