--- a/tests/sched/test_resend.py
+++ b/tests/sched/test_resend.py
@@ -9,7 +9,7 @@
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
 
-def ordered(number: int) -> Scheduler:
+def scheduler_with_sent_start(number: int) -> Scheduler:
     """Return a scheduler that has just sent a start to its only agent, in orders ``number``."""
     sched = scheduler()
     Agents(sched).report("g1", at=0.0)
@@ -31,21 +31,21 @@
 
 
 @pytest.mark.parametrize(("got", "again"), [(6, False), (7, True), (8, True), (0, True)])
-def test_a_start_goes_again_only_if_the_report_was_made_after_its_orders(
-    got: int, again: bool
+def test_start_is_resent_only_after_a_report_made_after_its_orders(
+    received_orders: int, resent: bool
 ) -> None:
     """A leader that is behind reads reports made before its starts, and sends all of them twice.
 
     An agent that has got these orders or later ones and does not list the run has lost it.  One
     that has got none (it has restarted, or is of an earlier version) is judged by the time alone.
     """
-    sched = ordered(7)
-    assert not report_without_runs(sched, got, 0.9 * RESEND_TIMEOUT_S)
-    assert report_without_runs(sched, got, 1.1 * RESEND_TIMEOUT_S) is again
+    sched = scheduler_with_sent_start(7)
+    assert not report_without_runs(sched, received_orders, 0.9 * RESEND_TIMEOUT_S)
+    assert report_without_runs(sched, received_orders, 1.1 * RESEND_TIMEOUT_S) is resent
 
 
-def test_a_start_that_was_lost_on_the_way_is_sent_again_with_the_next_orders_that_arrive() -> None:
-    sched = ordered(7)
+def test_lost_start_is_resent_once_later_orders_arrive() -> None:
+    sched = scheduler_with_sent_start(7)
     assert not report_without_runs(sched, 6, 2 * RESEND_TIMEOUT_S)
     assert report_without_runs(sched, 8, 3 * RESEND_TIMEOUT_S)
     sched.fleet.instance("g1").orders_sent = 9
