--- a/tests/sched/test_new_leader.py
+++ b/tests/sched/test_new_leader.py
@@ -12,10 +12,10 @@
 WORKERS = 3
 
 
-def successor(before: Scheduler) -> tuple[Scheduler, Agents]:
+def load_successor(predecessor: Scheduler) -> tuple[Scheduler, Agents]:
     """Return a new leader that has read the jobs of the one before, and nothing else."""
     sched = scheduler()
-    for known in before.jobs.values():
+    for known in predecessor.jobs.values():
         sched.load(Job.decode(known.spec, known.encode()))
     return sched, Agents(sched)
 
@@ -28,48 +28,48 @@
     apply_report(agents.sched, short, 1, at)
 
 
-def fills_running(sched: Scheduler) -> int:
+def filling_runs(sched: Scheduler) -> int:
     """Count the filling runs."""
     return sum(run.step.fills for run in sched.fleet.runs.values())
 
 
-def test_filling_work_waits_until_the_tails_have_been_reported() -> None:
+def test_filling_work_waits_for_reported_tail_latencies() -> None:
     """All workers serve near their targets, filling work waits, and the lead changes.
 
     The new leader knew the serving runs from the store but none of their tails.  It took them for
     low, started all that waited at once, and tails stood over their targets for seconds.
     """
-    before, _ = serving_fleet(WORKERS)
-    before.submit(job("fill", fill("f", tasks=6)), lambda *_: None)
-    store(before)
-    sched, agents = successor(before)
+    predecessor, _ = serving_fleet(WORKERS)
+    predecessor.submit(job("fill", fill("f", tasks=6)), lambda *_: None)
+    store(predecessor)
+    sched, agents = load_successor(predecessor)
     for number in range(WORKERS):
         short_report(agents, f"g{number}", 0.1)
     plan(sched, 0.1, 0)
-    assert fills_running(sched) == 0
+    assert filling_runs(sched) == 0
     for number in range(WORKERS):
         report(agents, sched, f"g{number}", 70, 0.2)
     plan(sched, 0.3, 0)
-    assert fills_running(sched) == 0
+    assert filling_runs(sched) == 0
     for number in range(WORKERS):
         report(agents, sched, f"g{number}", 10, 0.4)
     plan(sched, 0.5, 0)
-    assert fills_running(sched) > 0
+    assert filling_runs(sched) > 0
 
 
-def test_other_work_starts_at_the_first_report() -> None:
-    before, _ = serving_fleet(WORKERS)
-    before.submit(job("check", StepSpec(cpu_millicores=1000)), lambda *_: None)
-    store(before)
-    sched, agents = successor(before)
+def test_other_work_starts_after_the_first_report() -> None:
+    predecessor, _ = serving_fleet(WORKERS)
+    predecessor.submit(job("check", StepSpec(cpu_millicores=1000)), lambda *_: None)
+    store(predecessor)
+    sched, agents = load_successor(predecessor)
     short_report(agents, "g0", 0.1)
     plan(sched, 0.1, 0)
     assert len([run for run in sched.fleet.runs.values() if not run.step.lasting]) == 1
 
 
-def test_a_run_of_an_instance_that_has_been_listed_shows_its_tail() -> None:
-    before, _ = serving_fleet(1)
-    sched, agents = successor(before)
+def test_listed_run_has_tail_latency() -> None:
+    predecessor, _ = serving_fleet(1)
+    sched, agents = load_successor(predecessor)
     run = next(iter(sched.fleet.runs.values()))
     status = RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 100, 25)
     info = worker_info("w-g0", cpu=32_000)
