--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -20,7 +20,7 @@
     return apply_report(sched, message, 1, at)
 
 
-def running_beside_the_later(sched: Scheduler) -> Run:
+def run_on_newer_process(sched: Scheduler) -> Run:
     """Return a run on the worker of the process ``new``, which has replaced ``old`` by 0.7 s."""
     assert report(sched, "old", 90, 0.0, "w1")
     assert report(sched, "new", 1, 0.5, "w2")
@@ -33,7 +33,7 @@
     return run
 
 
-def test_an_agent_whose_earlier_process_is_heard_last_is_heard_again() -> None:
+def test_current_process_is_accepted_after_late_report_of_previous_one() -> None:
     """Guards against an agent that a new leader ignores for good, so that all it runs lapses."""
     sched = scheduler()
     assert report(sched, "new", 1, 0.0)
@@ -43,7 +43,7 @@
     assert sched.fleet.instance("g1").boot == "new"
 
 
-def test_a_late_word_of_an_earlier_process_is_ignored_while_its_successor_reports() -> None:
+def test_late_report_of_previous_process_is_ignored() -> None:
     """Guards against orders that are addressed to a process that has ended."""
     sched = scheduler()
     assert report(sched, "old", 90, 0.0)
@@ -53,11 +53,11 @@
 
 
 @pytest.mark.parametrize("behind_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
-def test_no_run_is_lost_by_a_late_word_of_an_earlier_process(behind_s: float) -> None:
+def test_late_reports_of_previous_process_lose_no_run(delay_s: float) -> None:
     """Guards against a leader that has read nothing for a while and starts running tasks anew."""
     sched = scheduler()
-    run = running_beside_the_later(sched)
-    at = 0.7 + behind_s + 0.01
+    run = run_on_newer_process(sched)
+    at = 0.7 + delay_s + 0.01
     assert not report(sched, "old", 91, at, "w1")
     assert not report(sched, "old", 92, at + 0.1, "w1")
     assert not report(sched, "old", 91, at + 2 * MIN_BOOT_RETURN_S, "w1"), "the same word again"
@@ -66,10 +66,10 @@
     assert run.key in sched.fleet.runs
 
 
-def test_a_word_of_the_later_process_ends_the_return_of_an_earlier_one() -> None:
+def test_report_of_current_process_resets_return_of_previous_one() -> None:
     """Guards against two late words, with the living process heard between, that pass for life."""
     sched = scheduler()
-    run = running_beside_the_later(sched)
+    run = run_on_newer_process(sched)
     at = 0.7 + BOOT_TIMEOUT_S + 0.1
     assert not report(sched, "old", 91, at, "w1")
     assert report(sched, "new", 3, at + 0.1, "w2", run)
@@ -77,10 +77,10 @@
     assert run.key in sched.fleet.runs
 
 
-def test_an_earlier_process_that_reports_on_is_believed_with_its_worker() -> None:
+def test_previous_process_that_keeps_reporting_becomes_current() -> None:
     """Guards against runs that stay claimed on the worker of a process that is gone."""
     sched = scheduler()
-    run = running_beside_the_later(sched)
+    run = run_on_newer_process(sched)
     at = 0.7 + BOOT_TIMEOUT_S + 0.1
     assert not report(sched, "old", 91, at, "w1")
     assert report(sched, "old", 92, at + REPORT_S, "w1")
