--- a/tests/sched/test_entry_config.py
+++ b/tests/sched/test_entry_config.py
@@ -10,7 +10,7 @@
 from tests.unit.fakes import MemoryTable
 
 
-async def test_an_older_configuration_is_never_taken() -> None:
+async def test_older_configuration_is_ignored() -> None:
     """A route that was dropped works again for a while at one entry.
 
     The row is read by a poll and by the feed at once; the slower answer brings the older version.
