--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -18,10 +18,10 @@
     """Collects what callers are told."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[ReplyKind, str]] = []
+        self.received: list[tuple[ReplyKind, str]] = []
 
     def __call__(self, kind: ReplyKind, text: str) -> None:
-        self.told.append((kind, text))
+        self.received.append((kind, text))
 
 
 def submit(sched: Scheduler, spec: JobSpec) -> Answers:
@@ -31,7 +31,7 @@
     return answers
 
 
-def with_claim() -> tuple[Scheduler, Agents]:
+def scheduler_with_claim() -> tuple[Scheduler, Agents]:
     """Return a scheduler that has claimed the one task of a job for a worker; nothing is stored."""
     sched = scheduler()
     agents = Agents(sched)
@@ -41,7 +41,7 @@
     return sched, agents
 
 
-def reread(sched: Scheduler, table: MemoryTable) -> dict[str, Job]:
+def store_and_reload(sched: Scheduler, table: MemoryTable) -> dict[str, Job]:
     """Store what waits, and read all jobs back as a successor does."""
     for write in Journal().writes(sched.take_batch(0), sched.jobs):
         table.data[write.key] = Row(write.key, 1, write.value)
@@ -73,7 +73,7 @@
     return RunEnded(number, run.ref.text(), run.attempt, kind, saved)
 
 
-def run_out(sched: Scheduler, agents: Agents, at: float) -> None:
+def end_all_runs(sched: Scheduler, agents: Agents, at: float) -> None:
     """Let every run end well."""
     by_agent: dict[str, list[Run]] = {}
     for run in sched.fleet.runs.values():
@@ -83,7 +83,7 @@
         agents.report(agent, ends=ends, at=at)
 
 
-def test_a_start_goes_out_only_after_its_claim_is_stored() -> None:
+def test_start_is_sent_only_after_its_claim_is_stored() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -91,13 +91,13 @@
     plan(sched, 1.0, 0)
     assert runs(sched) == [("a1.0.0.0", 1)]
     assert sched.orders_for("g1", 1.0)[0] == []
-    assert answers.told == []
+    assert answers.received == []
     store(sched)
     assert [order.task for order in sched.orders_for("g1", 1.0)[0]] == ["a1.0.0.0"]
-    assert answers.told == [(ReplyKind.OK, "queued")]
+    assert answers.received == [(ReplyKind.OK, "queued")]
 
 
-def test_a_step_waits_for_all_tasks_before_it() -> None:
+def test_step_waits_for_all_tasks_it_depends_on() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -110,16 +110,16 @@
     agents.report(ends=[ended(first, "done")], runs=[("a1.0.0.1", 1)], at=2.0)
     plan(sched, 2.0, 0)
     assert runs(sched) == [("a1.0.0.1", 1)]
-    run_out(sched, agents, 3.0)
+    end_all_runs(sched, agents, 3.0)
     plan(sched, 3.0, 0)
     assert runs(sched) == [("a1.0.1.0", 1)]
 
 
-def test_a_job_is_shown_as_completed_only_once_its_last_end_is_stored() -> None:
-    sched, agents = with_claim()
+def test_job_is_completed_only_once_its_last_end_is_stored() -> None:
+    sched, agents = scheduler_with_claim()
     store(sched)
     assert sched.state("a1") is JobState.RUNNING
-    run_out(sched, agents, 2.0)
+    end_all_runs(sched, agents, 2.0)
     assert sched.state("a1") is JobState.RUNNING
     assert sched.orders_for("g1", 2.0)[2] == []
     store(sched)
@@ -127,7 +127,7 @@
     assert sched.orders_for("g1", 2.0)[2] == [("a1.0.0.0", 1)]
 
 
-def test_room_is_free_only_once_the_end_is_known() -> None:
+def test_resources_are_freed_only_once_the_end_is_known() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -145,7 +145,7 @@
     assert run.key not in sched.fleet.runs
 
 
-def test_a_task_that_fails_too_often_fails_its_job() -> None:
+def test_job_fails_after_max_failures_of_a_task() -> None:
     sched = scheduler()
     agents = Agents(sched)
     policy = QueuePolicy("svc", max_failures=2)
@@ -164,7 +164,7 @@
     assert runs(sched) == []
 
 
-def test_runs_that_end_otherwise_are_no_failures() -> None:
+def test_lapsed_runs_do_not_count_as_failures() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -176,7 +176,7 @@
     assert sched.jobs["a1"].open
 
 
-def test_a_cancelled_job_starts_nothing_and_stops_what_runs() -> None:
+def test_cancelled_job_stops_its_runs_and_starts_no_others() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -184,18 +184,18 @@
     plan(sched, 1.0, 0)
     store(sched)
     sched.orders_for("g1", 1.0)
-    told = Answers()
-    sched.cancel("a1", told)
-    assert told.told == []
+    received = Answers()
+    sched.cancel("a1", received)
+    assert received.received == []
     store(sched)
-    assert told.told == [(ReplyKind.OK, "cancelled")]
+    assert received.received == [(ReplyKind.OK, "cancelled")]
     assert len(sched.orders_for("g1", 1.0)[1]) == 3
-    run_out(sched, agents, 2.0)
+    end_all_runs(sched, agents, 2.0)
     plan(sched, 2.0, 0)
     assert runs(sched) == []
 
 
-def test_a_claim_stored_together_with_its_cancellation_is_never_sent() -> None:
+def test_claim_stored_with_its_cancellation_is_never_sent() -> None:
     """A caller cancels while the claim of the job's start is being stored.
 
     The start would go out after the cancellation was acknowledged.
@@ -210,7 +210,7 @@
     assert runs(sched) == []
 
 
-def test_a_withdrawn_submission_never_runs() -> None:
+def test_withdrawn_submission_never_runs() -> None:
     """The store is away; the caller is told that its job was not run.
 
     What had been planned for it in memory must be gone before the store comes back.
@@ -220,13 +220,13 @@
     answers = submit(sched, job())
     plan(sched, 1.0, 0)
     assert sched.withdraw("a1")
-    assert answers.told[0][0] is ReplyKind.NOT_RUN
+    assert answers.received[0][0] is ReplyKind.NOT_RUN
     assert store(sched) == []
     assert runs(sched) == []
     assert sched.state("a1") is None
 
 
-def test_a_submission_withdrawn_and_repeated_is_not_accepted_before_it_is_stored() -> None:
+def test_repeat_of_withdrawn_submission_is_accepted_only_once_stored() -> None:
     """A caller's job is answered 200, and 410 ever after.
 
     The store turns the leader away while one batch is on its way, and the submission behind it is
@@ -241,12 +241,12 @@
     repeat = submit(sched, job())
     for effect in batch.effects:
         effect()
-    assert (repeat.told, sched.state("a1")) == ([], None)
+    assert (repeat.received, sched.state("a1")) == ([], None)
     assert store(sched) == ["a1"]
-    assert repeat.told == [(ReplyKind.OK, JobState.QUEUED)]
+    assert repeat.received == [(ReplyKind.OK, JobState.QUEUED)]
 
 
-def test_a_submission_on_its_way_to_the_store_cannot_be_withdrawn() -> None:
+def test_submission_cannot_be_withdrawn_after_its_write_is_sent() -> None:
     sched = scheduler()
     submit(sched, job())
     batch = sched.take_batch(0)
@@ -256,24 +256,24 @@
     assert sched.state("a1") is JobState.QUEUED
 
 
-def test_a_repeated_submission_joins_the_first() -> None:
+def test_repeated_submission_is_deduplicated() -> None:
     sched = scheduler()
     first = submit(sched, job())
     second = submit(sched, job())
     store(sched)
     third = submit(sched, job())
-    assert [len(answers.told) for answers in (first, second, third)] == [1, 1, 1]
+    assert [len(answers.received) for answers in (first, second, third)] == [1, 1, 1]
     assert len(sched.jobs) == 1
 
 
-def test_the_successor_knows_every_run_that_may_exist() -> None:
+def test_successor_resends_start_of_stored_claim() -> None:
     """The leader ends right after it has stored a claim.
 
     Whether the start reached the worker nobody knows.  The successor must neither start the task
     elsewhere nor forget it: it sends the same attempt again.
     """
-    sched, _ = with_claim()
-    loaded = reread(sched, MemoryTable())
+    sched, _ = scheduler_with_claim()
+    loaded = store_and_reload(sched, MemoryTable())
 
     after = Scheduler(Bounds(), 5.0)
     after.load(loaded["a1"])
@@ -286,9 +286,9 @@
     assert [(order.task, order.attempt) for order in starts] == [("a1.0.0.0", 1)]
 
 
-def test_the_successor_waits_for_agents_that_it_has_not_heard_of() -> None:
-    sched, _ = with_claim()
-    loaded = reread(sched, MemoryTable())
+def test_successor_waits_for_leases_of_unreported_agents() -> None:
+    sched, _ = scheduler_with_claim()
+    loaded = store_and_reload(sched, MemoryTable())
 
     after = Scheduler(Bounds(), 5.0)
     after.load(loaded["a1"])
@@ -304,8 +304,8 @@
     assert only_run(after).agent == "g2"
 
 
-def test_another_life_of_the_worker_ends_the_claims_of_the_one_before() -> None:
-    sched, agents = with_claim()
+def test_worker_restart_ends_its_claims() -> None:
+    sched, agents = scheduler_with_claim()
     store(sched)
     agents.report(worker=worker_info("w-new"), at=1.5)
     plan(sched, 1.5, 0)
@@ -313,12 +313,12 @@
     assert only_run(sched).worker == "w-new"
 
 
-def test_an_end_that_is_reported_again_is_acknowledged_only_once_stored() -> None:
+def test_repeated_end_is_acknowledged_only_once_stored() -> None:
     """The agent repeats an end while the leader is storing it.
 
     An acknowledgement would let the worker forget an end that is not stored yet.
     """
-    sched, agents = with_claim()
+    sched, agents = scheduler_with_claim()
     store(sched)
     end = ended(only_run(sched), "done")
     agents.report(ends=[end], at=2.0)
@@ -329,7 +329,7 @@
     assert sched.orders_for("g1", 2.2)[2] == [("a1.0.0.0", 1)]
 
 
-def test_reports_of_an_earlier_process_of_the_agent_are_ignored() -> None:
+def test_reports_of_previous_agent_process_are_ignored() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(boot="old", at=1.0)
@@ -339,18 +339,18 @@
     assert sched.fleet.instance("g1").beat == before
 
 
-def test_a_run_that_nobody_claims_is_stopped() -> None:
+def test_run_without_claim_is_stopped() -> None:
     sched = scheduler()
     Agents(sched).report(runs=[("zz.0.0.0", 4)], at=1.0)
     assert [stop.task for stop in sched.orders_for("g1", 1.0)[1]] == ["zz.0.0.0"]
 
 
-def test_an_agent_that_does_not_know_the_order_of_a_run_gets_it_again() -> None:
+def test_order_unknown_to_restarted_agent_is_resent() -> None:
     """An agent is restarted and lists a run that an earlier process of it has started.
 
     It has to know what the run is: whether it fills or serves, and how much room it takes.
     """
-    sched, _ = with_claim()
+    sched, _ = scheduler_with_claim()
     store(sched)
     sched.orders_for("g1", 1.1)
     run = only_run(sched)
@@ -363,7 +363,7 @@
     assert not stops
 
 
-def test_a_worker_that_refuses_every_start_is_left_alone() -> None:
+def test_worker_that_refuses_every_start_is_paused() -> None:
     """A worker answers every start with "unhealthy".
 
     Without a pause its task would be claimed for it again in every round, dozens of times a second.
@@ -385,7 +385,7 @@
     assert claims <= 6
 
 
-def test_lasting_tasks_are_started_again_however_they_end() -> None:
+def test_lasting_tasks_are_restarted_after_any_end() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -402,7 +402,7 @@
     assert sched.state("a1") is JobState.RUNNING
 
 
-def test_a_gang_starts_whole_and_restarts_with_one_attempt() -> None:
+def test_gang_starts_and_restarts_as_a_unit() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -424,7 +424,7 @@
     assert {run.attempt for run in sched.fleet.runs.values()} == {2}
 
 
-def test_one_done_of_a_gang_stands_for_all() -> None:
+def test_gang_is_done_once_one_member_is_done() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -450,18 +450,18 @@
     plan(sched, 1.0, 11_000)
     store(sched)
     assert runs(sched) == [("a1.0.0.0", 1), ("a1.1.0.0", 1)]
-    run_out(sched, agents, 1.1)
+    end_all_runs(sched, agents, 1.1)
     store(sched)
     assert sched.state("a1") is JobState.RUNNING
     plan(sched, 1.2, 12_000)
     store(sched)
-    run_out(sched, agents, 1.3)
+    end_all_runs(sched, agents, 1.3)
     store(sched)
     assert sched.state("a1") is JobState.COMPLETED
     assert sched.waiting("q") == 0
 
 
-def test_a_start_that_needs_a_ticket_waits_for_the_advice() -> None:
+def test_start_that_needs_a_ticket_waits_for_advice() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report("g1", at=1.0)
@@ -479,7 +479,7 @@
     assert start.ticket == "t2"
 
 
-def test_progress_survives_its_stored_form() -> None:
+def test_progress_survives_serialization() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
