--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -1,4 +1,4 @@
-"""A worker, a store and builders for the fleet's tests."""
+"""A fake worker, simulated agents and builders for scheduler tests."""
 
 import asyncio
 from dataclasses import dataclass
@@ -28,12 +28,12 @@
 
 
 def job(job_id: str = "a1", *steps: StepSpec, policy: QueuePolicy = POLICY) -> JobSpec:
-    """Return a job; one step of one task where none are given."""
+    """Return a job, by default with one step of one task."""
     return JobSpec(job_id, "q", "payload", steps or (StepSpec(cpu_millicores=1000),), policy)
 
 
 def worker_info(worker: str = "w1", cpu: int = 8000, **changes: object) -> WorkerInfo:
-    """Return a worker's word about itself."""
+    """Return the information that a worker reports about itself."""
     fields: dict[str, object] = {
         "worker": worker,
         "service": "svc",
@@ -46,7 +46,7 @@
 
 
 class NoAdvice:
-    """An advice service that allows nothing."""
+    """An advice service that issues no tickets."""
 
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
@@ -55,12 +55,12 @@
 
 
 class Agents:
-    """Reports of simulated agents to a scheduler."""
+    """Simulated agents that report to a scheduler."""
 
     def __init__(self, sched: Scheduler, epoch: int = 1) -> None:
         self.sched = sched
         self.epoch = epoch
-        self.report_numbers: dict[str, int] = {}
+        self.seqs: dict[str, int] = {}
 
     def report(
         self,
@@ -74,22 +74,22 @@
         percent: int = 10,
         paced: int = 100,
     ) -> None:
-        """Let ``agent`` report; a worker ``w-AGENT`` lives there where none is given."""
-        self.report_numbers[agent] = self.report_numbers.get(agent, 0) + 1
+        """Apply a report of ``agent``, by default with a worker ``w-AGENT``."""
+        self.seqs[agent] = self.seqs.get(agent, 0) + 1
         statuses = [
             RunStatus(task, attempt, RunPhase.RUNNING, percent, paced=paced)
             for task, attempt in runs or []
         ]
         info = worker or worker_info(f"w-{agent}")
         report = AgentReport(
-            agent, boot, self.report_numbers[agent], self.epoch, 1, info, True, statuses, ends or [], gone
+            agent, boot, self.seqs[agent], self.epoch, 1, info, True, statuses, ends or [], gone
         )
         apply_report(self.sched, report, self.epoch, at)
         self.sched.fleet.instance(agent).renewed_at = at
 
 
 def store(sched: Scheduler) -> list[str]:
-    """Store what waits and carry out its effects; return the ids of the rows."""
+    """Take the pending batch and run its effects; return the ids of its jobs."""
     batch = sched.take_batch(0)
     for effect in batch.effects:
         effect()
@@ -113,15 +113,17 @@
 
 
 class FakeWorker:
-    """One life of a worker, with the faults that the platform may show.
-
-    :ivar faults: what becomes of the next calls to start: ``lost`` (carried out, no answer),
-        ``late`` (carried out after ``late_s``, no answer) or ``unanswered`` (never carried out).
-    :ivar silent: no call is answered or carried out.
-    :ivar stops_unanswered: tasks whose stops are neither answered nor carried out.
-    :ivar stops_without_effect: so many stops are confirmed and not carried out.
-    :ivar grace_s: time that a stop takes.
-    :ivar max_unanswered_calls: most calls that were left unanswered together.
+    """A worker process with injected faults.
+
+    :ivar sealed: highest attempt by task that may not be started again.
+    :ivar faults: faults of the next start calls: ``lost`` (executed, no reply), ``late`` (executed
+        after ``late_s``, no reply) or ``unanswered`` (not executed, no reply).
+    :ivar silent: calls are neither executed nor answered.
+    :ivar refuses: calls fail with a refused connection.
+    :ivar stops_unanswered: tasks whose stops are neither executed nor answered.
+    :ivar stops_without_effect: number of stops that are confirmed but not executed.
+    :ivar grace_s: duration of a stop.
+    :ivar max_unanswered_calls: highest number of concurrent calls without a reply.
     """
 
     def __init__(self, work_s: float = 1.0) -> None:
@@ -150,7 +152,7 @@
 
     @property
     def clock_ms(self) -> int:
-        """The worker's clock."""
+        """The worker's clock in milliseconds."""
         return int(now() * 1000) + 500_000
 
     def end(self, run: FakeRun, kind: str) -> None:
@@ -162,7 +164,7 @@
         self.ended.append(WorkerEnd(self._last_number, run.task, run.attempt, kind, ""))
 
     def advance(self) -> None:
-        """End what is done or has lapsed."""
+        """End the runs that are done or whose lease has expired."""
         for run in list(self.runs.values()):
             if run.ends_at <= now():
                 self.end(run, run.kind)
