--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -16,7 +16,7 @@
 def report(agents: Agents, sched: Scheduler, agent: str, tail: int, at: float) -> None:
     """Report every run of an agent, serving ones with ``tail``."""
     instance = sched.fleet.instance(agent)
-    agents.report_numbers[agent] = agents.report_numbers.get(agent, 0) + 1
+    agents.seqs[agent] = agents.seqs.get(agent, 0) + 1
     statuses = [
         RunStatus(
             run.ref.text(),
@@ -29,7 +29,7 @@
     ]
     info = worker_info(f"w-{agent}", cpu=32_000)
     apply_report(
-        sched, AgentReport(agent, "b", agents.report_numbers[agent], 1, 1, info, True, statuses, []), 1, at
+        sched, AgentReport(agent, "b", agents.seqs[agent], 1, 1, info, True, statuses, []), 1, at
     )
     instance.renewed_at = at
 
