--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -1,4 +1,4 @@
-"""Reports of two processes of one agent, of which the later replaces the earlier."""
+"""Tests of reports from two processes of one agent, of which the later replaces the earlier."""
 
 import pytest
 
@@ -14,14 +14,14 @@
 def report(
     sched: Scheduler, boot: str, beat: int, at: float, worker: str = "w-g1", run: Run | None = None
 ) -> bool:
-    """Let a process of the agent report; return whether the report is taken."""
+    """Apply a report of an agent process; return whether it was accepted."""
     runs = [RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10)] if run else []
     message = AgentReport("g1", boot, beat, 1, 1, worker_info(worker), True, runs, [])
     return apply_report(sched, message, 1, at)
 
 
 def run_on_newer_process(sched: Scheduler) -> Run:
-    """Return a run on the worker of the process ``new``, which has replaced ``old`` by 0.7 s."""
+    """Return a run on the worker of the process ``new``, which has replaced ``old``."""
     assert report(sched, "old", 90, 0.0, "w1")
     assert report(sched, "new", 1, 0.5, "w2")
     sched.fleet.instance("g1").renewed_at = 0.5
@@ -34,7 +34,7 @@
 
 
 def test_current_process_is_accepted_after_late_report_of_previous_one() -> None:
-    """Guards against an agent that a new leader ignores for good, so that all it runs lapses."""
+    """Guards against a new leader that ignores an agent forever, so that its runs lapse."""
     sched = scheduler()
     assert report(sched, "new", 1, 0.0)
     assert report(sched, "old", 90, 0.1)
@@ -44,7 +44,7 @@
 
 
 def test_late_report_of_previous_process_is_ignored() -> None:
-    """Guards against orders that are addressed to a process that has ended."""
+    """Guards against orders addressed to a process that has ended."""
     sched = scheduler()
     assert report(sched, "old", 90, 0.0)
     assert report(sched, "new", 1, 0.5)
@@ -52,22 +52,22 @@
     assert sched.fleet.instance("g1").boot == "new"
 
 
-@pytest.mark.parametrize("behind_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
+@pytest.mark.parametrize("delay_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
 def test_late_reports_of_previous_process_lose_no_run(delay_s: float) -> None:
-    """Guards against a leader that has read nothing for a while and starts running tasks anew."""
+    """Guards against a leader that restarts running tasks after a stall."""
     sched = scheduler()
     run = run_on_newer_process(sched)
     at = 0.7 + delay_s + 0.01
     assert not report(sched, "old", 91, at, "w1")
     assert not report(sched, "old", 92, at + 0.1, "w1")
-    assert not report(sched, "old", 91, at + 2 * MIN_BOOT_RETURN_S, "w1"), "the same word again"
+    assert not report(sched, "old", 91, at + 2 * MIN_BOOT_RETURN_S, "w1"), "duplicate report"
     assert report(sched, "new", 3, at + 2 * MIN_BOOT_RETURN_S, "w2", run)
     assert not report(sched, "old", 93, at + 3 * MIN_BOOT_RETURN_S, "w1")
     assert run.key in sched.fleet.runs
 
 
 def test_report_of_current_process_resets_return_of_previous_one() -> None:
-    """Guards against two late words, with the living process heard between, that pass for life."""
+    """Guards against accepting two late reports with one of the current process in between."""
     sched = scheduler()
     run = run_on_newer_process(sched)
     at = 0.7 + BOOT_TIMEOUT_S + 0.1
@@ -78,7 +78,7 @@
 
 
 def test_previous_process_that_keeps_reporting_becomes_current() -> None:
-    """Guards against runs that stay claimed on the worker of a process that is gone."""
+    """Guards against runs that stay claimed on the worker of a process that has ended."""
     sched = scheduler()
     run = run_on_newer_process(sched)
     at = 0.7 + BOOT_TIMEOUT_S + 0.1
