--- a/tests/sched/test_entry_config.py
+++ b/tests/sched/test_entry_config.py
@@ -1,4 +1,4 @@
-"""Which configuration an entry decides by."""
+"""Tests of the configuration version that an entry uses."""
 
 import zmq.asyncio
 
@@ -11,10 +11,7 @@
 
 
 async def test_older_configuration_is_ignored() -> None:
-    """A route that was dropped works again for a while at one entry.
-
-    The row is read by a poll and by the feed at once; the slower answer brings the older version.
-    """
+    """Guards against a slow reply that restores an older version, and with it a removed route."""
     node = EntryNode(EntryAddress("e1", "127.0.0.1", 1), "z", Bounds())
     ctx = zmq.asyncio.Context()
     try:
