--- a/tests/sched/test_head.py
+++ b/tests/sched/test_head.py
@@ -1,4 +1,4 @@
-"""The head row: one leader writes, in order, and lost answers are settled."""
+"""Tests of the head row: fencing of previous leaders, ordered commits and lost replies."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def take_leadership(table: MemoryTable, name: str = "e1") -> Head:
-    """Take the lead."""
+    """Become the leader."""
     head = await Head.take(table, (await read_head(table)).unwrap(), name)
     assert head is not None
     return head
@@ -31,11 +31,7 @@
 
 
 async def test_deposed_leader_cannot_write() -> None:
-    """Two entries believe that they lead.
-
-    The first was cut off and a second took over.  When the first comes back, what it still wanted
-    to write must not replace the progress that the second has stored.
-    """
+    """Guards against a partitioned leader that overwrites the progress stored by its successor."""
     table = MemoryTable()
     old = await take_leadership(table, "e1")
     new = await take_leadership(table, "e2")
@@ -68,11 +64,7 @@
 
 
 async def test_released_leadership_can_be_taken_immediately() -> None:
-    """Every entry is stopped together, so that the leader can offer the lead to nobody.
-
-    The first entry that is back finds a row that names nobody.  It need not watch it for the time
-    after which a silent leader counts as gone, during which callers were refused.
-    """
+    """Guards against waiting for the leader timeout after all entries were stopped together."""
     table = MemoryTable()
     await (await take_leadership(table, "e1")).release()
     row = (await read_head(table)).unwrap()
