--- a/tests/sched/test_journal.py
+++ b/tests/sched/test_journal.py
@@ -1,4 +1,4 @@
-"""What is stored of jobs: changes, snapshots, and their reading by a successor."""
+"""Tests of the journal: changes, snapshots, compaction and loading by a successor."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def store_batch(table: MemoryTable, sched: Scheduler, journal: Journal) -> None:
-    """Store a batch as one transaction and carry out its effects."""
+    """Store a batch and run its effects."""
     batch = sched.take_batch(0)
     for write in journal.writes(batch, sched.jobs):
         table.data.pop(write.key, None)
@@ -27,7 +27,7 @@
 
 
 def run_random_jobs(seed: int, rounds: int) -> None:
-    """Let jobs come, run and end at random; after each round a successor must read the same."""
+    """Submit, run, end and cancel random jobs; a successor must load the same jobs."""
     rng = random.Random(seed)
     sched, table, journal = scheduler(), MemoryTable(), Journal()
     agents = Agents(sched)
