--- a/tests/sched/test_new_leader.py
+++ b/tests/sched/test_new_leader.py
@@ -1,4 +1,4 @@
-"""What a new leader decides before it has seen what its agents' workers run."""
+"""Tests of a new leader's decisions before it has received full reports."""
 
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
@@ -13,7 +13,7 @@
 
 
 def load_successor(predecessor: Scheduler) -> tuple[Scheduler, Agents]:
-    """Return a new leader that has read the jobs of the one before, and nothing else."""
+    """Return a new leader that has only loaded the jobs of its predecessor."""
     sched = scheduler()
     for known in predecessor.jobs.values():
         sched.load(Job.decode(known.spec, known.encode()))
@@ -21,10 +21,10 @@
 
 
 def short_report(agents: Agents, agent: str, at: float) -> None:
-    """Report a worker, but none of its runs, as an agent does between two full reports."""
-    agents.report_numbers[agent] = agents.report_numbers.get(agent, 0) + 1
+    """Report a worker without its runs, as an agent does between two full reports."""
+    agents.seqs[agent] = agents.seqs.get(agent, 0) + 1
     info = worker_info(f"w-{agent}", cpu=32_000)
-    short = AgentReport(agent, "b", agents.report_numbers[agent], 1, 1, info, False, [], [])
+    short = AgentReport(agent, "b", agents.seqs[agent], 1, 1, info, False, [], [])
     apply_report(agents.sched, short, 1, at)
 
 
@@ -34,10 +34,9 @@
 
 
 def test_filling_work_waits_for_reported_tail_latencies() -> None:
-    """All workers serve near their targets, filling work waits, and the lead changes.
+    """Guards against a new leader that starts filling work before tail latencies are reported.
 
-    The new leader knew the serving runs from the store but none of their tails.  It took them for
-    low, started all that waited at once, and tails stood over their targets for seconds.
+    All workers serve near their targets, which would be exceeded.
     """
     predecessor, _ = serving_fleet(WORKERS)
     predecessor.submit(job("fill", fill("f", tasks=6)), lambda *_: None)
