--- a/tests/sched/test_random_faults.py
+++ b/tests/sched/test_random_faults.py
@@ -1,9 +1,7 @@
-"""Random faults of all kinds together, judged at the workers.
+"""Simulation of random faults of leaders, agents, workers and messages.
 
-Leaders are replaced with a batch in flight, agents restart, workers crash and fall silent, starts
-are lost or carried out late, messages get lost and overtake each other.  Whatever happens, no task
-runs twice at a time or after its end was noted, steps keep their order, no worker is overfilled,
-and once it is calm every job ends.
+Guards against concurrent runs of a task, runs after its acknowledged end, steps out of order,
+overcommitted workers, and jobs that do not end once the faults have stopped.
 """
 
 import random
@@ -15,7 +13,7 @@
 from sapphirelead.clock import now
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from tests.sched.fakes import job
-from tests.sched.world import World
+from tests.sched.simulation import FaultSimulation
 
 pytestmark = pytest.mark.looptime
 
@@ -23,7 +21,7 @@
 
 
 def random_job(rng: random.Random, number: int) -> JobSpec:
-    """Return a job of one to three steps."""
+    """Return a random job of one to three steps."""
     steps = []
     for step in range(rng.randint(1, 3)):
         steps.append(
@@ -47,7 +45,7 @@
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
     rng = random.Random(seed)
-    world = World(seed, [random_job(rng, number) for number in range(12)])
-    await world.run_simulation(faults_s=40, recovery_s=60)
-    assert world.violations == []
-    assert world.ended()
+    simulation = FaultSimulation(seed, [random_job(rng, number) for number in range(12)])
+    await simulation.run_simulation(faults_s=40, recovery_s=60)
+    assert simulation.violations == []
+    assert simulation.ended()
