--- a/tests/sched/test_resend.py
+++ b/tests/sched/test_resend.py
@@ -1,4 +1,4 @@
-"""Which reports show that an order to start has not arrived."""
+"""Tests of resending starts: which reports show that a start order was lost."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def scheduler_with_sent_start(number: int) -> Scheduler:
-    """Return a scheduler that has just sent a start to its only agent, in orders ``number``."""
+    """Return a scheduler that has sent a start to its only agent in orders ``number``."""
     sched = scheduler()
     Agents(sched).report("g1", at=0.0)
     sched.submit(job("a1"), lambda *_: None)
@@ -23,21 +23,22 @@
 
 
 def report_without_runs(sched: Scheduler, orders: int, at: float) -> bool:
-    """Take a full report that lists no run; return whether a start waits to be sent."""
+    """Apply a full report that lists no run; return whether a start is queued."""
     beat = sched.fleet.instance("g1").beat + 1
     report = AgentReport("g1", "b", beat, 1, 1, worker_info("w-g1"), True, [], [], orders=orders)
     assert apply_report(sched, report, 1, at)
     return "g1" in sched.outgoing and bool(sched.outgoing["g1"].starts)
 
 
-@pytest.mark.parametrize(("got", "again"), [(6, False), (7, True), (8, True), (0, True)])
+@pytest.mark.parametrize(
+    ("received_orders", "resent"), [(6, False), (7, True), (8, True), (0, True)]
+)
 def test_start_is_resent_only_after_a_report_made_after_its_orders(
     received_orders: int, resent: bool
 ) -> None:
-    """A leader that is behind reads reports made before its starts, and sends all of them twice.
+    """Guards against resending starts because of reports that were made before them.
 
-    An agent that has got these orders or later ones and does not list the run has lost it.  One
-    that has got none (it has restarted, or is of an earlier version) is judged by the time alone.
+    For an agent that has received no orders, only the timeout counts.
     """
     sched = scheduler_with_sent_start(7)
     assert not report_without_runs(sched, received_orders, 0.9 * RESEND_TIMEOUT_S)
