--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's decisions: claims, ends, cancellations, losses; no network, no clock of its own."""
+"""Tests of the scheduler's state machine: claims, ends, cancellations and lost agents."""
 
 from sapphirelead.node_messages import AgentReport, ReplyKind, RunEnded, RunPhase, RunStatus
 from sapphirelead.ports import Row
@@ -15,7 +15,7 @@
 
 
 class Answers:
-    """Collects what callers are told."""
+    """Collects the replies to callers."""
 
     def __init__(self) -> None:
         self.received: list[tuple[ReplyKind, str]] = []
@@ -25,14 +25,14 @@
 
 
 def submit(sched: Scheduler, spec: JobSpec) -> Answers:
-    """Submit a job."""
+    """Submit a job; return the replies to its caller."""
     answers = Answers()
     sched.submit(spec, answers)
     return answers
 
 
 def scheduler_with_claim() -> tuple[Scheduler, Agents]:
-    """Return a scheduler that has claimed the one task of a job for a worker; nothing is stored."""
+    """Return a scheduler with an unstored claim of the only task of a job."""
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -42,14 +42,14 @@
 
 
 def store_and_reload(sched: Scheduler, table: MemoryTable) -> dict[str, Job]:
-    """Store what waits, and read all jobs back as a successor does."""
+    """Store pending changes, and load all jobs as a successor does."""
     for write in Journal().writes(sched.take_batch(0), sched.jobs):
         table.data[write.key] = Row(write.key, 1, write.value)
     return load_jobs(table)[1]
 
 
 def load_jobs(table: MemoryTable) -> tuple[Journal, dict[str, Job]]:
-    """Read all jobs from the store."""
+    """Load all jobs from the store."""
     found = [
         [table.data[key] for key in sorted(table.data) if key.startswith(prefix)]
         for prefix in (SPEC_PREFIX, SNAPSHOT_PREFIX, JOURNAL_PREFIX)
@@ -69,12 +69,12 @@
 
 
 def ended(run: Run, kind: str, number: int = 1, saved: str = "") -> RunEnded:
-    """Return the worker's word that ``run`` has ended."""
+    """Return a report that ``run`` has ended."""
     return RunEnded(number, run.ref.text(), run.attempt, kind, saved)
 
 
 def end_all_runs(sched: Scheduler, agents: Agents, at: float) -> None:
-    """Let every run end well."""
+    """Report every run as done."""
     by_agent: dict[str, list[Run]] = {}
     for run in sched.fleet.runs.values():
         by_agent.setdefault(run.agent, []).append(run)
@@ -196,10 +196,7 @@
 
 
 def test_claim_stored_with_its_cancellation_is_never_sent() -> None:
-    """A caller cancels while the claim of the job's start is being stored.
-
-    The start would go out after the cancellation was acknowledged.
-    """
+    """Guards against a start that is sent after the cancellation was acknowledged."""
     sched = scheduler()
     Agents(sched).report(at=1.0)
     submit(sched, job())
@@ -211,10 +208,7 @@
 
 
 def test_withdrawn_submission_never_runs() -> None:
-    """The store is away; the caller is told that its job was not run.
-
-    What had been planned for it in memory must be gone before the store comes back.
-    """
+    """Guards against runs of a job whose caller was told that it was not run."""
     sched = scheduler()
     Agents(sched).report(at=1.0)
     answers = submit(sched, job())
@@ -227,12 +221,9 @@
 
 
 def test_repeat_of_withdrawn_submission_is_accepted_only_once_stored() -> None:
-    """A caller's job is answered 200, and 410 ever after.
+    """Guards against accepting a repeat by the effect of the withdrawn submission.
 
-    The store turns the leader away while one batch is on its way, and the submission behind it is
-    withdrawn.  The caller repeats it just after the next batch, without it, has been sent.  What
-    that batch brought about held the first submission's acceptance still, took the repeat for it
-    and answered the caller; the leader handed over before it had stored the repeat.
+    The job would be lost if the leader changed before the repeat was stored.
     """
     sched = scheduler()
     submit(sched, job())
@@ -267,10 +258,9 @@
 
 
 def test_successor_resends_start_of_stored_claim() -> None:
-    """The leader ends right after it has stored a claim.
+    """The leader ends after it has stored a claim, and it is unknown whether the start arrived.
 
-    Whether the start reached the worker nobody knows.  The successor must neither start the task
-    elsewhere nor forget it: it sends the same attempt again.
+    Guards against a successor that starts the task on another worker or never.
     """
     sched, _ = scheduler_with_claim()
     loaded = store_and_reload(sched, MemoryTable())
@@ -314,10 +304,7 @@
 
 
 def test_repeated_end_is_acknowledged_only_once_stored() -> None:
-    """The agent repeats an end while the leader is storing it.
-
-    An acknowledgement would let the worker forget an end that is not stored yet.
-    """
+    """Guards against acknowledging an end before it is stored, so that the worker discards it."""
     sched, agents = scheduler_with_claim()
     store(sched)
     end = ended(only_run(sched), "done")
@@ -346,10 +333,7 @@
 
 
 def test_order_unknown_to_restarted_agent_is_resent() -> None:
-    """An agent is restarted and lists a run that an earlier process of it has started.
-
-    It has to know what the run is: whether it fills or serves, and how much room it takes.
-    """
+    """Guards against a restarted agent that does not know the properties of a running task."""
     sched, _ = scheduler_with_claim()
     store(sched)
     sched.orders_for("g1", 1.1)
@@ -364,10 +348,7 @@
 
 
 def test_worker_that_refuses_every_start_is_paused() -> None:
-    """A worker answers every start with "unhealthy".
-
-    Without a pause its task would be claimed for it again in every round, dozens of times a second.
-    """
+    """Guards against claiming a task for an unhealthy worker again in every planning pass."""
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
