--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -1,4 +1,4 @@
-"""Track records: workers that fail or crawl are left alone, tried again, and trusted again."""
+"""Tests of track records: unsound workers are paused, and restored after a successful trial."""
 
 from sapphirelead.sched_track import MAX_PAUSE_S, MIN_PAUSE_S, TrackRecord
 
