--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -1,8 +1,7 @@
-"""A small world for random faults: a leader that is replaced, agents, and workers, without network.
+"""Simulation of leaders, agents and workers with random faults, without a network.
 
-Everything that decides is the product's own code; messages, the store and the workers are played by
-this module and go wrong by a seeded generator.  What must hold is checked where it counts: at the
-workers, when a run begins.
+Leaders and agents run the product's code.  Messages, the store and workers are simulated, with
+faults from a seeded generator.  Invariants are checked at the workers whenever a run starts.
 """
 
 import asyncio
@@ -33,29 +32,29 @@
 
 
 class CheckedWorker(FakeWorker):
-    """A worker that checks what it is asked to run."""
+    """A worker that checks the invariants of the runs it starts."""
 
-    def __init__(self, world: "World") -> None:
-        super().__init__(world.rng.uniform(0.2, 1.5))
-        self.world = world
+    def __init__(self, simulation: "World") -> None:
+        super().__init__(simulation.rng.uniform(0.2, 1.5))
+        self.simulation = simulation
         self.dead = False
 
     def _accept_start(self, call: StartCall) -> StartAnswer:
         known = (call.task, call.attempt) in self.runs
         answer = super()._accept_start(call)
         if answer is StartAnswer.STARTED and not known and not self.dead:
-            self.world.check_start(self, call.task)
+            self.simulation.check_start(self, call.task)
         return answer
 
     def end(self, run: FakeRun, kind: str) -> None:
         if kind == EndKind.DONE and (run.task, run.attempt) in self.runs:
-            self.world.done.add(run.task)
+            self.simulation.done.add(run.task)
         super().end(run, kind)
 
     async def hold(self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int) -> Any:
         for end in self.ended:
             if end.number <= noted and end.kind == EndKind.DONE:
-                self.world.acknowledged_done.add(end.task)
+                self.simulation.acknowledged_done.add(end.task)
         return await super().hold(fencing_token, noted, lease_ms, wait_ms)
 
     def crash(self) -> None:
@@ -67,7 +66,11 @@
 
 @dataclass
 class Slot:
-    """A worker's place, with the agent beside it; ``partitioned`` off from the leader at times."""
+    """A worker and its agent.
+
+    :ivar generation: number of restarts of the worker.
+    :ivar partitioned: messages between the agent and the leader are lost.
+    """
 
     name: str
     worker: CheckedWorker
@@ -81,15 +84,17 @@
 
 
 class FaultyLinks:
-    """An agent's links, with messages that get lost or late."""
+    """An agent's links, which lose and delay messages."""
 
-    def __init__(self, world: "World", slot: Slot) -> None:
-        self.world = world
+    def __init__(self, simulation: "World", slot: Slot) -> None:
+        self.simulation = simulation
         self.slot = slot
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
         if not self.slot.partitioned:
-            self.world.deliver_later(lambda: self.world.deliver_to_leader(self.slot, message))
+            self.simulation.deliver_later(
+                lambda: self.simulation.deliver_to_leader(self.slot, message)
+            )
         return True
 
     def send_all(self, message: AnyNodeMessage) -> None:
@@ -103,8 +108,13 @@
 
 
 @dataclass
-class World:
-    """The whole of it."""
+class FaultSimulation:
+    """The simulated fleet.
+
+    :ivar acknowledged_done: tasks whose end has been acknowledged to the worker.
+    :ivar violations: violated invariants.
+    :ivar faults_stopped: no more faults are injected.
+    """
 
     seed: int
     jobs: list[JobSpec]
@@ -122,10 +132,10 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
 
-    # What must hold
+    # Invariants
 
     def check_start(self, worker: CheckedWorker, task: str) -> None:
-        """Check a run that begins."""
+        """Check the invariants when a run starts."""
         ref = TaskRef.parse(task)
         assert ref is not None
         spec = next(job for job in self.jobs if job.job_id == ref.job_id)
@@ -154,7 +164,7 @@
     # Messages
 
     def deliver_later(self, deliver: Any) -> None:
-        """Deliver after a while, or never."""
+        """Deliver with a random delay, or not at all."""
         if not self.faults_stopped and self.rng.random() < 0.08:
             return
         slow = not self.faults_stopped and self.rng.random() < 0.05
@@ -193,7 +203,7 @@
     # The leader
 
     async def run_leaders(self) -> None:
-        """Lead, be replaced, lead again."""
+        """Run successive leaders."""
         while True:
             self.epoch += 1
             found = [
@@ -247,7 +257,7 @@
         await self.beat(slot)
 
     async def beat(self, slot: Slot) -> None:
-        """Let a worker report to its agent."""
+        """Send a heartbeat from a worker to its agent."""
         if slot.runner is not None and not slot.worker.dead:
             seq = int(now() * 100)
             info = worker_info(slot.worker_id, cpu=CPU)
@@ -261,7 +271,7 @@
             await asyncio.sleep(0.3)
 
     async def inject_faults(self) -> None:
-        """Break something every now and then."""
+        """Inject random faults."""
         while not self.faults_stopped:
             await asyncio.sleep(self.rng.uniform(0.2, 2))
             slot = self.rng.choice(self.slots)
@@ -291,7 +301,7 @@
                     self.rng.choice(list(slot.worker.runs.values())).kind = "failed"
 
     async def submit_jobs(self) -> None:
-        """Submit every job, again where its acceptance was lost."""
+        """Submit every job until it is stored."""
         for spec in self.jobs:
             while True:
                 if self.sched is not None:
@@ -301,13 +311,18 @@
                     break
 
     async def run_simulation(self, faults_s: float, recovery_s: float) -> None:
-        """Run with trouble, then in calm until every job has ended or time is up."""
+        """Run with faults, then without them until every job has ended or the time is up."""
         self.slots = [Slot(f"g{number}", CheckedWorker(self)) for number in range(3)]
         for slot in self.slots:
             await self.start_agent(slot)
         tasks = [
             asyncio.create_task(work)
-            for work in (self.run_leaders(), self.send_heartbeats(), self.submit_jobs(), self.inject_faults())
+            for work in (
+                self.run_leaders(),
+                self.send_heartbeats(),
+                self.submit_jobs(),
+                self.inject_faults(),
+            )
         ]
         await asyncio.sleep(faults_s)
         self.faults_stopped = True
@@ -326,7 +341,7 @@
             raise errors[0]
 
     def ended(self) -> bool:
-        """Whether every job has been shown to end."""
+        """Whether every job is completed or failed."""
         if self.sched is None:
             return False
         states = [self.sched.state(spec.job_id) for spec in self.jobs]
