--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -52,12 +52,12 @@
     assert sched.fleet.instance("g1").boot == "new"
 
 
-@pytest.mark.parametrize("delay_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
-def test_late_reports_of_previous_process_lose_no_run(delay_s: float) -> None:
+@pytest.mark.parametrize("behind_s", [BOOT_TIMEOUT_S, 2.0, 5.0])
+def test_late_reports_of_previous_process_lose_no_run(behind_s: float) -> None:
     """Guards against a leader that restarts running tasks after a stall."""
     sched = scheduler()
     run = run_on_newer_process(sched)
-    at = 0.7 + delay_s + 0.01
+    at = 0.7 + behind_s + 0.01
     assert not report(sched, "old", 91, at, "w1")
     assert not report(sched, "old", 92, at + 0.1, "w1")
     assert not report(sched, "old", 91, at + 2 * MIN_BOOT_RETURN_S, "w1"), "duplicate report"
--- a/tests/sched/test_random_faults.py
+++ b/tests/sched/test_random_faults.py
@@ -13,7 +13,7 @@
 from sapphirelead.clock import now
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from tests.sched.fakes import job
-from tests.sched.simulation import FaultSimulation
+from tests.sched.world import FaultSimulation
 
 pytestmark = pytest.mark.looptime
 
@@ -45,7 +45,7 @@
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
     rng = random.Random(seed)
-    simulation = FaultSimulation(seed, [random_job(rng, number) for number in range(12)])
-    await simulation.run_simulation(faults_s=40, recovery_s=60)
-    assert simulation.violations == []
-    assert simulation.ended()
+    world = FaultSimulation(seed, [random_job(rng, number) for number in range(12)])
+    await world.run_simulation(faults_s=40, recovery_s=60)
+    assert world.violations == []
+    assert world.ended()
--- a/tests/sched/test_resend.py
+++ b/tests/sched/test_resend.py
@@ -30,19 +30,15 @@
     return "g1" in sched.outgoing and bool(sched.outgoing["g1"].starts)
 
 
-@pytest.mark.parametrize(
-    ("received_orders", "resent"), [(6, False), (7, True), (8, True), (0, True)]
-)
-def test_start_is_resent_only_after_a_report_made_after_its_orders(
-    received_orders: int, resent: bool
-) -> None:
+@pytest.mark.parametrize(("got", "again"), [(6, False), (7, True), (8, True), (0, True)])
+def test_start_is_resent_only_after_a_report_made_after_its_orders(got: int, again: bool) -> None:
     """Guards against resending starts because of reports that were made before them.
 
     For an agent that has received no orders, only the timeout counts.
     """
     sched = scheduler_with_sent_start(7)
-    assert not report_without_runs(sched, received_orders, 0.9 * RESEND_TIMEOUT_S)
-    assert report_without_runs(sched, received_orders, 1.1 * RESEND_TIMEOUT_S) is resent
+    assert not report_without_runs(sched, got, 0.9 * RESEND_TIMEOUT_S)
+    assert report_without_runs(sched, got, 1.1 * RESEND_TIMEOUT_S) is again
 
 
 def test_lost_start_is_resent_once_later_orders_arrive() -> None:
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -34,7 +34,7 @@
 class CheckedWorker(FakeWorker):
     """A worker that checks the invariants of the runs it starts."""
 
-    def __init__(self, simulation: "World") -> None:
+    def __init__(self, simulation: "FaultSimulation") -> None:
         super().__init__(simulation.rng.uniform(0.2, 1.5))
         self.simulation = simulation
         self.dead = False
@@ -86,7 +86,7 @@
 class FaultyLinks:
     """An agent's links, which lose and delay messages."""
 
-    def __init__(self, simulation: "World", slot: Slot) -> None:
+    def __init__(self, simulation: "FaultSimulation", slot: Slot) -> None:
         self.simulation = simulation
         self.slot = slot
 
