--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -58,7 +58,6 @@
         return await super().hold(fencing_token, noted, lease_ms, wait_ms)
 
     def crash(self) -> None:
-        """Crash."""
         self.dead = True
         self.refuses = True
         self.runs.clear()
