--- a/bench/bench_leader.py
+++ b/bench/bench_leader.py
@@ -156,7 +156,7 @@
             review(sched, self._at)
         with self._counting("plan"):
             plan(sched, self._at, self._wall_ms)
-        while sched.unsaved:
+        while sched.has_pending_writes:
             with self._counting("store"):
                 batch = sched.take_batch(self._wall_ms)
                 self._journal.writes(batch, sched.jobs)
@@ -175,7 +175,7 @@
         sched = self._sched
         instance = sched.fleet.instance(agent)
         starts, stops, stored = sched.orders_for(agent, self._at)
-        press = sched.press.press_on(instance)
+        press = sched.press.pair_weights_on(instance)
         orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, 1, press=press)
         ENCODER.encode(orders)
         return orders
--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -26,14 +26,14 @@
     RunStatus,
     WorkerInfo,
 )
-from sapphirelead.policy_pressure import USED_SHARE, tail_at
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.policy_pressure import CPU_USED_SHARE, tail_at_load
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_press import PressModel
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_stragglers import review
 from sapphirelead.sched_timing import Bounds
@@ -125,7 +125,7 @@
         return MEAN_LOAD * (1 + SWING * math.sin(angle))
 
 
-class TrueModel(PressModel):
+class TrueModel(InterferenceModel):
     """Knows all weights, and each load until two seconds from now."""
 
     def __init__(self, truth: Truth, clock: Callable[[], float]) -> None:
@@ -137,7 +137,7 @@
         """Return the true weight."""
         return self._truth.weights.get((serving, filling), 0.0)
 
-    def _own(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
+    def _user_load(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
         return max(self._truth.load(key[0], self._clock() + ahead) for ahead in (0.0, 1.0, 2.0))
 
 
@@ -283,7 +283,7 @@
         self._sched.submit(spec, lambda *_: None)
 
     def _store(self) -> None:
-        while self._sched.unsaved:
+        while self._sched.has_pending_writes:
             for effect in self._sched.take_batch(self._wall_ms).effects:
                 effect()
         for worker in self._workers:
@@ -291,7 +291,7 @@
 
     def _take_orders(self, worker: _Worker) -> None:
         starts, stops, stored = self._sched.orders_for(worker.name, self._at)
-        press = self._sched.press.press_on(self._sched.fleet.instance(worker.name))
+        press = self._sched.press.pair_weights_on(self._sched.fleet.instance(worker.name))
         orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, press=press)
         self._obey(worker, orders)
 
@@ -316,7 +316,7 @@
         wanted: dict[str, float] = {}
         for run in worker.runs.values():
             if run.step.fills:
-                share = USED_SHARE * run.step.cpu_millicores / self._size.cpu
+                share = CPU_USED_SHARE * run.step.cpu_millicores / self._size.cpu
                 wanted[run.step.image] = wanted.get(run.step.image, 0.0) + share
         return wanted
 
@@ -324,7 +324,7 @@
         using: dict[str, float] = {}
         for run in worker.runs.values():
             if run.step.fills:
-                share = USED_SHARE * run.step.cpu_millicores * run.pace / 100 / self._size.cpu
+                share = CPU_USED_SHARE * run.step.cpu_millicores * run.pace / 100 / self._size.cpu
                 using[run.step.image] = using.get(run.step.image, 0.0) + share
         return using
 
@@ -342,7 +342,7 @@
             )
             jump = math.exp(self._rng.gauss(0, JUMP))
             load = (self._truth.load(run.ref.job_id, self._at) + added) * jump
-            settles = tail_at(load, IDLE_MS)
+            settles = tail_at_load(load, IDLE_MS)
             run.tail_ms += (settles - run.tail_ms) * (1 - 0.5 ** (TICK_S / HALF_WAY_S))
             self._over += TICK_S * (run.tail_ms > TARGET_MS)
 
@@ -356,7 +356,7 @@
     def _list(self, worker: _Worker) -> None:
         worker.next_list = self._at + LIST_S
         tails = [
-            Tail(run.ref.text(), run.step.image, round(run.tail_ms), TARGET_MS)
+            TailLatency(run.ref.text(), run.step.image, round(run.tail_ms), TARGET_MS)
             for run in worker.runs.values()
             if run.step.lasting
         ]
@@ -379,7 +379,7 @@
                 (
                     round(run.tail_ms)
                     if run.step.lasting
-                    else round(USED_SHARE * run.step.cpu_millicores * run.pace / 100)
+                    else round(CPU_USED_SHARE * run.step.cpu_millicores * run.pace / 100)
                 ),
                 run.pace,
                 str(int(run.percent)) if run.step.saves else "",
@@ -399,7 +399,7 @@
 
     def _deliver(self, report: AgentReport) -> None:
         """Let the leader take a report."""
-        take_report(self._sched, report, 1, self._at)
+        apply_report(self._sched, report, 1, self._at)
         self._sched.fleet.instance(report.agent).renewed_at = self._at
 
 
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -32,8 +32,8 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.policy_order import QueuedJob, TeamShare, order
 from sapphirelead.policy_placement import (
-    Wanted,
-    could_ever_run,
+    PlacementRequest,
+    fits_any_instance,
     place,
     place_by_eviction,
     total_capacity,
@@ -42,7 +42,7 @@
 from sapphirelead.wire_messages import Nudge, Started
 
 TICK_S: Final = 0.25
-GATHER_S: Final = 0.005
+GROUPING_DELAY_S: Final = 0.005
 SCAN_S: Final = 5.0
 OFFERS_PER_TICK: Final = 200
 OFFERS_OPEN: Final = 400
@@ -138,7 +138,7 @@
                 async with asyncio.timeout(TICK_S):
                     await self._wake.wait()
                 # Jobs of one burst are ordered against each other rather than by arrival.
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(GROUPING_DELAY_S)
             except TimeoutError:
                 pass
             self._wake.clear()
@@ -237,7 +237,7 @@
         """Give up on a job that no known instance, even empty, would hold for some time."""
         known = self._members.all()
         spec = stored.job.spec
-        if at - since < IMPOSSIBLE_AFTER_S or could_ever_run(spec.resources, known):
+        if at - since < IMPOSSIBLE_AFTER_S or fits_any_instance(spec.resources, known):
             return
         self._moves.once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
 
@@ -298,8 +298,8 @@
         }
 
 
-def _wanted(job: Job, then: Then) -> Wanted:
-    return Wanted(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
+def _wanted(job: Job, then: Then) -> PlacementRequest:
+    return PlacementRequest(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
 def _bare_situation(spec: JobSpec) -> Situation:
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -1,7 +1,7 @@
-"""Callers' requests as the leader carries them out: each ends in one final answer.
+"""Executes callers' requests on the leader; each request gets exactly one final reply.
 
-"Not run" is said only of what has not been stored and never will be: a submission that was taken
-back before its write was sent, or one that came while the store was known to be away.
+``NOT_RUN`` is returned only for a submission that has not been stored and never will be: it was
+withdrawn before its write was sent, or arrived while the store was known to be unavailable.
 """
 
 import asyncio
@@ -12,79 +12,78 @@
 
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
-from sapphirelead.node_election import WATCH_S
+from sapphirelead.node_election import ELECTION_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import decode_spec
 from sapphirelead.sched_spec import same_content
 
-AWAY_RETRY_S: Final = 2.0
-"""When a refused caller may come back while the store is away; outages last for seconds."""
+STORE_RETRY_AFTER_S: Final = 2.0
 
 CONFIRM_MARGIN_S: Final = 0.1
-"""Kept from the watch of the others, for the way of the confirmation."""
+"""Margin below the election timeout, for the latency of the store's confirmation."""
 
-REFUSED_KEPT: Final = 4_000
-"""Submissions remembered as refused; an entry tries one again for as long as its caller waits."""
+MAX_REFUSED_CALLS: Final = 4_000
+"""Number of refused submissions that are remembered."""
 
 
 MayCome = Callable[[str], bool]
-"""Whether a submission of the job may still arrive that was sent before other calls for it."""
+"""Whether a submission of the job, sent before other calls for it, may still arrive."""
 
 
 class Leadership(Protocol):
-    """What carrying a call out takes of the leadership that it belongs to."""
+    """The interface of the leader that executing a call needs."""
 
     sched: Scheduler
     serving: bool
 
     @property
     def resigned(self) -> bool:
-        """Whether the lead has been given up or lost."""
+        """Whether the leadership has been resigned or lost."""
 
     @property
     def config_version(self) -> int:
-        """Version of the configuration in force."""
+        """Version of the current configuration."""
 
     @property
-    def store_patience_s(self) -> float:
-        """How long to wait for the store."""
+    def store_timeout_s(self) -> float:
+        """Timeout of a submission that waits for the store."""
 
-    def store_stuck(self, at: float) -> bool:
-        """Whether the transaction in flight has waited for longer than that."""
+    def commit_overdue(self, at: float) -> bool:
+        """Whether the commit in flight has exceeded that timeout."""
 
     def unconfirmed_s(self) -> float:
-        """Return how long ago the store last confirmed this leader."""
+        """Return the time since the store last confirmed this leader."""
 
     def wake(self) -> None:
-        """Let the next round begin: there is something to store."""
+        """Start the next round without waiting for the interval to end."""
 
-    async def over(self) -> None:
-        """Wait for the end of this leadership."""
+    async def wait_ended(self) -> None:
+        """Wait for the end of this term of leadership."""
 
 
 class LeaderCalls:
-    """The calls that one leadership carries out."""
+    """The calls of one term of leadership."""
 
-    _lead: Leadership
+    _leadership: Leadership
     _may_come: MayCome
     _refused: dict[int, None]
     _changed: asyncio.Event
 
-    def __init__(self, lead: Leadership, may_come: MayCome) -> None:
-        self._lead = lead
+    def __init__(self, leadership: Leadership, may_come: MayCome) -> None:
+        self._leadership = leadership
         self._may_come = may_come
         self._refused = {}
         self._changed = asyncio.Event()
 
-    def changed(self) -> None:
-        """Let the calls look again: the store has confirmed the lead, or the lead is over."""
+    def notify_changed(self) -> None:
+        """Wake waiting calls after the store has confirmed the leader or the leadership ended."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def call(self, call: Call, until: float) -> Reply:
-        """Carry out a call."""
-        if not self._lead.serving:
+        """Execute a call."""
+        if not self._leadership.serving:
             return Reply(call.number, ReplyKind.NOT_LEADER)
         match call.kind:
             case CallKind.SUBMIT:
@@ -97,8 +96,8 @@
                 return Reply(
                     call.number,
                     ReplyKind.OK,
-                    waiting=self._lead.sched.waiting(call.queue),
-                    config_version=self._lead.config_version,
+                    waiting=self._leadership.sched.waiting(call.queue),
+                    config_version=self._leadership.config_version,
                 )
 
     def _reply(
@@ -110,25 +109,25 @@
             state,
             retry_after_s=retry_s,
             detail=detail,
-            config_version=self._lead.config_version,
+            config_version=self._leadership.config_version,
         )
 
     async def _state(self, call: Call, until: float) -> Reply:
-        refusal = await self._until_known(call, until)
+        refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
-        return self._reply(call, ReplyKind.OK, self._lead.sched.state(call.job_id) or "")
+        return self._reply(call, ReplyKind.OK, self._leadership.sched.state(call.job_id) or "")
 
-    async def _until_known(self, call: Call, until: float) -> Reply | None:
-        """Wait until a job is known; return the reply if it is not.
+    async def _wait_until_known(self, call: Call, until: float) -> Reply | None:
+        """Wait until a job is known; return the reply if it stays unknown.
 
-        Another entry may lead by now and have accepted the job.  Nobody takes the lead from a
-        leader that the store has confirmed within the watch, so a fresh confirmation is waited for
-        before a job is called absent.
+        Another entry may lead by now and have accepted the job.  No entry replaces a leader that
+        the store has confirmed within the election timeout, so a job is reported absent only after
+        a recent confirmation.
         """
-        sched = self._lead.sched
+        sched = self._leadership.sched
         while sched.state(call.job_id) is None and self._may_be_accepted(call) and now() < until:
-            if self._lead.resigned:
+            if self._leadership.resigned:
                 return self._reply(call, ReplyKind.NOT_LEADER)
             await self._wait_for_change(until)
         if sched.state(call.job_id) is not None:
@@ -136,7 +135,7 @@
         if self._may_be_accepted(call):
             behind = self._may_come(call.job_id)
             detail = "the leader is behind" if behind else "the store is away"
-            return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=AWAY_RETRY_S)
+            return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=STORE_RETRY_AFTER_S)
         return self._reply(call, ReplyKind.ABSENT)
 
     async def _wait_for_change(self, until: float) -> None:
@@ -147,25 +146,28 @@
             return
 
     def _may_be_accepted(self, call: Call) -> bool:
-        """Whether a job that is not shown may be accepted.
+        """Whether an unknown job may have been accepted.
 
-        That may be elsewhere, by a write in progress, or by a submission sent before this call.
+        That is by another leader, by a write in progress, or by a submission sent before this call.
         """
         if self._may_come(call.job_id):
             return True
-        being_stored = call.kind is CallKind.CANCEL and call.job_id in self._lead.sched.jobs
-        return being_stored or self._lead.unconfirmed_s() >= WATCH_S - CONFIRM_MARGIN_S
+        being_stored = call.kind is CallKind.CANCEL and call.job_id in self._leadership.sched.jobs
+        return (
+            being_stored
+            or self._leadership.unconfirmed_s() >= ELECTION_TIMEOUT_S - CONFIRM_MARGIN_S
+        )
 
     async def _submit(self, call: Call, until: float) -> Reply:
         if call.number in self._refused or (
-            not self._lead.sched.knows(call.job_id) and self._lead.store_stuck(now())
+            not self._leadership.sched.knows(call.job_id) and self._leadership.commit_overdue(now())
         ):
-            self._note_refused(call)
+            self._record_refused(call)
             return self._reply(
-                call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=AWAY_RETRY_S
+                call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=STORE_RETRY_AFTER_S
             )
         spec = decode_spec(call.job)
-        known = self._lead.sched.jobs.get(spec.job_id)
+        known = self._leadership.sched.jobs.get(spec.job_id)
         other = known is not None and not same_content(known.spec, spec)
         ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
@@ -173,38 +175,34 @@
             if not ended.done():
                 ok = kind is ReplyKind.OK
                 if not ok:
-                    self._note_refused(call)
+                    self._record_refused(call)
                 ended.set_result(
                     self._reply(
                         call,
                         kind,
                         text if ok else "",
                         "" if ok else text,
-                        0 if ok else AWAY_RETRY_S,
+                        0 if ok else STORE_RETRY_AFTER_S,
                     )
                 )
 
-        self._lead.sched.submit(spec, answer)
-        self._lead.wake()
-        await asyncio.wait({ended}, timeout=self._lead.store_patience_s)
-        if not ended.done() and self._lead.sched.withdraw(call.job_id):
+        self._leadership.sched.submit(spec, answer)
+        self._leadership.wake()
+        await asyncio.wait({ended}, timeout=self._leadership.store_timeout_s)
+        if not ended.done() and self._leadership.sched.withdraw(call.job_id):
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
-            self.changed()
+            self.notify_changed()
         reply = await self._outcome(call, ended, until)
         return msgspec.structs.replace(reply, other=True) if other else reply
 
-    def _note_refused(self, call: Call) -> None:
-        """Remember that a submission has been refused, for tries of it that are still on their way.
-
-        An entry that gets no answer within 0.4 s asks again.  Where a leader answered the first try
-        late with "not run" and took a later one, a job ran whose caller had been refused.
-        """
+    def _record_refused(self, call: Call) -> None:
+        """Record a refused submission, so that a retry of the same call is refused as well."""
         self._refused[call.number] = None
-        if len(self._refused) > REFUSED_KEPT:
+        if len(self._refused) > MAX_REFUSED_CALLS:
             del self._refused[next(iter(self._refused))]
 
     async def _cancel(self, call: Call, until: float) -> Reply:
-        refusal = await self._until_known(call, until)
+        refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
         ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
@@ -213,22 +211,25 @@
             if not ended.done():
                 ended.set_result(self._reply(call, kind, state))
 
-        self._lead.sched.cancel(call.job_id, answer)
-        self._lead.wake()
+        self._leadership.sched.cancel(call.job_id, answer)
+        self._leadership.wake()
         return await self._outcome(call, ended, until)
 
     async def _outcome(self, call: Call, ended: "asyncio.Future[Reply]", until: float) -> Reply:
-        """Wait for the end of a call, the end of this leadership or the caller's deadline."""
-        over = asyncio.create_task(self._lead.over())
+        """Wait for the call's reply, the end of the leadership or the caller's deadline."""
+        wait_ended = asyncio.create_task(self._leadership.wait_ended())
         timeout = max(until - now(), 0.0)
-        either: set[asyncio.Future[Any]] = {ended, over}
+        either: set[asyncio.Future[Any]] = {ended, wait_ended}
         await asyncio.wait(either, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
-        over.cancel()
+        wait_ended.cancel()
         if ended.done():
             return ended.result()
-        if self._lead.resigned:
-            # The next leader knows what was stored; the call goes to it again.
+        if self._leadership.resigned:
+            # The call is retried with the next leader, which knows what was stored.
             return self._reply(call, ReplyKind.LEAD_LOST)
         return self._reply(
-            call, ReplyKind.UNKNOWN, detail="the store has not answered yet", retry_s=AWAY_RETRY_S
+            call,
+            ReplyKind.UNKNOWN,
+            detail="the store has not answered yet",
+            retry_s=STORE_RETRY_AFTER_S,
         )
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -1,8 +1,7 @@
-"""How long the leader's work holds its event loop, and with what.
+"""Measures how long each part of a leader's round blocks the event loop.
 
-The pattern that this answers: calls go unanswered, followers hear the leader late and starts are
-sent twice, although the leader lives and its store answers.  What holds the loop delays everything
-else in the process; the longest hold of each part tells which part to look at.
+A blocked loop delays calls, heartbeats and acknowledgements although the leader and its store are
+healthy.  The maximum per part is exported and logged, so that the cause can be identified.
 """
 
 from collections.abc import Iterator
@@ -14,42 +13,41 @@
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
-HELD_S: Final = BEAT_S / 4
-"""Longest time for which a round should hold the loop; heartbeats, reports and cancels wait for as
-long."""
+MAX_ROUND_HOLD_S: Final = HEARTBEAT_INTERVAL_S / 4
+"""Longest time for which a round should block the loop; heartbeats, reports and cancels are delayed
+by as much."""
 
-UNPLANNED_S: Final = 1.0
-"""Time for which a step may wait for a look; callers are promised that nothing stands still for 3 s
-while there is room."""
+MAX_PLANNING_WAIT_S: Final = 1.0
+"""Longest time that a ready step should wait for the planner to consider it."""
 
-PERIOD_S: Final = 1.0
-"""Time between two lines."""
+LOG_INTERVAL_S: Final = 1.0
+"""Minimum time between two log lines of a kind."""
 
 
 class Part(StrEnum):
-    """What holds the loop."""
+    """The parts of a round that block the loop."""
 
     REPORTS = "reports"
-    """Reports taken since the round before."""
+    """Reports processed since the previous round."""
     UPKEEP = "upkeep"
-    """Lost agents and jobs that are no longer kept."""
+    """Detection of lost agents and removal of expired jobs."""
     REVIEW = "review"
-    """Slow runs, leaving workers, workers to empty."""
+    """Stragglers, evacuation of leaving workers, and consolidation."""
     SURVEY = "survey"
     PLAN = "plan"
     STORE = "store"
-    """Encoding of what is stored; the wait for the store holds nothing."""
+    """Encoding of the batch; waiting for the store does not block the loop."""
     EFFECTS = "effects"
-    """Answers and orders that follow from what has been stored."""
+    """Answers and orders that follow from a commit."""
     SEND = "send"
 
 
 class LoopLoad:
-    """Times for which the parts of a round hold the loop.
+    """Blocking times of the parts of a round.
 
-    A line a second gives the longest of each part since the line before.
+    Logs the maximum per part since the previous line, once per :data:`LOG_INTERVAL_S`.
     """
 
     _metrics: Metrics
@@ -66,7 +64,7 @@
         self._metrics = metrics
         self._round_s = {}
         self._logged_at = at
-        self._behind_logged_at = at - PERIOD_S
+        self._behind_logged_at = at - LOG_INTERVAL_S
         self._reset()
 
     def _reset(self) -> None:
@@ -77,8 +75,8 @@
         self._reports = 0
 
     @contextmanager
-    def held(self, part: Part) -> Iterator[None]:
-        """Add the time that the body takes to ``part``; the body must not wait."""
+    def measure(self, part: Part) -> Iterator[None]:
+        """Add the duration of the body to ``part``; the body must not await."""
         began = now()
         try:
             yield
@@ -87,9 +85,9 @@
             self._reports += part is Part.REPORTS
 
     def round_ended(self, sched: Scheduler, waited_s: float = 0.0) -> None:
-        """Take note of a round, and log it if it shows that the leader is behind.
+        """Record a finished round, and log a warning if the leader is overloaded.
 
-        :param waited_s: longest time that a step has waited to be looked at by the planner.
+        :param waited_s: longest time that a ready step has waited for the planner, in seconds.
         """
         took_s, self._round_s = self._round_s, {}
         for part, part_s in took_s.items():
@@ -101,11 +99,11 @@
         self._total_s += total_s
         self._rounds += 1
         at = now()
-        behind = round_s > HELD_S or waited_s > UNPLANNED_S
-        if behind and at - self._behind_logged_at >= PERIOD_S:
+        behind = round_s > MAX_ROUND_HOLD_S or waited_s > MAX_PLANNING_WAIT_S
+        if behind and at - self._behind_logged_at >= LOG_INTERVAL_S:
             self._behind_logged_at = at
             self._log_behind(sched, round_s, took_s, waited_s)
-        if at - self._logged_at >= PERIOD_S:
+        if at - self._logged_at >= LOG_INTERVAL_S:
             self._log(at)
 
     def _log_behind(
@@ -117,7 +115,7 @@
             "WARNING",
             "leader_behind",
             held_s=round(round_s, 3),
-            over_s=round(max(0.0, round_s - HELD_S), 3),
+            over_s=round(max(0.0, round_s - MAX_ROUND_HOLD_S), 3),
             part=longest,
             part_s=round(took_s.get(longest, 0.0), 3),
             unplanned_s=round(waited_s, 3),
--- /dev/null
+++ b/sapphirelead/node_store_timeout.py
@@ -0,0 +1,44 @@
+"""Adaptive timeout for submissions that wait for the store.
+
+The timeout follows the duration of the latest commit, within fixed bounds: a store that is slow but
+answers does not cause refusals, and one that is unreachable causes them quickly.
+"""
+
+from typing import Final
+
+MIN_STORE_TIMEOUT_S: Final = 0.3
+
+MAX_STORE_TIMEOUT_S: Final = 1.0
+
+TIMEOUT_COMMITS: Final = 2.5
+"""Timeout in commit durations: the commit in flight, the submission's own, and a margin."""
+
+
+class StoreTimeout:
+    """Timeout for submissions, derived from the duration of the latest commit."""
+
+    _took_s: float
+
+    def __init__(self) -> None:
+        self._took_s = 0.0
+
+    def record_commit(self, took_s: float) -> None:
+        """Record the duration of a completed commit."""
+        self._took_s = took_s
+
+    @property
+    def timeout_s(self) -> float:
+        """Current timeout in seconds.
+
+        >>> store_timeout = StoreTimeout()
+        >>> store_timeout.record_commit(0.01)
+        >>> store_timeout.timeout_s
+        0.3
+        >>> store_timeout.record_commit(0.32)
+        >>> store_timeout.timeout_s
+        0.8
+        >>> store_timeout.record_commit(6.0)
+        >>> store_timeout.timeout_s
+        1.0
+        """
+        return min(max(MIN_STORE_TIMEOUT_S, TIMEOUT_COMMITS * self._took_s), MAX_STORE_TIMEOUT_S)
--- a/sapphirelead/policy_pressure.py
+++ b/sapphirelead/policy_pressure.py
@@ -1,12 +1,9 @@
-"""The tail of a serving task beside filling work, as that of a queue.  No I/O.
+"""Queueing model of a serving task's tail latency beside filling (batch) work.  No I/O.
 
-A tail is ``idle / (1 - load)``: ``idle`` is the tail of the image without any load, ``load`` the
-share of the task's time that is taken, by its own users and by what presses on it.  Filling work
-adds to the load in proportion to the processors that it uses; the weight of a pair of images is the
-load that is added if the filling image takes the whole worker.
-
-Most pairs hardly press (weights up to 0.4), others hard (0.8 to 3).  A serving job's own load
-swings within seconds: at the top hardly anything fits beside it, at the bottom nearly all.
+The tail latency is ``idle / (1 - load)``: ``idle`` is the tail latency of the image without load,
+``load`` the utilisation of the task by its own users and by interference.  Filling work adds load
+in proportion to the processors that it uses; the weight of a pair of images is the load that is
+added if the filling image uses the whole worker.
 """
 
 import math
@@ -15,194 +12,205 @@
 from dataclasses import dataclass
 from typing import Final
 
-MOST_LOAD: Final = 0.98
-"""Load at which a tail is 50 times its idle one; more shows no better."""
-
-LEAST_LEVEL: Final = 0.04
-"""A lower level stops the work altogether; the memory stays allocated."""
+MAX_LOAD: Final = 0.98
+"""Upper bound of a load; the tail is then 50 times the idle tail."""
 
-USED_SHARE: Final = 0.85
-"""Processors that a filling task uses at full pace, as a share of what it asks for."""
+MIN_LEVEL: Final = 0.04
+"""Levels below this are rounded down to 0, which pauses the work but keeps its memory."""
 
-MARGIN: Final = 0.15
-MARGIN_SLOPE: Final = 0.075
-"""Distance that filling work keeps from the load at which a tail reaches its target, for a weight
-of 1 and by the logarithm of the weight.
+CPU_USED_SHARE: Final = 0.85
+"""Share of its requested processors that a filling task uses at full speed."""
 
-The load of a single task jumps from one half second to the next, the further the higher it is, and
-a second over the target costs a serving task several times what the filling work beside it earns.
-The heavier an image, the less it does for the load that it adds, and the more distance it keeps."""
+LOAD_MARGIN: Final = 0.15
+LOAD_MARGIN_SLOPE: Final = 0.075
+"""Safety margin below the load at which a tail reaches its target, for a weight of 1, and its
+increase with the logarithm of the weight."""
 
-LEAST_MARGIN: Final = 0.04
-MOST_MARGIN: Final = 0.4
-"""Bounds of that distance; the least covers the figures' rounding."""
+MIN_LOAD_MARGIN: Final = 0.04
+MAX_LOAD_MARGIN: Final = 0.4
+"""Bounds of the margin; the lower one covers the rounding of reported values."""
 
-LEAST_PRESS: Final = 0.01
-"""Least weight assumed, so that its logarithm stays finite."""
+MIN_WEIGHT: Final = 0.01
+"""Lower bound of a weight, so that its logarithm is finite."""
 
-Weight = Callable[[str, str], float]
-"""Load that a filling image adds to a serving one if it took the whole worker."""
+WeightLookup = Callable[[str, str], float]
+"""Returns the weight of a pair, given the serving and the filling image."""
 
 
-def load_of(tail_ms: float, idle_ms: float) -> float:
-    """Return the load that a tail shows.
+def load_from_tail(tail_ms: float, idle_ms: float) -> float:
+    """Return the load that corresponds to a tail latency.
 
-    >>> round(load_of(100.0, 25.0), 2), load_of(20.0, 25.0)
+    >>> round(load_from_tail(100.0, 25.0), 2), load_from_tail(20.0, 25.0)
     (0.75, 0.0)
     """
     if tail_ms <= idle_ms:
         return 0.0
-    return min(1 - idle_ms / tail_ms, MOST_LOAD)
+    return min(1 - idle_ms / tail_ms, MAX_LOAD)
 
 
-def tail_at(load: float, idle_ms: float) -> float:
-    """Return the tail at a load.
+def tail_at_load(load: float, idle_ms: float) -> float:
+    """Return the tail latency at a load.
 
-    >>> tail_at(0.75, 25.0)
+    >>> tail_at_load(0.75, 25.0)
     100.0
     """
-    return idle_ms / (1 - min(load, MOST_LOAD))
+    return idle_ms / (1 - min(load, MAX_LOAD))
 
 
-def added_load(serving: str, shares: Mapping[str, float], weight: Weight) -> float:
-    """Return the load that filling images add to a serving one.
+def added_load(serving: str, shares: Mapping[str, float], weight: WeightLookup) -> float:
+    """Return the load that filling images add to a serving image.
 
-    :param shares: by filling image, the share of the worker's processors that it uses.
+    :param shares: share of the worker's processors used, by filling image.
     """
     return sum(weight(serving, image) * share for image, share in shares.items())
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """A serving task beside which filling work is to find room.
+class LoadBudget:
+    """The load that a serving task can tolerate.
 
-    :ivar own: load that its own users bring.
-    :ivar most: load at which its tail reaches the target.
+    :ivar own_load: load from its own users.
+    :ivar max_load: load at which its tail latency reaches the target.
     """
 
     image: str
-    own: float
-    most: float
+    own_load: float
+    max_load: float
 
-    def left(self, press: float) -> float:
-        """Return the load that is left to an image of this weight."""
-        margin = MARGIN + MARGIN_SLOPE * math.log(max(press, LEAST_PRESS))
-        return self.most / (1 + min(max(margin, LEAST_MARGIN), MOST_MARGIN)) - self.own
+    def remaining_load(self, weight: float) -> float:
+        """Return the load that is left for a filling image of this weight."""
+        margin = LOAD_MARGIN + LOAD_MARGIN_SLOPE * math.log(max(weight, MIN_WEIGHT))
+        return (
+            self.max_load / (1 + min(max(margin, MIN_LOAD_MARGIN), MAX_LOAD_MARGIN)) - self.own_load
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class _Press:
-    """What a filling image presses on the rooms.
+class _ImageImpact:
+    """Interference of a filling image with the serving tasks.
 
-    :ivar most: the largest of the weights.
-    :ivar pairs: for each room the weight, and the load that is left to an image of this weight.
+    :ivar max_weight: the largest weight in ``pairs``.
+    :ivar pairs: weight and remaining load for each load budget.
     """
 
     image: str
-    most: float
+    max_weight: float
     pairs: list[tuple[float, float]]
 
     @classmethod
-    def from_rooms(cls, image: str, rooms: list[Room], weight: Weight) -> "_Press":
-        """Look the weights up."""
-        weights = [weight(room.image, image) for room in rooms]
-        pairs = [(one, room.left(one)) for one, room in zip(weights, rooms, strict=True)]
+    def from_budgets(
+        cls, image: str, budgets: list[LoadBudget], weight: WeightLookup
+    ) -> "_ImageImpact":
+        """Return the impact of ``image``, with weights from ``weight``."""
+        weights = [weight(budget.image, image) for budget in budgets]
+        pairs = [
+            (pair_weight, budget.remaining_load(pair_weight))
+            for pair_weight, budget in zip(weights, budgets, strict=True)
+        ]
         return cls(image, max(weights, default=0.0), pairs)
 
     def level(self, wanted: float, added: list[float]) -> float:
-        """Return the level that the rooms bear.
+        """Return the highest level within all load budgets.
 
-        :param added: load that others have added to each room.
+        :param added: load that other images add to each budget.
         """
         level = 1.0
-        for (weight, left), so_far in zip(self.pairs, added, strict=True):
-            more = weight * wanted
-            if more > 0:
-                level = min(level, (left - so_far) / more)
-        return level if level >= LEAST_LEVEL else 0.0
+        for (weight, remaining_load), so_far in zip(self.pairs, added, strict=True):
+            full_load = weight * wanted
+            if full_load > 0:
+                level = min(level, (remaining_load - so_far) / full_load)
+        return level if level >= MIN_LEVEL else 0.0
 
     def add(self, used: float, added: list[float]) -> list[float]:
-        """Return the load added to each room once the image uses a share of the worker."""
+        """Return ``added`` plus the load of this image if it uses a share of the worker."""
         return [
             so_far + weight * used for (weight, _), so_far in zip(self.pairs, added, strict=True)
         ]
 
 
-class Allotment:
-    """The levels of the filling images on one worker that the tails bear.
+class LevelAllocation:
+    """Levels of the filling images on one worker that keep all tails within their targets.
 
-    The images that press least come first: for the same load they do the most work.  So one more
-    task changes nothing of those before its image, and :meth:`used_with` begins there.
+    Allocates greedily by increasing weight, because light images do the most work for the load that
+    they add.  An additional task changes only the levels of its image and of later ones, so
+    :meth:`used_with` resumes from there.
 
-    :ivar levels: by filling image, from 0 to 1.
-    :ivar used: share of the worker that all of them use.
+    :ivar levels: share of its requested speed that each filling image gets, 0 to 1.
+    :ivar used: share of the worker's processors that all filling images use.
     """
 
     levels: dict[str, float]
     used: float
-    _rooms: list[Room]
+    _budgets: list[LoadBudget]
     _wanted: Mapping[str, float]
-    _weight: Weight
-    _order: list[_Press]
-    _before: list[tuple[list[float], float]]
-    _others: dict[str, _Press]
+    _weight: WeightLookup
+    _order: list[_ImageImpact]
+    _state_before: list[tuple[list[float], float]]
+    _unplaced: dict[str, _ImageImpact]
 
-    def __init__(self, rooms: list[Room], wanted: Mapping[str, float], weight: Weight) -> None:
-        """Share the rooms out.
+    def __init__(
+        self, budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
+    ) -> None:
+        """Allocate the levels.
 
-        :param wanted: by filling image, the share of the processors that it would use at full pace.
+        :param wanted: share of the processors used at full speed, by filling image.
         """
-        self._rooms = rooms
+        self._budgets = budgets
         self._wanted = wanted
         self._weight = weight
-        presses = [_Press.from_rooms(image, rooms, weight) for image in wanted]
-        self._order = sorted(presses, key=lambda press: press.most)
-        self._others = {}
-        self._before = []
+        impacts = [_ImageImpact.from_budgets(image, budgets, weight) for image in wanted]
+        self._order = sorted(impacts, key=lambda impact: impact.max_weight)
+        self._unplaced = {}
+        self._state_before = []
         self.levels = {}
         self.used = 0.0
-        added = [0.0] * len(rooms)
-        for press in self._order:
-            self._before.append((added, self.used))
-            share = wanted[press.image]
-            level = press.level(share, added)
-            self.levels[press.image] = round(level, 2)
+        added = [0.0] * len(budgets)
+        for impact in self._order:
+            self._state_before.append((added, self.used))
+            share = wanted[impact.image]
+            level = impact.level(share, added)
+            self.levels[impact.image] = round(level, 2)
             self.used += level * share
-            added = press.add(level * share, added)
-        self._before.append((added, self.used))
+            added = impact.add(level * share, added)
+        self._state_before.append((added, self.used))
 
     def used_with(self, image: str, share: float) -> float:
-        """Return the share of the worker that all use once ``image`` wants ``share`` more."""
-        number, press, behind = self._position(image)
-        added, used = self._before[number]
+        """Return what :attr:`used` would be if ``image`` wanted ``share`` more."""
+        number, impact, later = self._position(image)
+        added, used = self._state_before[number]
         share += self._wanted.get(image, 0.0)
-        for one in (press, *behind):
-            wanted = share if one is press else self._wanted[one.image]
-            taken = one.level(wanted, added) * wanted
+        for current in (impact, *later):
+            wanted = share if current is impact else self._wanted[current.image]
+            taken = current.level(wanted, added) * wanted
             used += taken
-            added = one.add(taken, added)
+            added = current.add(taken, added)
         return used
 
-    def _position(self, image: str) -> tuple[int, _Press, list[_Press]]:
-        """Return the place of an image in the order, the image, and those behind it."""
+    def _position(self, image: str) -> tuple[int, _ImageImpact, list[_ImageImpact]]:
+        """Return the index of an image in the order, its impact, and the impacts after it."""
         if image in self._wanted:
-            number = next(n for n, press in enumerate(self._order) if press.image == image)
+            number = next(n for n, impact in enumerate(self._order) if impact.image == image)
             return number, self._order[number], self._order[number + 1 :]
-        found = self._others.get(image)
+        found = self._unplaced.get(image)
         if found is None:
-            found = self._others[image] = _Press.from_rooms(image, self._rooms, self._weight)
-        number = bisect_right(self._order, found.most, key=lambda press: press.most)
+            found = self._unplaced[image] = _ImageImpact.from_budgets(
+                image, self._budgets, self._weight
+            )
+        number = bisect_right(self._order, found.max_weight, key=lambda impact: impact.max_weight)
         return number, found, self._order[number:]
 
 
-def allot(rooms: list[Room], wanted: Mapping[str, float], weight: Weight) -> dict[str, float]:
-    """Return the level of each filling image that the tails bear, from 0 to 1.
+def allocate_levels(
+    budgets: list[LoadBudget], wanted: Mapping[str, float], weight: WeightLookup
+) -> dict[str, float]:
+    """Return the level of each filling image, 0 to 1, that keeps all tails within their targets.
 
-    :param wanted: by filling image, the share of the processors that it would use at full pace.
+    :param wanted: share of the processors used at full speed, by filling image.
 
-    >>> presses = {"heavy": 2.0, "light": 0.2}
-    >>> levels = allot([Room("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}, lambda _, i: presses[i])
+    >>> weights = {"heavy": 2.0, "light": 0.2}
+    >>> budgets, wanted = [LoadBudget("s", 0.4, 0.8)], {"heavy": 0.2, "light": 0.5}
+    >>> levels = allocate_levels(budgets, wanted, lambda _, image: weights[image])
     >>> levels
     {'light': 1.0, 'heavy': 0.41}
     """
-    return Allotment(rooms, wanted, weight).levels
+    return LevelAllocation(budgets, wanted, weight).levels
--- a/sapphirelead/policy_pressure_filter.py
+++ b/sapphirelead/policy_pressure_filter.py
@@ -1,16 +1,13 @@
-"""Estimates of what filling images add to one serving image: a Kalman filter.  No I/O.
+"""Kalman filter for the interference weights of filling images with one serving image.  No I/O.
 
-Algorithm.  The state is the weight of each filling image, which stays as it is but for a little
-drift.  An observation is the difference of the load of one job on two workers; it is the weights
-times the difference of the shares that the images use there, plus noise.  The load that the job's
-users bring is the same on both and drops out.
-
-The covariance is kept whole.  Images run beside each other for seconds; with variances alone each
-of them takes the same share of every surprise, and light ones end up heavy with small variances.
+The state is the weight of each filling image, modelled as a random walk.  An observation is the
+difference in load of one serving job between two workers, which cancels the load of the job's
+users: the weights times the differences in the images' processor shares, plus noise.  The filter
+keeps the full covariance, because images that run together are otherwise not told apart.
 
 Invariants:
 
-- No weight is below zero: filling work is never credited with making a service quicker.
+- Weights are never negative.
 - The covariance is symmetric, with a positive diagonal.
 """
 
@@ -19,47 +16,42 @@
 
 from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, Evidence
 
-DRIFT_VARIANCE: Final = 0.003
-"""Variance that each weight gains in a second, so that it follows a changed program.  By time, not
-by observation: a large fleet has many of these a second, and would forget what it knows of an image
-while that is not there."""
+DRIFT_VARIANCE_PER_S: Final = 0.003
+"""Variance that each weight gains per second, independent of the number of observations."""
 
-SURPRISE: Final = 3.0
-"""Standard deviations up to which an observation counts: a worker that turns slow multiplies its
-tails, and one such report must not make light images heavy."""
+MAX_ERROR_SIGMAS: Final = 3.0
+"""Standard deviations to which the error of an observation is clipped, against outliers."""
 
-NEW_VARIANCE: Final = 1.5
-"""Least variance of an image that is new, however sure its neighbours make it seem: its own first
-observations decide."""
+MIN_INITIAL_VARIANCE: Final = 1.5
+"""Lower bound of the initial variance, so that the first observations outweigh the prior."""
 
-LEAST_VARIANCE: Final = 1e-6
+MIN_VARIANCE: Final = 1e-6
 
-LEAST_PRECISION: Final = 1e-3
-"""Precision of the observations below which they say nothing."""
+MIN_PRECISION: Final = 1e-3
+"""Precision below which observations count as no evidence."""
 
-MOST_IMAGES: Final = 24
-"""Images kept, because an observation costs the square of their number.  The one that was seen
-longest ago gives way to a new one."""
+MAX_IMAGES: Final = 24
+"""Maximum number of images; the cost of an observation is quadratic in it."""
 
 
 class PressureFilter:
     """The weights of the filling images beside one serving image.
 
-    :ivar weights: load that is added if the image takes the whole worker.
-    :ivar reports: observations in which the image took part.
+    :ivar weights: load that an image adds if it uses the whole worker.
+    :ivar reports: number of observations of an image; ordered from the least recently observed.
     """
 
     weights: dict[str, float]
     reports: dict[str, int]
     _cov: dict[str, dict[str, float]]
-    _begun: dict[str, Evidence]
+    _priors: dict[str, Evidence]
     _at: float
 
     def __init__(self, at: float = 0.0) -> None:
         self.weights = {}
         self.reports = {}
         self._cov = {}
-        self._begun = {}
+        self._priors = {}
         self._at = at
 
     def observe(
@@ -70,82 +62,81 @@
         expected: Callable[[str], Belief],
         at: float,
     ) -> None:
-        """Take an observation.
+        """Update the weights with an observation.
 
         :param difference: load on one worker less that on the other.
-        :param shares: by image, its share on the one worker less that on the other.
-        :param noise: standard deviation of the difference without any cause.
-        :param expected: what to begin with for an image that is new.
+        :param shares: processor share of each image on the one worker less that on the other.
+        :param noise: standard deviation of the measured difference.
+        :param expected: returns the prior of a new image.
         :param at: time of the observation in seconds.
         """
-        drift = DRIFT_VARIANCE * max(at - self._at, 0.0)
+        drift = DRIFT_VARIANCE_PER_S * max(at - self._at, 0.0)
         self._at = max(at, self._at)
         for image, row in self._cov.items():
             row[image] += drift
         shares = _largest(shares)
         for image in shares:
             if image not in self.weights:
-                self._make_room(shares)
+                self._evict_if_full(shares)
                 self._add(image, expected(image))
-        along = {
+        cross_covariance = {
             image: sum(row[other] * share for other, share in shares.items())
             for image, row in self._cov.items()
         }
-        variance: float = noise**2 + sum(along[image] * share for image, share in shares.items())
+        variance: float = noise**2 + sum(
+            cross_covariance[image] * share for image, share in shares.items()
+        )
         error = difference - sum(self.weights[image] * share for image, share in shares.items())
-        most = SURPRISE * variance**0.5
-        error = min(max(error, -most), most)
-        for image, part in along.items():
-            self.weights[image] = max(0.0, self.weights[image] + part / variance * error)
+        max_error = MAX_ERROR_SIGMAS * variance**0.5
+        error = min(max(error, -max_error), max_error)
+        for image, covariance in cross_covariance.items():
+            self.weights[image] = max(0.0, self.weights[image] + covariance / variance * error)
             row = self._cov[image]
             for other in row:
-                row[other] -= part * along[other] / variance
-            row[image] = max(row[image], LEAST_VARIANCE)
+                row[other] -= covariance * cross_covariance[other] / variance
+            row[image] = max(row[image], MIN_VARIANCE)
         for image in shares:
-            # The order of the keys tells which image was seen longest ago.
+            # Reinsert the key: the order is that of the last observations.
             self.reports[image] = self.reports.pop(image) + 1
 
-    def seen(self, image: str) -> Evidence:
-        """Return what the observations alone say of an image, without what it began with."""
-        begun = self._begun.get(image)
-        if begun is None:
+    def evidence(self, image: str) -> Evidence:
+        """Return the evidence from the observations of an image alone, without its prior."""
+        prior = self._priors.get(image)
+        if prior is None:
             return NO_EVIDENCE
-        now = 1 / self._cov[image][image]
-        precision = now - begun.precision
-        if precision <= LEAST_PRECISION:
+        posterior_precision = 1 / self._cov[image][image]
+        precision = posterior_precision - prior.precision
+        if precision <= MIN_PRECISION:
             return NO_EVIDENCE
-        weighed = self.weights[image] * now - begun.weight * begun.precision
+        weighed = self.weights[image] * posterior_precision - prior.weight * prior.precision
         return Evidence(weighed / precision, precision)
 
     def _add(self, image: str, expected: Belief) -> None:
         self.weights[image] = expected.weight
         self.reports[image] = 0
-        variance = max(expected.variance, NEW_VARIANCE)
-        self._begun[image] = Evidence(expected.weight, 1 / variance)
+        variance = max(expected.variance, MIN_INITIAL_VARIANCE)
+        self._priors[image] = Evidence(expected.weight, 1 / variance)
         for row in self._cov.values():
             row[image] = 0.0
         self._cov[image] = {**dict.fromkeys(self._cov, 0.0), image: variance}
 
-    def _make_room(self, needed: Mapping[str, float]) -> None:
-        """Drop the image that was seen longest ago, where there are too many.
-
-        An observation of one kept image and one new one would else drop the first for the second,
-        and then ask for the weight of both.
+    def _evict_if_full(self, observed: Mapping[str, float]) -> None:
+        """Evict the least recently observed image if the filter is full.
 
-        :param needed: images of the observation in hand, which stay.
+        :param observed: images of the current observation, which are never evicted.
         """
-        if len(self.weights) >= MOST_IMAGES:
-            self._drop(next(image for image in self.reports if image not in needed))
+        if len(self.weights) >= MAX_IMAGES:
+            self._drop(next(image for image in self.reports if image not in observed))
 
     def _drop(self, image: str) -> None:
-        del self.weights[image], self.reports[image], self._cov[image], self._begun[image]
+        del self.weights[image], self.reports[image], self._cov[image], self._priors[image]
         for row in self._cov.values():
             del row[image]
 
 
 def _largest(shares: Mapping[str, float]) -> Mapping[str, float]:
-    """Return as many shares as there are images kept; what the small ones add counts as noise."""
-    if len(shares) <= MOST_IMAGES:
+    """Return the ``MAX_IMAGES`` largest shares; smaller ones count as noise."""
+    if len(shares) <= MAX_IMAGES:
         return shares
     ranked = sorted(shares, key=lambda image: -abs(shares[image]))
-    return {image: shares[image] for image in ranked[:MOST_IMAGES]}
+    return {image: shares[image] for image in ranked[:MAX_IMAGES]}
--- a/sapphirelead/policy_pressure_pair.py
+++ b/sapphirelead/policy_pressure_pair.py
@@ -1,17 +1,11 @@
-"""What is believed of a pair of a serving and a filling image: that it is light, or heavy.  No I/O.
+"""Bayesian estimate of the interference weight of a serving and a filling image.  No I/O.
 
-Most pairs hardly press on each other, because they share little; those that share a cache or a link
-press hard, and little lies in between.  So a few observations that would leave a weight wide open
-by themselves often settle which kind a pair is, and with it nearly all of its weight.
+The prior is a mixture of two normal distributions, light and heavy pairs.  Evidence, a measured
+weight with its precision, updates the probability of each kind by its likelihood and the
+distribution within each kind.  A few observations are therefore often enough to classify a pair.
 
-Algorithm.  The two kinds are normal distributions of the weight.  The belief begins with a
-probability that the pair is heavy; evidence, which is a measured weight with its variance, moves
-that probability by its likelihood under each kind, and the weight within each kind towards itself.
-
-Invariants:
-
-- Without evidence the belief is the prior; the more precise the evidence, the nearer the weight is
-  to what was measured, also where that lies between the kinds.
+Without evidence the belief is the prior; with increasing precision the weight approaches the
+measured one.
 """
 
 import math
@@ -19,28 +13,27 @@
 
 
 class Kind(NamedTuple):
-    """Mean and variance of the weights of a kind of pairs."""
+    """Mean and variance of the weights of one kind of pair."""
 
     weight: float
     variance: float
 
 
-LIGHT: Final = Kind(0.12, 0.12**2)
-HEAVY: Final = Kind(1.7, 1.0)
+LIGHT_KIND: Final = Kind(0.12, 0.12**2)
+HEAVY_KIND: Final = Kind(1.7, 1.0)
 
-HEAVY_SHARE: Final = 0.35
-"""Probability that a pair of which nothing is known is heavy."""
+HEAVY_PRIOR: Final = 0.35
+"""Probability that an unknown pair is heavy."""
 
-SURE: Final = 0.02
-"""Probability that is left to either kind before there is evidence."""
+MIN_KIND_PROBABILITY: Final = 0.02
+"""Lower bound of the prior probability of either kind."""
 
-CARE: Final = 2.0
-"""Standard deviations that are added to a weight for what is not known of it: a tail over its
-target costs more than the filling work beside it earns."""
+UPPER_BOUND_SIGMAS: Final = 2.0
+"""Standard deviations that the upper bound of a weight lies above its mean."""
 
 
 class Evidence(NamedTuple):
-    """A measured weight; ``precision``, one over its variance, is 0 where nothing was measured."""
+    """A measured weight; ``precision``, the inverse of its variance, is 0 without measurements."""
 
     weight: float
     precision: float
@@ -50,11 +43,10 @@
 
 
 class Belief(NamedTuple):
-    """What is believed of a pair.
+    """Probability distribution of the weight of a pair.
 
-    :ivar heavy: probability that it is heavy.
-    :ivar weight: load that is added if the filling image takes the whole worker.
-    :ivar variance: of that weight.
+    :ivar heavy: probability that the pair is heavy.
+    :ivar weight: mean of the load that is added if the filling image uses the whole worker.
     """
 
     heavy: float
@@ -62,53 +54,57 @@
     variance: float
 
     @property
-    def careful(self) -> float:
-        """The weight to allow for."""
-        return self.weight + CARE * math.sqrt(self.variance)
+    def upper_bound(self) -> float:
+        """Upper confidence bound of the weight."""
+        return self.weight + UPPER_BOUND_SIGMAS * math.sqrt(self.variance)
 
 
-def believe(heavy: float, seen: Evidence = NO_EVIDENCE) -> Belief:
-    """Return the belief in a pair.
+def pair_belief(heavy: float, evidence: Evidence = NO_EVIDENCE) -> Belief:
+    """Return the belief about a pair.
 
-    :param heavy: probability that it is heavy, without the evidence.
+    :param heavy: prior probability that the pair is heavy.
 
-    >>> nothing = believe(HEAVY_SHARE)
-    >>> round(nothing.weight, 2), round(nothing.careful, 2)
+    >>> nothing = pair_belief(HEAVY_PRIOR)
+    >>> round(nothing.weight, 2), round(nothing.upper_bound, 2)
     (0.67, 2.6)
-    >>> doubtful = believe(HEAVY_SHARE, Evidence(0.4, 1 / 0.5**2))
+    >>> doubtful = pair_belief(HEAVY_PRIOR, Evidence(0.4, 1 / 0.5**2))
     >>> round(doubtful.heavy, 2), round(doubtful.weight, 2)
     (0.13, 0.2)
-    >>> round(believe(HEAVY_SHARE, Evidence(0.8, 1 / 0.05**2)).weight, 2)
+    >>> round(pair_belief(HEAVY_PRIOR, Evidence(0.8, 1 / 0.05**2)).weight, 2)
     0.8
     """
-    heavy = min(max(heavy, SURE), 1 - SURE)
-    if seen.precision <= 0:
-        return _mix(heavy, LIGHT, HEAVY)
-    variance = 1 / seen.precision
-    odds = math.log(heavy / (1 - heavy)) + _fit(HEAVY, seen.weight, variance)
-    odds -= _fit(LIGHT, seen.weight, variance)
-    return _mix(_probability(odds), _towards(LIGHT, seen), _towards(HEAVY, seen))
-
-
-def _fit(kind: Kind, weight: float, variance: float) -> float:
-    """Return the logarithm of a measurement's likelihood under a kind."""
-    spread = kind.variance + variance
-    return -0.5 * ((weight - kind.weight) ** 2 / spread + math.log(spread))
-
-
-def _towards(kind: Kind, seen: Evidence) -> Kind:
-    """Return a kind's distribution after the evidence."""
-    precision = 1 / kind.variance + seen.precision
-    weight = (kind.weight / kind.variance + seen.weight * seen.precision) / precision
+    heavy = min(max(heavy, MIN_KIND_PROBABILITY), 1 - MIN_KIND_PROBABILITY)
+    if evidence.precision <= 0:
+        return _mixture(heavy, LIGHT_KIND, HEAVY_KIND)
+    variance = 1 / evidence.precision
+    log_odds = math.log(heavy / (1 - heavy)) + _log_likelihood(
+        HEAVY_KIND, evidence.weight, variance
+    )
+    log_odds -= _log_likelihood(LIGHT_KIND, evidence.weight, variance)
+    return _mixture(
+        _logistic(log_odds), _posterior(LIGHT_KIND, evidence), _posterior(HEAVY_KIND, evidence)
+    )
+
+
+def _log_likelihood(kind: Kind, weight: float, variance: float) -> float:
+    """Return the log-likelihood of a measurement under a kind, up to a constant."""
+    total_variance = kind.variance + variance
+    return -0.5 * ((weight - kind.weight) ** 2 / total_variance + math.log(total_variance))
+
+
+def _posterior(kind: Kind, evidence: Evidence) -> Kind:
+    """Return the distribution of a kind updated with the evidence."""
+    precision = 1 / kind.variance + evidence.precision
+    weight = (kind.weight / kind.variance + evidence.weight * evidence.precision) / precision
     return Kind(max(weight, 0.0), 1 / precision)
 
 
-def _probability(odds: float) -> float:
-    """Return the probability of logarithmic odds."""
-    return 1 / (1 + math.exp(-max(-50.0, min(50.0, odds))))
+def _logistic(log_odds: float) -> float:
+    """Return the probability for log odds."""
+    return 1 / (1 + math.exp(-max(-50.0, min(50.0, log_odds))))
 
 
-def _mix(heavy: float, light_kind: Kind, heavy_kind: Kind) -> Belief:
+def _mixture(heavy: float, light_kind: Kind, heavy_kind: Kind) -> Belief:
     weight = (1 - heavy) * light_kind.weight + heavy * heavy_kind.weight
     variance = (1 - heavy) * (light_kind.variance + (light_kind.weight - weight) ** 2)
     variance += heavy * (heavy_kind.variance + (heavy_kind.weight - weight) ** 2)
--- a/sapphirelead/policy_rules.py
+++ b/sapphirelead/policy_rules.py
@@ -1,12 +1,8 @@
-"""Ordered when-then rules: for any situation, the first rule that matches decides.
+"""Ordered when-then rules: the first rule that matches a situation decides.
 
-A situation is a flat record of typed fields, filled by the entry from what it knows when the
-decision is made.  A decision carries the name of the rule that made it into logs, metrics and
-``rules explain``.
-
-Rules are compiled once for each configuration version: every matcher becomes a closure, and those
-of one rule run with the cheapest and most selective first.  A decision is linear in the number of
-rules up to the one that matches, so that the order which operators see is the order that holds.
+A situation is a flat record of typed fields, filled in by the entry.  A decision carries the name
+of its rule for logs, metrics and ``rules explain``.  Rules are compiled to closures once per
+configuration version.
 """
 
 from collections.abc import Callable
@@ -22,11 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What a rule may look at.
+    """The fields that rules can match on.
 
     :ivar load: used share of the reachable slots (service) or capacity (batch), 0 to 1.
     :ivar slowdown: measured service latency relative to that without batch, 1.0 for none.
-    :ivar healthy_share: share of known instances that are neither silent, ejected nor draining.
+    :ivar healthy_share: share of known instances that are responsive and neither ejected nor
+        draining.
     """
 
     kind: str
@@ -46,39 +43,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What was decided, and by which rule."""
+    """The action to take, and the rule that decided it."""
 
     rule: str
     then: Then
 
     def refusal(self, work: str) -> Failure | None:
-        """Return why the rule refuses the work, or ``None`` where it admits it.
+        """Return the failure to report if the rule refuses the work, else ``None``.
 
-        :param work: what is refused, as the caller calls it: ``request`` or ``job``.
+        :param work: kind of work for the message: ``request`` or ``job``.
         """
         if self.then.action != "refuse":
             return None
         return Failure(Code.REFUSED_BY_RULE, f"rule {self.rule!r} refuses this {work} now")
 
 
-Test = Callable[[Situation], bool]
+Predicate = Callable[[Situation], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
     """One compiled field of a rule.
 
-    :ivar text: the condition as operators read it, for instance ``load at_least 0.8``.
+    :ivar text: the condition for display, for instance ``load at_least 0.8``.
     """
 
     field: str
     text: str
-    holds: Test
+    holds: Predicate
 
 
 @dataclass(frozen=True, slots=True)
 class CompiledRule:
-    """A rule ready to be asked."""
+    """A rule with compiled conditions."""
 
     decision: Decision
     conditions: tuple[Condition, ...]
@@ -88,12 +85,12 @@
     """Compiled rules of one configuration version."""
 
     rules: tuple[CompiledRule, ...]
-    _tests: tuple[tuple[tuple[Test, ...], Decision], ...]
+    _predicates: tuple[tuple[tuple[Predicate, ...], Decision], ...]
     _default: Decision
 
     def __init__(self, rules: tuple[RuleModel, ...]) -> None:
         self.rules = tuple(_compile(rule) for rule in rules)
-        self._tests = tuple(
+        self._predicates = tuple(
             (tuple(condition.holds for condition in rule.conditions), rule.decision)
             for rule in self.rules
         )
@@ -106,10 +103,10 @@
 
     def decide(self, situation: Situation) -> Decision:
         """Return the decision of the first rule that matches."""
-        for tests, decision in self._tests:
-            # A plain loop: a generator in all() costs twice the comparison itself.
-            for test in tests:
-                if not test(situation):
+        for predicates, decision in self._predicates:
+            # Not all(): a generator is slower.
+            for predicate in predicates:
+                if not predicate(situation):
                     break
             else:
                 return decision
@@ -128,7 +125,9 @@
 def _conditions(name: str, matcher: Matcher) -> list[Condition]:
     found: list[Condition] = []
     if matcher.eq is not None:
-        found.append(Condition(name, f"{name} eq {_shown(matcher.eq)}", _equals(name, matcher.eq)))
+        found.append(
+            Condition(name, f"{name} eq {_format_value(matcher.eq)}", _equals(name, matcher.eq))
+        )
     if matcher.one_of is not None:
         text = f"{name} in [{', '.join(matcher.one_of)}]"
         found.append(Condition(name, text, _one_of(name, frozenset(matcher.one_of))))
@@ -141,25 +140,25 @@
     return found
 
 
-def _equals(name: str, wanted: str | float | bool) -> Test:
+def _equals(name: str, wanted: str | float | bool) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) == wanted)
 
 
-def _one_of(name: str, wanted: frozenset[str]) -> Test:
+def _one_of(name: str, wanted: frozenset[str]) -> Predicate:
     get = attrgetter(name)
     return lambda situation: get(situation) in wanted
 
 
-def _at_least(name: str, bound: float) -> Test:
+def _at_least(name: str, bound: float) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) >= bound)
 
 
-def _below(name: str, bound: float) -> Test:
+def _below(name: str, bound: float) -> Predicate:
     get = attrgetter(name)
     return lambda situation: bool(get(situation) < bound)
 
 
-def _shown(value: str | float | bool) -> str:
+def _format_value(value: str | float | bool) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/sapphirelead/policy_rules_check.py
+++ b/sapphirelead/policy_rules_check.py
@@ -1,11 +1,10 @@
-"""Checks of a whole configuration document before it is accepted.
+"""Validation of a configuration document before it is accepted.
 
-Run when operators check or apply a change, never when a stored version is read: a later release
-with a stricter check must still take the version that an earlier one accepted.
+Runs when operators check or apply a change, but not when a stored version is read, so that a
+release with stricter checks can read versions accepted by earlier releases.
 
-Beyond each key's own type, the check finds rules that can never decide (an empty condition, or
-covered by earlier rules), names that the document does not declare, and actions that can never be
-carried out.
+In addition to the types, it reports unreachable rules, undeclared names, and actions that can never
+be carried out.
 """
 
 from collections.abc import Collection, Iterator
@@ -28,15 +27,22 @@
     values_of,
 )
 
-FLAGS: Final = frozenset({"urgent", "idempotent", "store_up"})
-ONLY_ADMITTED: Final = ("zones", "priority", "hedge", "urgent", "max_queue_ms", "throttle_share")
+FLAG_FIELDS: Final = frozenset({"urgent", "idempotent", "store_up"})
+ADMISSION_ONLY_KEYS: Final = (
+    "zones",
+    "priority",
+    "hedge",
+    "urgent",
+    "max_queue_ms",
+    "throttle_share",
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Something wrong with a document.
+    """A problem in a document.
 
-    :ivar path: keys and positions that lead to the value concerned.
+    :ivar path: keys and indices of the value concerned.
     :ivar rule: name of the rule concerned, or empty.
     """
 
@@ -54,7 +60,7 @@
 ) -> Result[ConfigDocument, tuple[Problem, ...]]:
     """Check a decoded document.
 
-    :param zones: the deployment's availability zones; unknown ones are found only if it is given.
+    :param zones: the deployment's availability zones; zones are not checked if it is empty.
     """
     try:
         document = ConfigDocument.model_validate(raw)
@@ -162,11 +168,11 @@
             return f"{field} is a number: use eq, at_least or below with a number"
         return ""
     if {"at_least", "below"} & given:
-        return f"{field} has no order: use eq" + ("" if field in FLAGS else " or in")
-    if field in FLAGS and not isinstance(matcher.eq, bool):
+        return f"{field} has no order: use eq" + ("" if field in FLAG_FIELDS else " or in")
+    if field in FLAG_FIELDS and not isinstance(matcher.eq, bool):
         return f"{field} is a flag: use eq = true or eq = false"
-    if field not in FLAGS and matcher.eq is not None and not isinstance(matcher.eq, str):
-        return f"{field} is a text: write it in quotes"
+    if field not in FLAG_FIELDS and matcher.eq is not None and not isinstance(matcher.eq, str):
+        return f"{field} is a string: write it in quotes"
     return ""
 
 
@@ -176,7 +182,7 @@
     then = rule.then
     given = then.model_fields_set
     if then.action == "refuse":
-        for key in ONLY_ADMITTED:
+        for key in ADMISSION_ONLY_KEYS:
             if key in given:
                 yield key, "can never be carried out: the rule refuses what it matches"
     for name in then.avoid_services:
@@ -203,4 +209,4 @@
         return True
     values = values_of(DOMAINS[field], matcher)
     assert isinstance(values, TextSet)
-    return not values.common(TextSet(frozenset({value}))).empty
+    return not values.intersection(TextSet(frozenset({value}))).empty
--- a/sapphirelead/policy_rules_region.py
+++ b/sapphirelead/policy_rules_region.py
@@ -1,14 +1,11 @@
-"""The set of situations that a rule matches, for finding rules that can never decide.
+"""Detection of unreachable rules by subtracting the sets of situations that rules match.
 
-The conditions of a rule are independent by field, so that its situations form a box: a product of
-one set of values for each field.  A field that a box does not name has its whole domain.  A rule is
-unreachable exactly if earlier boxes cover its own.  :func:`uncovered` subtracts them one after
-another; what is left of a box after a subtraction is again a list of disjoint boxes, at most two
-for each field of the box taken away.
+The situations that a rule matches form a box: the product of one set of values per field; a field
+missing from a box has its whole domain.  A rule is unreachable exactly if earlier boxes cover its
+own.  Subtracting a box leaves disjoint boxes, at most two per field of the subtracted box.
 
-The number of pieces can grow with each rule.  Past ``MAX_STEPS`` subtractions the search gives up
-and calls the rule reachable: a check must never refuse a configuration that might be sound, nor
-occupy an entry for long.
+The number of boxes can grow with each rule.  After ``MAX_SUBTRACTIONS`` a rule counts as reachable,
+to bound the time and never to reject a valid configuration.
 """
 
 import math
@@ -17,14 +14,14 @@
 
 from sapphirelead.model_config import Matcher, When
 
-MAX_STEPS: Final = 5_000
+MAX_SUBTRACTIONS: Final = 5_000
 
 
 @dataclass(frozen=True, slots=True)
 class TextSet:
-    """Some texts, or all texts but some.
+    """A finite set of strings, or the complement of one.
 
-    >>> TextSet(frozenset("ab")).minus(TextSet(frozenset("b")))
+    >>> TextSet(frozenset("ab")).difference(TextSet(frozenset("b")))
     TextSet(values=frozenset({'a'}), inverted=False)
     """
 
@@ -33,10 +30,10 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no text is in the set."""
+        """Whether the set is empty."""
         return not self.inverted and not self.values
 
-    def common(self, other: "TextSet") -> "TextSet":
+    def intersection(self, other: "TextSet") -> "TextSet":
         """Return the intersection."""
         if self.inverted and other.inverted:
             return TextSet(self.values | other.values, True)
@@ -46,29 +43,29 @@
             return TextSet(self.values - other.values)
         return TextSet(self.values & other.values)
 
-    def minus(self, other: "TextSet") -> "TextSet":
-        """Return what is in this set and not in ``other``."""
-        return self.common(TextSet(other.values, not other.inverted))
+    def difference(self, other: "TextSet") -> "TextSet":
+        """Return the strings in this set that are not in ``other``."""
+        return self.intersection(TextSet(other.values, not other.inverted))
 
     def pieces(self, other: "TextSet") -> "list[TextSet]":
-        """Return :meth:`minus` as a list of sets that are not empty."""
-        rest = self.minus(other)
+        """Return :meth:`difference` as a list without empty sets."""
+        rest = self.difference(other)
         return [] if rest.empty else [rest]
 
 
 @dataclass(frozen=True, slots=True)
 class Range:
-    """Numbers from ``low`` up to but not including ``high``."""
+    """A half-open interval of numbers: ``high`` is excluded."""
 
     low: float
     high: float
 
     @property
     def empty(self) -> bool:
-        """Whether no number is in the range."""
+        """Whether the range is empty."""
         return not self.low < self.high
 
-    def common(self, other: "Range") -> "Range":
+    def intersection(self, other: "Range") -> "Range":
         """Return the intersection."""
         return Range(max(self.low, other.low), min(self.high, other.high))
 
@@ -105,7 +102,7 @@
 
 
 def box_of(when: When) -> Box:
-    """Return the situations that ``when`` matches; its matchers fit their fields' types."""
+    """Return the situations that ``when`` matches; its matchers must fit their fields' types."""
     box: Box = {}
     for name, domain in DOMAINS.items():
         matcher: Matcher | None = getattr(when, name)
@@ -115,31 +112,33 @@
 
 
 def values_of(domain: Values, matcher: Matcher) -> Values:
-    """Return the values of a field that ``matcher`` lets through."""
+    """Return the values in ``domain`` that ``matcher`` accepts."""
     if isinstance(domain, TextSet):
         return _texts_of(domain, matcher)
     return _numbers_of(domain, matcher)
 
 
 def uncovered(box: Box, earlier: list[Box]) -> bool:
-    """Return whether some situation of ``box`` is in none of ``earlier``."""
+    """Return whether some situation of ``box`` is in none of the ``earlier`` boxes."""
     left = [box]
-    steps = 0
+    subtractions = 0
     for other in earlier:
-        steps += len(left)
-        if steps > MAX_STEPS:
+        subtractions += len(left)
+        if subtractions > MAX_SUBTRACTIONS:
             return True
         left = [piece for part in left for piece in _subtract(part, other)]
     return bool(left)
 
 
 def covers(outer: Box, inner: Box) -> bool:
-    """Return whether ``outer`` alone covers ``inner``."""
+    """Return whether ``outer`` contains ``inner``."""
     return not uncovered(inner, [outer])
 
 
 def _subtract(box: Box, other: Box) -> list[Box]:
-    shared = {name: _common(box.get(name, DOMAINS[name]), values) for name, values in other.items()}
+    shared = {
+        name: _intersection(box.get(name, DOMAINS[name]), values) for name, values in other.items()
+    }
     if any(values.empty for values in shared.values()):
         return [box]
     pieces: list[Box] = []
@@ -151,11 +150,11 @@
     return pieces
 
 
-def _common(left: Values, right: Values) -> Values:
+def _intersection(left: Values, right: Values) -> Values:
     if isinstance(left, TextSet) and isinstance(right, TextSet):
-        return left.common(right)
+        return left.intersection(right)
     assert isinstance(left, Range) and isinstance(right, Range)
-    return left.common(right)
+    return left.intersection(right)
 
 
 def _pieces(left: Values, right: Values) -> list[TextSet] | list[Range]:
@@ -169,9 +168,9 @@
     found = domain
     if matcher.eq is not None:
         text = str(matcher.eq).lower() if isinstance(matcher.eq, bool) else str(matcher.eq)
-        found = found.common(TextSet(frozenset({text})))
+        found = found.intersection(TextSet(frozenset({text})))
     if matcher.one_of is not None:
-        found = found.common(TextSet(frozenset(matcher.one_of)))
+        found = found.intersection(TextSet(frozenset(matcher.one_of)))
     return found
 
 
@@ -179,7 +178,7 @@
     found = domain
     if matcher.eq is not None:
         value = float(matcher.eq)
-        found = found.common(Range(value, math.nextafter(value, math.inf)))
+        found = found.intersection(Range(value, math.nextafter(value, math.inf)))
     low = -math.inf if matcher.at_least is None else matcher.at_least
     high = math.inf if matcher.below is None else matcher.below
-    return found.common(Range(low, high))
+    return found.intersection(Range(low, high))
--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -1,19 +1,17 @@
-"""When to throttle, evict and release batch that disturbs services.  No I/O.
+"""Feedback controller that throttles, evicts and releases batch that slows services.  No I/O.
 
-Algorithm.  Once in a report interval the controller looks at the slowdown of the services:
+Once per report interval, the controller compares the slowdown of the services with the target:
 
-- above the target: throttle the class with the largest estimated harm, down to the share at which
-  the estimates meet the target, in steps that are bounded and never below the floor;
-- above the target for several reports although every class is at its floor: evict the newest task
-  of the most harmful class, if that class accounts for a good part of the excess;
-- well below the target for two reports: give the least harmful throttled class a step back, if the
-  estimates say that the target holds afterwards.
+- above the target: throttle the class with the largest estimated contribution, in bounded steps
+  and not below the floor;
+- above the target for several reports with every class at its floor: evict the newest task of the
+  class with the largest contribution;
+- well below the target for ``REPORTS_BEFORE_RELEASE`` reports: release the throttled class with the
+  smallest contribution by a step, if the predicted slowdown stays within the target.
 
-A service whose slots are nearly all taken while batch slows it counts as above the target whatever
-its tail: the agent sees no queue (that stands in the entries), but the callers wait in it.
-
-At most one action is taken in a report interval, because the effect of an action shows in no report
-that began before it.
+A slowed service with nearly all slots taken counts as above the target: its callers queue in the
+entries, which its tail does not show.  At most one action is taken per interval, because an action
+affects only later reports.
 
 Invariants:
 
@@ -28,44 +26,41 @@
 from sapphirelead.model_config import ConfigDocument, Weights
 from sapphirelead.policy_interference import InterferenceModel, ServiceReport
 
-LARGEST_STEP: Final = 0.4
+MIN_STEP_RATIO: Final = 0.4
 RELEASE_FACTOR: Final = 2.0
-RELEASE_BAND: Final = 0.6
-AIM: Final = 0.8
-MEASURED_PART: Final = 0.3
-CALM_REPORTS: Final = 2
-SMALLEST_STEP: Final = 0.02
-PATIENCE_FACTOR_MAX: Final = 2.0
-THROTTLE_WORTH: Final = 0.1
-EVICTION_WORTH: Final = 0.3
-HARMED: Final = 1.05
-SATURATED: Final = 0.95
+RELEASE_BAND_SHARE: Final = 0.6
+AIM_SHARE: Final = 0.8
+MEASURED_WEIGHT: Final = 0.3
+REPORTS_BEFORE_RELEASE: Final = 2
+MIN_STEP: Final = 0.02
+MAX_EVICTION_DELAY_FACTOR: Final = 2.0
+MIN_THROTTLE_EXCESS_SHARE: Final = 0.1
+MIN_EVICTION_EXCESS_SHARE: Final = 0.3
+MIN_DISTURBED_SLOWDOWN: Final = 1.05
+SATURATED_OCCUPANCY: Final = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """What the configuration makes of the controller.
+    """Parameters of the controller, derived from the configuration.
 
-    :ivar target: slowdown that services may have.
-    :ivar floor: smallest share that a class is throttled to.
-    :ivar patience: reports above the target, with all at the floor, before an eviction.
+    :ivar target: maximum slowdown of services.
+    :ivar floor: minimum share that a class is throttled to.
+    :ivar eviction_delay_reports: reports above the target, with every class at the floor, before an
+        eviction.
     """
 
     target: float
     floor: float
-    patience: int
+    eviction_delay_reports: int
 
     @classmethod
     def from_config(cls, document: ConfigDocument) -> "Tuning":
-        """Take the operators' policy; evictions that weigh more than tail latency raise patience.
-
-        The floor is theirs as it stands: raised by the weight of throughput as well, a floor of a
-        half became one, nothing was throttled, and the evictions that took its place cost more.
-        """
+        """Derive the parameters; evictions that weigh more than tail latency are delayed."""
         policy, weights = document.interference, document.weights
         floor = max(policy.throttle_floor_share, policy.batch_floor_share)
-        patience = policy.evict_after_reports * _patience_factor(weights)
-        return cls(policy.target_slowdown, floor, round(patience))
+        eviction_delay_reports = policy.evict_after_reports * _eviction_delay_factor(weights)
+        return cls(policy.target_slowdown, floor, round(eviction_delay_reports))
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,11 +84,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """A report and what it was judged to show.
+class AssessedReport:
+    """A report with the slowdown that it shows.
 
-    :ivar measured: slowdown by its tail alone.
-    :ivar slowdown: the same without most of its noise.
+    :ivar measured: slowdown by its tail latency alone.
+    :ivar slowdown: average of ``measured`` and the model's estimate, with less noise.
     """
 
     report: ServiceReport
@@ -102,31 +97,28 @@
 
     @property
     def usual_ms(self) -> float:
-        """Undisturbed tail at the report's rate in milliseconds; too large where the slowdown was
-        capped.
-        """
-        return self.report.tail_ms / max(self.measured, SMALLEST_STEP)
+        """Baseline tail latency at the report's rate; too high if ``measured`` was capped."""
+        return self.report.tail_ms / max(self.measured, MIN_STEP)
 
 
 class ThrottleController:
-    """Decides for one instance.
-
-    :ivar shares: share of each class that is throttled; new tasks of the class start with it.
-    :ivar slowdown: worst slowdown of a service in the last interval, 1.0 for none.
-    :ivar over_target: whether that, or the load of the slots, was above the target.
-    :ivar worst: the report behind it, ``None`` where there was none.
-    :ivar harms: by job class, the slowdown that it was held to cause in the last interval above the
-        target.
+    """Throttle controller of one instance.
+
+    :ivar shares: share of each throttled class; new tasks of the class start with it.
+    :ivar slowdown: largest slowdown of a service in the last interval, 1.0 for none.
+    :ivar over_target: whether the slowdown, adjusted for occupancy, was above the target.
+    :ivar worst: the report with the largest slowdown, if any.
+    :ivar contributions: estimated slowdown by job class, from the last interval above the target.
     """
 
     shares: dict[str, float]
     slowdown: float
     over_target: bool
-    worst: Judged | None
-    harms: dict[str, float]
+    worst: AssessedReport | None
+    contributions: dict[str, float]
     _model: InterferenceModel
-    _stuck: int
-    _calm: int
+    _reports_at_floor: int
+    _reports_below_band: int
 
     def __init__(self, model: InterferenceModel) -> None:
         self._model = model
@@ -134,12 +126,12 @@
         self.slowdown = 1.0
         self.over_target = False
         self.worst = None
-        self.harms = {}
-        self._stuck = 0
-        self._calm = 0
+        self.contributions = {}
+        self._reports_at_floor = 0
+        self._reports_below_band = 0
 
     def share(self, job_class: str) -> float:
-        """Return the share that tasks of ``job_class`` may use."""
+        """Return the share of their processors that tasks of ``job_class`` may use."""
         return self.shares.get(job_class, 1.0)
 
     def step(
@@ -150,41 +142,40 @@
         tasks: Mapping[str, int],
         occupancy: float,
     ) -> Action | None:
-        """Take the reports of one interval and return the action to take, if any.
+        """Process the reports of one interval and return the action to take, if any.
 
-        :param intensities: by job class, its mean intensity over the interval.
-        :param tasks: by job class, how many of its tasks run now.
-        :param occupancy: mean share of the service slots that were taken over the interval.
+        :param intensities: mean intensity over the interval, by job class.
+        :param tasks: number of running tasks, by job class.
+        :param occupancy: mean share of the service slots in use over the interval.
         """
-        judged = [self._judge(report, intensities) for report in reports]
-        self.worst = max(judged, key=lambda item: item.slowdown, default=None)
+        assessed = [self._assess(report, intensities) for report in reports]
+        self.worst = max(assessed, key=lambda item: item.slowdown, default=None)
         self.slowdown = self.worst.slowdown if self.worst else 1.0
         slowdown = _with_saturation(self.slowdown, occupancy, tuning.target)
         self.over_target = slowdown > tuning.target
         if self.over_target:
-            self._calm = 0
+            self._reports_below_band = 0
             return self._tighten(tuning, slowdown, reports, intensities, tasks)
-        self._stuck = 0
-        if slowdown > _within(tuning.target, RELEASE_BAND):
-            self._calm = 0
+        self._reports_at_floor = 0
+        if slowdown > _scaled_target(tuning.target, RELEASE_BAND_SHARE):
+            self._reports_below_band = 0
             return None
-        self._calm += 1
-        if self._calm < CALM_REPORTS:
+        self._reports_below_band += 1
+        if self._reports_below_band < REPORTS_BEFORE_RELEASE:
             return None
-        # What the callers' queue bears: a release must not fill the slots either.
-        ceiling = min(tuning.target, slowdown * SATURATED / max(occupancy, SMALLEST_STEP))
+        # A release must not saturate the slots either.
+        ceiling = min(tuning.target, slowdown * SATURATED_OCCUPANCY / max(occupancy, MIN_STEP))
         return self._release(ceiling, slowdown, reports, intensities, tasks)
 
-    def _judge(self, report: ServiceReport, intensities: Mapping[str, float]) -> Judged:
-        """Learn from a report and tell the slowdown without most of its noise.
+    def _assess(self, report: ServiceReport, intensities: Mapping[str, float]) -> AssessedReport:
+        """Update the model with a report and blend the measurement with the model's estimate.
 
-        The tail of some tens of requests scatters by several per cent, which is a good part of the
-        target; the model's own estimate, corrected by the report, scatters far less.
+        The tail latency of a small sample is noisy; the estimate is less so.
         """
         measured = self._model.learn(report, intensities)
         expected = self._model.predict(report.service, intensities)
-        slowdown = MEASURED_PART * measured + (1.0 - MEASURED_PART) * expected
-        return Judged(report, measured, slowdown)
+        slowdown = MEASURED_WEIGHT * measured + (1.0 - MEASURED_WEIGHT) * expected
+        return AssessedReport(report, measured, slowdown)
 
     def _tighten(
         self,
@@ -194,32 +185,49 @@
         intensities: Mapping[str, float],
         tasks: Mapping[str, int],
     ) -> Action | None:
-        harms = self.harms = self._harms(reports, intensities)
-        # Squeezing a class that hardly takes part in the excess costs work and helps nobody.
-        worth = (slowdown - tuning.target) * THROTTLE_WORTH
-        for job_class in sorted(harms, key=lambda c: -harms[c]):
-            share = self._tightened(tuning, slowdown, job_class, harms[job_class])
-            if harms[job_class] > worth and self.share(job_class) - share >= SMALLEST_STEP:
+        contributions = self.contributions = self._contributions(reports, intensities)
+        # Throttling a class with a small contribution costs work without reducing the slowdown.
+        min_contribution = (slowdown - tuning.target) * MIN_THROTTLE_EXCESS_SHARE
+        for job_class in sorted(contributions, key=lambda c: -contributions[c]):
+            share = self._tightened_share(tuning, slowdown, job_class, contributions[job_class])
+            if (
+                contributions[job_class] > min_contribution
+                and self.share(job_class) - share >= MIN_STEP
+            ):
                 self.shares[job_class] = share
-                self._stuck = 0
+                self._reports_at_floor = 0
                 return Throttle(job_class, share, slowdown)
-        return self._evict(tuning, slowdown, harms, tasks)
+        return self._evict(tuning, slowdown, contributions, tasks)
 
-    def _tightened(self, tuning: Tuning, slowdown: float, job_class: str, harm: float) -> float:
+    def _tightened_share(
+        self, tuning: Tuning, slowdown: float, job_class: str, contribution: float
+    ) -> float:
         share = self.share(job_class)
-        excess = slowdown - _within(tuning.target, AIM)
-        wanted = share * (1.0 - excess / harm) if harm > 0 else share
-        return max(wanted, share * LARGEST_STEP, tuning.floor)
+        excess = slowdown - _scaled_target(tuning.target, AIM_SHARE)
+        wanted = share * (1.0 - excess / contribution) if contribution > 0 else share
+        return max(wanted, share * MIN_STEP_RATIO, tuning.floor)
 
     def _evict(
-        self, tuning: Tuning, slowdown: float, harms: Mapping[str, float], tasks: Mapping[str, int]
+        self,
+        tuning: Tuning,
+        slowdown: float,
+        contributions: Mapping[str, float],
+        tasks: Mapping[str, int],
     ) -> Action | None:
-        self._stuck += 1
-        worth = (slowdown - tuning.target) * EVICTION_WORTH
-        running = {c: harm for c, harm in harms.items() if tasks.get(c, 0) and harm > worth}
-        if self._stuck < tuning.patience or not running or sum(tasks.values()) < 2:
+        self._reports_at_floor += 1
+        min_contribution = (slowdown - tuning.target) * MIN_EVICTION_EXCESS_SHARE
+        running = {
+            c: contribution
+            for c, contribution in contributions.items()
+            if tasks.get(c, 0) and contribution > min_contribution
+        }
+        if (
+            self._reports_at_floor < tuning.eviction_delay_reports
+            or not running
+            or sum(tasks.values()) < 2
+        ):
             return None
-        self._stuck = 0
+        self._reports_at_floor = 0
         return Evict(max(running, key=lambda c: running[c]), slowdown)
 
     def _release(
@@ -230,14 +238,16 @@
         intensities: Mapping[str, float],
         tasks: Mapping[str, int],
     ) -> Action | None:
-        # A class that does not run keeps its share: its next wave would otherwise start at full
-        # speed, and every wave would be noticed by the callers anew.
+        # Classes without running tasks stay throttled, so that their next tasks do not start at
+        # full speed.
         throttled = [c for c in self.shares if tasks.get(c, 0)]
-        harms = self._harms(reports, {**dict.fromkeys(throttled, 0.0), **intensities})
-        for job_class in sorted(throttled, key=lambda c: harms[c]):
+        contributions = self._contributions(
+            reports, {**dict.fromkeys(throttled, 0.0), **intensities}
+        )
+        for job_class in sorted(throttled, key=lambda c: contributions[c]):
             share = min(1.0, self.shares[job_class] * RELEASE_FACTOR)
-            grown = harms[job_class] * (share / self.shares[job_class] - 1.0)
-            if slowdown + grown > ceiling:
+            added_slowdown = contributions[job_class] * (share / self.shares[job_class] - 1.0)
+            if slowdown + added_slowdown > ceiling:
                 continue
             self.shares[job_class] = share
             if share >= 1.0:
@@ -245,22 +255,22 @@
             return Throttle(job_class, share, slowdown)
         return None
 
-    def _harms(
+    def _contributions(
         self, reports: list[ServiceReport], intensities: Mapping[str, float]
     ) -> dict[str, float]:
-        return {c: self._model.harm(reports, c, x) for c, x in intensities.items()}
+        return {c: self._model.contribution(reports, c, x) for c, x in intensities.items()}
 
 
-def _within(target: float, part: float) -> float:
-    return 1.0 + (target - 1.0) * part
+def _scaled_target(target: float, share_of_excess: float) -> float:
+    return 1.0 + (target - 1.0) * share_of_excess
 
 
 def _with_saturation(slowdown: float, occupancy: float, target: float) -> float:
-    if slowdown < HARMED:
+    if slowdown < MIN_DISTURBED_SLOWDOWN:
         return slowdown
-    return max(slowdown, target * occupancy / SATURATED)
+    return max(slowdown, target * occupancy / SATURATED_OCCUPANCY)
 
 
-def _patience_factor(weights: Weights) -> float:
+def _eviction_delay_factor(weights: Weights) -> float:
     ratio: float = weights.evictions / weights.tail_latency
-    return min(PATIENCE_FACTOR_MAX, max(1.0, ratio))
+    return min(MAX_EVICTION_DELAY_FACTOR, max(1.0, ratio))
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -1,11 +1,11 @@
-"""One life of the worker beside an agent: its calls, and what becomes of each run.
+"""Controls the runs of one worker life through calls to the worker.
 
-Calls may be lost, answered late, or carried out seconds after they were given up on.  So
+Calls may be lost, answered late, or carried out seconds after they timed out.  Therefore:
 
-- a start carries a deadline of its own, after which the worker refuses it;
-- a start without an answer is repeated; once it is given up on, a confirmed stop of the same run
-  seals it, and it counts as never started only when a list asked for after that does not show it;
-- one list is asked for at a time, so that no older list overtakes a newer one.
+- a start call carries a deadline, after which the worker refuses it;
+- a start call without an answer is retried; an abandoned start is followed by a stop, and the run
+  counts as not started only if a list requested after the confirmed stop does not contain it;
+- only one list call is in flight, so that an older list never replaces a newer one.
 """
 
 import asyncio
@@ -32,91 +32,89 @@
     StartCall,
     WorkerView,
 )
-from sapphirelead.runner_book import UNKNOWN_PACE, RunName, RunnerBook, RunnerRun
 from sapphirelead.runner_lease import RunnerLease
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.runner_pace import PaceControl, TailLatency
+from sapphirelead.runner_registry import UNKNOWN_PACE, RunName, RunnerRun, RunRegistry
 from sapphirelead.runner_slots import Slots
 from sapphirelead.sched_timing import START_DEADLINE_S
 
 LIST_WAIT_MS: Final = 450
-"""How long a list call waits for an end; the worker's figures are renewed every half second."""
+"""Longest time that a list call waits for a run to end."""
 
-UNNOTED_PAUSE_S: Final = 0.04
-"""Pause after a list that shows ends.  The worker answers at once while it has ends that have not
-been noted, so that list calls would follow each other while an end is being stored."""
+MIN_LIST_PAUSE_S: Final = 0.04
+"""Pause after a list that contains outcomes.  Limits the rate of list calls, because the worker
+answers at once while it holds outcomes that are not stored."""
 
-UNNOTED_MOST_S: Final = 0.32
-"""The pause doubles up to this while the lists show no end that is new, and ends as soon as an end
-is stored: while the leader is behind with storing, asking the worker on tells nothing."""
+MAX_LIST_PAUSE_S: Final = 0.32
+"""Limit up to which that pause doubles while lists contain no new outcome."""
 
-NEWS_S: Final = 0.4
-"""Time after which a list without a new end is reported all the same, for the progress in it.  Just
-under the time of a list call."""
+PROGRESS_REPORT_INTERVAL_S: Final = 0.4
+"""Interval between reports of progress without new outcomes; just under :data:`LIST_WAIT_MS`."""
 
-PACE_STEP: Final = 4
-"""Least change of the pace that is sent, in percent."""
+MIN_PACE_CHANGE_PERCENT: Final = 4
+"""Smaller changes of pace are not sent."""
 
-TRIES: Final = 3
-"""Tries of a start before it is given up on and sealed."""
+MAX_START_TRIES: Final = 3
 
-RETRY_S: Final = 0.1
-"""Pause before a call is repeated."""
+RETRY_DELAY_S: Final = 0.1
 
-REFUSED_TIMES: Final = 3
-"""Refused connections in a row that mean that the worker's process is gone."""
+MAX_REFUSED_CONNECTIONS: Final = 3
+"""Consecutive refused connections after which the worker's process counts as ended."""
 
 TOKEN_STEP: Final = 10_000
-"""Added to the fencing token where the worker has seen a higher one.  Tokens are times of day in
-milliseconds; a clock that was set back between two processes of this agent leaves the newer one
-behind by a few seconds."""
+"""Added to the fencing token when the worker has seen a higher one.  Tokens are wall-clock
+milliseconds, so a clock that was set back gives a newer process a lower token."""
 
-STOP_SLOW_S: Final = 1.5
-"""A stop whose end is not listed within this is logged."""
+SLOW_STOP_S: Final = 1.5
+"""Age at which a stop without a listed outcome is logged."""
 
-CALLS_AT_ONCE: Final = 8
-"""Starts and changes of pace in flight."""
+MAX_CONCURRENT_CALLS: Final = 8
+"""Limit of start and pace calls in flight."""
 
-STOPS_AT_ONCE: Final = 16
-"""Stops in flight: a stop is due within seconds, whatever the worker does with other calls."""
+MAX_CONCURRENT_STOPS: Final = 16
+"""Limit of stop calls in flight, separate so that other calls do not delay stops."""
 
-LAST_STOPS_S: Final = 1.2
-"""How long an agent that ends waits for the confirmation of its stops: two tries."""
+FINAL_STOPS_TIMEOUT_S: Final = 1.2
+"""How long an agent that shuts down waits for its stops to be confirmed."""
 
-GRACE_MARGIN_S: Final = 0.1
-"""Added to the longest time of a stop; covers late timers of the worker."""
+KILL_GRACE_MARGIN_S: Final = 0.1
+"""Allowance for late timers of the worker, added to the kill grace period."""
 
-NOT_YET_S: Final = -1.0
-"""Logged in place of a time for what has not happened."""
+UNKNOWN_TIME_S: Final = -1.0
+"""Logged as the duration of an event that has not happened."""
 
 
 def _stop_times(run: RunnerRun) -> tuple[float, float]:
-    """Return how long ago a stop was asked for, and how long its confirmation took."""
-    stop_s = now() - run.stop_at if run.stop_at else NOT_YET_S
-    confirmed_s = run.sealed_at - run.stop_at if run.sealed_at else NOT_YET_S
+    """Return the seconds since a stop was requested, and until it was confirmed."""
+    stop_s = now() - run.stop_requested_at if run.stop_requested_at else UNKNOWN_TIME_S
+    confirmed_s = (
+        run.stop_confirmed_at - run.stop_requested_at if run.stop_confirmed_at else UNKNOWN_TIME_S
+    )
     return stop_s, confirmed_s
 
 
 class FencingToken:
-    """The token of this process; grows where a worker has seen a higher one."""
+    """Fencing token of this process."""
 
     value: int
 
     def __init__(self, value: int) -> None:
         self.value = value
 
-    def raise_it(self) -> None:
-        """Take a higher token."""
+    def increase(self) -> None:
+        """Raise the token after the worker refused it as too low."""
         self.value += TOKEN_STEP
         log_event("WARNING", "token_raised", token=self.value)
 
 
 class RunnerLife:
-    """One life of the worker.
+    """One worker life: watches its runs and carries out the leader's orders.
 
-    :ivar over: set once the life is known to be over.
+    :ivar over: whether this life is known to have ended.
+    :ivar on_change: called when there is something new to report.
     """
 
-    book: RunnerBook
+    registry: RunRegistry
     over: bool
     on_change: Callable[[], None]
     _kill_grace_s: float
@@ -127,11 +125,11 @@
     _calls: asyncio.Semaphore
     _stops: Slots
     _tasks: set["asyncio.Task[None]"]
-    _sealing: set["asyncio.Task[None]"]
+    _pending_stops: set["asyncio.Task[None]"]
     _refusals: int
     _silent: bool
-    _told_at: float
-    _stored: asyncio.Event
+    _reported_at: float
+    _end_stored: asyncio.Event
 
     def __init__(
         self,
@@ -142,7 +140,7 @@
         on_change: Callable[[], None],
         kill_grace_s: float,
     ) -> None:
-        self.book = RunnerBook(info)
+        self.registry = RunRegistry(info)
         self.over = False
         self.on_change = on_change
         self._kill_grace_s = kill_grace_s
@@ -150,109 +148,110 @@
         self._lease = lease
         self._token = token
         self._pace = PaceControl()
-        self._calls = asyncio.Semaphore(CALLS_AT_ONCE)
-        self._stops = Slots(STOPS_AT_ONCE)
+        self._calls = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        self._stops = Slots(MAX_CONCURRENT_STOPS)
         self._tasks = set()
-        self._sealing = set()
+        self._pending_stops = set()
         self._refusals = 0
         self._silent = False
-        self._told_at = -1e9
-        self._stored = asyncio.Event()
+        self._reported_at = -1e9
+        self._end_stored = asyncio.Event()
 
     @property
     def silent(self) -> bool:
-        """Whether everything must have lapsed while the worker gave no answer."""
+        """Whether the worker is unresponsive and all its runs have lapsed."""
         return self._silent
 
     async def adopt(self) -> CallFailure | None:
-        """List what runs there, without extending its lease; ``None`` where that worked."""
+        """List the worker's runs without renewing its lease; return the failure, if any."""
         sent_at = now()
         found = await self._worker.hold(self._token.value, 0, 0, 0)
         if isinstance(found, Err):
             if found.err_value is CallFailure.FENCED:
-                self._token.raise_it()
+                self._token.increase()
             return found.err_value
-        self._take_view(found.ok_value, sent_at)
+        self._apply_view(found.ok_value, sent_at)
         return None
 
     async def watch(self) -> None:
-        """List runs and ends, and renew the lease, until the life is over."""
-        pause = UNNOTED_PAUSE_S
+        """List runs and outcomes and renew the worker's lease until the life is over."""
+        pause = MIN_LIST_PAUSE_S
         while not self.over:
-            self._note_slow_stops()
+            self._log_slow_stops()
             sent_at = now()
             found = await self._worker.hold(
                 self._token.value,
-                self.book.noted,
+                self.registry.stored_through,
                 self._lease.worker_lease(awake_now()),
                 LIST_WAIT_MS,
             )
             if isinstance(found, Ok):
-                news = self._take_view(found.ok_value, sent_at)
-                pause = UNNOTED_PAUSE_S if news else min(2 * pause, UNNOTED_MOST_S)
+                has_new_ends = self._apply_view(found.ok_value, sent_at)
+                pause = MIN_LIST_PAUSE_S if has_new_ends else min(2 * pause, MAX_LIST_PAUSE_S)
                 if found.ok_value.ended:
                     await self._pause(pause)
                 continue
-            self._note_failure(found.err_value)
+            self._handle_failure(found.err_value)
             if not self.over:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _pause(self, most_s: float) -> None:
-        """Wait for an end to be stored, for :data:`UNNOTED_PAUSE_S` at least."""
-        self._stored.clear()
-        await asyncio.sleep(UNNOTED_PAUSE_S)
+    async def _pause(self, max_s: float) -> None:
+        """Wait until an outcome is stored, between :data:`MIN_LIST_PAUSE_S` and ``max_s``."""
+        self._end_stored.clear()
+        await asyncio.sleep(MIN_LIST_PAUSE_S)
         try:
-            async with asyncio.timeout(most_s - UNNOTED_PAUSE_S):
-                await self._stored.wait()
+            async with asyncio.timeout(max_s - MIN_LIST_PAUSE_S):
+                await self._end_stored.wait()
         except TimeoutError:
             return
 
     def stored(self, name: RunName) -> None:
-        """Note that the leader has stored an end."""
-        self.book.stored(name)
-        self._stored.set()
+        """Record that the leader has stored an outcome."""
+        self.registry.stored(name)
+        self._end_stored.set()
 
-    def _take_view(self, view: WorkerView, sent_at: float) -> bool:
-        """Take a list over; return whether it shows an end that is new."""
+    def _apply_view(self, view: WorkerView, sent_at: float) -> bool:
+        """Apply a list from the worker; return whether it contains a new outcome."""
         self._refusals = 0
         if self._silent:
             self._silent = False
-            log_event("INFO", "worker_regained", worker=self.book.info.worker)
+            log_event("INFO", "worker_regained", worker=self.registry.info.worker)
             self.on_change()
-        self._lease.saw_clock(view.clock_ms, awake_now())
-        runs = dict(self.book.runs)
-        new = self.book.saw(view, sent_at)
+        self._lease.update_clock(view.clock_ms, awake_now())
+        runs = dict(self.registry.runs)
+        new = self.registry.apply_view(view, sent_at)
         for end in new:
             self._log_end(end, runs.get((end.task, end.attempt)))
-        self._stop_again(view, sent_at)
+        self._repeat_stops(view, sent_at)
         self._control_pace()
-        # Each list with news goes to the leader at once: progress that is reported half a second
-        # late looks like a run at half speed.
-        if new or now() - self._told_at >= NEWS_S:
-            self._told_at = now()
+        # Progress reported late would make a run look slow to the leader.
+        if new or now() - self._reported_at >= PROGRESS_REPORT_INTERVAL_S:
+            self._reported_at = now()
             self.on_change()
         return bool(new)
 
-    def _stop_again(self, view: WorkerView, sent_at: float) -> None:
-        """Stop what is listed and should not run.
+    def _repeat_stops(self, view: WorkerView, sent_at: float) -> None:
+        """Stop listed runs that a confirmed stop should have ended, or recorded as not started.
 
-        That is a run whose confirmed stop should have ended it by then, or one that counted as
-        never started.
-
-        :param sent_at: when the call that brought the list was sent.
+        :param sent_at: when the list was requested.
         """
         for item in view.running:
-            run = self.book.runs.get((item.task, item.attempt))
-            if run is None or run.phase is not RunPhase.STOPPING or run.sealing:
+            run = self.registry.runs.get((item.task, item.attempt))
+            if run is None or run.phase is not RunPhase.STOPPING or run.stop_pending:
                 continue
-            if run.sealed_at and sent_at <= run.sealed_at + self._kill_grace_s + GRACE_MARGIN_S:
+            if (
+                run.stop_confirmed_at
+                and sent_at <= run.stop_confirmed_at + self._kill_grace_s + KILL_GRACE_MARGIN_S
+            ):
                 continue
-            event = "stop_repeated" if run.sealed_at else "end_disproved"
+            event = "stop_repeated" if run.stop_confirmed_at else "end_disproved"
             log_event("WARNING", event, task=run.task, attempt=run.attempt)
             self._begin_stop(run)
 
     def _log_end(self, end: RunEnded, run: RunnerRun | None) -> None:
-        stop_s, confirmed_s = _stop_times(run) if run is not None else (NOT_YET_S, NOT_YET_S)
+        stop_s, confirmed_s = (
+            _stop_times(run) if run is not None else (UNKNOWN_TIME_S, UNKNOWN_TIME_S)
+        )
         log_event(
             "INFO",
             "run_end_seen",
@@ -265,13 +264,17 @@
             confirmed_s=confirmed_s,
         )
 
-    def _note_slow_stops(self) -> None:
-        """Log each stop that takes long, once; its end is logged with the same times."""
+    def _log_slow_stops(self) -> None:
+        """Log each slow stop once."""
         at = now()
-        for run in self.book.runs.values():
-            if run.slow_noted or not run.stop_at or at - run.stop_at <= STOP_SLOW_S:
+        for run in self.registry.runs.values():
+            if (
+                run.slow_stop_logged
+                or not run.stop_requested_at
+                or at - run.stop_requested_at <= SLOW_STOP_S
+            ):
                 continue
-            run.slow_noted = True
+            run.slow_stop_logged = True
             stop_s, confirmed_s = _stop_times(run)
             log_event(
                 "WARNING",
@@ -280,60 +283,60 @@
                 attempt=run.attempt,
                 stop_s=stop_s,
                 confirmed_s=confirmed_s,
-                lease_left_s=self._lease.left_s(awake_now()),
+                lease_left_s=self._lease.remaining_s(awake_now()),
             )
 
-    def _note_failure(self, failure: CallFailure) -> None:
+    def _handle_failure(self, failure: CallFailure) -> None:
         if failure is CallFailure.FENCED:
-            self._token.raise_it()
+            self._token.increase()
         elif failure is CallFailure.OTHER_LIFE:
             self.end("other_life")
         elif failure is CallFailure.REFUSED:
             self._refusals += 1
-            if self._refusals >= REFUSED_TIMES:
+            if self._refusals >= MAX_REFUSED_CONNECTIONS:
                 self.end("connection_refused")
         else:
-            self._note_silence()
+            self._handle_no_answer()
 
-    def _note_silence(self) -> None:
+    def _handle_no_answer(self) -> None:
         at = awake_now()
         self._lease.note_unanswered(at)
-        if self._lease.surely_over(at) and not self._silent:
-            # It may live on behind a fault of the path, but all its leases have run out.
+        if self._lease.all_expired(at) and not self._silent:
+            # The worker may still be running but unreachable; its leases have expired.
             self._silent = True
-            info = self.book.info
-            log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.book.runs))
+            info = self.registry.info
+            log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.registry.runs))
             self.on_change()
 
     def end(self, reason: str) -> None:
-        """Note that the life is over, with all it ran."""
+        """Mark the life and all its runs as ended."""
         if self.over:
             return
         self.over = True
         log_event(
             "WARNING",
             "worker_ended",
-            worker=self.book.info.worker,
+            worker=self.registry.info.worker,
             reason=reason,
-            runs=len(self.book.runs),
+            runs=len(self.registry.runs),
         )
         self.on_change()
 
     async def finish_stops(self) -> None:
-        """Wait for the stops on their way, for a while: nobody else may come to send them."""
-        if not self._sealing:
+        """Wait up to :data:`FINAL_STOPS_TIMEOUT_S` for pending stops to be confirmed."""
+        if not self._pending_stops:
             return
-        _, pending = await asyncio.wait(self._sealing, timeout=LAST_STOPS_S)
+        _, pending = await asyncio.wait(self._pending_stops, timeout=FINAL_STOPS_TIMEOUT_S)
         if pending:
             log_event(
                 "WARNING",
                 "stops_unconfirmed",
-                worker=self.book.info.worker,
+                worker=self.registry.info.worker,
                 stops=len(pending),
             )
 
     async def close(self) -> None:
-        """Stop all calls."""
+        """Cancel all calls and close the worker's client."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -342,33 +345,33 @@
     # Orders
 
     def start(self, order: StartOrder) -> None:
-        """Carry out a start order; a repeated one changes nothing."""
-        run = self.book.accept(order)
+        """Carry out a start order; repeated orders have no effect on a known run."""
+        run = self.registry.accept(order)
         if run is not None:
             self._spawn(self._start(run, order))
-        elif (order.task, order.attempt) in self.book.ends:
-            self.book.tell_again((order.task, order.attempt))
+        elif (order.task, order.attempt) in self.registry.ends:
+            self.registry.report_again((order.task, order.attempt))
             self.on_change()
 
     def stop(self, order: StopOrder) -> None:
-        """Carry out a stop order; a run that is not known here is sealed as well."""
+        """Carry out a stop order, also for an unknown run, so that it cannot start later."""
         name = (order.task, order.attempt)
-        run = self.book.runs.get(name)
+        run = self.registry.runs.get(name)
         if run is None:
-            if name in self.book.ends:
+            if name in self.registry.ends:
                 return
-            run = self.book.runs[name] = RunnerRun(*name, RunPhase.STOPPING)
+            run = self.registry.runs[name] = RunnerRun(*name, RunPhase.STOPPING)
         elif run.phase is RunPhase.STOPPING:
             return
         self._begin_stop(run)
 
     def _begin_stop(self, run: RunnerRun) -> None:
         run.phase = RunPhase.STOPPING
-        run.stop_at = run.stop_at or now()
-        run.sealing = True
-        task = self._spawn(self._seal(run))
-        self._sealing.add(task)
-        task.add_done_callback(self._sealing.discard)
+        run.stop_requested_at = run.stop_requested_at or now()
+        run.stop_pending = True
+        task = self._spawn(self._confirm_stop(run))
+        self._pending_stops.add(task)
+        task.add_done_callback(self._pending_stops.discard)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> "asyncio.Task[None]":
         task = spawn(work, "worker-call")
@@ -378,27 +381,27 @@
 
     async def _start(self, run: RunnerRun, order: StartOrder) -> None:
         reason = "no_answer"
-        for _ in range(TRIES):
+        for _ in range(MAX_START_TRIES):
             async with self._calls:
                 if run.phase is not RunPhase.STARTING or self.over:
                     return
-                if self._lease.mute(awake_now()):
-                    # A start may be carried out without an answer, so it would move the time on at
-                    # which the runs of this life are known to be over.
+                if self._lease.unresponsive(awake_now()):
+                    # A start may be carried out without an answer, so each call would postpone
+                    # the time at which all runs of this life are known to have ended.
                     reason = "worker_mute"
                     break
                 found = await self._worker.start(self._start_call(order))
             if isinstance(found, Ok):
-                self._lease.saw_clock(found.ok_value.clock_ms, awake_now())
+                self._lease.update_clock(found.ok_value.clock_ms, awake_now())
                 answer = found.ok_value.answer
                 if answer is StartAnswer.STARTED:
-                    self.book.started(run)
+                    self.registry.started(run)
                     self.on_change()
-                    await self._begin_at_level(run, order)
+                    await self._apply_initial_pace(run, order)
                     return
                 reason = answer
                 if answer is StartAnswer.FENCED:
-                    self._token.raise_it()
+                    self._token.increase()
                 elif answer is not StartAnswer.TOO_LATE:
                     break
                 continue
@@ -407,8 +410,8 @@
                 self.end("other_life")
                 return
             run.maybe_sent = run.maybe_sent or found.err_value is CallFailure.NO_ANSWER
-            await asyncio.sleep(RETRY_S)
-        await self._give_up(run, reason)
+            await asyncio.sleep(RETRY_DELAY_S)
+        await self._abandon_start(run, reason)
 
     def _start_call(self, order: StartOrder) -> StartCall:
         return StartCall(
@@ -421,7 +424,7 @@
             self._token.value,
         )
 
-    async def _give_up(self, run: RunnerRun, reason: str) -> None:
+    async def _abandon_start(self, run: RunnerRun, reason: str) -> None:
         log_event(
             "WARNING",
             "start_given_up",
@@ -433,69 +436,67 @@
         if run.phase is not RunPhase.STARTING:
             return
         if not run.maybe_sent:
-            self.book.refuse(run.name, reason)
+            self.registry.refuse(run.name, reason)
             self.on_change()
             return
         run.refusal = reason
         self._begin_stop(run)
 
-    async def _seal(self, run: RunnerRun) -> None:
-        """Stop a run until the worker confirms it; the list then tells how it ended."""
+    async def _confirm_stop(self, run: RunnerRun) -> None:
+        """Retry the stop call until the worker confirms it; the outcome comes with a later list."""
         tries = 0
-        while not self.over and self.book.runs.get(run.name) is run:
+        while not self.over and self.registry.runs.get(run.name) is run:
             async with self._stops.slot(tries):
                 found = await self._worker.stop(run.task, run.attempt, self._token.value)
             tries += 1
             if isinstance(found, Ok):
-                run.sealed_at = now()
-                run.sealing = False
+                run.stop_confirmed_at = now()
+                run.stop_pending = False
                 return
             if found.err_value is CallFailure.FENCED:
-                self._token.raise_it()
+                self._token.increase()
             elif found.err_value is CallFailure.OTHER_LIFE:
                 self.end("other_life")
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     # Pace
 
-    def learn_press(self, press: list[ServingPress]) -> None:
-        """Take over what the fleet has learnt of the pairs of images here."""
-        self._pace.learn(press)
+    def learn_interference(self, interference: list[ServingPress]) -> None:
+        """Take the interference estimates that the leader sends for images on this worker."""
+        self._pace.learn(interference)
 
     def _control_pace(self) -> None:
-        """Slow the filling runs that press on the tail of a serving one."""
-        runs = list(self.book.runs.values())
+        """Set the pace of filling runs from the tail latencies of the serving runs."""
+        runs = list(self.registry.runs.values())
         tails = [
-            Tail(run.task, run.order.image, run.figure, run.order.target_ms)
+            TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
             for run in runs
             if run.order is not None and run.order.target_ms and run.figure >= 0
         ]
-        self._pace.update(tails, self.book.filling_used(), now(), self.book.filling_wanted())
+        self._pace.update(
+            tails, self.registry.filling_usage(), now(), self.registry.filling_demand()
+        )
         for run in runs:
             if run.order is None or not run.order.fills or run.phase is not RunPhase.RUNNING:
                 continue
             percent = self._pace.percent(run.order.image)
-            # Small changes are left out: each costs a call.
+            # Small changes are skipped to save calls, except to a full stop or full speed.
             last_step = percent in (0, 100) and percent != run.paced
-            if abs(run.paced - percent) >= PACE_STEP or last_step:
-                self._note_pace(run, percent)
+            if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or last_step:
+                self._record_pace(run, percent)
                 self._spawn(self._set_pace(run, percent))
 
-    async def _begin_at_level(self, run: RunnerRun, order: StartOrder) -> None:
-        """Slow a new filling task at once where its neighbours are slowed.
-
-        It would else work at full speed until the next list; six that started together drove a
-        tail from 0.6 to 1.7 times its target within that half second.
-        """
+    async def _apply_initial_pace(self, run: RunnerRun, order: StartOrder) -> None:
+        """Slow a new filling run at once, instead of running at full speed until the next list."""
         if order.fills:
-            self._pace.begin(order.image, self.book.filling_wanted())
+            self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
         if order.fills and percent < run.paced:
-            self._note_pace(run, percent)
+            self._record_pace(run, percent)
             await self._set_pace(run, percent)
 
-    def _note_pace(self, run: RunnerRun, percent: int) -> None:
+    def _record_pace(self, run: RunnerRun, percent: int) -> None:
         log_event(
             "INFO",
             "pace",
@@ -511,5 +512,5 @@
         async with self._calls:
             found = await self._worker.pace(run.task, run.attempt, percent, self._token.value)
         if isinstance(found, Err) and run.paced == percent:
-            # Unknown whether it works now; the next look sets it again.
+            # The call may have taken effect; the next update sets the pace again.
             run.paced = UNKNOWN_PACE
--- a/sapphirelead/runner_main.py
+++ b/sapphirelead/runner_main.py
@@ -1,7 +1,7 @@
-"""The runner: one process beside a worker that runs tasks of jobs of steps.
+"""The runner process: the agent beside a worker that runs tasks.
 
-It asks the worker which life it is in, takes each new life up, and ends on SIGTERM without stopping
-anything: what runs goes on under the worker's lease, for the next process beside the same worker.
+It polls the worker for its life id and adopts each new life.  On SIGTERM it exits without stopping
+runs; they continue under the worker's lease until the next runner process adopts them.
 """
 
 import asyncio
@@ -27,16 +27,16 @@
 from sapphirelead.settings import RunnerSettings
 from sapphirelead.wire_sockets import make_context
 
-LIFE_EVERY_S: Final = 0.5
-"""Time between two questions to the worker for its life; a new one is met within as much."""
+LIFE_POLL_INTERVAL_S: Final = 0.5
+"""Interval at which the worker is polled for its life id."""
 
-GRACE_S: Final = 6.0
+SHUTDOWN_GRACE_S: Final = 6.0
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
 
 class RunnerProcess:
-    """A runner with what it connects to."""
+    """A runner with its connections."""
 
     runner: Runner
     _settings: RunnerSettings
@@ -44,7 +44,7 @@
     _table: HttpTable
     _worker: HttpCaller
     _http: AgentHttp
-    _asking: "asyncio.Task[None] | None"
+    _poll_task: "asyncio.Task[None] | None"
 
     def __init__(self, settings: RunnerSettings, keys: Keys | None) -> None:
         self._settings = settings
@@ -52,31 +52,31 @@
         self._table = HttpTable(
             HttpCaller.connect(settings.table_url, settings.table_timeout_seconds)
         )
-        self._worker = HttpCaller.connect(settings.worker_url, LIFE_EVERY_S)
-        bounds = bounds_of(settings.times, GRACE_S)
+        self._worker = HttpCaller.connect(settings.worker_url, LIFE_POLL_INTERVAL_S)
+        bounds = bounds_of(settings.times, SHUTDOWN_GRACE_S)
         self.runner = Runner(
             settings.id, bounds, PackedTable(self._table), HttpRuns.connect, self._context, keys
         )
         self._http = AgentHttp(lambda: self.runner.connected, self.runner.metrics)
-        self._asking = None
+        self._poll_task = None
 
     @classmethod
     def from_settings(cls, settings: RunnerSettings) -> "Result[RunnerProcess, Failure]":
-        """Return a runner that :meth:`start` brings up, or what is wrong with its keys."""
+        """Return a runner that is not started yet, or the failure to read its keys."""
         return read_keys(settings.security.keys_file).map(lambda keys: cls(settings, keys))
 
     async def start(self) -> None:
-        """Report to the leader and look after the worker."""
+        """Start reporting to the leader, polling the worker, and serving HTTP."""
         self.runner.start()
-        self._asking = spawn(self._meet_lives(), "lives")
+        self._poll_task = spawn(self._poll_lives(), "lives")
         await self._http.start(self._settings.http_port)
         log_event("INFO", "runner_started", runner=self._settings.id, zone=self._settings.zone)
 
     async def stop(self) -> None:
-        """Stop; what the worker runs goes on under its lease."""
-        if self._asking is not None:
-            self._asking.cancel()
-            await asyncio.gather(self._asking, return_exceptions=True)
+        """Stop; runs on the worker continue under its lease."""
+        if self._poll_task is not None:
+            self._poll_task.cancel()
+            await asyncio.gather(self._poll_task, return_exceptions=True)
         await self.runner.stop()
         await self._http.stop()
         await self._worker.close()
@@ -84,14 +84,14 @@
         self._context.destroy(linger=0)
         log_event("INFO", "runner_stopped", runner=self._settings.id)
 
-    async def _meet_lives(self) -> None:
-        asked = 0
+    async def _poll_lives(self) -> None:
+        seq = 0
         while True:
             life = await read_life(self._worker)
             if life:
-                asked += 1
-                await self.runner.worker_beat(self._info(life), self._settings.worker_url, asked)
-            await asyncio.sleep(LIFE_EVERY_S)
+                seq += 1
+                await self.runner.worker_heartbeat(self._info(life), self._settings.worker_url, seq)
+            await asyncio.sleep(LIFE_POLL_INTERVAL_S)
 
     def _info(self, life: str) -> WorkerInfo:
         cfg = self._settings
@@ -104,16 +104,16 @@
 
 async def run_runner(settings: RunnerSettings) -> int:
     """Run a runner until SIGTERM or SIGINT and return the exit code."""
-    leave = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, leave.set)
-    made = RunnerProcess.from_settings(settings)
-    if isinstance(made, Err):
-        log_event("ERROR", "runner_failed", runner=settings.id, reason=str(made.err_value))
+        loop.add_signal_handler(signum, stop_requested.set)
+    created = RunnerProcess.from_settings(settings)
+    if isinstance(created, Err):
+        log_event("ERROR", "runner_failed", runner=settings.id, reason=str(created.err_value))
         return EXIT_FAILED
-    process = made.ok_value
+    process = created.ok_value
     await process.start()
-    await leave.wait()
+    await stop_requested.wait()
     await process.stop()
     return EXIT_OK
--- a/sapphirelead/runner_book.py
+++ b/sapphirelead/runner_registry.py
@@ -1,8 +1,8 @@
-"""What an agent knows of the runs on one life of its worker.
+"""The agent's registry of the runs and outcomes of one worker life.  No I/O.
 
-The book turns what the worker lists and what the leader orders into the state of each run.  It
-opens nothing.  Ends found in the worker's list are kept until the leader has stored them; only
-then may the worker forget them, so that an end is never lost, whoever restarts in between.
+The registry derives the state of each run from the worker's lists and the leader's orders.  An
+outcome is kept until the leader has stored it, and only then may the worker discard it, so no
+outcome is lost when the agent, the worker or the leader restarts.
 """
 
 from dataclasses import dataclass
@@ -17,34 +17,34 @@
     WorkerInfo,
 )
 from sapphirelead.node_ports import WorkerView
-from sapphirelead.policy_pressure import USED_SHARE
+from sapphirelead.policy_pressure import CPU_USED_SHARE
 from sapphirelead.sched_job import EndKind
 
 RunName = tuple[str, int]
 
-ENDS_IN_VIEW: Final = 500
-"""Ends that a worker lists at most; a full list proves nothing about a run that is not on it."""
+MAX_LISTED_ENDS: Final = 500
+"""Most outcomes in one list of the worker.  A run missing from a full list may still have ended."""
 
-ENDS_IN_REPORT: Final = 200
-"""Ends in one report; the others follow when these are stored."""
+MAX_REPORTED_ENDS: Final = 200
+"""Most outcomes in one report; the rest follow once these are stored."""
 
 
 UNKNOWN_PACE: Final = -1
-"""Of a run that an earlier process of the agent has paced, or whose last change of pace got no
-answer: the next look sets it."""
+"""Pace of a run that was found on the worker, or whose last pace call failed.  The next update sets
+the pace again."""
 
 
 @dataclass(slots=True, eq=False)
 class RunnerRun:
-    """A run that is not over.
-
-    :ivar order: ``None`` for a run that was there before this process, until the leader sends it.
-    :ivar sealing: a stop is on its way or about to be repeated.
-    :ivar sealed_at: when the worker confirmed a stop; after that the run cannot begin any more.
-    :ivar stop_at: when its stop was asked for; 0 while nobody has.
-    :ivar slow_noted: a log line has said that the stop takes long.
-    :ivar maybe_sent: a start got no answer and may yet be carried out.
-    :ivar told: phase in the newest report that listed it.
+    """A run that has not ended.
+
+    :ivar order: ``None`` for a run found on the worker, until the leader sends its start order.
+    :ivar stop_pending: a stop call is in flight or about to be retried.
+    :ivar stop_confirmed_at: when the worker confirmed a stop, 0 before; the run cannot start after.
+    :ivar stop_requested_at: when the stop was requested, 0 before.
+    :ivar slow_stop_logged: the slow stop has been logged.
+    :ivar maybe_sent: a start call got no answer and may still be carried out.
+    :ivar reported_phase: phase in the newest report that listed the run.
     """
 
     task: str
@@ -55,54 +55,54 @@
     figure: int = -1
     saved: str = ""
     paced: int = 100
-    stop_at: float = 0.0
-    sealing: bool = False
-    sealed_at: float = 0.0
-    slow_noted: bool = False
+    stop_requested_at: float = 0.0
+    stop_pending: bool = False
+    stop_confirmed_at: float = 0.0
+    slow_stop_logged: bool = False
     maybe_sent: bool = False
-    told: RunPhase | None = None
+    reported_phase: RunPhase | None = None
     refusal: str = ""
 
     @property
     def name(self) -> RunName:
-        """Identity of the run."""
+        """Task and attempt, which identify the run."""
         return self.task, self.attempt
 
 
-class RunnerBook:
-    """The runs and ends of one life of the worker.
+class RunRegistry:
+    """The runs and outcomes of one worker life.
 
-    :ivar noted: the worker may forget ends up to this number.
+    :ivar stored_through: all outcomes up to this number are stored; the worker may discard them.
     """
 
     info: WorkerInfo
     runs: dict[RunName, RunnerRun]
     ends: dict[RunName, RunEnded]
-    noted: int
-    _stored: set[int]
-    _numbered: bool
-    _told: set[RunName]
+    stored_through: int
+    _stored_numbers: set[int]
+    _numbering_known: bool
+    _reported_ends: set[RunName]
 
     def __init__(self, info: WorkerInfo) -> None:
         self.info = info
         self.runs = {}
         self.ends = {}
-        self.noted = 0
-        self._stored = set()
-        self._numbered = False
-        self._told = set()
+        self.stored_through = 0
+        self._stored_numbers = set()
+        self._numbering_known = False
+        self._reported_ends = set()
 
     @property
     def used(self) -> Resources:
-        """Room taken by the runs whose size is known."""
+        """Resources used by the runs whose start order is known."""
         used = NOTHING
         for run in self.runs.values():
             if run.order is not None:
                 used = used + run.order.room
         return used
 
-    def filling_used(self) -> dict[str, float]:
-        """Return by filling image the share of the worker's processors that it used."""
+    def filling_usage(self) -> dict[str, float]:
+        """Return the share of the worker's processors that each filling image uses."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         used: dict[str, float] = {}
         for run in self.runs.values():
@@ -111,18 +111,18 @@
                 used[run.order.image] = used.get(run.order.image, 0.0) + share
         return used
 
-    def filling_wanted(self) -> dict[str, float]:
-        """Return by filling image the share that it would use at full pace."""
+    def filling_demand(self) -> dict[str, float]:
+        """Return the share that each filling image would use at full pace."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         wanted: dict[str, float] = {}
         for run in self.runs.values():
             if run.order is not None and run.order.fills and run.phase is not RunPhase.STOPPING:
-                share = USED_SHARE * run.order.cpu_millicores / capacity
+                share = CPU_USED_SHARE * run.order.cpu_millicores / capacity
                 wanted[run.order.image] = wanted.get(run.order.image, 0.0) + share
         return wanted
 
     def accept(self, order: StartOrder) -> RunnerRun | None:
-        """Take a start order; ``None`` where it is known already or refused."""
+        """Add a run for a start order; return ``None`` if the run is known or the order refused."""
         name = (order.task, order.attempt)
         if name in self.runs or name in self.ends:
             known = self.runs.get(name)
@@ -140,19 +140,19 @@
         return run
 
     def refuse(self, name: RunName, reason: str) -> None:
-        """Note that a run has not started and never will."""
+        """Record that a run did not start and never will."""
         self.runs.pop(name, None)
         self.ends[name] = RunEnded(0, *name, EndKind.NOT_STARTED, "", reason)
 
     def started(self, run: RunnerRun) -> None:
-        """Note that the worker has confirmed a start."""
+        """Record that the worker has confirmed a start."""
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
 
-    def saw(self, view: WorkerView, sent_at: float) -> list[RunEnded]:
-        """Take the worker's list; return the ends that are new.
+    def apply_view(self, view: WorkerView, sent_at: float) -> list[RunEnded]:
+        """Apply a list from the worker and return the new outcomes.
 
-        :param sent_at: when the call that brought the list was sent.
+        :param sent_at: when the list was requested.
         """
         listed = set()
         for item in view.running:
@@ -162,38 +162,39 @@
             if run is None:
                 if name in self.ends and self.ends[name].number:
                     continue
-                run = self.runs[name] = self._found(name)
+                run = self.runs[name] = self._new_listed_run(name)
             self.started(run)
             run.percent = item.percent
             run.figure = item.figure
             run.saved = item.saved
-        new = self._take_ends(view)
-        if len(view.ended) < ENDS_IN_VIEW:
-            new.extend(self._never_began(listed, sent_at))
+        new = self._record_listed_ends(view)
+        if len(view.ended) < MAX_LISTED_ENDS:
+            new.extend(self._record_unstarted(listed, sent_at))
         return new
 
-    def _found(self, name: RunName) -> RunnerRun:
-        """Return a listed run that was not known to run.
+    def _new_listed_run(self, name: RunName) -> RunnerRun:
+        """Return an entry for a listed run that the registry does not hold as running.
 
-        One that counted as never started has to stop: the leader may have claimed its task anew.
-        Its end is what the worker says then.
+        A run recorded as not started is stopped, because the leader may have restarted its task.
         """
         run = RunnerRun(*name, RunPhase.RUNNING, paced=UNKNOWN_PACE)
         if self.ends.pop(name, None) is not None:
-            self._told.discard(name)
+            self._reported_ends.discard(name)
             run.phase = RunPhase.STOPPING
         return run
 
-    def _take_ends(self, view: WorkerView) -> list[RunEnded]:
-        if view.ended and not self._numbered:
-            # After a restart of this process the worker's list goes on from what was noted before.
-            self.noted = max(self.noted, min(end.number for end in view.ended) - 1)
-            self._numbered = True
+    def _record_listed_ends(self, view: WorkerView) -> list[RunEnded]:
+        if view.ended and not self._numbering_known:
+            # An earlier process of this agent acknowledged all outcomes before the first listed.
+            self.stored_through = max(
+                self.stored_through, min(end.number for end in view.ended) - 1
+            )
+            self._numbering_known = True
         new = []
         for end in view.ended:
             name = (end.task, end.attempt)
             known = self.ends.get(name)
-            if end.number in self._stored or end.number <= self.noted:
+            if end.number in self._stored_numbers or end.number <= self.stored_through:
                 continue
             if known is not None and known.number:
                 continue
@@ -203,32 +204,32 @@
             new.append(ended)
         return new
 
-    def _never_began(self, listed: set[RunName], sent_at: float) -> list[RunEnded]:
+    def _record_unstarted(self, listed: set[RunName], sent_at: float) -> list[RunEnded]:
         new = []
         for name, run in list(self.runs.items()):
-            if run.sealed_at and sent_at > run.sealed_at and name not in listed:
+            if run.stop_confirmed_at and sent_at > run.stop_confirmed_at and name not in listed:
                 self.refuse(name, run.refusal or "stopped_before_start")
                 new.append(self.ends[name])
         return new
 
     def stored(self, name: RunName) -> None:
-        """Note that the leader has stored an end."""
+        """Record that the leader has stored an outcome."""
         ended = self.ends.pop(name, None)
-        self._told.discard(name)
+        self._reported_ends.discard(name)
         if ended is None or not ended.number:
             return
-        self._stored.add(ended.number)
-        while self.noted + 1 in self._stored:
-            self.noted += 1
-            self._stored.discard(self.noted)
+        self._stored_numbers.add(ended.number)
+        while self.stored_through + 1 in self._stored_numbers:
+            self.stored_through += 1
+            self._stored_numbers.discard(self.stored_through)
 
     def statuses(self, full: bool) -> list[RunStatus]:
         """Return the runs for a report: all, or those whose phase has changed."""
         found = []
         for run in self.runs.values():
-            if not full and run.told is run.phase:
+            if not full and run.reported_phase is run.phase:
                 continue
-            run.told = run.phase
+            run.reported_phase = run.phase
             saved = run.saved if full else ""
             found.append(
                 RunStatus(
@@ -244,20 +245,20 @@
             )
         return found
 
-    def tell_again(self, name: RunName) -> None:
-        """Let the next report bring an end although one has brought it before."""
-        self._told.discard(name)
+    def report_again(self, name: RunName) -> None:
+        """Include an outcome in the next report although it has been reported before."""
+        self._reported_ends.discard(name)
 
     def report_ends(self, full: bool) -> list[RunEnded]:
-        """Return the ends for a report: all that are not stored, or those not told yet.
+        """Return the outcomes for a report: all that are not stored, or those not reported yet.
 
-        A leader that is behind with storing would else get each of them again with every report.
+        Reporting each outcome once keeps reports small while the leader is slow to store them.
         """
         found: list[RunEnded] = []
         for name, end in self.ends.items():
-            if len(found) >= ENDS_IN_REPORT:
+            if len(found) >= MAX_REPORTED_ENDS:
                 break
-            if full or name not in self._told:
-                self._told.add(name)
+            if full or name not in self._reported_ends:
+                self._reported_ends.add(name)
                 found.append(end)
         return found
--- a/sapphirelead/sched_choice.py
+++ b/sapphirelead/sched_choice.py
@@ -1,11 +1,10 @@
-"""The places for the tasks of one step, best first.
+"""Heap of the workers for the tasks of one step, best first.
 
-The pattern that this answers: wide steps on a large fleet.  Looking at every worker for every task
-costs the product of both; but a task that is placed changes one worker only.  So each worker is
-judged once for the step, and again only after it has got a task.
+Handles wide steps on large fleets by scoring each worker once per step, and again only after it has
+got a task.
 
-Invariant: the place returned is the one that :func:`sapphirelead.sched_place.choose` would return,
-as long as nothing but the tasks placed here changes the workers meanwhile.
+Invariant: returns the worker that :func:`sapphirelead.sched_place.choose` would return, as long as
+only the tasks placed here change the workers.
 """
 
 from collections.abc import Iterable
@@ -14,42 +13,43 @@
 
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, has_room, score
+from sapphirelead.sched_place import PlacementRequest, has_room, score
 
 
 class _Place(NamedTuple):
-    """A worker with room; the smallest is the best, among equals the one that was listed first."""
+    """A worker with room; the smallest is the best, ties go to the lower number."""
 
     cost: float
     number: int
     instance: Instance
 
 
-class Choice:
-    """The workers with room for one more task of a step."""
+class PlacementHeap:
+    """Workers with room for one more task of a step, ordered by score."""
 
-    _need: Need
+    _need: PlacementRequest
     _ref: TaskRef
     _numbers: dict[str, int]
     _heap: list[_Place]
 
-    def __init__(self, instances: Iterable[Instance], need: Need, ref: TaskRef) -> None:
-        """Judge ``instances``.
+    def __init__(
+        self, instances: Iterable[Instance], request: PlacementRequest, ref: TaskRef
+    ) -> None:
+        """Score ``instances``.
 
         :param ref: any task of the step.
         """
         listed = list(instances)
-        self._need = need
+        self._need = request
         self._ref = ref
         self._numbers = {instance.agent: number for number, instance in enumerate(listed)}
-        self._heap = [self._judge(item) for item in listed if has_room(item, need, ref)]
+        self._heap = [self._scored(item) for item in listed if has_room(item, request, ref)]
         heapify(self._heap)
 
     def take(self, avoid: frozenset[str] = frozenset()) -> Instance | None:
-        """Return the best place, which is no longer listed until :meth:`put_back`.
+        """Remove and return the best worker; :meth:`put_back` adds it again.
 
-        :param avoid: agents on which the task has failed or crawled; taken only where nothing else
-            is.
+        :param avoid: agents on which the task has failed or was slow; used only as a last resort.
         """
         avoided: list[_Place] = []
         while self._heap and self._heap[0].instance.agent in avoid:
@@ -60,10 +60,10 @@
         return taken.instance if taken is not None else None
 
     def put_back(self, instance: Instance) -> None:
-        """List a place again that has got a task, if there is room for one more."""
+        """Add a worker again after it has got a task, if it has room for one more."""
         if has_room(instance, self._need, self._ref):
-            heappush(self._heap, self._judge(instance))
+            heappush(self._heap, self._scored(instance))
 
-    def _judge(self, instance: Instance) -> _Place:
+    def _scored(self, instance: Instance) -> _Place:
         value = score(instance, self._need, self._ref)
         return _Place(-value, self._numbers[instance.agent], instance)
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -1,10 +1,9 @@
-"""Frees whole workers for filling work by moving the few lasting tasks that stand in its way.
+"""Frees whole workers for best-effort tasks by consolidating long-running tasks.
 
-The pattern that this answers: lasting tasks come and go, and after a while a worker of 48 cores may
-serve with a single task of 8, beside which filling work has to be slowed.  A lasting task that is
-moved is away for about a second; a worker without serving tasks does several times the filling work
-of one that is paced.  A worker is emptied only while filling work wants room, only when all its
-lasting tasks fit on workers that serve already, and one task of a step at a time.
+Handles fragmentation, where a few small long-running tasks are spread over workers and throttle the
+best-effort tasks beside them.  A worker is emptied only while best-effort tasks lack CPU, only if
+all its long-running tasks fit on workers with latency-critical tasks, and with at most one task of
+a step away at a time.
 """
 
 from typing import Final
@@ -12,29 +11,29 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import Need, can_take_work, has_room
-from sapphirelead.sched_plan_turn import Budget
+from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
+from sapphirelead.sched_scan_order import Budget
 
-MOST_SHARE: Final = 0.4
-"""Share of a worker's processors that its lasting tasks may take for it to be emptied."""
+MAX_LASTING_SHARE: Final = 0.4
+"""Workers whose long-running tasks take a larger share of the CPU are not emptied."""
 
-MOST_TASKS: Final = 3
-"""Lasting tasks on a worker that is emptied; each is away for about a second."""
+MAX_LASTING_TASKS: Final = 3
+"""Workers with more long-running tasks are not emptied."""
 
-WANTED_SHARE: Final = 0.15
-"""Share of all processors that filling work has to lack for a worker to be emptied."""
+MIN_SHORTAGE_SHARE: Final = 0.15
+"""Least share of the fleet's CPU that best-effort tasks must lack."""
 
-PAUSE_S: Final = 3.0
-"""Time between two emptied workers: the filling work has to have moved in to show its need."""
+COOLDOWN_S: Final = 3.0
+"""Least time between emptying two workers."""
 
-STAY_S: Final = 12.0
-"""A lasting task that has been moved stays for this long."""
+MIN_STAY_S: Final = 12.0
+"""Least time between two moves of a task."""
 
-AT_WORK: Final = 100
+READY_PERCENT: Final = 100
 
 
 class Consolidation:
-    """Chooses what to move; keeps when it last did, and which workers a cut review has tried."""
+    """Selects a worker to empty; a truncated review continues in the next call."""
 
     _acted_at: float
     _tried: set[str]
@@ -48,15 +47,15 @@
     def review(
         self, sched: Scheduler, wanted_cpu: int, at: float, budget: Budget | None = None
     ) -> None:
-        """Empty a worker if that is worth it.
+        """Empty one worker if best-effort tasks lack enough CPU.
 
-        :param wanted_cpu: processors that waiting or paced filling work lacks, in thousandths.
-        :param budget: limits the time; the next call goes on with the other workers.
+        :param wanted_cpu: CPU that waiting or throttled best-effort tasks lack, in millicores.
+        :param budget: time budget; the next call continues with the remaining workers.
         """
-        if at - self._acted_at < PAUSE_S:
+        if at - self._acted_at < COOLDOWN_S:
             return
         live = [instance for instance in sched.fleet.live() if instance.track.sound(at)]
-        if wanted_cpu < WANTED_SHARE * sum(instance.capacity_cpu for instance in live):
+        if wanted_cpu < MIN_SHORTAGE_SHARE * sum(instance.capacity_cpu for instance in live):
             self._tried.clear()
             return
         tried = 0
@@ -68,12 +67,12 @@
             tried += 1
             self._tried.add(instance.agent)
             runs = [run for run in instance.runs.values() if run.step.lasting]
-            if not runs or not self._may_empty(sched, instance, runs, at):
+            if not runs or not self._can_evict(sched, instance, runs, at):
                 continue
             if not _fits_elsewhere(sched, instance, runs, live, at):
                 continue
             self._acted_at = at
-            self._empty(sched, instance, runs, at)
+            self._evict(sched, instance, runs, at)
             log_event(
                 "INFO",
                 "worker_emptied",
@@ -84,14 +83,17 @@
             break
         self._tried.clear()
 
-    def _empty(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> None:
+    def _evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> None:
         for run in runs:
             self._moved[run.ref] = at
             sched.avoid[run.ref] = frozenset({instance.agent})
             sched.stop(run, "consolidate")
 
-    def _may_empty(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> bool:
-        if len(runs) > MOST_TASKS or instance.lasting_cpu > MOST_SHARE * instance.capacity_cpu:
+    def _can_evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> bool:
+        if (
+            len(runs) > MAX_LASTING_TASKS
+            or instance.lasting_cpu > MAX_LASTING_SHARE * instance.capacity_cpu
+        ):
             return False
         steps = {run.ref[:3] for run in runs}
         if len(steps) < len(runs):
@@ -99,19 +101,19 @@
         return all(self._may_move(sched, run, at) for run in runs)
 
     def _may_move(self, sched: Scheduler, run: Run, at: float) -> bool:
-        if run.stop_wanted or at - self._moved.get(run.ref, -1e9) < STAY_S:
+        if run.stop_wanted or at - self._moved.get(run.ref, -1e9) < MIN_STAY_S:
             return False
         job = sched.jobs.get(run.ref.job_id)
         if job is None or not job.open:
             return False
-        # All others of the step have to be at work, so that no more than one is ever away.
+        # All tasks of the step have to be ready, so that at most one is away at a time.
         others = job.occurrences[run.ref.occurrence].tasks[run.ref.step]
         at_work = sum(
             1
             for other in sched.fleet.runs.values()
             if other.ref[:3] == run.ref[:3]
             and other.phase is Phase.RUNNING
-            and other.percent >= AT_WORK
+            and other.percent >= READY_PERCENT
         )
         return at_work == len(others)
 
@@ -119,21 +121,21 @@
 def _fits_elsewhere(
     sched: Scheduler, instance: Instance, runs: list[Run], live: list[Instance], at: float
 ) -> bool:
-    """Return whether all of ``runs`` fit on other workers that serve already."""
+    """Return whether all of ``runs`` fit on other workers with latency-critical tasks."""
     others = [item for item in live if item is not instance and item.serving]
     trials = []
     for run in sorted(runs, key=lambda item: -item.step.cpu_millicores):
         job = sched.jobs[run.ref.job_id]
-        need = Need(run.step, sched.policy_of(job).service)
+        request = PlacementRequest(run.step, sched.policy_of(job).service)
         places = [
             item
             for item in others
-            if can_take_work(item, need, at) and has_room(item, need, run.ref)
+            if is_eligible(item, request, at) and has_room(item, request, run.ref)
         ]
         if not places:
             break
         tightest = min(places, key=lambda item: item.free_cpu)
-        trials.append(sched.trial_run(job, run.ref, tightest, run.attempt + 1))
+        trials.append(sched.add_tentative_run(job, run.ref, tightest, run.attempt + 1))
     for trial in trials:
         sched.fleet.drop(trial)
     return len(trials) == len(runs)
--- /dev/null
+++ b/sapphirelead/sched_interference.py
@@ -0,0 +1,370 @@
+"""Learns the interference of best-effort images with the tail latency of latency-critical ones.
+
+Handles swinging loads of latency-critical jobs by comparing workers: the tasks of one job share its
+load, so a difference in load between workers at one time is the interference of the best-effort
+tasks beside them (:mod:`sapphirelead.policy_pressure`).  Each report corrects the weights of the
+pairs of images by that difference (:mod:`sapphirelead.policy_pressure_filter`).
+"""
+
+import math
+import statistics
+from collections import deque
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+from functools import partial
+from typing import Final
+
+from sapphirelead.node_messages import ServingPress
+from sapphirelead.policy_pressure import (
+    CPU_USED_SHARE,
+    LevelAllocation,
+    LoadBudget,
+    added_load,
+    load_from_tail,
+)
+from sapphirelead.policy_pressure_filter import PressureFilter
+from sapphirelead.policy_pressure_pair import NO_EVIDENCE, Belief, pair_belief
+from sapphirelead.policy_pressure_prior import PairPrior
+from sapphirelead.sched_fleet import Instance
+
+LOAD_NOISE: Final = 0.03
+"""Standard deviation of the load of one job's tasks between workers without interference."""
+
+INITIAL_IDLE_SHARE: Final = 0.25
+"""Initial estimate of the idle tail latency, as a share of the target."""
+
+PRIOR_INTERVAL_S: Final = 1.0
+"""Time between two updates of the prior."""
+
+KNOWN_PROBABILITY: Final = 0.9
+"""Probability of being heavy, or light, from which on a pair counts as known."""
+
+MAX_READING_AGE_S: Final = 1.6
+"""Older readings are excluded from comparisons."""
+
+WARMUP_S: Final = 1.5
+"""Tail latencies of a task are ignored for this long if it started after others of its job."""
+
+TRANSIENT_NOISE: Final = 0.2
+"""Additional noise of a load per change in the share that best-effort tasks use."""
+
+MAX_DEVIATION: Final = 0.25
+"""Readings whose load differs from the median by more, interference excluded, are outliers."""
+
+MIN_USED_SHARE: Final = 0.001
+"""Least share of a worker that a best-effort task is assumed to use."""
+
+FORECAST_S: Final = 2.0
+"""Time by which a rising load is extrapolated for placement."""
+
+TREND_WINDOW_S: Final = 2.5
+"""Time over which the trend of a job's load is measured."""
+
+MAX_FORECAST_RISE: Final = 0.2
+"""Largest load added for a rising trend."""
+
+GroupKey = tuple[str, int, int]
+"""A step of one occurrence of a job, whose tasks share one load."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Reading:
+    """Load of a job's tasks on one worker.
+
+    :ivar load: load by the median of their tail latencies.
+    :ivar shares: share of the worker's CPU in use, by best-effort image beside them.
+    :ivar noise: standard deviation of the load without interference.
+    """
+
+    at: float
+    load: float
+    shares: Mapping[str, float]
+    noise: float
+
+
+@dataclass(frozen=True, slots=True)
+class _PaceCache:
+    """Expected paces on one instance, valid until its next report or change of runs.
+
+    :ivar changes: the instance's change counter at the time of computation.
+    :ivar allotment: CPU shares that its runs get beside each other.
+    :ivar paces: computed paces, by image and millicores.
+    :ivar refused: smallest size in millicores that gets less than a pace, by image and pace.
+    """
+
+    changes: int
+    allotment: LevelAllocation
+    paces: dict[tuple[str, int], float] = field(default_factory=dict)
+    refused: dict[tuple[str, float], int] = field(default_factory=dict)
+
+
+class InterferenceModel:
+    """Learnt interference of best-effort images with latency-critical images.
+
+    :ivar idle_ms: idle tail latency of each latency-critical image: the lowest one observed.
+    """
+
+    idle_ms: dict[str, float]
+    _filters: dict[str, PressureFilter]
+    _groups: dict[GroupKey, dict[str, _Reading]]
+    _history: dict[GroupKey, deque[tuple[float, float]]]
+    _began: dict[GroupKey, float]
+    _shares: dict[str, Mapping[str, float]]
+    _pace_caches: dict[str, _PaceCache]
+    _prior: PairPrior
+    _prior_at: float
+    _beliefs: dict[str, dict[str, Belief]]
+    _known: frozenset[str]
+
+    def __init__(self) -> None:
+        self.idle_ms = {}
+        self._filters = {}
+        self._groups = {}
+        self._history = {}
+        self._began = {}
+        self._shares = {}
+        self._pace_caches = {}
+        self._prior = PairPrior({})
+        self._prior_at = -math.inf
+        self._beliefs = {}
+        self._known = frozenset()
+
+    def learn(self, instance: Instance, at: float) -> None:
+        """Learn from the tail latencies of an instance's newest report."""
+        shares = _used_shares(instance)
+        before = self._shares.get(instance.agent, shares)
+        self._shares[instance.agent] = shares
+        # Tail latencies lag behind a change in interference by about one report.
+        images = shares.keys() | before.keys()
+        lagged = {image: (shares.get(image, 0.0) + before.get(image, 0.0)) / 2 for image in images}
+        moved = sum(abs(shares.get(image, 0.0) - before.get(image, 0.0)) for image in images)
+        noise = LOAD_NOISE + TRANSIENT_NOISE * moved
+        self._update_prior(at)
+        for key, (image, tail_ms) in self._tails(instance, at).items():
+            load = load_from_tail(tail_ms, self.idle_ms[image])
+            self._learn_group(key, image, instance.agent, _Reading(at, load, lagged, noise))
+
+    def _tails(self, instance: Instance, at: float) -> dict[GroupKey, tuple[str, float]]:
+        """Return the image and median tail latency of each latency-critical step."""
+        found: dict[GroupKey, list[int]] = {}
+        images: dict[GroupKey, str] = {}
+        for run in instance.runs.values():
+            if not run.has_tail_latency or run.figure == 0:
+                continue
+            key, image = run.ref[:3], run.step.image
+            known = self.idle_ms.get(image, INITIAL_IDLE_SHARE * run.step.target_ms)
+            self.idle_ms[image] = min(float(run.figure), known)
+            run.load = load_from_tail(run.figure, self.idle_ms[image])
+            began = self._began.setdefault(key, run.running_at)
+            if run.running_at - began < WARMUP_S or at - run.running_at >= WARMUP_S:
+                found.setdefault(key, []).append(run.figure)
+                images[key] = image
+        return {key: (images[key], statistics.median(tails)) for key, tails in found.items()}
+
+    def _learn_group(self, key: GroupKey, image: str, agent: str, reading: _Reading) -> None:
+        readings = self._groups.setdefault(key, {})
+        before = readings.pop(agent, None)
+        others = self._consistent(image, readings.values(), reading.at)
+        if not others and before is not None:
+            # The job runs on no other worker: compare with its own previous reading.
+            others = self._consistent(image, [before], reading.at)
+        if others:
+            self._compare(image, reading, others)
+        readings[agent] = reading
+        history = self._history.setdefault(key, deque())
+        history.append((reading.at, self._load_without_fill(image, reading)))
+        while reading.at - history[0][0] > TREND_WINDOW_S:
+            history.popleft()
+
+    def _consistent(self, image: str, readings: Iterable[_Reading], at: float) -> list[_Reading]:
+        """Return the recent readings without outliers, interference excluded."""
+        fresh = [reading for reading in readings if at - reading.at <= MAX_READING_AGE_S]
+        if not fresh:
+            return []
+        middle = statistics.median(self._load_without_fill(image, reading) for reading in fresh)
+        return [
+            reading
+            for reading in fresh
+            if abs(self._load_without_fill(image, reading) - middle) <= MAX_DEVIATION
+        ]
+
+    def _load_without_fill(self, image: str, reading: _Reading) -> float:
+        return reading.load - added_load(image, reading.shares, self._estimated_weight)
+
+    def _compare(self, image: str, reading: _Reading, others: list[_Reading]) -> None:
+        """Update the weights by the difference of a reading to the mean of other workers."""
+        count = len(others)
+        load = sum(other.load for other in others) / count
+        shares = dict(reading.shares)
+        for other in others:
+            for filling, share in other.shares.items():
+                shares[filling] = shares.get(filling, 0.0) - share / count
+        shares = {
+            filling: share for filling, share in shares.items() if abs(share) > MIN_USED_SHARE
+        }
+        if shares:
+            noise = (reading.noise**2 + sum(other.noise**2 for other in others) / count**2) ** 0.5
+            found = self._filters.get(image)
+            if found is None:
+                found = self._filters[image] = PressureFilter(reading.at)
+            expected = partial(self._prior_belief, image)
+            found.observe(reading.load - load, shares, noise, expected, reading.at)
+            self._beliefs.pop(image, None)
+
+    def _prior_belief(self, serving: str, filling: str) -> Belief:
+        return pair_belief(self._prior.heavy(serving, filling))
+
+    def _belief(self, serving: str, filling: str) -> Belief:
+        """Return the belief about a pair, from its observations and the prior."""
+        beliefs = self._beliefs.setdefault(serving, {})
+        found = beliefs.get(filling)
+        if found is None:
+            evidence = (
+                self._filters[serving].evidence(filling)
+                if serving in self._filters
+                else NO_EVIDENCE
+            )
+            found = beliefs[filling] = pair_belief(self._prior.heavy(serving, filling), evidence)
+        return found
+
+    def _update_prior(self, at: float) -> None:
+        """Recompute the prior from the known pairs every :data:`PRIOR_INTERVAL_S`."""
+        if at - self._prior_at < PRIOR_INTERVAL_S:
+            return
+        self._prior_at = at
+        beliefs = {
+            (serving, filling): self._belief(serving, filling).heavy
+            for serving, found in self._filters.items()
+            for filling in found.weights
+        }
+        known = {
+            pair: heavy
+            for pair, heavy in beliefs.items()
+            if max(heavy, 1 - heavy) >= KNOWN_PROBABILITY
+        }
+        self._prior = PairPrior(known)
+        self._known = frozenset(filling for _, filling in known)
+        self._beliefs = {}
+
+    def knows(self, filling: str) -> bool:
+        """Return whether the interference of a best-effort image is known for any image."""
+        return filling in self._known
+
+    def weight(self, serving: str, filling: str) -> float:
+        """Return a conservative estimate of the load that ``filling`` adds on a whole worker.
+
+        Uncertainty raises the estimate.
+        """
+        return self._belief(serving, filling).upper_bound
+
+    def _estimated_weight(self, serving: str, filling: str) -> float:
+        return self._belief(serving, filling).weight
+
+    def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
+        """Return the weights of the pairs of images on an instance."""
+        serving = {run.step.image for run in instance.runs.values() if run.step.target_ms}
+        filling = {run.step.image for run in instance.runs.values() if run.step.fills}
+        found = []
+        for one in sorted(serving & self.idle_ms.keys()):
+            weights = {other: round(self.weight(one, other), 3) for other in filling}
+            found.append(ServingPress(one, self.idle_ms[one], weights))
+        return found
+
+    def pace_beside(self, instance: Instance, image: str, cpu_millicores: int) -> float:
+        """Return the net pace of one more best-effort task on an instance, from 0 to 1.
+
+        CPU that it takes from other best-effort tasks is subtracted.
+        """
+        cache = self._cached_paces(instance)
+        pace = cache.paces.get((image, cpu_millicores))
+        if pace is None:
+            share = max(_requested_share(cpu_millicores, instance), MIN_USED_SHARE)
+            gained = cache.allotment.used_with(image, share) - cache.allotment.used
+            pace = cache.paces[image, cpu_millicores] = max(0.0, gained) / share
+        return pace
+
+    def gives_pace(
+        self, instance: Instance, image: str, cpu_millicores: int, min_pace: float
+    ) -> bool:
+        """Return whether one more best-effort task is expected to get a pace of ``min_pace``.
+
+        A larger size than a refused one is refused as well until the worker's next change, as the
+        pace usually falls with the size.
+        """
+        cache = self._cached_paces(instance)
+        refused = cache.refused.get((image, min_pace))
+        if refused is not None and cpu_millicores >= refused:
+            return False
+        if self.pace_beside(instance, image, cpu_millicores) >= min_pace:
+            return True
+        cache.refused[image, min_pace] = cpu_millicores
+        return False
+
+    def _cached_paces(self, instance: Instance) -> _PaceCache:
+        """Return the result of :meth:`_compute_paces` for the instance's newest change."""
+        cache = self._pace_caches.get(instance.agent)
+        if cache is None or cache.changes != instance.changes:
+            cache = self._pace_caches[instance.agent] = self._compute_paces(instance)
+        return cache
+
+    def _compute_paces(self, instance: Instance) -> _PaceCache:
+        """Return a new cache for the runs and the newest report of an instance."""
+        wanted: dict[str, float] = {}
+        rooms: dict[str, LoadBudget] = {}
+        for run in instance.runs.values():
+            image = run.step.image
+            if run.step.fills:
+                share = _requested_share(run.step.cpu_millicores, instance)
+                wanted[image] = wanted.get(image, 0.0) + share
+            elif run.has_tail_latency and image in self.idle_ms:
+                max_load = load_from_tail(run.step.target_ms, self.idle_ms[image])
+                room = LoadBudget(image, self._user_load(run.ref[:3], image, instance), max_load)
+                known = rooms.get(image)
+                if known is None or room.max_load - room.own_load < known.max_load - known.own_load:
+                    rooms[image] = room
+        return _PaceCache(
+            instance.changes, LevelAllocation(list(rooms.values()), wanted, self.weight)
+        )
+
+    def _user_load(self, key: GroupKey, image: str, instance: Instance) -> float:
+        """Return the load expected from a job's users in the next :data:`FORECAST_S`."""
+        reading = self._groups.get(key, {}).get(instance.agent)
+        if reading is None:
+            return 0.0
+        own_load = self._load_without_fill(image, reading)
+        return max(own_load, 0.0) + _forecast_rise(self._history.get(key, deque()))
+
+    def forget(self, job_id: str) -> None:
+        """Drop the readings of a job."""
+        for key in [key for key in self._groups if key[0] == job_id]:
+            del self._groups[key]
+            self._history.pop(key, None)
+            self._began.pop(key, None)
+
+
+def _forecast_rise(history: Sequence[tuple[float, float]]) -> float:
+    """Return the expected rise of a load, from the means of its older and newer half."""
+    half = len(history) // 2
+    if half < 1:
+        return 0.0
+    points = list(history)
+    old_at, old = (statistics.fmean(column) for column in zip(*points[:half], strict=True))
+    new_at, new = (statistics.fmean(column) for column in zip(*points[half:], strict=True))
+    if new_at - old_at < TREND_WINDOW_S / 4:
+        return 0.0
+    return min(max((new - old) / (new_at - old_at) * FORECAST_S, 0.0), MAX_FORECAST_RISE)
+
+
+def _requested_share(cpu_millicores: int, instance: Instance) -> float:
+    """Return the share of the worker's CPU that a best-effort task uses at full pace."""
+    return CPU_USED_SHARE * cpu_millicores / max(1, instance.capacity_cpu)
+
+
+def _used_shares(instance: Instance) -> Mapping[str, float]:
+    """Return the share of the worker's CPU in use by each best-effort image."""
+    found: dict[str, float] = {}
+    capacity = max(1, instance.capacity_cpu)
+    for run in instance.runs.values():
+        if run.step.fills and run.figure > 0:
+            found[run.step.image] = found.get(run.step.image, 0.0) + run.figure / capacity
+    return found
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -1,16 +1,12 @@
-"""Where a task runs: pure choices over the leader's view of the workers.
+"""Chooses the worker for a task from the leader's view of the fleet.  No I/O.
 
-The pattern that this answers: lasting tasks that serve users share workers with tasks that fill
-what is left, and filling tasks press on the tail of the serving ones beside them by amounts that
-nobody declares.  So the two kinds are kept apart first:
+Limits interference of best-effort tasks with the tail latency of latency-critical ones:
 
-- tasks that serve go together onto workers that already serve and hold the least filling work;
-- tasks that fill go beside serving tasks that they hardly press on, others where nothing serves,
-  to the worker with the most spare processors;
-- other tasks go beside those that serve, which leaves the workers without them to filling work.
-
-Where every worker serves, filling work goes where it is likely to get the most of its pace; the
-agent paces it by what it measures.
+- long-running tasks go to workers that run tasks of the same step, or can hold the whole step, and
+  preferably to those that run latency-critical tasks already;
+- best-effort tasks go beside latency-critical tasks that they are known to interfere with little,
+  else to workers without any, else to where they are expected to be throttled least;
+- other tasks go to workers with little best-effort work.
 """
 
 from collections.abc import Iterable
@@ -18,186 +14,191 @@
 from typing import Final
 
 from sapphirelead.sched_fleet import Instance
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_press_guard import GuardedPress
 from sapphirelead.sched_spec import StepSpec
 
-SILENT_S: Final = 1.2
-"""An agent that has not reported for this long (two reports missed) gets no new work."""
+REPORT_TIMEOUT_S: Final = 1.2
+"""An agent that has not reported for this long gets no new work."""
 
-LEAST_SHARE: Final = 0.7
-"""Share of its processors that a filling task must be likely to get."""
+MIN_SPARE_SHARE: Final = 0.7
+"""Share of its requested CPU that must be spare for a best-effort task."""
 
-LAST_RESORT_S: Final = 1.0
-"""Time between two tries of an unsound worker for a job that has nothing running anywhere."""
+UNSOUND_RETRY_INTERVAL_S: Final = 1.0
+"""Time after a failure before a starving job may use an unsound worker."""
 
-LEAST_PACE: Final = 0.8
-"""Pace that a filling task must be likely to get beside serving tasks; with less there are more
-runs beside each other and none ends sooner."""
+MIN_PACE: Final = 0.8
+"""Least expected pace at which a best-effort task is placed beside latency-critical tasks."""
 
-FULL_PACE: Final = 0.9
-"""Filling work that is likely to get so much beside serving tasks goes there, and leaves the
-workers without them to what presses."""
+LOW_INTERFERENCE_PACE: Final = 0.9
+"""Expected pace from which on a best-effort task is preferably placed beside latency-critical
+tasks."""
 
-BESIDE_ITS_LIKE: Final = 4
-WHOLE: Final = 2
-"""Ranks of places for a lasting task, in units of :data:`SERVING_PENALTY`: where tasks of its job
-are, and where all of them fit; a place that serves already counts one more."""
+SAME_STEP_RANK: Final = 4
+WHOLE_STEP_RANK: Final = 2
+"""Ranks of a worker for a long-running task, in units of :data:`RANK_UNIT`: a task of the same step
+runs there, or all tasks of the step fit.  A worker that runs latency-critical tasks ranks one
+higher."""
 
-FILLING_WEIGHT: Final = 10
-"""Processors taken by filling work count so many times those that are free: a lasting task that
-comes takes room from each filling task there."""
+FILL_CPU_WEIGHT: Final = 10
+"""Weight of CPU used by best-effort tasks against free CPU when placing a long-running task."""
 
-SERVING_PENALTY: Final = 1_000_000
-"""Outweighs any difference in spare processors (thousandths of a core)."""
+RANK_UNIT: Final = 1_000_000
+"""Score of one rank; exceeds any difference in CPU, in millicores."""
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """What a step asks of a worker at a moment.
-
-    :ivar service: service whose workers may run it.
-    :ivar tickets: workers that the advice service allows, or ``None`` where none is needed.
-    :ivar starving: the job has had nothing running for a while; filling work then goes wherever its
-        memory fits, and the agent paces it.
-    :ivar press: what is known of the pressure of filling work.
-    :ivar tasks: tasks of the step that look for a place now.
+class PlacementRequest:
+    """What a step requires of a worker.
+
+    :ivar service: service whose workers may run the step.
+    :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
+    :ivar starving: the job has had nothing running for a while; best-effort tasks then need no
+        spare CPU.
+    :ivar press: interference model, or ``None`` to ignore interference.
+    :ivar tasks: number of tasks of the step to place.
     """
 
     step: StepSpec
     service: str
     tickets: dict[str, str] | None = None
     starving: bool = False
-    press: GuardedPress | None = None
+    press: GuardedInterferenceModel | None = None
     tasks: int = 1
 
     def pace(self, instance: Instance) -> float:
-        """Return the pace that one more task is likely to get, from 0 to 1."""
+        """Return the expected pace of one more task on ``instance``, from 0 to 1."""
         if self.press is None or not instance.serving:
             return 1.0
         return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
-    def gets_pace(self, instance: Instance, least: float) -> bool:
-        """Return whether one more task is likely to get a pace of ``least``."""
+    def gets_pace(self, instance: Instance, min_pace: float) -> bool:
+        """Return whether the expected pace of one more task is at least ``min_pace``."""
         if self.press is None or not instance.serving:
             return True
         step = self.step
-        return self.press.gives_pace(instance, step.image, step.cpu_millicores, least)
+        return self.press.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
 
 
-def takes_work(instance: Instance, starving: bool, at: float) -> bool:
-    """Return whether any task may go to ``instance`` now, by its reports and its record."""
+def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
+    """Return whether ``instance`` accepts tasks, by its reports and its failure record."""
     if instance.worker is None or instance.worker.draining:
         return False
-    if at - instance.heard_at > SILENT_S or not instance.reachable:
+    if at - instance.heard_at > REPORT_TIMEOUT_S or not instance.reachable:
         return False
     if starving:
-        # Where every worker looks unsound the job still has to run somewhere.
-        return at - instance.track.bad_at >= LAST_RESORT_S
+        # The job has to run somewhere even if every worker is unsound.
+        return at - instance.track.last_fault_at >= UNSOUND_RETRY_INTERVAL_S
     if not instance.track.sound(at):
         return False
-    # One run at a time decides a trial, so that an unsound worker spoils little.
+    # A worker on trial gets one run at a time.
     track = instance.track
     return not (track.on_trial and instance.newest_claim_at >= track.paused_until)
 
 
-def can_take_work(instance: Instance, need: Need, at: float) -> bool:
-    """Return whether tasks of this kind may go to ``instance`` at all now."""
+def is_eligible(instance: Instance, request: PlacementRequest, at: float) -> bool:
+    """Return whether tasks of the request may run on ``instance``, regardless of room."""
     worker = instance.worker
-    if worker is None or worker.service != need.service:
+    if worker is None or worker.service != request.service:
         return False
-    if need.step.label and need.step.label not in worker.labels:
+    if request.step.label and request.step.label not in worker.labels:
         return False
-    if need.tickets is not None and worker.worker not in need.tickets:
+    if request.tickets is not None and worker.worker not in request.tickets:
         return False
-    return takes_work(instance, need.starving, at)
+    return accepts_work(instance, request.starving, at)
 
 
-def has_room(instance: Instance, need: Need, ref: TaskRef) -> bool:
+def has_room(instance: Instance, request: PlacementRequest, ref: TaskRef) -> bool:
     """Return whether one more task of the step fits."""
-    step = need.step
+    step = request.step
     if not instance.fits(step):
         return False
-    if step.fills and not need.starving and not _has_spare(instance, need):
+    if step.fills and not request.starving and not _has_spare_cpu(instance, request):
         return False
-    return not (step.per_worker and instance.of_step(ref) >= step.per_worker)
+    return not (step.per_worker and instance.count_of_step(ref) >= step.per_worker)
 
 
-def _has_spare(instance: Instance, need: Need) -> bool:
-    """Return whether a filling task would find processors without spoiling a tail."""
-    step = need.step
-    if instance.spare_cpu < step.cpu_millicores * LEAST_SHARE:
+def _has_spare_cpu(instance: Instance, request: PlacementRequest) -> bool:
+    """Return whether a best-effort task gets enough CPU without raising tail latencies."""
+    step = request.step
+    if instance.spare_cpu < step.cpu_millicores * MIN_SPARE_SHARE:
         return False
     if instance.serving and not instance.listed_at:
-        # A new leader does not know the tails of the serving tasks yet.
+        # The tail latencies there are not known to a new leader yet.
         return False
-    return need.gets_pace(instance, LEAST_PACE)
+    return request.gets_pace(instance, MIN_PACE)
 
 
-def score(instance: Instance, need: Need, ref: TaskRef) -> float:
-    """Return how good a place ``instance`` is; the highest wins."""
-    step = need.step
+def score(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
+    """Return the score of ``instance`` for one more task; the highest is best."""
+    step = request.step
     if step.fills:
         value = float(instance.spare_cpu) * instance.track.speed
-        value += SERVING_PENALTY * _pace_rank(instance, need)
+        value += RANK_UNIT * _pace_rank(instance, request)
     elif step.lasting:
-        value = _lasting_value(instance, need, ref)
+        value = _lasting_value(instance, request, ref)
     else:
         value = float(instance.free_cpu) * 0.1 - instance.fill_cpu
         value *= instance.track.speed if value > 0 else 1.0
     if step.near_rack and instance.rack == step.near_rack:
-        value += 2 * SERVING_PENALTY
+        value += 2 * RANK_UNIT
     return value
 
 
-def _lasting_value(instance: Instance, need: Need, ref: TaskRef) -> float:
-    """Return how good a place is for a lasting task.
+def _lasting_value(instance: Instance, request: PlacementRequest, ref: TaskRef) -> float:
+    """Return the score of ``instance`` for a long-running task.
 
-    The tasks of a job share their load: together they leave more room beside them than tasks of
-    several jobs, of which one is always near its top.  So a job goes where its like is, else to the
-    fullest worker that holds all of it.
+    Tasks of one job peak together, so mixing jobs on a worker leaves less room for best-effort
+    work.  Prefers workers that run the step already, then the fullest one that holds all of it.
     """
-    step = need.step
-    value = SERVING_PENALTY if instance.serving else 0
-    if instance.of_step(ref):
-        return float(value + BESIDE_ITS_LIKE * SERVING_PENALTY - instance.free_cpu)
-    filling = FILLING_WEIGHT * instance.fill_cpu
-    whole = need.tasks * step.cpu_millicores <= instance.free_cpu
-    whole = whole and not 0 < step.per_worker < need.tasks
+    step = request.step
+    value = RANK_UNIT if instance.serving else 0
+    if instance.count_of_step(ref):
+        return float(value + SAME_STEP_RANK * RANK_UNIT - instance.free_cpu)
+    filling = FILL_CPU_WEIGHT * instance.fill_cpu
+    whole = request.tasks * step.cpu_millicores <= instance.free_cpu
+    whole = whole and not 0 < step.per_worker < request.tasks
     if whole:
-        return float(value + WHOLE * SERVING_PENALTY - instance.free_cpu - filling)
-    # No place holds all of them: the one that holds the most.
+        return float(value + WHOLE_STEP_RANK * RANK_UNIT - instance.free_cpu - filling)
+    # Not all of the step's tasks fit here: prefer the worker with the most free CPU.
     return float(value + instance.free_cpu - filling)
 
 
-def _pace_rank(instance: Instance, need: Need) -> float:
-    """Return the order of places for filling work by the pace that it is likely to get there.
+def _pace_rank(instance: Instance, request: PlacementRequest) -> float:
+    """Return the rank of ``instance`` for a best-effort task.
 
-    First beside serving tasks that it is known to press on hardly, then where nothing serves, then
-    where it gets the most.
+    Workers where it is known to interfere little rank first, then workers without latency-critical
+    tasks, then the others by expected pace.
     """
     if not instance.serving:
         return 1.0
-    pace = min(need.pace(instance), FULL_PACE)
-    light = pace >= FULL_PACE and need.press is not None and need.press.knows(need.step.image)
+    pace = min(request.pace(instance), LOW_INTERFERENCE_PACE)
+    light = (
+        pace >= LOW_INTERFERENCE_PACE
+        and request.press is not None
+        and request.press.knows(request.step.image)
+    )
     return 2.0 if light else pace
 
 
 def choose(
-    instances: Iterable[Instance], need: Need, ref: TaskRef, avoid: frozenset[str] = frozenset()
+    instances: Iterable[Instance],
+    request: PlacementRequest,
+    ref: TaskRef,
+    avoid: frozenset[str] = frozenset(),
 ) -> Instance | None:
     """Return the best instance for one more task.
 
-    :param avoid: agents on which the task has failed or crawled; taken only where nothing else is.
+    :param avoid: agents on which the task has failed or was slow; used only as a last resort.
     """
     best: Instance | None = None
     best_value = 0.0
     for instance in instances:
-        if not has_room(instance, need, ref):
+        if not has_room(instance, request, ref):
             continue
-        value = score(instance, need, ref)
+        value = score(instance, request, ref)
         if instance.agent in avoid:
-            value -= 10 * SERVING_PENALTY
+            value -= 10 * RANK_UNIT
         if best is None or value > best_value:
             best, best_value = instance, value
     return best
