--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -1,11 +1,12 @@
-"""Which tasks start now, in which order, and on which workers.
-
-The pattern that this answers: a burst of wide jobs next to a steady flow of small ones.  Room is
-given by the queue's priority first, then by how little slack a step has left against its job's
-objective; a job that has begun goes before one that has not, because half-finished jobs earn
-nothing.  Within one pass every ready step is looked at once, so a wide step that does not fit
-holds nothing up.  Where a pass takes longer than its budget, it goes on over several calls, and new
-room is offered by that order first for half of each (:mod:`sapphirelead.sched_plan_turn`).
+"""Selects the tasks to start, their order and their workers.
+
+Ready steps are placed by queue priority, then by the slack left against the job's objective.  Each
+pass tries every ready step once, so a wide step that does not fit does not block smaller ones.
+A pass that exceeds its time budget continues in later calls
+(:mod:`sapphirelead.sched_scan_order`).
+
+Best-effort tasks are those of steps with ``fills``, long-running tasks those of steps with
+``lasting``.
 """
 
 from collections.abc import Iterator
@@ -15,33 +16,31 @@
 
 from sapphirelead.logs import log_event
 from sapphirelead.sched_advice import StepKey
-from sapphirelead.sched_choice import Choice
+from sapphirelead.sched_choice import PlacementHeap
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
-from sapphirelead.sched_place import Need, can_take_work, choose
-from sapphirelead.sched_plan_turn import Budget, PlanTurn
-from sapphirelead.sched_room import Kind, Openings
-from sapphirelead.sched_spec import QueuePolicy, StepSpec, rest_ms
+from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
+from sapphirelead.sched_room import FeasibleWorkers, Kind
+from sapphirelead.sched_scan_order import Budget, ScanOrder
+from sapphirelead.sched_spec import QueuePolicy, StepSpec, chain_ms
 
-STARVING_S: Final = 1.5
-"""How long a job may wait with nothing running although its turn has come.  Callers are promised
-that no job stands still for 3 s while there is room for it."""
+STARVATION_THRESHOLD_S: Final = 1.5
+"""Time after which a ready job with nothing running counts as starving.
 
-GATHER_S: Final = 0.15
-"""How long new lasting tasks wait for others.
+Must stay below the 3 s for which a job may be idle while there is room for it."""
 
-They often come together and stay for minutes; packed by size they leave whole workers to filling
-work."""
+GROUPING_DELAY_S: Final = 0.15
+"""Delay before new long-running tasks are placed, so that those submitted together are packed by
+size."""
 
-LOOK_AGAIN_S: Final = 0.1
-"""Pause before filling work that found no room is looked at again; room comes a few times a second,
-rounds far more often."""
+RETRY_DELAY_S: Final = 0.1
+"""Delay before a best-effort step that found no room is tried again."""
 
 
 @dataclass(slots=True)
-class Ready:
-    """A step that may start, with its tasks that have no claim."""
+class ReadyStep:
+    """A step that may start, with its unclaimed tasks."""
 
     job: Job
     occurrence: Occurrence
@@ -58,23 +57,21 @@
 
     @property
     def rank(self) -> tuple[int, bool, bool, float]:
-        """Order in which steps are given room.
+        """Placement order; lower goes first.
 
-        Lasting tasks go first in their priority.  A job that can no longer meet its objective
-        earns little however soon it ends: it goes behind those that still can.  Filling work shares
-        what is left, and often there is less than it asks for; the job with the least left to do
-        goes first, since by deadline all would be late together.
+        Within a priority, long-running tasks go first, and jobs that can no longer meet their
+        objective go last.  Best-effort steps are ordered by remaining work, other steps by slack.
         """
         if self.step.lasting:
-            # The largest first: small tasks then fill the gaps, and whole workers stay free.
+            # Largest first, so that small tasks fill the gaps and whole workers stay free.
             return self.policy.priority, False, False, -float(self.step.cpu_millicores)
         if self.step.fills:
-            return self.policy.priority, True, self.slack_s < 0, self.left_core_s
+            return self.policy.priority, True, self.slack_s < 0, self.remaining_core_s
         return self.policy.priority, True, self.slack_s < 0, self.slack_s
 
     @property
-    def left_core_s(self) -> float:
-        """Work left in the occurrence, in core-seconds by its estimates."""
+    def remaining_core_s(self) -> float:
+        """Estimated work left in the occurrence, in core-seconds."""
         steps = self.job.spec.steps
         return sum(
             left * step.cpu_millicores * step.estimate_ms / 1e6
@@ -82,21 +79,21 @@
         )
 
     @property
-    def new(self) -> bool:
-        """Whether none of its tasks has ever been claimed."""
+    def never_claimed(self) -> bool:
+        """Whether no task of the step has ever been claimed."""
         tasks = self.occurrence.tasks[self.number]
         return not any(task.attempts for task in tasks)
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A step that may be given room in a pass.
+    """A step to be placed in the current pass.
 
-    :ivar tickets: workers that the advice service allows, or ``None`` where none is needed.
-    :ivar starving: its job has had nothing running for a while.
+    :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
+    :ivar starving: its job has had nothing running for :data:`STARVATION_THRESHOLD_S`.
     """
 
-    ready: Ready
+    ready: ReadyStep
     tickets: dict[str, str] | None
     starving: bool
 
@@ -107,13 +104,13 @@
 
     @property
     def kind(self) -> Kind:
-        """What decides where its tasks find room, but for their size."""
+        """Kind of the step's tasks: all that decides where they fit, except their size."""
         return Kind.of(self.ready.step, self.ready.policy.service, self.starving)
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceAsk:
-    """A question to the advice service."""
+    """A request to the advice service for tickets of a step."""
 
     key: StepKey
     workers: list[str]
@@ -121,21 +118,21 @@
 
 
 def slack_s(job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall: int) -> float:
-    """Return how long the step can still wait within its job's objective, in seconds."""
+    """Return how long the step can wait without missing its job's objective, in seconds."""
     spec = job.spec
     begin_ms = spec.accepted_ms
     if spec.occurrences:
         begin_ms = spec.first_due_ms + occurrence.number * spec.interval_ms
-    rest = rest_ms(spec.steps)
+    rest = chain_ms(spec.steps)
     objective_ms = policy.stretch * max(rest) + policy.slack_ms
     return (begin_ms + objective_ms - wall - rest[number]) / 1000
 
 
-def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[Ready]:
-    """Return the steps that may start, have tasks without a claim, and are to be looked at now.
+def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[ReadyStep]:
+    """Return the steps that may start and have unclaimed tasks.
 
-    Those that found no room a moment ago are left out and stay known as ready; steps that are not
-    ready any more are forgotten.
+    Steps waiting for a retry are skipped but stay registered as ready.  Steps that are no longer
+    ready are removed from ``sched.ready_since``.
     """
     found = []
     seen: set[StepKey] = set()
@@ -150,17 +147,17 @@
                 if occurrence.left[number] == 0 or not occurrence.step_ready(step):
                     continue
                 key = (job.spec.job_id, occurrence.number, number)
-                if at < sched.look_again_at.get(key, 0.0):
+                if at < sched.retry_at.get(key, 0.0):
                     seen.add(key)
                     continue
                 tasks = _unclaimed(occurrence, number, step)
                 if tasks:
                     seen.add(key)
                     slack = slack_s(job, occurrence, number, policy, wall_ms)
-                    found.append(Ready(job, occurrence, number, step, policy, tasks, slack))
+                    found.append(ReadyStep(job, occurrence, number, step, policy, tasks, slack))
     for key in [key for key in sched.ready_since if key not in seen]:
         del sched.ready_since[key]
-        sched.look_again_at.pop(key, None)
+        sched.retry_at.pop(key, None)
     return found
 
 
@@ -172,45 +169,47 @@
     tasks = occurrence.tasks[number]
     free = [index for index, task in enumerate(tasks) if not task.done and not task.claims]
     if step.gang and len(free) < len(tasks):
-        # A gang starts as a whole, once every member of the run before is seen to be over.
+        # A gang starts as a whole, after every member of its previous run has ended.
         return []
     return free
 
 
-def bring_due(sched: Scheduler, wall_ms: int) -> None:
-    """Let occurrences begin that are due; never early, whatever the clock's error."""
+def add_due_occurrences(sched: Scheduler, wall_ms: int) -> None:
+    """Start the occurrences that are due, never early."""
     for job in sched.open_jobs.values():
         if job.spec.occurrences and job.open:
-            job.bring_due(wall_ms)
+            job.add_due_occurrences(wall_ms)
 
 
 def plan(
-    sched: Scheduler, at: float, wall_ms: int, turn: PlanTurn | None = None
+    sched: Scheduler, at: float, wall_ms: int, scan_order: ScanOrder | None = None
 ) -> list[AdviceAsk]:
-    """Claim whatever can start now; return the questions that the advice service should get.
+    """Claim workers for the tasks that can start; return requests for the advice service.
 
-    :param turn: limits the time; without it every step is looked at.
+    :param scan_order: holds the time budget; without it every step is scanned.
     """
-    turn = turn or PlanTurn()
-    bring_due(sched, wall_ms)
-    asks: list[AdviceAsk] = []
+    scan_order = scan_order or ScanOrder()
+    add_due_occurrences(sched, wall_ms)
+    questions: list[AdviceAsk] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
         sched.no_room.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
-    openings = Openings(sched.no_room, plain, sched.press, at)
-    for item in turn.order(candidates, sched.ready_since, at, partial(_has_new_room, openings)):
+    feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
+    for item in scan_order.order(
+        candidates, sched.ready_since, at, partial(_has_new_room, feasible)
+    ):
         ready = item.ready
-        turn.look(ready.key, at)
+        scan_order.mark_scanned(ready.key, at)
         if ready.policy.advice is not None:
-            asks.extend(_ask(sched, ready, at))
-        places = _places(sched, item, openings) if item.tickets is None else live
+            questions.extend(_advice_request(sched, ready, at))
+        places = _places(sched, item, feasible) if item.tickets is None else live
         if not places:
             if ready.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+                sched.retry_at[ready.key] = at + RETRY_DELAY_S
             continue
-        need = Need(
+        request = PlacementRequest(
             ready.step,
             ready.policy.service,
             item.tickets,
@@ -219,60 +218,60 @@
             len(ready.tasks),
         )
         if ready.step.gang:
-            _place_gang(sched, ready, _able(live, need, at), need, at)
+            _place_gang(sched, ready, _eligible(live, request, at), request, at)
         else:
-            able = _able(places, need, at)
-            all_placed = _place_tasks(sched, ready, able, need, at, turn.budget)
+            eligible = _eligible(places, request, at)
+            all_placed = _place_tasks(sched, ready, eligible, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
-                sched.no_room.note(item.kind, ready.step)
-    return asks
+                sched.no_room.record_infeasible(item.kind, ready.step)
+    return questions
 
 
 def _candidates(sched: Scheduler, at: float, wall_ms: int) -> list[Candidate]:
-    """Return the steps to look at, in the order in which they are given room."""
+    """Return the steps to scan, in placement order."""
     found = []
     for ready in sorted(ready_steps(sched, at, wall_ms), key=lambda item: item.rank):
         since = sched.ready_since.get(ready.key)
         if since is None:
             since = sched.ready_since[ready.key] = at
             _log_ready(ready)
-        if ready.step.lasting and ready.new and at - since < GATHER_S:
+        if ready.step.lasting and ready.never_claimed and at - since < GROUPING_DELAY_S:
             continue
         tickets = None
         if ready.policy.advice is not None:
             tickets = sched.advice.valid(ready.key, at)
-        starving = at - since > STARVING_S and not _anything_runs(ready.occurrence)
+        starving = at - since > STARVATION_THRESHOLD_S and not _anything_runs(ready.occurrence)
         found.append(Candidate(ready, tickets, starving))
     return found
 
 
-def _has_new_room(openings: Openings, item: Candidate) -> bool:
-    """Return whether a worker may have room for the step that has not been tried for it yet.
+def _has_new_room(feasible: FeasibleWorkers, item: Candidate) -> bool:
+    """Return whether an untried worker may have room for the step.
 
-    It is ``False`` for steps with tickets, gangs and limits for each worker, of which that is not
-    kept.
+    Always ``False`` for steps with tickets, gangs and per-worker limits, whose failures are not
+    cached.
     """
     step = item.ready.step
     if item.tickets is not None or step.gang or step.per_worker:
         return False
-    return bool(openings.places(item.kind, step))
+    return bool(feasible.places(item.kind, step))
 
 
-def _places(sched: Scheduler, item: Candidate, openings: Openings) -> list[Instance]:
-    """Return the workers that may have room for a step's tasks, by whether it starves now."""
+def _places(sched: Scheduler, item: Candidate, feasible: FeasibleWorkers) -> list[Instance]:
+    """Return the workers that may have room; updates whether the step is still starving."""
     if item.starving and _anything_runs(item.ready.occurrence):
-        # An earlier step of the same job has been given room in this pass.  The openings of the
-        # kind that it has now were judged without it.
+        # A step of the same job was placed earlier in this pass, which ended the starvation.
+        # ``feasible`` was computed without this step among those of its new kind.
         item.starving = False
         return sched.no_room.places(item.kind, item.ready.step)
-    return openings.places(item.kind, item.ready.step)
+    return feasible.places(item.kind, item.ready.step)
 
 
-def _able(places: list[Instance], need: Need, at: float) -> list[Instance]:
-    return [place for place in places if can_take_work(place, need, at)]
+def _eligible(places: list[Instance], request: PlacementRequest, at: float) -> list[Instance]:
+    return [place for place in places if is_eligible(place, request, at)]
 
 
-def _log_ready(ready: Ready) -> None:
+def _log_ready(ready: ReadyStep) -> None:
     log_event(
         "INFO",
         "step_ready",
@@ -286,7 +285,7 @@
 
 
 def waiting_tasks(sched: Scheduler) -> Iterator[tuple[StepSpec, int]]:
-    """Yield each step that could start, with the number of its tasks that have no claim."""
+    """Yield each ready step with the number of its unclaimed tasks."""
     for job_id, occurrence_number, number in sched.ready_since:
         job = sched.jobs.get(job_id)
         occurrence = job.occurrences.get(occurrence_number) if job is not None else None
@@ -296,7 +295,7 @@
 
 
 def wanted_cpu(sched: Scheduler) -> int:
-    """Return the processors that filling work lacks, waiting or paced, in thousandths."""
+    """Return the CPU that best-effort tasks lack, waiting or throttled, in millicores."""
     waiting = sum(step.cpu_millicores * tasks for step, tasks in waiting_tasks(sched) if step.fills)
     paced = sum(
         run.step.cpu_millicores * (100 - max(0, run.paced)) // 100
@@ -306,7 +305,7 @@
     return waiting + paced
 
 
-def _ask(sched: Scheduler, ready: Ready, at: float) -> list[AdviceAsk]:
+def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceAsk]:
     workers = [
         instance.worker.worker
         for instance in sched.fleet.live()
@@ -314,45 +313,45 @@
         and instance.worker.service == ready.policy.service
         and not instance.worker.draining
     ]
-    wanted = sched.advice.to_ask(ready.key, workers, at)
+    wanted = sched.advice.start_request(ready.key, workers, at)
     return [AdviceAsk(ready.key, wanted, ready.policy)] if wanted else []
 
 
 def _place_tasks(
     sched: Scheduler,
-    ready: Ready,
+    ready: ReadyStep,
     places: list[Instance],
-    need: Need,
+    request: PlacementRequest,
     at: float,
     budget: Budget,
 ) -> bool:
-    """Claim places for the step's tasks while there is time, for one at least.
+    """Claim workers for the step's tasks until the budget is spent; tries at least one task.
 
-    :return: ``False`` where one of them fits nowhere.
+    :returns: ``False`` if a task fits on no worker.
     """
-    choice = Choice(places, need, TaskRef(*ready.key, ready.tasks[0]))
+    heap = PlacementHeap(places, request, TaskRef(*ready.key, ready.tasks[0]))
     for index in ready.tasks:
         ref = TaskRef(*ready.key, index)
-        place = choice.take(sched.avoid.get(ref, frozenset()))
+        place = heap.take(sched.avoid.get(ref, frozenset()))
         if place is None:
-            if need.step.fills:
-                sched.look_again_at[ready.key] = at + LOOK_AGAIN_S
+            if request.step.fills:
+                sched.retry_at[ready.key] = at + RETRY_DELAY_S
             return False
         sched.claim(ready.job, ref, place, at)
-        if need.starving:
-            # One task is enough for the job to go on; the others wait for real room.
+        if request.starving:
+            # One task ends the starvation; the others wait for regular room.
             return True
         if budget.spent:
             return True
         if not place.track.on_trial:
-            choice.put_back(place)
+            heap.put_back(place)
     return True
 
 
 def _place_gang(
-    sched: Scheduler, ready: Ready, places: list[Instance], need: Need, at: float
+    sched: Scheduler, ready: ReadyStep, places: list[Instance], request: PlacementRequest, at: float
 ) -> None:
-    """Place all members or none; on one rack first where they work better together."""
+    """Place all members or none; with ``same_rack``, tries each single rack first."""
     racks = sorted({place.rack for place in places}) if ready.step.same_rack else []
     groups = [[place for place in places if place.rack == rack] for rack in racks]
     attempt = 1 + max(task.attempts for task in ready.occurrence.tasks[ready.number])
@@ -360,10 +359,10 @@
         runs = []
         for index in ready.tasks:
             ref = TaskRef(*ready.key, index)
-            place = choose(group, need, ref, sched.avoid.get(ref, frozenset()))
+            place = choose(group, request, ref, sched.avoid.get(ref, frozenset()))
             if place is None:
                 break
-            runs.append(sched.trial_run(ready.job, ref, place, attempt))
+            runs.append(sched.add_tentative_run(ready.job, ref, place, attempt))
         for run in runs:
             sched.fleet.drop(run)
         if len(runs) == len(ready.tasks):
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -1,8 +1,8 @@
-"""What the leader makes of an agent's report: who lives, what runs, what has ended, what got lost.
+"""Applies agent reports to the scheduler: worker changes, run progress, ends and lost orders.
 
-A report is taken whole or not at all; reports of an earlier process of the agent, and such that
-were overtaken by a newer one, are left.  An end counts at once, but the agent is told that it is
-stored only by the effect of the batch that stores it.
+A report is applied as a whole or ignored.  Reports of a previous agent process and reports older
+than the last one are ignored.  An end takes effect at once, but is acknowledged to the agent only
+by an effect of the batch that stores it.
 """
 
 from typing import Final
@@ -10,67 +10,65 @@
 from sapphirelead.logs import log_event
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_fleet import Instance, Phase, Returning, Run
+from sapphirelead.sched_fleet import Instance, Phase, ReturningBoot, Run
 from sapphirelead.sched_job import EndKind, TaskRef
 from sapphirelead.sched_track import TrackRecord
 
-RESEND_S: Final = 0.6
-"""An order that no report has confirmed for this long is sent again: one report and a margin."""
+RESEND_TIMEOUT_S: Final = 0.6
+"""Time without confirmation by a report after which an order is sent again."""
 
-BOOT_SILENCE_S: Final = 1.1
-"""Silence of an agent's process, two reports, after which an earlier one may be heard again.  They
-use two connections, so the last report of the ended one may arrive after the first of its
-successor."""
+BOOT_TIMEOUT_S: Final = 1.1
+"""Time without a report of the current agent process before a previous one can become current
+again.  The processes use separate connections, so their reports can arrive out of order."""
 
-BOOT_RETURN_S: Final = 0.5
-"""Time between two reports of a process by which it is known to live on: just under the longest
-time between two reports of an agent.  What an ended one has sent is read sooner."""
+MIN_BOOT_RETURN_S: Final = 0.5
+"""Minimum time between two reports that show that a previous agent process is still alive; queued
+reports of a process that has ended arrive closer together."""
 
 
-def take_report(sched: Scheduler, report: AgentReport, epoch: int, at: float) -> bool:
-    """Take an agent's report; ``False`` where it is an outdated one."""
+def apply_report(sched: Scheduler, report: AgentReport, epoch: int, at: float) -> bool:
+    """Apply an agent's report; return ``False`` if it is outdated."""
     instance = sched.fleet.instance(report.agent)
-    if report.boot in instance.old_boots and not _lives_on(instance, report, at):
+    if report.boot in instance.old_boots and not _has_outlived_successor(instance, report, at):
         return False
     if report.boot != instance.boot:
-        _new_boot(instance, report.boot)
+        _replace_boot(instance, report.boot)
     if report.beat <= instance.beat:
         return False
     instance.beat = report.beat
     instance.heard_at = at
-    instance.returning = None
+    instance.returning_boot = None
     instance.changes += 1
     instance.entries_version = report.entries_version
-    _take_worker(sched, instance, report, at)
+    _update_worker(sched, instance, report, at)
     for end in report.ends:
-        _take_end(sched, instance, end, at)
+        _apply_end(sched, instance, end, at)
     for status in report.runs:
-        _take_status(sched, instance, status, at)
+        _apply_status(sched, instance, status, at)
     if report.full:
         instance.listed_at = at
         sched.press.learn(instance, at)
     if report.full and report.epoch == epoch:
-        _check_orders(sched, instance, report, at)
+        _resend_missing_orders(sched, instance, report, at)
     return True
 
 
-def _lives_on(instance: Instance, report: AgentReport, at: float) -> bool:
-    """Return whether a process that counted as an earlier one has outlived the one heard last.
+def _has_outlived_successor(instance: Instance, report: AgentReport, at: float) -> bool:
+    """Return whether an agent process taken for a previous one has outlived the current one.
 
-    A leader that has read nothing for a while may read the last report of the ended process first,
-    and take the silence for that of its successor.  So one report is not enough: its worker would
-    be believed, and all runs on the successor's worker would count as lost.
+    Requires two reports: after a stall, the leader may read the last report of an ended process
+    before those of its successor, and must not count the successor's runs as lost.
     """
-    if at - instance.heard_at < BOOT_SILENCE_S:
+    if at - instance.heard_at < BOOT_TIMEOUT_S:
         return False
-    first = instance.returning
+    first = instance.returning_boot
     if first is None or first.boot != report.boot:
-        instance.returning = Returning(report.boot, report.beat, at)
+        instance.returning_boot = ReturningBoot(report.boot, report.beat, at)
         return False
-    return report.beat > first.beat and at - first.at >= BOOT_RETURN_S
+    return report.beat > first.beat and at - first.at >= MIN_BOOT_RETURN_S
 
 
-def _new_boot(instance: Instance, boot: str) -> None:
+def _replace_boot(instance: Instance, boot: str) -> None:
     instance.old_boots.discard(boot)
     if instance.boot:
         instance.old_boots.add(instance.boot)
@@ -84,10 +82,10 @@
         run.watch.interrupt()
 
 
-def _take_worker(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
+def _update_worker(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
     before = instance.worker
     instance.worker = report.worker
-    _note_leaving(instance, at)
+    _update_leaves_at(instance, at)
     now_id = report.worker.worker if report.worker else ""
     if (before.worker if before else "") != now_id:
         instance.track = TrackRecord()
@@ -97,7 +95,7 @@
             sched.end(run, EndKind.LOST, "", "worker_gone", at)
 
 
-def _note_leaving(instance: Instance, at: float) -> None:
+def _update_leaves_at(instance: Instance, at: float) -> None:
     worker = instance.worker
     if worker is None or not worker.draining:
         instance.leaves_at = 0.0
@@ -105,17 +103,17 @@
         instance.leaves_at = at + worker.remaining_ms / 1000
 
 
-def _take_end(sched: Scheduler, instance: Instance, end: RunEnded, at: float) -> None:
+def _apply_end(sched: Scheduler, instance: Instance, end: RunEnded, at: float) -> None:
     ref = TaskRef.parse(end.task)
     key = (ref, end.attempt) if ref is not None else None
-    if key in sched.ends_in_store:
+    if key in sched.unstored_ends:
         return
     run = sched.fleet.runs.get(key) if key is not None else None
     if run is None or run.agent != instance.agent:
-        # Known already, or of a job that is no longer kept: nothing to store.
-        sched.out(instance.agent).stored.append((end.task, end.attempt))
+        # The end is already stored, or its job has been deleted.
+        sched.outgoing_for(instance.agent).stored.append((end.task, end.attempt))
         return
-    sched.ends_in_store.add(run.key)
+    sched.unstored_ends.add(run.key)
     sched.end(run, _end_kind(end.kind), end.saved, end.reason, at)
     sched.effects.append(lambda: _end_stored(sched, run))
 
@@ -123,9 +121,8 @@
 def _end_kind(text: str) -> EndKind:
     """Return the kind of end that ``text`` names.
 
-    A worker's word that is not known would else end the process of each leader in turn, since the
-    agent repeats the end until it is stored.  The run is over in any case; it counts as ended by
-    another member's end, which is neither done nor a failure of its own, and the task runs again.
+    Maps unknown kinds to ``BROKEN``, so that the task is run again without counting a failure.  An
+    exception here would crash every leader, since the agent repeats the end until it is stored.
     """
     try:
         return EndKind(text)
@@ -135,19 +132,19 @@
 
 
 def _end_stored(sched: Scheduler, run: Run) -> None:
-    sched.ends_in_store.discard(run.key)
-    sched.out(run.agent).stored.append((run.ref.text(), run.attempt))
+    sched.unstored_ends.discard(run.key)
+    sched.outgoing_for(run.agent).stored.append((run.ref.text(), run.attempt))
 
 
-def _take_status(sched: Scheduler, instance: Instance, status: RunStatus, at: float) -> None:
+def _apply_status(sched: Scheduler, instance: Instance, status: RunStatus, at: float) -> None:
     ref = TaskRef.parse(status.task)
     run = sched.fleet.runs.get((ref, status.attempt)) if ref is not None else None
     if run is None or run.agent != instance.agent:
-        if ref is not None and (ref, status.attempt) in sched.ends_in_store:
+        if ref is not None and (ref, status.attempt) in sched.unstored_ends:
             return
-        # A run without a claim: its job has ended meanwhile, or its agent was given up.
+        # The run has no claim: its job has ended, or its agent was considered lost.
         log_event("INFO", "run_unclaimed", task=status.task, attempt=status.attempt)
-        sched.out(instance.agent).stops.append((status.task, status.attempt))
+        sched.outgoing_for(instance.agent).stops.append((status.task, status.attempt))
         return
     if status.phase is RunPhase.STARTING:
         return
@@ -156,27 +153,28 @@
         run.running_at = at
         run.seen_percent = status.percent
     run.percent = max(run.percent, status.percent)
-    run.watch.take(status.percent, at)
+    run.watch.observe(status.percent, at)
     run.figure = status.figure
     run.paced = status.paced
     if status.saved:
-        _keep_saved(sched, run, status.saved)
+        _set_saved(sched, run, status.saved)
 
 
-def _keep_saved(sched: Scheduler, run: Run, saved: str) -> None:
-    # Kept in memory only and stored with the next move of the job: losing it costs work, never
-    # correctness.
+def _set_saved(sched: Scheduler, run: Run, saved: str) -> None:
+    # Stored with the next change of the job; losing a checkpoint only costs repeated work.
     job = sched.jobs.get(run.ref.job_id)
     task = job.task(run.ref) if job is not None else None
     if task is not None and run.step.saves and not task.done:
         task.saved = saved
 
 
-def _check_orders(sched: Scheduler, instance: Instance, report: AgentReport, at: float) -> None:
-    """Send again what the agent has not got.
+def _resend_missing_orders(
+    sched: Scheduler, instance: Instance, report: AgentReport, at: float
+) -> None:
+    """Resend orders that the agent has not received.
 
-    A restarted agent lists runs whose orders it does not know.  Without them it can tell neither
-    which runs to pace nor whose tails to watch; an order for a run that is there starts nothing.
+    Includes orders of active runs that a restarted agent does not know, which it needs for pacing
+    and monitoring; such an order does not start the run again.
     """
     listed = {(status.task, status.attempt) for status in report.runs if status.order_known}
     ended = {(end.task, end.attempt) for end in report.ends}
@@ -184,22 +182,21 @@
         name = (run.ref.text(), run.attempt)
         if run.phase is Phase.CLAIMED or name in ended:
             continue
-        if at - run.sent_at < RESEND_S:
+        if at - run.sent_at < RESEND_TIMEOUT_S:
             continue
         if run.stop_wanted:
             run.sent_at = at
-            sched.out(instance.agent).stops.append(name)
-        elif name not in listed and _after_order(report, run):
+            sched.outgoing_for(instance.agent).stops.append(name)
+        elif name not in listed and _shows_missing_order(report, run):
             log_event("INFO", "start_sent_again", task=name[0], attempt=name[1])
             run.sent_at = at
-            sched.out(instance.agent).starts.append(run)
+            sched.outgoing_for(instance.agent).starts.append(run)
 
 
-def _after_order(report: AgentReport, run: Run) -> bool:
-    """Return whether a report can tell that the agent has not got the order to start ``run``.
+def _shows_missing_order(report: AgentReport, run: Run) -> bool:
+    """Return whether a report that does not list ``run`` shows that its start order was lost.
 
-    Orders arrive in their sequence, so one that has got these or later ones has got all it will.
-    An older report, which a leader behind with its reports reads after it has sent the order, tells
-    nothing; nor does one of an agent that has got none, except by the time that has passed.
+    Orders arrive in sequence, so the report must have been made after these or later orders.  A
+    report of an agent that has received no orders counts too; the caller checks the timeout.
     """
     return not report.orders or report.orders >= run.sent_in
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -1,12 +1,9 @@
-"""What has found no room, kept until a worker changes.
+"""Cache of tasks that fit on no worker, so that only changed workers are tried again.
 
-Judging each waiting step on each worker in each pass costs more time than a pass has, and most
-workers have not changed since the pass before.
-
-Invariant: a task of which :meth:`NoRoom.places` leaves a worker out, or a smaller one of its kind,
-has found no room there, and since then nothing has changed there but by a task placed.  Of filling
-work a larger task may get a pace that a smaller one does not; it is left out as well until the
-worker's next report.
+Invariant: if :meth:`InfeasibleCache.places` omits a worker for a task, then that task or a smaller
+one of its kind did not fit there, and the worker has not changed since except by tasks placed on
+it.  A larger best-effort task that would fit although a smaller one does not is tried only after
+the worker's next report.
 """
 
 from collections.abc import Iterable
@@ -17,26 +14,26 @@
 from msgspec.structs import replace
 
 from sapphirelead.sched_fleet import Instance
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, can_take_work, has_room, takes_work
-from sapphirelead.sched_press_guard import GuardedPress
+from sapphirelead.sched_place import PlacementRequest, accepts_work, has_room, is_eligible
 from sapphirelead.sched_spec import StepSpec
 
-MOST_KINDS: Final = 512
-"""Kinds of tasks kept.  The one that was noted longest ago gives way to a new one."""
+MAX_KINDS: Final = 512
+"""Kinds of tasks in the cache; the least recently recorded one is evicted."""
 
-MOST_SIZES: Final = 16
-"""Sizes kept of a kind, none of which contains another.  The oldest gives way to a new one."""
+MAX_SIZES_PER_KIND: Final = 16
+"""Sizes in the cache per kind, none of which contains another; the oldest one is evicted."""
 
-NO_TASK: Final = TaskRef("", 0, 0, 0)
-"""Stands for a task that is not placed yet."""
+UNPLACED_TASK: Final = TaskRef("", 0, 0, 0)
+"""Placeholder for a task that is not placed yet."""
 
 
 class Kind(NamedTuple):
-    """Tasks that differ in size only.
+    """Tasks that differ only in size.
 
-    :ivar image: of filling tasks; others of all images find the same room.
-    :ivar starving: the agents pace it, so it needs less room.
+    :ivar image: image of best-effort tasks; empty for others, whose placement ignores it.
+    :ivar starving: whether the job is starving, so that best-effort tasks need no spare CPU.
     """
 
     service: str
@@ -54,7 +51,7 @@
 
 
 class _State(NamedTuple):
-    """What decides whether a worker may have more room than before."""
+    """State of a worker whose change may mean new room."""
 
     changes: int
     takes: bool
@@ -62,11 +59,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    """A worker at its newest change.
+class _WorkerVersion:
+    """A worker with the pass in which it last changed.
 
-    :ivar number: place in the order of the fleet.
-    :ivar version: of the pass that noticed the change.
+    :ivar number: position in the order of the fleet.
+    :ivar version: number of the pass that detected the change.
     """
 
     instance: Instance
@@ -75,12 +72,12 @@
     version: int
 
 
-class NoRoom:
-    """What has found no room on any worker, and which workers have changed since."""
+class InfeasibleCache:
+    """Cache of task sizes that fit on no worker, with the changes of workers since."""
 
     _version: int
-    _seen: dict[str, _Seen]
-    _newest: list[_Seen]
+    _seen: dict[str, _WorkerVersion]
+    _newest: list[_WorkerVersion]
     _failed: dict[Kind, dict[tuple[int, int], int]]
 
     def __init__(self) -> None:
@@ -90,31 +87,31 @@
         self._failed = {}
 
     def begin(self, instances: Iterable[Instance], at: float) -> None:
-        """Begin a pass: notice which workers have changed since the one before."""
+        """Begin a pass: detect the workers that have changed since the previous one."""
         self._version += 1
         before, self._seen = self._seen, {}
         for number, instance in enumerate(instances):
             state = _State(
                 instance.changes,
-                takes_work(instance, starving=False, at=at),
-                takes_work(instance, starving=True, at=at),
+                accepts_work(instance, starving=False, at=at),
+                accepts_work(instance, starving=True, at=at),
             )
             seen = before.get(instance.agent)
             same = seen is not None and seen.state == state
             version = seen.version if seen is not None and same else self._version
-            self._seen[instance.agent] = _Seen(instance, number, state, version)
+            self._seen[instance.agent] = _WorkerVersion(instance, number, state, version)
         self._newest = sorted(self._seen.values(), key=lambda seen: -seen.version)
 
     def places(self, kind: Kind, step: StepSpec) -> list[Instance]:
         """Return the workers that may have room for a task of the step, in the fleet's order."""
-        since = self._refused_at(kind, step)
+        since = self._infeasible_version(kind, step)
         changed = list(takewhile(lambda seen: seen.version > since, self._newest))
         return [seen.instance for seen in sorted(changed, key=lambda seen: seen.number)]
 
-    def note(self, kind: Kind, step: StepSpec) -> None:
-        """Take note that a task of the step fits nowhere."""
+    def record_infeasible(self, kind: Kind, step: StepSpec) -> None:
+        """Record that a task of the step fits on no worker."""
         if step.per_worker:
-            # Others of its step may have kept it out.
+            # The per-worker limit may have excluded workers with room.
             return
         sizes = self._failed.pop(kind, {})
         for cpu, memory in list(sizes):
@@ -122,14 +119,14 @@
                 del sizes[cpu, memory]
         sizes[step.cpu_millicores, step.memory_mb] = self._version
         self._failed[kind] = sizes
-        # The order of the keys tells what was noted longest ago.
-        if len(sizes) > MOST_SIZES:
+        # Dicts keep insertion order, so the first key is the oldest.
+        if len(sizes) > MAX_SIZES_PER_KIND:
             del sizes[next(iter(sizes))]
-        if len(self._failed) > MOST_KINDS:
+        if len(self._failed) > MAX_KINDS:
             del self._failed[next(iter(self._failed))]
 
-    def _refused_at(self, kind: Kind, step: StepSpec) -> int:
-        """Return the newest pass that found room for no task of this size; 0 where none has."""
+    def _infeasible_version(self, kind: Kind, step: StepSpec) -> int:
+        """Return the newest pass in which no task of this size fitted; 0 if there is none."""
         versions = (
             version
             for (cpu, memory), version in self._failed.get(kind, {}).items()
@@ -138,27 +135,27 @@
         return max(versions, default=0)
 
 
-class Openings:
-    """The workers with room for the smallest waiting task of each kind, in one pass.
+class FeasibleWorkers:
+    """Workers with room for the smallest waiting task of each kind, in one pass.
 
-    Where several steps of a kind wait, each worker that has changed is judged once for all of them;
-    where it has no room for the smallest of their tasks, none of them looks at it.
+    If several steps of a kind wait, each changed worker is tested once for the smallest of their
+    tasks and skipped for all of them if that does not fit.
     """
 
-    _no_room: NoRoom
+    _no_room: InfeasibleCache
     _smallest: dict[Kind, StepSpec]
-    _press: GuardedPress
+    _press: GuardedInterferenceModel
     _at: float
     _found: dict[Kind, set[str]]
 
     def __init__(
         self,
-        no_room: NoRoom,
+        no_room: InfeasibleCache,
         waiting: Iterable[tuple[Kind, StepSpec]],
-        press: GuardedPress,
+        press: GuardedInterferenceModel,
         at: float,
     ) -> None:
-        """Take note of what waits.
+        """Find the smallest task of each kind for which several steps wait.
 
         :param at: time of the pass that ``no_room`` has begun.
         """
@@ -182,24 +179,26 @@
             return places
         found = self._found.get(kind)
         if found is None:
-            found = self._found[kind] = self._look(kind)
+            found = self._found[kind] = self._find_feasible(kind)
         return [place for place in places if place.agent in found]
 
-    def _look(self, kind: Kind) -> set[str]:
+    def _find_feasible(self, kind: Kind) -> set[str]:
         smallest = self._smallest[kind]
-        need = Need(smallest, kind.service, starving=kind.starving, press=self._press)
+        request = PlacementRequest(
+            smallest, kind.service, starving=kind.starving, press=self._press
+        )
         found = {
             place.agent
             for place in self._no_room.places(kind, smallest)
-            if can_take_work(place, need, self._at) and has_room(place, need, NO_TASK)
+            if is_eligible(place, request, self._at) and has_room(place, request, UNPLACED_TASK)
         }
         if not found:
-            self._no_room.note(kind, smallest)
+            self._no_room.record_infeasible(kind, smallest)
         return found
 
 
 def _smaller(one: StepSpec, other: StepSpec) -> StepSpec:
-    """Return a step whose tasks find room wherever those of either do."""
+    """Return a step whose tasks fit wherever those of either step fit."""
     return replace(
         one,
         cpu_millicores=min(one.cpu_millicores, other.cpu_millicores),
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -1,78 +1,74 @@
-"""Runs that crawl or stand still: found by their progress, moved or doubled.
+"""Detects stragglers, runs that are slow or stalled, and moves or duplicates them.
 
-The pattern that this answers: a worker turns several times slower, or what it runs stands still,
-while it answers every call well.  One such run keeps its whole job waiting, and a job that is late
-by three times its objective earns nothing.  A run is judged by the progress that its worker reports
-against its estimate; it is moved only where starting over elsewhere ends clearly sooner.  Where the
-runs of its step are no faster at other sound workers, the estimate is wrong and no worker is slow.
+Handles workers that become slow while they still answer calls, by comparing the reported progress
+of each run with its estimate.  A run is moved only if starting over on another worker would end
+clearly sooner.  If other runs of its step are as slow on sound workers, the estimate is considered
+wrong instead.
 """
 
 from typing import Final
 
 from sapphirelead.logs import log_event
+from sapphirelead.sched_baseline_speed import baseline_speeds
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Phase, Run
-from sapphirelead.sched_place import Need, can_take_work, has_room
-from sapphirelead.sched_plan_turn import Budget
+from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
 from sapphirelead.sched_room import Kind
-from sapphirelead.sched_usual_speed import usual_speeds
-
-SLOW_SPEED: Final = 0.4
-"""Share of the expected speed under which a run is slow."""
-LOOK_AFTER_S: Final = 0.9
-"""A younger run is not judged: two reports after the first."""
-LOOK_SHARE: Final = 0.25
-"""Share of the estimate for which a run is watched before it is judged."""
-GAIN: Final = 1.4
-"""Moving must end sooner by this factor: the estimate of either side is off by as much."""
-MOVES: Final = 3
-"""Moves of one task; a task that crawls everywhere is not cured by a further one."""
-STOP_S: Final = 0.5
-"""Usual time from the decision to the start elsewhere: stop, report, claim, start."""
-HELD_BELOW: Final = 70
-"""Pace in percent under which a filling run is moved to a worker that gives it more.
-
-A run that is held back beside serving tasks whose load rises stays so for longer than most such
-tasks take."""
-HELD_STILL: Final = 25
-"""Pace in percent under which one that saves no progress is moved if it has been slow so far."""
-HELD_MOVES: Final = 6
-"""Moves of one task that is held back; each costs it about half a second."""
-CRAWL: Final = 0.03
-"""Least speed assumed, so that times stay finite."""
+from sapphirelead.sched_scan_order import Budget
+
+SLOW_SPEED_SHARE: Final = 0.4
+"""A run is slow below this share of its expected speed."""
+MIN_OBSERVATION_S: Final = 0.9
+"""Least time for which a run is observed before its speed is judged."""
+MIN_OBSERVATION_SHARE: Final = 0.25
+"""Least share of its estimate for which a run is observed."""
+MIN_MOVE_GAIN: Final = 1.4
+"""Factor by which a move must shorten the remaining time."""
+MAX_MOVES: Final = 3
+"""Most moves of one slow task."""
+RESTART_DELAY_S: Final = 0.5
+"""Typical time from the decision to the start on another worker."""
+LOW_PACE_PERCENT: Final = 70
+"""A best-effort run that saves progress counts as throttled below this pace."""
+STALLED_PACE_PERCENT: Final = 25
+"""A best-effort run between this pace and full pace is not judged by its speed."""
+MAX_THROTTLED_MOVES: Final = 6
+"""Most moves of one throttled task."""
+MIN_SPEED: Final = 0.03
+"""Lower bound of the speed in divisions."""
 
 
 def speed_of(run: Run, restore_s: float) -> float | None:
-    """Return the run's speed against its estimate; ``None`` while too little has been seen."""
+    """Return the run's speed relative to its estimate, ``None`` if observed too briefly."""
     estimate_s = run.step.estimate_ms / 1000
     watched_s = run.watch.watched_s
     if run.phase is not Phase.RUNNING or estimate_s <= 0 or run.percent < 0:
         return None
     if run.attempt > 1:
-        # A run that resumes first spends this time on restoring what was saved.
+        # A resumed run restores its saved progress first.
         watched_s -= restore_s
-    if watched_s < max(LOOK_AFTER_S, LOOK_SHARE * estimate_s):
+    if watched_s < max(MIN_OBSERVATION_S, MIN_OBSERVATION_SHARE * estimate_s):
         return None
     return run.watch.gained / 100 * estimate_s / watched_s
 
 
-def ends_sooner_elsewhere(run: Run, speed: float, restore_s: float, usual: float = 1.0) -> bool:
+def ends_sooner_elsewhere(run: Run, speed: float, restore_s: float, baseline: float = 1.0) -> bool:
     """Return whether the run would end clearly sooner on a sound worker.
 
-    :param usual: speed of its step's runs at such workers.
+    :param baseline: speed of the step's runs on sound workers.
     """
     estimate_s = run.step.estimate_ms / 1000
     left = (100 - run.percent) / 100
-    here_s = left * estimate_s / max(speed, CRAWL)
-    work_s = estimate_s / max(usual, CRAWL)
-    elsewhere_s = STOP_S + (left * work_s + restore_s if run.step.saves else work_s)
-    return here_s > GAIN * elsewhere_s
+    here_s = left * estimate_s / max(speed, MIN_SPEED)
+    work_s = estimate_s / max(baseline, MIN_SPEED)
+    elsewhere_s = RESTART_DELAY_S + (left * work_s + restore_s if run.step.saves else work_s)
+    return here_s > MIN_MOVE_GAIN * elsewhere_s
 
 
 def review(sched: Scheduler, at: float, budget: Budget | None = None) -> None:
-    """Move or double the runs that crawl or stand still.
+    """Move or duplicate slow and stalled runs.
 
-    :param budget: limits the time; what it leaves out is judged first in the next call.
+    :param budget: time budget; runs that are left out go first in the next call.
     """
     suspects: list[tuple[Run, float]] = []
     for run in sched.fleet.runs.values():
@@ -80,7 +76,7 @@
             continue
         listed_at = sched.fleet.instance(run.agent).listed_at
         if listed_at <= run.reviewed_at:
-            # Nothing new is known of it.
+            # No new report since its last review.
             continue
         speed = _slow_speed(run, listed_at, sched.bounds.restore_s)
         if speed is not None:
@@ -95,21 +91,21 @@
         if number and budget is not None and budget.spent:
             return
         run.reviewed_at = sched.fleet.instance(run.agent).listed_at
-        _act(sched, run, speed, at)
+        _mitigate(sched, run, speed, at)
 
 
 def _worth_moving(
     sched: Scheduler, suspects: list[tuple[Run, float]], at: float
 ) -> list[tuple[Run, float]]:
-    """Return those that are slow beside their step's other runs and would end sooner elsewhere."""
+    """Return the runs below their step's baseline that would end sooner on another worker."""
     if not suspects:
         return []
-    usual = usual_speeds(sched, [run for run, _ in suspects], at)
+    baseline = baseline_speeds(sched, [run for run, _ in suspects], at)
     slow = []
     for run, speed in suspects:
-        beside = 1.0 if _held_back(run) else usual[run]
-        is_slow = _held_back(run) or speed < SLOW_SPEED * beside
-        if is_slow and ends_sooner_elsewhere(run, speed, sched.bounds.restore_s, beside):
+        expected = 1.0 if _throttled(run) else baseline[run]
+        is_slow = _throttled(run) or speed < SLOW_SPEED_SHARE * expected
+        if is_slow and ends_sooner_elsewhere(run, speed, sched.bounds.restore_s, expected):
             slow.append((run, speed))
         else:
             run.reviewed_at = sched.fleet.instance(run.agent).listed_at
@@ -117,47 +113,48 @@
 
 
 def _slow_speed(run: Run, listed_at: float, restore_s: float) -> float | None:
-    """Return the speed of a run that is slow now; ``None`` for others."""
-    if _held_back(run):
-        return run.paced / 100 if listed_at - run.running_at >= LOOK_AFTER_S else None
+    """Return the speed of a run if it is slow, else ``None``."""
+    if _throttled(run):
+        return run.paced / 100 if listed_at - run.running_at >= MIN_OBSERVATION_S else None
     stalled = run.watch.stalled
     if run.step.fills and run.paced < 0 and not stalled:
-        # Its agent has been restarted, or has got no answer: it may hold the run back.
+        # The pace is unknown after an agent's restart or a missing answer: it may be throttled.
         return None
-    if run.step.fills and HELD_STILL < run.paced < 100:
-        # Its pace comes back as the tails beside it allow.
+    if run.step.fills and STALLED_PACE_PERCENT < run.paced < 100:
+        # Mildly throttled: the agent restores the pace when tail latencies allow it.
         return None
     speed = speed_of(run, restore_s)
     if speed is not None and stalled:
-        speed = min(speed, CRAWL)
-    return speed if speed is not None and speed < SLOW_SPEED else None
+        speed = min(speed, MIN_SPEED)
+    return speed if speed is not None and speed < SLOW_SPEED_SHARE else None
 
 
-def _held_back(run: Run) -> bool:
-    """Whether its agent holds the run back, by the newest report.
+def _throttled(run: Run) -> bool:
+    """Return whether the agent throttles the run, by the newest report.
 
-    One that saves no progress is judged by its speed so far instead: moved, it would start anew.
+    Always ``False`` for runs that save no progress: they would start anew if moved, and are judged
+    by their speed instead.
     """
     running = run.phase is Phase.RUNNING and run.percent >= 0
     movable = run.step.fills and run.step.saves
-    return movable and running and 0 <= run.paced < HELD_BELOW
+    return movable and running and 0 <= run.paced < LOW_PACE_PERCENT
 
 
-def _act(sched: Scheduler, run: Run, speed: float, at: float) -> None:
+def _mitigate(sched: Scheduler, run: Run, speed: float, at: float) -> None:
     instance = sched.fleet.instance(run.agent)
-    if not run.slow_noted and _worker_is_to_blame(run, instance):
+    if not run.slow_noted and _worker_at_fault(run, instance):
         run.slow_noted = True
-        instance.track.note_slow(at, speed)
+        instance.track.record_slow(at, speed)
     job = sched.jobs.get(run.ref.job_id)
     task = job.task(run.ref) if job is not None else None
     if (
         job is None
         or task is None
         or task.done
-        or sched.moves.get(run.ref, 0) >= (HELD_MOVES if _held_back(run) else MOVES)
+        or sched.moves.get(run.ref, 0) >= (MAX_THROTTLED_MOVES if _throttled(run) else MAX_MOVES)
     ):
         return
-    place = _elsewhere(sched, run, at)
+    place = _find_other_worker(sched, run, at)
     if place is None:
         return
     sched.avoid[run.ref] = sched.avoid.get(run.ref, frozenset()) | {run.agent}
@@ -166,11 +163,11 @@
             return
         sched.moves[run.ref] = sched.moves.get(run.ref, 0) + 1
         sched.claim(job, run.ref, place, at)
-        what = "copied"
+        action = "copied"
     else:
         sched.moves[run.ref] = sched.moves.get(run.ref, 0) + 1
         sched.stop(run, "slow")
-        what = "stopped"
+        action = "stopped"
     log_event(
         "INFO",
         "run_slow",
@@ -180,20 +177,20 @@
         speed=speed,
         percent=run.percent,
         paced=run.paced,
-        action=what,
+        action=action,
         to=place.agent,
     )
 
 
-def _worker_is_to_blame(run: Run, instance: Instance) -> bool:
-    """A filling run is slow also where it is paced, or where others leave little."""
+def _worker_at_fault(run: Run, instance: Instance) -> bool:
+    """Return whether the worker is at fault, not throttling or contention of best-effort tasks."""
     if not run.step.fills:
         return True
     return run.paced >= 100 and instance.spare_cpu >= 0
 
 
-def _elsewhere(sched: Scheduler, run: Run, at: float) -> Instance | None:
-    """Return another worker that would take the task now."""
+def _find_other_worker(sched: Scheduler, run: Run, at: float) -> Instance | None:
+    """Return the best other worker with room for the task."""
     job = sched.jobs.get(run.ref.job_id)
     if job is None:
         return None
@@ -203,12 +200,12 @@
         tickets = sched.advice.valid(run.ref[:3], at)
     kind = Kind.of(run.step, policy.service)
     places = sched.no_room.places(kind, run.step) if tickets is None else sched.fleet.live()
-    need = Need(run.step, policy.service, tickets, press=sched.press)
+    request = PlacementRequest(run.step, policy.service, tickets, press=sched.press)
     avoid = sched.avoid.get(run.ref, frozenset())
     best: Instance | None = None
     any_room = False
     for instance in places:
-        if not can_take_work(instance, need, at) or not has_room(instance, need, run.ref):
+        if not is_eligible(instance, request, at) or not has_room(instance, request, run.ref):
             continue
         any_room = True
         if instance.agent == run.agent or instance.agent in avoid:
@@ -216,5 +213,5 @@
         if best is None or instance.spare_cpu > best.spare_cpu:
             best = instance
     if tickets is None and not any_room:
-        sched.no_room.note(kind, run.step)
+        sched.no_room.record_infeasible(kind, run.step)
     return best
--- a/tests/process/test_leaving_entries.py
+++ b/tests/process/test_leaving_entries.py
@@ -1,4 +1,4 @@
-"""Entries that are stopped one after the other while callers keep their connections."""
+"""Rolling restarts of entries while callers keep their connections open."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class Doors:
-    """A fleet whose entries also listen for callers."""
+class CallerFleet:
+    """A fleet whose entries also accept HTTP requests."""
 
     made: Fleet
     ingresses: dict[str, Ingress]
@@ -42,8 +42,8 @@
 
 
 @asynccontextmanager
-async def doors() -> AsyncIterator[Doors]:
-    """Run a fleet that callers reach by HTTP."""
+async def caller_fleet() -> AsyncIterator[CallerFleet]:
+    """Run a fleet that accepts HTTP requests."""
     async with fleet() as made, aiohttp.ClientSession() as session:
         ingresses = {name: Ingress(entry) for name, entry in made.entries.items()}
         ports = {}
@@ -51,18 +51,15 @@
             ports[name] = FIRST_CALLER_PORT + 2 * number
             address = Address(HOST, ports[name])
             await ingress.start(address, Address(HOST, ports[name] + 1))
-        yield Doors(made, ingresses, ports, session)
+        yield CallerFleet(made, ingresses, ports, session)
 
 
 async def test_a_submission_at_a_leaving_entry_gets_an_answer() -> None:
-    """A caller's submission ends with a closed connection, in a rolling restart of all entries.
+    """Guards against closing a connection with an unanswered request in a rolling restart.
 
-    The entries get their signals a second apart.  The last one leads and gives the lead up to
-    entries that are leaving and ignore it, so a submission that reaches the first entry just
-    before that closes waits for a leader until its deadline.  The entry's server gave its handlers
-    two seconds and then cancelled them.
+    A submission at a leaving entry may wait for a leader until its deadline.
     """
-    async with doors() as site:
+    async with caller_fleet() as site:
         leader = await site.made.leader()
         await asyncio.sleep(1)
         first, second = (name for name in site.made.entries if name != leader)
@@ -77,13 +74,10 @@
         await asyncio.gather(*stops)
 
 
-async def test_a_leader_that_stops_leads_on_until_another_entry_stays() -> None:
-    """Every entry has its signal when the leading one gets its own.
+async def test_a_stopping_leader_leads_until_a_successor_is_available() -> None:
+    """Guards against a leader that resigns in favour of an entry that is shutting down itself."""
 
-    It used to give the lead up to one of the others, which ignored it, and nobody led until an
-    entry was back and had noticed.  Now it serves on, and hands over to the one that comes back.
-    """
-    async with doors() as site:
+    async with caller_fleet() as site:
         leader = await site.made.leader()
         await asyncio.sleep(1)
         others = [name for name in site.made.entries if name != leader]
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -1,4 +1,4 @@
-"""One agent beside a fake worker, and a leader in place of its links."""
+"""An agent with a fake worker, and a fake leader in place of the agent's links."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterable
@@ -22,7 +22,7 @@
 
 
 class FakeLeader:
-    """The leader of one agent, in place of its links; acknowledges reports while told to."""
+    """A leader in place of one agent's links; acknowledges reports if ``acknowledges`` is set."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
@@ -30,7 +30,7 @@
         self.reported_at: list[float] = []
         self.acknowledges = True
         self.epoch = 1
-        self.ordered = 0
+        self.order_count = 0
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
         if isinstance(message, AgentReport):
@@ -58,8 +58,8 @@
     ) -> None:
         """Send orders that are based on the report ``after_beat``."""
         boot = self.runner._boot
-        self.ordered += 1
-        given = Orders(
+        self.order_count += 1
+        orders = Orders(
             self.epoch,
             "e",
             boot,
@@ -69,19 +69,19 @@
             list(starts),
             list(stops),
             [],
-            number=self.ordered,
+            number=self.order_count,
         )
-        self.runner._on_message("e", given)
+        self.runner._on_message("e", orders)
 
 
 def reported_worker(leader: FakeLeader) -> str:
-    """Return the worker that the agent says lives beside it."""
+    """Return the worker in the agent's latest report."""
     worker = leader.reports[-1].worker
     return worker.worker if worker is not None else ""
 
 
 @asynccontextmanager
-async def agent_of(
+async def run_agent(
     worker: FakeWorker, table: MemoryTable | None = None
 ) -> AsyncIterator[FakeLeader]:
     """Run an agent beside ``worker`` that follows a leader."""
@@ -89,7 +89,7 @@
     leader = FakeLeader(runner)
     runner._links = cast(Any, leader)
     runner.start()
-    await runner.worker_beat(worker_info(), "x", 1)
+    await runner.worker_heartbeat(worker_info(), "x", 1)
     leader.order(0)
     await asyncio.sleep(0.1)
     try:
--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -1,4 +1,4 @@
-"""A worker, a store and builders for the fleet's tests."""
+"""A fake worker, simulated agents and builders for scheduler tests."""
 
 import asyncio
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
     WorkerView,
 )
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import AdvicePolicy, JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import Bounds
 
@@ -28,12 +28,12 @@
 
 
 def job(job_id: str = "a1", *steps: StepSpec, policy: QueuePolicy = POLICY) -> JobSpec:
-    """Return a job; one step of one task where none are given."""
+    """Return a job, by default with one step of one task."""
     return JobSpec(job_id, "q", "payload", steps or (StepSpec(cpu_millicores=1000),), policy)
 
 
 def worker_info(worker: str = "w1", cpu: int = 8000, **changes: object) -> WorkerInfo:
-    """Return a worker's word about itself."""
+    """Return the information that a worker reports about itself."""
     fields: dict[str, object] = {
         "worker": worker,
         "service": "svc",
@@ -46,7 +46,7 @@
 
 
 class NoAdvice:
-    """An advice service that allows nothing."""
+    """An advice service that issues no tickets."""
 
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
@@ -55,12 +55,12 @@
 
 
 class Agents:
-    """Reports of simulated agents to a scheduler."""
+    """Simulated agents that report to a scheduler."""
 
     def __init__(self, sched: Scheduler, epoch: int = 1) -> None:
         self.sched = sched
         self.epoch = epoch
-        self.beats: dict[str, int] = {}
+        self.seqs: dict[str, int] = {}
 
     def report(
         self,
@@ -74,22 +74,22 @@
         percent: int = 10,
         paced: int = 100,
     ) -> None:
-        """Let ``agent`` report; a worker ``w-AGENT`` lives there where none is given."""
-        self.beats[agent] = self.beats.get(agent, 0) + 1
+        """Apply a report of ``agent``, by default with a worker ``w-AGENT``."""
+        self.seqs[agent] = self.seqs.get(agent, 0) + 1
         statuses = [
             RunStatus(task, attempt, RunPhase.RUNNING, percent, paced=paced)
             for task, attempt in runs or []
         ]
         info = worker or worker_info(f"w-{agent}")
         report = AgentReport(
-            agent, boot, self.beats[agent], self.epoch, 1, info, True, statuses, ends or [], gone
+            agent, boot, self.seqs[agent], self.epoch, 1, info, True, statuses, ends or [], gone
         )
-        take_report(self.sched, report, self.epoch, at)
+        apply_report(self.sched, report, self.epoch, at)
         self.sched.fleet.instance(agent).renewed_at = at
 
 
 def store(sched: Scheduler) -> list[str]:
-    """Store what waits and carry out its effects; return the ids of the rows."""
+    """Take the pending batch and run its effects; return the ids of its jobs."""
     batch = sched.take_batch(0)
     for effect in batch.effects:
         effect()
@@ -113,15 +113,17 @@
 
 
 class FakeWorker:
-    """One life of a worker, with the faults that the platform may show.
-
-    :ivar faults: what becomes of the next calls to start: ``lost`` (carried out, no answer),
-        ``late`` (carried out after ``late_s``, no answer) or ``unanswered`` (never carried out).
-    :ivar silent: no call is answered or carried out.
-    :ivar stops_unanswered: tasks whose stops are neither answered nor carried out.
-    :ivar stops_without_effect: so many stops are confirmed and not carried out.
-    :ivar grace_s: time that a stop takes.
-    :ivar most_at_once: most calls that were left unanswered together.
+    """A worker process with injected faults.
+
+    :ivar sealed: highest attempt by task that may not be started again.
+    :ivar faults: faults of the next start calls: ``lost`` (executed, no reply), ``late`` (executed
+        after ``late_s``, no reply) or ``unanswered`` (not executed, no reply).
+    :ivar silent: calls are neither executed nor answered.
+    :ivar refuses: calls fail with a refused connection.
+    :ivar stops_unanswered: tasks whose stops are neither executed nor answered.
+    :ivar stops_without_effect: number of stops that are confirmed but not executed.
+    :ivar grace_s: duration of a stop.
+    :ivar max_unanswered_calls: highest number of concurrent calls without a reply.
     """
 
     def __init__(self, work_s: float = 1.0) -> None:
@@ -139,30 +141,30 @@
         self.stops_without_effect = 0
         self.grace_s = 0.0
         self.stops = 0
-        self.most_at_once = 0
-        self._open = 0
+        self.max_unanswered_calls = 0
+        self._unanswered = 0
         self.starts = 0
         self.holds = 0
         self.paces: list[tuple[str, int]] = []
         self.figures: dict[str, int] = {}
-        self._numbers = 0
+        self._last_number = 0
         self._background: set[asyncio.Task[None]] = set()
 
     @property
     def clock_ms(self) -> int:
-        """The worker's clock."""
+        """The worker's clock in milliseconds."""
         return int(now() * 1000) + 500_000
 
     def end(self, run: FakeRun, kind: str) -> None:
         """End a run."""
         if self.runs.pop((run.task, run.attempt), None) is None:
             return
-        self._numbers += 1
+        self._last_number += 1
         self.sealed[run.task] = max(self.sealed.get(run.task, 0), run.attempt)
-        self.ended.append(WorkerEnd(self._numbers, run.task, run.attempt, kind, ""))
+        self.ended.append(WorkerEnd(self._last_number, run.task, run.attempt, kind, ""))
 
     def advance(self) -> None:
-        """End what is done or has lapsed."""
+        """End the runs that are done or whose lease has expired."""
         for run in list(self.runs.values()):
             if run.ends_at <= now():
                 self.end(run, run.kind)
@@ -170,7 +172,7 @@
             for run in list(self.runs.values()):
                 self.end(run, "lapsed")
 
-    async def _fail(self) -> CallFailure | None:
+    async def _injected_failure(self) -> CallFailure | None:
         await asyncio.sleep(0.001)
         self.advance()
         if self.refuses:
@@ -181,18 +183,18 @@
         return None
 
     async def _no_answer(self) -> None:
-        self._open += 1
-        self.most_at_once = max(self.most_at_once, self._open)
+        self._unanswered += 1
+        self.max_unanswered_calls = max(self.max_unanswered_calls, self._unanswered)
         try:
             await asyncio.sleep(0.5)
         finally:
-            self._open -= 1
+            self._unanswered -= 1
 
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         self.holds += 1
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         if fencing_token < self.token:
@@ -212,7 +214,7 @@
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
         self.starts += 1
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         fault = self.faults.pop(0) if self.faults else ""
@@ -220,21 +222,21 @@
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
         if fault == "late":
-            task = asyncio.create_task(self._later(call))
+            task = asyncio.create_task(self._start_late(call))
             self._background.add(task)
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
-        answer = self._take(call)
+        answer = self._accept_start(call)
         if fault == "lost":
             await asyncio.sleep(0.5)
             return Err(CallFailure.NO_ANSWER)
         return Ok(StartResult(answer, self.clock_ms))
 
-    async def _later(self, call: StartCall) -> None:
+    async def _start_late(self, call: StartCall) -> None:
         await asyncio.sleep(self.late_s)
-        self._take(call)
+        self._accept_start(call)
 
-    def _take(self, call: StartCall) -> StartAnswer:
+    def _accept_start(self, call: StartCall) -> StartAnswer:
         if call.fencing_token < self.token:
             return StartAnswer.FENCED
         self.token = call.fencing_token
@@ -248,7 +250,7 @@
         return StartAnswer.STARTED
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         if task in self.stops_unanswered:
@@ -271,7 +273,7 @@
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        failure = await self._fail()
+        failure = await self._injected_failure()
         if failure is not None:
             return Err(failure)
         self.paces.append((task, percent))
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -1,8 +1,7 @@
-"""A leader whose processor is too slow for what waits, with agents and a follower that are not.
+"""Simulation of an overloaded leader with agents and a follower that are not overloaded.
 
-Processor time is simulated: work advances the loop's clock without waiting, so that whatever is due
-meanwhile comes late, as on a busy machine.  What agents and the follower send lies unread until the
-loop gets to it.
+Processor time is simulated: work advances the loop's clock without waiting, so that timers fire
+late, as on a busy machine.  Messages to the leader stay unread until the loop gets to them.
 """
 
 import asyncio
@@ -18,22 +17,22 @@
 from sapphirelead.node_intake import Turns
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AgentReport, Orders, RunEnded, RunPhase, RunStatus
-from sapphirelead.runner_service import FULL_S, REPORT_S
-from sapphirelead.sched_timing import BEAT_S
+from sapphirelead.runner_service import FULL_REPORT_INTERVAL_S, MAX_REPORT_INTERVAL_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 from tests.sched.fakes import worker_info
 
-STOP_TAKES_S: Final = 0.05
+STOP_DURATION_S: Final = 0.05
 """Time from a stop's arrival at an agent to the end of the run."""
 
-SOON_S: Final = 0.02
-"""Time from news at an agent to the report that tells it."""
+REPORT_DELAY_S: Final = 0.02
+"""Time from a change at an agent to the report of it."""
 
-LOOK_S: Final = 0.005
-"""Time between two looks for what has arrived."""
+POLL_INTERVAL_S: Final = 0.005
+"""Interval at which the leader reads messages that have arrived."""
 
 
 def simulated_work(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Return a function that takes processor time of the running loop."""
+    """Return a function that consumes simulated processor time of the running loop."""
     loop: Any = asyncio.get_running_loop()
     time = loop.time
     worked_s = 0.0
@@ -48,13 +47,13 @@
 
 @dataclass(slots=True)
 class SimulatedAgent:
-    """An agent with a processor of its own: it reports in time, however late that is read.
+    """An agent with its own processor: it reports in time even if reports are read late.
 
     :ivar leased_until: end of its lease.
-    :ivar lapses: times at which the lease had run out before it was renewed.
-    :ivar ended_at: when each run ended, by task and attempt.
-    :ivar stored_at: when the word came that an end is stored.
-    :ivar starts: number of start orders got for each run.
+    :ivar lapses: times at which a renewal arrived after the lease had expired.
+    :ivar ended_at: time at which each run ended, by task and attempt.
+    :ivar stored_at: time at which the leader confirmed that the end of a run is stored.
+    :ivar starts: number of start orders received for each run.
     """
 
     name: str
@@ -70,16 +69,16 @@
     _due: float = 0.0
     _full_at: float = -1e9
     _made_at: dict[int, float] = field(default_factory=dict)
-    _came: deque[tuple[float, Orders]] = field(default_factory=deque)
+    _received: deque[tuple[float, Orders]] = field(default_factory=deque)
     _runs: dict[tuple[str, int], RunStatus] = field(default_factory=dict)
     _ends: dict[tuple[str, int], RunEnded] = field(default_factory=dict)
 
     def get(self, orders: Orders) -> None:
-        """Take orders now."""
+        """Receive orders."""
         at = now()
-        self._came.append((at, orders))
+        self._received.append((at, orders))
         if orders.starts or orders.stops:
-            self._due = min(self._due, at + STOP_TAKES_S + SOON_S)
+            self._due = min(self._due, at + STOP_DURATION_S + REPORT_DELAY_S)
         if orders.beat:
             if at > self.leased_until:
                 self.lapses.append(at)
@@ -90,13 +89,13 @@
         found = []
         while self._due <= until:
             found.append(self._report(self._due))
-            self._due += REPORT_S
+            self._due += MAX_REPORT_INTERVAL_S
         return found
 
     def _report(self, at: float) -> AgentReport:
-        while self._came and self._came[0][0] < at:
-            self._carry_out(*self._came.popleft())
-        full = at - self._full_at >= FULL_S
+        while self._received and self._received[0][0] < at:
+            self._execute(*self._received.popleft())
+        full = at - self._full_at >= FULL_REPORT_INTERVAL_S
         if full:
             self._full_at = at
         self._beat += 1
@@ -114,7 +113,7 @@
             orders=self._orders,
         )
 
-    def _carry_out(self, at: float, orders: Orders) -> None:
+    def _execute(self, at: float, orders: Orders) -> None:
         self._epoch = orders.epoch
         self._orders = orders.number
         for name in orders.stored:
@@ -123,7 +122,7 @@
         for stop in orders.stops:
             name = (stop.task, stop.attempt)
             if self._runs.pop(name, None) is not None:
-                self.ended_at[name] = at + STOP_TAKES_S
+                self.ended_at[name] = at + STOP_DURATION_S
                 self._ends[name] = RunEnded(0, *name, "stopped", "")
         for start in orders.starts:
             name = (start.task, start.attempt)
@@ -133,38 +132,38 @@
 
 
 class LoadedLeader:
-    """The agents of a leader, and a follower that hears it.
+    """The agents of a leader, and a follower that receives its heartbeats.
 
-    :ivar silences: times at which the follower no longer counted on the leader.
-    :ivar work: takes processor time of the leader's.
-    :ivar looked_s: processor time that looking for places has taken.
+    :ivar leader_losses: times at which the follower had no live leader.
+    :ivar work: consumes processor time of the leader.
+    :ivar placement_s: processor time spent on placement.
     """
 
     def __init__(
         self, leader: Leader, agents: int, work: Callable[[float], None], read_s: float
     ) -> None:
-        """Set the world up.
+        """Create the agents and the follower.
 
         :param read_s: processor time of reading a report.
         """
         self.leader = leader
         self.work = work
-        self.looked_s = 0.0
+        self.placement_s = 0.0
         self._read_s = read_s
         names = [f"g{number}" for number in range(agents)]
         lease_s = leader.sched.bounds.lease_s
         self.agents = {name: SimulatedAgent(name, lease_s) for name in names}
-        self.silences: list[float] = []
+        self.leader_losses: list[float] = []
         self._election = Election("e2")
         self._beat_due = 0.0
 
     def send(self, agent: str, orders: Orders) -> bool:
-        """Bring orders to an agent."""
+        """Deliver orders to an agent."""
         self.agents[agent].get(orders)
         return True
 
-    async def arrive(self) -> None:
-        """Bring what agents and the follower send to the leader, whenever the loop is free."""
+    async def deliver_messages(self) -> None:
+        """Deliver reports and heartbeats to the leader whenever the loop is free."""
         turns = Turns()
         while True:
             at = now()
@@ -174,8 +173,8 @@
                     self.leader.on_report(report)
                     await turns.took()
             if at >= self._beat_due:
-                self._beat_due = at + BEAT_S
-                if at > BEAT_S and not self._election.followed(at):
-                    self.silences.append(at)
-                self._election.heard(self.leader.head.epoch, "e1", True, at)
-            await asyncio.sleep(LOOK_S)
+                self._beat_due = at + HEARTBEAT_INTERVAL_S
+                if at > HEARTBEAT_INTERVAL_S and not self._election.has_live_leader(at):
+                    self.leader_losses.append(at)
+                self._election.on_heartbeat(self.leader.head.epoch, "e1", True, at)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -1,22 +1,22 @@
-"""A fleet whose workers all serve, and filling work beside it."""
+"""Fleet with a latency-critical task on each worker, and best-effort steps for it."""
 
 from typing import Final
 
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_planner import GATHER_S, plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
 TARGET_MS: Final = 100
-"""Target of the serving tasks' tails."""
+"""Tail latency target of the latency-critical tasks."""
 
 
 def report(agents: Agents, sched: Scheduler, agent: str, tail: int, at: float) -> None:
-    """Report every run of an agent, serving ones with ``tail``."""
+    """Report every run of an agent, latency-critical ones with ``tail``."""
     instance = sched.fleet.instance(agent)
-    agents.beats[agent] = agents.beats.get(agent, 0) + 1
+    agents.seqs[agent] = agents.seqs.get(agent, 0) + 1
     statuses = [
         RunStatus(
             run.ref.text(),
@@ -28,14 +28,14 @@
         for run in instance.runs.values()
     ]
     info = worker_info(f"w-{agent}", cpu=32_000)
-    take_report(
-        sched, AgentReport(agent, "b", agents.beats[agent], 1, 1, info, True, statuses, []), 1, at
+    apply_report(
+        sched, AgentReport(agent, "b", agents.seqs[agent], 1, 1, info, True, statuses, []), 1, at
     )
     instance.renewed_at = at
 
 
 def serving_fleet(workers: int) -> tuple[Scheduler, Agents]:
-    """Return a fleet in which one task serves on each of ``workers``."""
+    """Return a fleet of ``workers`` with one latency-critical task on each."""
     sched = scheduler()
     agents = Agents(sched)
     names = [f"g{number}" for number in range(workers)]
@@ -52,7 +52,7 @@
     )
     sched.submit(job("serve", spread), lambda *_: None)
     plan(sched, 0.0, 0)
-    plan(sched, 1.1 * GATHER_S, 0)
+    plan(sched, 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for name in names:
         report(agents, sched, name, 25, 0.2)
@@ -60,7 +60,7 @@
 
 
 def fill(image: str, tasks: int = 1) -> StepSpec:
-    """Return a filling step."""
+    """Return a best-effort step."""
     return StepSpec(
         tasks=tasks, cpu_millicores=4000, estimate_ms=5000, saves=True, image=image, fills=True
     )
--- a/tests/sched/test_bad_workers.py
+++ b/tests/sched/test_bad_workers.py
@@ -1,15 +1,15 @@
-"""Work on workers that crawl, leave, have no room, or look unsound; no network, no clock."""
+"""Tasks on workers that are slow, leaving, full or unsound; no network, no clock."""
 
 import math
 
 import pytest
 
-from sapphirelead.runner_service import REPORT_S
+from sapphirelead.runner_service import MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_evacuation import evacuate
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_job import JobState
-from sapphirelead.sched_planner import GATHER_S, plan
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -17,12 +17,12 @@
 
 
 class TestStragglers:
-    """Runs that crawl or stand still."""
+    """Slow and stalled runs."""
 
     STEP = StepSpec(cpu_millicores=1000, estimate_ms=4000, saves=True)
 
-    def running(self, step: StepSpec) -> tuple[Scheduler, Agents, Run]:
-        """Let one run of ``step`` run at one of two workers."""
+    def start_run(self, step: StepSpec) -> tuple[Scheduler, Agents, Run]:
+        """Start one run of ``step`` on one of two workers."""
         sched = scheduler()
         agents = Agents(sched)
         for agent in ("g1", "g2"):
@@ -34,9 +34,9 @@
         agents.report(run.agent, runs=[(run.ref.text(), 1)], percent=0, at=1.1)
         return sched, agents, run
 
-    def comes_to(self, agents: Agents, run: Run, percent: int, until: float) -> None:
-        """Let the run's agent report in time from 1.1 on, the run at ``percent`` in the end."""
-        reports = math.ceil((until - 1.1) / REPORT_S)
+    def report_until(self, agents: Agents, run: Run, percent: int, until: float) -> None:
+        """Report the run's progress in time from 1.1 on, up to ``percent`` at ``until``."""
+        reports = math.ceil((until - 1.1) / MAX_REPORT_INTERVAL_S)
         for number in range(1, reports + 1):
             share = number / reports
             at = 1.1 + share * (until - 1.1)
@@ -44,11 +44,11 @@
             agents.report(run.agent, runs=[(run.ref.text(), 1)], percent=done, at=at)
 
     @pytest.mark.parametrize(("percent", "stopped"), [(3, True), (40, False)])
-    def test_a_run_that_crawls_is_stopped_and_moved(self, percent: int, stopped: bool) -> None:
-        sched, agents, run = self.running(self.STEP)
+    def test_slow_run_is_stopped_and_moved(self, percent: int, stopped: bool) -> None:
+        sched, agents, run = self.start_run(self.STEP)
         other = "g2" if run.agent == "g1" else "g1"
         agents.report(other, at=3.0)
-        self.comes_to(agents, run, percent, 3.0)
+        self.report_until(agents, run, percent, 3.0)
         review(sched, 3.0)
         assert run.stop_wanted is stopped
         if stopped:
@@ -56,13 +56,13 @@
             plan(sched, 3.2, 0)
             assert only_run(sched).agent == other
 
-    def test_a_run_that_may_have_copies_is_doubled_and_the_first_end_counts(self) -> None:
-        sched, agents, run = self.running(
+    def test_slow_run_with_copies_is_duplicated_and_the_first_end_counts(self) -> None:
+        sched, agents, run = self.start_run(
             StepSpec(cpu_millicores=1000, estimate_ms=4000, copies=True)
         )
         other = "g2" if run.agent == "g1" else "g1"
         agents.report(other, at=3.0)
-        self.comes_to(agents, run, 2, 3.0)
+        self.report_until(agents, run, 2, 3.0)
         review(sched, 3.0)
         store(sched)
         assert runs(sched) == [("a1.0.0.0", 1), ("a1.0.0.0", 2)]
@@ -72,24 +72,24 @@
         assert sched.state("a1") is JobState.COMPLETED
         assert run.stop_wanted
 
-    def test_a_run_is_not_stopped_where_no_other_worker_could_take_it(self) -> None:
-        sched, agents, run = self.running(self.STEP)
-        self.comes_to(agents, run, 1, 4.0)
+    def test_run_is_not_stopped_without_another_worker(self) -> None:
+        sched, agents, run = self.start_run(self.STEP)
+        self.report_until(agents, run, 1, 4.0)
         review(sched, 4.0)
         assert not run.stop_wanted
 
 
 class TestLeavingWorkers:
-    """Workers that say that they will leave."""
+    """Workers that are about to leave the fleet."""
 
-    def on_leaving(self, step: StepSpec, percent: int, remaining_ms: int) -> Run:
-        """Let a run go on at a worker that leaves; return it after the leader has looked."""
+    def run_on_leaving_worker(self, step: StepSpec, percent: int, remaining_ms: int) -> Run:
+        """Return a run on a leaving worker after evacuation and planning."""
         sched = scheduler()
         agents = Agents(sched)
         agents.report(at=1.0)
         submit(sched, job("a1", step))
         plan(sched, 1.0, 0)
-        plan(sched, 1.1 + GATHER_S, 0)
+        plan(sched, 1.1 + GROUPING_DELAY_S, 0)
         store(sched)
         run = only_run(sched)
         info = worker_info("w-g1", draining=True, remaining_ms=remaining_ms)
@@ -110,22 +110,21 @@
             (StepSpec(estimate_ms=8000), 20, 1500, False),
         ],
     )
-    def test_what_cannot_stay_is_stopped_in_time(
+    def test_runs_that_cannot_stay_are_stopped_in_time(
         self, step: StepSpec, percent: int, remaining_ms: int, stopped: bool
     ) -> None:
-        assert self.on_leaving(step, percent, remaining_ms).stop_wanted is stopped
+        assert self.run_on_leaving_worker(step, percent, remaining_ms).stop_wanted is stopped
 
 
 class TestJobsThatWaitForRoom:
-    """Filling work that finds no processors, and workers that all look unsound."""
+    """Best-effort tasks without spare CPU, and fleets of unsound workers."""
 
     FILL = StepSpec(tasks=4, cpu_millicores=6000, estimate_ms=5000, image="f", fills=True)
 
-    def test_a_job_does_not_stand_still_for_long_where_its_memory_fits(self) -> None:
-        """Earlier jobs have taken all processors that filling work may ask for.
+    def test_starving_job_starts_where_its_memory_fits(self) -> None:
+        """Guards against a job that starves because earlier jobs use all spare CPU.
 
-        A later job would wait until one of them ends, with most of the workers' room free by what
-        counts against them.  One of its tasks starts after a moment and shares what there is.
+        One of its tasks starts after the starvation threshold and shares the CPU.
         """
         sched = scheduler()
         agents = Agents(sched)
@@ -144,12 +143,12 @@
         started = [run for run in sched.fleet.runs.values() if run.ref.job_id == "a2"]
         assert len(started) == 1
 
-    def test_a_job_runs_somewhere_also_where_every_worker_looks_unsound(self) -> None:
+    def test_job_runs_even_if_every_worker_is_unsound(self) -> None:
         sched = scheduler()
         agents = Agents(sched)
         agents.report(at=1.0)
         for _ in range(3):
-            sched.fleet.instance("g1").track.note_failed(1.0)
+            sched.fleet.instance("g1").track.record_failure(1.0)
         submit(sched, job("a1", StepSpec(cpu_millicores=100)))
         plan(sched, 1.1, 0)
         assert runs(sched) == []
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -1,8 +1,4 @@
-"""A burst of large jobs on a fleet without room for them: what planning costs, and whom it skips.
-
-The load that these tests stand for: dozens of jobs with many filling tasks of a few images arrive
-within seconds while every worker is full, on an entry with a third of a core.
-"""
+"""Burst of large jobs on a full fleet: cost of planning, and which steps it skips."""
 
 from typing import Any
 
@@ -12,10 +8,10 @@
 from sapphirelead.node_messages import AgentReport, RunPhase, RunStatus
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_place import has_room
-from sapphirelead.sched_planner import LOOK_AGAIN_S, plan
-from sapphirelead.sched_press import PressModel
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_planner import RETRY_DELAY_S, plan
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_stragglers import review
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
@@ -38,7 +34,7 @@
 
 
 def fill(image: str, memory_mb: int, tasks: int = 8, per_worker: int = 0) -> StepSpec:
-    """Return a filling step."""
+    """Return a best-effort step."""
     return StepSpec(
         tasks=tasks,
         cpu_millicores=1000,
@@ -55,12 +51,8 @@
     return sum(1 for run in sched.fleet.runs.values() if run.ref.job_id == job_id)
 
 
-def test_a_burst_without_room_is_not_tried_on_every_worker(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Jobs are accepted late, cancelled late, and the lead moves from entry to entry.
-
-    Each pass tried each waiting job on each worker; with 60 such jobs and 53 workers a pass took
-    over half a second, in which no report, no call and no answer of the store was looked at.
-    """
+def test_burst_without_room_is_not_retried_on_every_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against passes that try each waiting job on each worker and delay the leader."""
     sched = fleet(4)
     sched.submit(job("first", fill("a", FULL_MB, tasks=4)), lambda *_: None)
     plan(sched, 0.1, 0)
@@ -78,15 +70,15 @@
         sched.submit(job(f"later{number}", fill("a", FULL_MB)), lambda *_: None)
     plan(sched, 0.2, 0)
     assert tried == 4
-    plan(sched, 0.2 + 1.1 * LOOK_AGAIN_S, 0)
+    plan(sched, 0.2 + 1.1 * RETRY_DELAY_S, 0)
     assert tried == 4
-    # Only a change of a worker can have brought room.
+    # Only changed workers are tried again.
     sched.fleet.instance("g0").changes += 1
-    plan(sched, 0.2 + 2.2 * LOOK_AGAIN_S, 0)
+    plan(sched, 0.2 + 2.2 * RETRY_DELAY_S, 0)
     assert tried == 5
 
 
-def test_smaller_tasks_and_other_images_still_find_what_is_left() -> None:
+def test_smaller_tasks_and_other_images_use_remaining_room() -> None:
     sched = fleet(1)
     sched.submit(job("large", fill("a", FULL_MB + 1, tasks=1)), lambda *_: None)
     sched.submit(job("small", fill("a", FULL_MB // 2, tasks=1)), lambda *_: None)
@@ -95,7 +87,7 @@
     assert [claimed(sched, name) for name in ("large", "small", "other")] == [0, 1, 1]
 
 
-def test_a_step_kept_out_by_its_own_spread_keeps_nobody_else_out() -> None:
+def test_per_worker_limit_of_a_step_does_not_block_others() -> None:
     sched = fleet(1)
     sched.submit(job("a", fill("a", 100, tasks=2, per_worker=1)), lambda *_: None)
     sched.submit(job("b", fill("a", 100, tasks=2)), lambda *_: None)
@@ -103,43 +95,33 @@
     assert (claimed(sched, "a"), claimed(sched, "b")) == (1, 2)
 
 
-def test_waiting_work_goes_through_the_tails_of_a_worker_once_a_report(
+def test_paces_of_a_worker_are_computed_once_per_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Quick jobs end late and the lead moves from entry to entry after a burst of filling work.
-
-    Forty steps of different images wait while every worker serves.  For each of them the tails of
-    each worker were worked out anew from its runs, several times a second, which took more of the
-    leader's processor than all reports together.
-    """
+    """Guards against recomputing the paces of an unchanged worker for each waiting step."""
     workers = 6
     sched, _ = serving_fleet(workers)
-    looked = 0
-    look = PressModel._look
+    computed = 0
+    compute_paces = InterferenceModel._compute_paces
 
     def counting(*args: Any) -> Any:
-        nonlocal looked
-        looked += 1
-        return look(*args)
+        nonlocal computed
+        computed += 1
+        return compute_paces(*args)
 
-    monkeypatch.setattr(PressModel, "_look", counting)
+    monkeypatch.setattr(InterferenceModel, "_compute_paces", counting)
     for number in range(40):
         large = StepSpec(cpu_millicores=31_000, estimate_ms=5000, image=f"i{number}", fills=True)
         sched.submit(job(f"j{number}", large), lambda *_: None)
     plan(sched, 0.3, 0)
-    plan(sched, 0.3 + 1.1 * LOOK_AGAIN_S, 0)
-    assert looked <= workers
+    plan(sched, 0.3 + 1.1 * RETRY_DELAY_S, 0)
+    assert computed <= workers
 
 
-def test_runs_that_crawl_are_not_tried_on_every_worker_again_and_again(
+def test_throttled_runs_are_not_retried_on_every_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reports, calls and answers of the store wait while a leader looks for places.
-
-    A hundred runs are held back on full workers.  Four times a second each of them was tried on
-    each worker, although nothing new had been reported of it and a run of the same image had
-    found no room just before.
-    """
+    """Guards against reviews that retry unchanged runs on each worker and delay the leader."""
     sched = fleet(4)
     sched.submit(job("held", fill("a", FULL_MB, tasks=4)), lambda *_: None)
     plan(sched, 0.0, 0)
@@ -148,12 +130,12 @@
 
     def report(at: float) -> None:
         for run in runs:
-            held = RunStatus(run.ref.text(), 1, RunPhase.RUNNING, 1, 10, 0)
+            status = RunStatus(run.ref.text(), 1, RunPhase.RUNNING, 1, 10, 0)
             instance = sched.fleet.instance(run.agent)
-            word = AgentReport(
-                run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [held], []
+            agent_report = AgentReport(
+                run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [status], []
             )
-            assert take_report(sched, word, 1, at)
+            assert apply_report(sched, agent_report, 1, at)
 
     for number in range(1, 9):
         report(0.5 * number)
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -1,94 +1,91 @@
-"""When entries follow, ask, and take the lead."""
+"""When entries follow the leader, read the head row and take the leadership."""
 
 import pytest
 from result import Result
 
 from sapphirelead.clock import now
 from sapphirelead.errors import Failure
-from sapphirelead.node_election import READ_EVERY_S, WATCH_S, WEAK_WATCH_S, Election, Move
+from sapphirelead.node_election import (
+    ELECTION_TIMEOUT_S,
+    HEAD_READ_INTERVAL_S,
+    WEAK_ELECTION_TIMEOUT_S,
+    Election,
+    Move,
+)
 from sapphirelead.ports import Row
 from sapphirelead.sched_head import Head, HeadRow, read_head
-from sapphirelead.sched_timing import BEAT_S, LEADER_SILENCE_S
+from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S
 from tests.unit.fakes import MemoryTable
 
 
-def seen(election: Election, head: HeadRow, at: float) -> None:
+def feed_head_row(election: Election, head: HeadRow, at: float) -> None:
     """Let ``election`` read the head row."""
     assert election.next_move(at) is Move.READ
-    election.saw_head(head, at)
+    election.on_head_read(head, at)
 
 
 def test_the_first_entry_takes_an_absent_row_at_once() -> None:
     election = Election("e1")
-    seen(election, HeadRow(0, 0, "", ""), 0.0)
+    feed_head_row(election, HeadRow(0, 0, "", ""), 0.0)
     assert election.next_move(0.01) is Move.TAKE
 
 
-def test_a_row_that_moves_is_left_to_its_leader() -> None:
+def test_a_changing_row_is_left_to_its_leader() -> None:
     election = Election("e1")
     at = 0.0
     for version in range(1, 20):
-        at += READ_EVERY_S
+        at += HEAD_READ_INTERVAL_S
         if election.next_move(at) is Move.READ:
-            election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
+            election.on_head_read(HeadRow(version, 1, "e2", str(version)), at)
         assert election.next_move(at + 0.01) is not Move.TAKE
 
 
-def test_a_row_that_stands_still_is_taken_after_the_watch() -> None:
+def test_an_unchanged_row_is_taken_after_the_election_timeout() -> None:
     election = Election("e1")
     head = HeadRow(7, 3, "e2", "t")
-    at = LEADER_SILENCE_S + 1
-    seen(election, head, 0.0)
+    at = LEADER_TIMEOUT_S + 1
+    feed_head_row(election, head, 0.0)
     began = at
     while election.next_move(at) is not Move.TAKE:
-        election.saw_head(head, at)
+        election.on_head_read(head, at)
         at += 0.1
-    assert at - began < WATCH_S + 2 * READ_EVERY_S
+    assert at - began < ELECTION_TIMEOUT_S + 2 * HEAD_READ_INTERVAL_S
 
 
 def test_a_restarted_process_takes_its_own_row_at_once() -> None:
     election = Election("e1")
-    seen(election, HeadRow(7, 3, "e1", "t"), 0.0)
+    feed_head_row(election, HeadRow(7, 3, "e1", "t"), 0.0)
     assert election.next_move(0.01) is Move.TAKE
 
 
-def test_an_offer_outlives_a_heartbeat_of_the_leader_that_made_it() -> None:
-    """A leader that stops offers the lead and leads on until it has been taken.
-
-    Its answer to the follower's heartbeat arrived between the offer and the next look of the
-    follower, who then ignored the offer: nothing was started for 0.7 s, until the next offer.
-    """
+def test_a_heartbeat_does_not_withdraw_an_offer() -> None:
+    """Guards against dropping an offer when a heartbeat of the same leader arrives after it."""
     election = Election("e1")
-    assert election.heard(3, "e2", serving=True, at=1.0)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
-    assert election.heard(3, "e2", serving=True, at=1.01)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.TAKE
 
 
-def test_an_offer_ends_with_the_epoch_that_it_was_made_in() -> None:
+def test_an_offer_expires_with_its_epoch() -> None:
     election = Election("e1")
-    assert election.heard(3, "e2", serving=True, at=1.0)
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
     election.offered(3)
-    assert election.heard(4, "e3", serving=True, at=1.01)
+    assert election.on_heartbeat(4, "e3", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.NOTHING
 
 
 @pytest.mark.looptime
-async def test_a_stopping_leader_does_not_take_back_what_it_gave_away() -> None:
-    """The balancer's entries are restarted in turn.
-
-    The leader is told to stop and offers the lead to a follower.  While it still finishes requests
-    it sees that nobody leads and that the row names itself, and takes the lead back; when it ends a
-    moment later nobody leads, and callers get no answer for seconds.
-    """
+async def test_a_stopping_leader_does_not_retake_the_leadership() -> None:
+    """Guards against a stopping entry taking the leadership back from its own head row."""
     table = MemoryTable()
     election = Election("e1")
-    seen(election, (await read_head(table)).unwrap(), now())
+    feed_head_row(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
     election.leave()
-    election.lost_lead()
-    later = now() + 2 * READ_EVERY_S
-    seen(election, (await read_head(table)).unwrap(), later)
+    election.on_leadership_lost()
+    later = now() + 2 * HEAD_READ_INTERVAL_S
+    feed_head_row(election, (await read_head(table)).unwrap(), later)
     for step in range(40):
         assert election.next_move(later + step * 0.1) is not Move.TAKE
     election.offered(9)
@@ -96,19 +93,15 @@
 
 
 @pytest.mark.looptime
-async def test_a_leader_without_the_store_leaves_the_row_to_the_one_it_was_offered_to() -> None:
-    """The store turns one entry away, and that entry leads.
-
-    It offers the lead to a follower that reaches the store.  Its own way to the store comes back at
-    that moment; it must not take the lead back because the row still names it.
-    """
+async def test_a_leader_that_lost_the_store_does_not_retake_an_offered_leadership() -> None:
+    """Guards against retaking an offered leadership because the row still names this entry."""
     table = MemoryTable()
     election = Election("e1")
-    seen(election, (await read_head(table)).unwrap(), now())
+    feed_head_row(election, (await read_head(table)).unwrap(), now())
     assert await election.take(table) is not None
-    election.lost_lead()
-    later = now() + 2 * READ_EVERY_S
-    seen(election, (await read_head(table)).unwrap(), later)
+    election.on_leadership_lost()
+    later = now() + 2 * HEAD_READ_INTERVAL_S
+    feed_head_row(election, (await read_head(table)).unwrap(), later)
     assert election.next_move(later + 0.05) is not Move.TAKE
 
 
@@ -117,95 +110,85 @@
     table = MemoryTable()
     first, second = Election("e1"), Election("e2")
     head = (await read_head(table)).unwrap()
-    first.saw_head(head, now())
-    second.saw_head(head, now())
+    first.on_head_read(head, now())
+    second.on_head_read(head, now())
     taken = await first.take(table)
     assert taken is not None
     assert taken.epoch == 1
     assert await second.take(table) is None
 
 
-def test_a_follower_that_has_lost_its_leader_goes_on_asking_it() -> None:
-    """Callers of one entry get 503 all day, while all other entries serve.
+def test_a_follower_keeps_sending_heartbeats_to_an_unresponsive_leader() -> None:
+    """Guards against a follower that never reconnects after its link to the leader failed.
 
-    Its link to the leader was cut for two seconds, or it learnt of the leader before it knew the
-    leader's address.  The head row moves on, so the lead is not to be taken; but heartbeats went
-    only to a leader that had been heard of lately, and a leader answers only to heartbeats.
+    The leader sends heartbeats only in reply, and the changing head row prevents an election.
     """
     election = Election("e1")
-    election.heard(1, "e2", True, 0.0)
-    at, beats = 0.0, 0
+    election.on_heartbeat(1, "e2", True, 0.0)
+    at, heartbeats = 0.0, 0
     for version in range(1, 40):
         at += 0.1
-        beats += election.beat_due(at)
+        heartbeats += election.heartbeat_due(at)
         if election.next_move(at) is Move.READ:
-            election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
-    assert at > 2 * LEADER_SILENCE_S
-    assert not election.followed(at)
-    assert beats >= at / BEAT_S - 2
-    election.heard(1, "e2", True, at)
-    assert election.followed(at)
+            election.on_head_read(HeadRow(version, 1, "e2", str(version)), at)
+    assert at > 2 * LEADER_TIMEOUT_S
+    assert not election.has_live_leader(at)
+    assert heartbeats >= at / HEARTBEAT_INTERVAL_S - 2
+    election.on_heartbeat(1, "e2", True, at)
+    assert election.has_live_leader(at)
 
 
-def test_heartbeats_go_to_no_leader_that_is_not_known_and_to_nobody_from_the_leader() -> None:
+def test_heartbeats_are_sent_at_their_interval_and_only_to_a_known_leader() -> None:
     election = Election("e1")
-    assert not election.beat_due(1.0)
-    election.heard(1, "e2", True, 1.0)
-    assert election.beat_due(1.0)
-    assert not election.beat_due(1.0 + BEAT_S / 2)
-    assert election.beat_due(1.1 + BEAT_S)
+    assert not election.heartbeat_due(1.0)
+    election.on_heartbeat(1, "e2", True, 1.0)
+    assert election.heartbeat_due(1.0)
+    assert not election.heartbeat_due(1.0 + HEARTBEAT_INTERVAL_S / 2)
+    assert election.heartbeat_due(1.1 + HEARTBEAT_INTERVAL_S)
 
 
-def taken_after(election: Election, silent_from: float) -> float:
-    """Return how long an entry waits until it takes a row that stands still."""
+def time_until_take(election: Election, last_heard_at: float) -> float:
+    """Return the time until an entry takes an unchanged row, in seconds."""
     head = HeadRow(7, 3, "e2", "t")
-    at = silent_from + LEADER_SILENCE_S
+    at = last_heard_at + LEADER_TIMEOUT_S
     while election.next_move(at) is not Move.TAKE:
-        election.saw_head(head, at)
+        election.on_head_read(head, at)
         at += 0.02
-    return at - silent_from - LEADER_SILENCE_S
+    return at - last_heard_at - LEADER_TIMEOUT_S
 
 
 @pytest.mark.parametrize(
     ("cores", "strongest", "least_s", "most_s"),
     [
-        (0.5, 2.0, WEAK_WATCH_S, WEAK_WATCH_S + READ_EVERY_S),
-        (2.0, 2.0, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.5, 0.5, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.5, 0.0, WATCH_S, WATCH_S + READ_EVERY_S),
-        (0.0, 2.0, WATCH_S, WATCH_S + READ_EVERY_S),
+        (0.5, 2.0, WEAK_ELECTION_TIMEOUT_S, WEAK_ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (2.0, 2.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.5, 0.5, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.5, 0.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
+        (0.0, 2.0, ELECTION_TIMEOUT_S, ELECTION_TIMEOUT_S + HEAD_READ_INTERVAL_S),
     ],
 )
 def test_a_weak_entry_waits_for_a_strong_one(
     cores: float, strongest: float, least_s: float, most_s: float
 ) -> None:
-    """The leader is lost, and whoever looks first leads next, also the weakest.
-
-    A strong entry lives, as the leader has told, and gets the time to be first.  Where only weak
-    ones live, none waits longer than before.
-    """
+    """Guards against a weak entry winning the election before a known strong one can try."""
     election = Election("e1", cores)
-    assert election.heard(3, "e2", serving=True, at=1.0, strongest=strongest)
-    assert least_s <= taken_after(election, 1.0) <= most_s
+    assert election.on_heartbeat(3, "e2", serving=True, at=1.0, strongest=strongest)
+    assert least_s <= time_until_take(election, 1.0) <= most_s
 
 
 @pytest.mark.looptime
-async def test_an_offer_is_taken_although_the_leader_writes_on() -> None:
-    """A leader offers the lead and goes on storing a hundred ends a second.
-
-    Each of its writes made the try fail that had read the row before, and the entry waited for the
-    next offer.
-    """
+async def test_an_offer_is_taken_while_the_leader_keeps_writing() -> None:
+    """Guards against giving up on an offer when the leader's writes make attempts fail."""
     table = MemoryTable()
     head = await Head.take(table, (await read_head(table)).unwrap(), "e2")
     assert head is not None
     election = Election("e1", 2.0)
-    assert election.heard(1, "e2", serving=True, at=now())
+    assert election.on_heartbeat(1, "e2", serving=True, at=now())
     election.offered(1)
     reads = 0
     rows = table.rows
 
-    async def overtaken(keys: list[str]) -> Result[list[Row], Failure]:
+    async def rows_before_commit(keys: list[str]) -> Result[list[Row], Failure]:
         nonlocal reads
         found = await rows(keys)
         reads += 1
@@ -213,6 +196,6 @@
             await head.commit([])
         return found
 
-    table.rows = overtaken  # type: ignore[method-assign]
+    table.rows = rows_before_commit  # type: ignore[method-assign]
     taken = await election.take(table)
     assert taken is not None and taken.epoch == 2
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows and heartbeats of foreign writers: fields missing or of another type, unreadable bytes."""
+"""Invalid rows and heartbeats: missing fields, wrong types and undecodable bytes."""
 
 import base64
 import json
@@ -54,17 +54,17 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=6,
 )
-ANY_SPEED = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
-"""How long an example takes says nothing here, and a busy machine stretches it."""
+NO_DEADLINE = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
+"""The duration of an example depends on the machine's load."""
 
 
 class RunnerSpy:
-    """Remembers which workers were taken."""
+    """Records the workers whose heartbeats were accepted."""
 
     def __init__(self) -> None:
         self.taken: list[tuple[WorkerInfo, str, int]] = []
 
-    async def worker_beat(self, info: WorkerInfo, address: str, seq: int) -> None:
+    async def worker_heartbeat(self, info: WorkerInfo, address: str, seq: int) -> None:
         self.taken.append((info, address, seq))
 
     async def worker_left(self, worker: str) -> None:
@@ -72,7 +72,7 @@
 
 
 class Peer:
-    """Answers every call with the same body."""
+    """Responds to every request with the same body."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -83,7 +83,7 @@
 
 @asynccontextmanager
 async def listening(handler: Any) -> AsyncIterator[str]:
-    """Serve ``handler`` on loopback and return its address."""
+    """Serve ``handler`` on the loopback interface; yields its address."""
     app = web.Application()
     app.router.add_route("*", "/{tail:.*}", handler)
     server = TestServer(app)
@@ -93,7 +93,7 @@
 
 
 async def beat(body: bytes, worker: str = "w1") -> tuple[int, RunnerSpy]:
-    """Send a heartbeat; return the answer's status and what the agent took of it."""
+    """Send a heartbeat; return the response status and the accepted workers."""
     spy = RunnerSpy()
     side = WorkerSide(spy, "svc")  # type: ignore[arg-type]
     async with listening(side.handle) as address, ClientSession() as session:
@@ -102,7 +102,7 @@
             return response.status, spy
 
 
-async def test_a_heartbeat_of_the_worker_is_taken() -> None:
+async def test_a_valid_heartbeat_is_accepted() -> None:
     status, spy = await beat(json.dumps(BEAT).encode())
     assert status == 200
     expected = WorkerInfo("w1", "svc", "z1", Resources(16_000, 32_768, 0), ("a", "r1"))
@@ -110,12 +110,8 @@
 
 
 @pytest.mark.parametrize("name", ["service", "addr", "state", "capacity", "labels", "seq", "zone"])
-async def test_a_heartbeat_without_a_field_names_no_worker(name: str) -> None:
-    """A heartbeat without ``capacity`` arrives under the id of the worker in use.
-
-    Taken with a capacity of 0 it made the leader see no room there, and all work went elsewhere
-    until the next heartbeat.
-    """
+async def test_a_heartbeat_with_a_missing_field_is_rejected(name: str) -> None:
+    """Guards against accepting an incomplete heartbeat, such as with a capacity of 0."""
     status, spy = await beat(json.dumps({**BEAT, name: None}).encode())
     assert (status, spy.taken) == (400, [])
     status, spy = await beat(json.dumps({k: v for k, v in BEAT.items() if k != name}).encode())
@@ -146,30 +142,26 @@
         {"remaining_ms": -5},
     ],
 )
-async def test_a_heartbeat_that_says_what_cannot_be_names_no_worker(change: dict[str, Any]) -> None:
-    """A heartbeat says a state that is not known, or an amount that no message can carry.
-
-    An unknown state counted as ready.  A number of more than 64 bits passed the decoding, and the
-    agent's next report could not be encoded: its process ended.
-    """
+async def test_a_heartbeat_with_an_invalid_field_is_rejected(change: dict[str, Any]) -> None:
+    """Guards against treating an unknown state as ready, and against numbers over 64 bits."""
     status, spy = await beat(json.dumps({**BEAT, **change}).encode())
     assert (status, spy.taken) == (400, [])
 
 
 @pytest.mark.parametrize("body", [*UNREADABLE, b'{"service":"\xff"}'])
-async def test_bytes_that_cannot_be_read_name_no_worker(body: bytes) -> None:
+async def test_an_undecodable_heartbeat_is_rejected(body: bytes) -> None:
     status, spy = await beat(body)
     assert (status, spy.taken) == (400, [])
 
 
 @pytest.mark.parametrize("worker", ["%20", "w%0d%0aX:y", "w%2fx", "a" * 300])
-async def test_an_id_that_fits_into_no_header_names_no_worker(worker: str) -> None:
+async def test_a_worker_id_that_is_invalid_in_a_header_is_rejected(worker: str) -> None:
     status, spy = await beat(json.dumps(BEAT).encode(), worker)
     assert (status, spy.taken) == (404, [])
 
 
 def wire_row(key: str, value: object, ver: int = 3) -> dict[str, object]:
-    """Return a row as the store sends it, its value as the product writes it."""
+    """Return a row in the store's wire format, with an encoded value."""
     text = base64.b64encode(msgspec.msgpack.encode(value)).decode()
     return {"table": "fleet", "part": "", "key": key, "value": text, "ver": ver}
 
@@ -198,12 +190,8 @@
         wire_row("entry/b", [1, 2]),
     ],
 )
-async def test_an_entry_row_that_cannot_be_read_hides_no_other(row: object) -> None:
-    """A foreign writer adds a row to the list of entries, before those of ours.
-
-    Reading the page raised on its value, in the task that looks for the leader, and the process
-    ended; so did the next one, and that of every other entry and agent, while the row stayed.
-    """
+async def test_an_unreadable_entry_row_does_not_hide_others(row: object) -> None:
+    """Guards against a process crash on an invalid row in the list of entries."""
     body = json.dumps({"rows": [row, GOOD_ENTRY], "ver": 9}).encode()
     async with listening(Peer(body).handle) as address:
         table = PlatformTable(HttpCaller.connect(address, 1.0))
@@ -212,11 +200,8 @@
 
 
 @pytest.mark.parametrize("value", ["abc", "%%%", "é", 7, None, ["x"]])
-async def test_an_unreadable_change_holds_up_no_other(value: object) -> None:
-    """The feed brings a foreign row beside a new version of the configuration.
-
-    Its value raised in the task that follows the feed; the process ended and met it again.
-    """
+async def test_an_unreadable_change_does_not_block_others(value: object) -> None:
+    """Guards against a crash on an invalid row in the change feed, next to a valid one."""
     config = {"table": "op", "key": "config", "value": base64.b64encode(b"{}").decode(), "ver": 8}
     body = json.dumps({"rows": [{**config, "key": "x", "value": value}, config], "ver": 9})
     async with listening(Peer(body.encode()).handle) as address:
@@ -236,7 +221,7 @@
 
 
 @pytest.mark.parametrize("body", UNREADABLE)
-async def test_answers_that_cannot_be_read_are_no_answers(body: bytes) -> None:
+async def test_undecodable_responses_are_errors(body: bytes) -> None:
     async with listening(Peer(body).handle) as address:
         table = PlatformTable(HttpCaller.connect(address, 1.0))
         worker = PlatformWorker(HttpCaller.connect(address, 1.0), "w1")
@@ -262,12 +247,8 @@
         None,
     ],
 )
-async def test_a_worker_list_with_an_unreadable_row_is_no_list(row: object) -> None:
-    """A worker's list holds one row that cannot be read.
-
-    It raised in the task that renews the lease, and the agent's process ended.  Left out, the run
-    would count as gone although it may go on.
-    """
+async def test_a_worker_list_with_an_unreadable_row_is_an_error(row: object) -> None:
+    """Guards against a crash, and against skipping the row: its run would count as ended."""
     body = json.dumps({"clock_ms": 5, "running": [["b.0.0.0", 1, "", 3], row], "ended": []})
     async with listening(Peer(body.encode()).handle) as address:
         worker = PlatformWorker(HttpCaller.connect(address, 1.0), "w1")
@@ -275,7 +256,7 @@
         await worker.close()
 
 
-async def test_an_unreadable_row_of_advice_names_no_worker() -> None:
+async def test_unreadable_advice_rows_are_skipped() -> None:
     rows: list[object] = [["w1", "t1"], ["w2"], ["w3", 5], None, ["", "t4"]]
     async with listening(Peer(json.dumps({"good": rows}).encode()).handle) as address:
         advice = PlatformAdvice(HttpCaller.connect(address, 1.0))
@@ -284,34 +265,27 @@
         await advice.close()
 
 
-async def test_an_address_with_a_port_that_is_none_was_not_called() -> None:
+async def test_an_address_with_an_invalid_port_is_an_error() -> None:
     for address in ("10.0.0.9:99999", "10.0.0.9:x"):
         found = await HttpCaller.connect(f"http://{address}", 1.0).call("GET", "/")
         assert found.is_err()
 
 
-def test_a_route_that_cannot_be_read_keeps_out_no_other() -> None:
+def test_an_unreadable_route_does_not_hide_others() -> None:
     good = {"name": "q1", "host": "h", "prefix": "/p/", "service": "svc"}
     bad: list[object] = [{**good, "name": "q2", "slo_ms": "x"}, None, {"name": "q3"}]
     config = decode_config(json.dumps({"version": 7, "routes": [*bad, good]}).encode()).unwrap()
     assert (config.version, list(config.queues)) == (7, ["q1"])
 
 
-def test_an_end_of_a_kind_that_is_not_known_is_neither_done_nor_a_failure() -> None:
-    """A worker lists an end of a kind that no page names.
-
-    It raised in the leader, whose process ended; the agent repeated the end to each successor.
-    """
+def test_an_unknown_end_kind_is_neither_done_nor_a_failure() -> None:
+    """Guards against a leader crash on an unknown end kind, repeated for each successor."""
     assert _end_kind("vanished") == "broken"
     assert _end_kind(RunEnded(1, "a.0.0.0", 1, "done", "").kind) == "done"
 
 
-def test_a_foreign_head_row_lets_epochs_grow() -> None:
-    """A foreign writer replaces the head row, without an epoch.
-
-    Counted from 0 the next leader's epoch would be lower than that of the agents' last leader, and
-    they would refuse its orders for good.
-    """
+def test_epochs_grow_after_a_foreign_head_row() -> None:
+    """Guards against an epoch lower than that of the last leader, whose agents would refuse it."""
     for value in (None, {}, {"epoch": "x"}, {"epoch": -3, "leader": "", "txn": ""}):
         assert HeadRow.from_row(Row(HEAD_KEY, 50, value)).epoch == 50
     assert HeadRow.from_row(Row(HEAD_KEY, 0, None)).epoch == 0
@@ -327,14 +301,14 @@
     assert (jobs, journal.length) == ({}, 1)
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
 def test_no_bytes_raise(data: bytes) -> None:
     decode_config(data)
     decode_job(data, "a", "q1", CONFIG, 0)
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.text() | st.binary().map(lambda data: base64.b64encode(data).decode()))
 def test_no_text_raises(text: str) -> None:
     decode_base64(text)
@@ -342,7 +316,7 @@
     TaskRef.parse(f"a.{text}.0.0")
 
 
-@ANY_SPEED
+@NO_DEADLINE
 @given(st.sampled_from(sorted(BEAT)), JSON)
 def test_no_heartbeat_fails_the_agent(name: str, value: object) -> None:
     side = WorkerSide(RunnerSpy(), "svc")  # type: ignore[arg-type]
--- a/tests/sched/test_gaps.py
+++ b/tests/sched/test_gaps.py
@@ -1,8 +1,8 @@
-"""Runs that nobody reported for a while, or whose estimate is wrong; no network, no clock."""
+"""Straggler detection with gaps in reports or wrong estimates; no network, no clock."""
 
 import pytest
 
-from sapphirelead.runner_service import REPORT_S
+from sapphirelead.runner_service import MAX_REPORT_INTERVAL_S
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Run
 from sapphirelead.sched_planner import plan
@@ -15,8 +15,8 @@
 STEP = StepSpec(cpu_millicores=1000, estimate_ms=4000, saves=True)
 
 
-class Watched:
-    """Workers that run the tasks that they were given, one job of one step."""
+class ObservedFleet:
+    """Workers that run one job of one step, with their reports."""
 
     def __init__(
         self,
@@ -35,8 +35,10 @@
         store(self.sched)
         self.runs: list[Run] = list(self.sched.fleet.runs.values())
 
-    def report(self, percents: dict[str, int], after_s: float = REPORT_S, paced: int = 100) -> None:
-        """Let time pass, then let the agents named report how far their runs are."""
+    def report(
+        self, percents: dict[str, int], after_s: float = MAX_REPORT_INTERVAL_S, paced: int = 100
+    ) -> None:
+        """Advance the time, report the progress of runs by agent, and review."""
         self.at += after_s
         for agent, percent in percents.items():
             runs = [(run.ref.text(), run.attempt) for run in self.runs if run.agent == agent]
@@ -54,99 +56,99 @@
 
     @property
     def other(self) -> str:
-        """The worker that runs nothing."""
+        """The idle worker."""
         return "g2" if self.run.agent == "g1" else "g1"
 
-    def goes_on(self, percents: list[int], paced: int = 100) -> None:
-        """Let both agents report in time, the run at each of ``percents``."""
+    def report_progress(self, percents: list[int], paced: int = 100) -> None:
+        """Report the run at each of ``percents``, in time."""
         for percent in percents:
             self.report({self.run.agent: percent, self.other: 0}, paced=paced)
 
 
 @pytest.mark.parametrize("restarted", [True, False])
-def test_time_in_which_no_agent_reports_is_not_held_against_a_run(restarted: bool) -> None:
-    """Guards against a run that is stopped as slow because its agent was away, or was cut off."""
-    watched = Watched(STEP)
-    watched.goes_on([0, 14])
-    watched.at += 4.0
+def test_run_is_not_slow_for_time_without_reports(restarted: bool) -> None:
+    """Guards against stopping a run as slow because its agent was down or disconnected."""
+    observed = ObservedFleet(STEP)
+    observed.report_progress([0, 14])
+    observed.at += 4.0
     if restarted:
-        watched.boots[watched.run.agent] = "b2"
-    watched.goes_on([14, 28, 42])
-    assert not watched.run.stop_wanted
+        observed.boots[observed.run.agent] = "b2"
+    observed.report_progress([14, 28, 42])
+    assert not observed.run.stop_wanted
 
 
-def test_a_restart_of_the_agent_is_no_sign_that_a_run_stands_still() -> None:
-    """Guards against a run that is stopped for the second in which its agent was started again."""
-    watched = Watched(STEP)
-    watched.goes_on([0, 14])
-    watched.boots[watched.run.agent] = "b2"
-    watched.report({watched.run.agent: 14, watched.other: 0}, after_s=1.1)
-    watched.goes_on([14, 28, 42])
-    assert not watched.run.stop_wanted
+def test_agent_restart_does_not_mark_a_run_as_stalled() -> None:
+    """Guards against stopping a run as stalled while its agent restarts."""
+    observed = ObservedFleet(STEP)
+    observed.report_progress([0, 14])
+    observed.boots[observed.run.agent] = "b2"
+    observed.report({observed.run.agent: 14, observed.other: 0}, after_s=1.1)
+    observed.report_progress([14, 28, 42])
+    assert not observed.run.stop_wanted
 
 
-def test_a_leader_that_takes_its_reports_late_does_not_call_runs_slow() -> None:
-    """Guards against a leader that stops sound runs because its own reports waited."""
-    watched = Watched(STEP)
-    watched.goes_on([0, 14])
-    watched.report({watched.run.agent: 15, watched.other: 0}, after_s=2.4)
-    watched.goes_on([28, 42])
-    assert not watched.run.stop_wanted
+def test_late_processing_of_reports_does_not_mark_runs_as_slow() -> None:
+    """Guards against stopping sound runs because the leader processed reports late."""
+    observed = ObservedFleet(STEP)
+    observed.report_progress([0, 14])
+    observed.report({observed.run.agent: 15, observed.other: 0}, after_s=2.4)
+    observed.report_progress([28, 42])
+    assert not observed.run.stop_wanted
 
 
-def test_a_run_that_stands_still_is_moved_though_its_agent_was_restarted() -> None:
-    """Guards against a restart that hides for good that a run stands still."""
-    watched = Watched(STEP)
-    watched.goes_on([0, 14])
-    watched.boots[watched.run.agent] = "b2"
-    watched.goes_on([14] * 6)
-    assert watched.run.stop_wanted
+def test_stalled_run_is_moved_after_an_agent_restart() -> None:
+    """Guards against an agent restart that hides a stalled run."""
+    observed = ObservedFleet(STEP)
+    observed.report_progress([0, 14])
+    observed.boots[observed.run.agent] = "b2"
+    observed.report_progress([14] * 6)
+    assert observed.run.stop_wanted
 
 
-def test_a_new_leader_does_not_judge_a_run_by_what_it_did_before() -> None:
-    """Guards against a run that is first seen at 59 percent and is stopped at the first looks."""
-    watched = Watched(STEP)
-    watched.goes_on([59, 73, 87, 99])
-    assert not watched.run.stop_wanted
+def test_new_leader_judges_only_progress_that_it_observed() -> None:
+    """Guards against stopping a run because its earlier progress was not observed."""
+    observed = ObservedFleet(STEP)
+    observed.report_progress([59, 73, 87, 99])
+    assert not observed.run.stop_wanted
 
 
-def test_a_run_whose_pace_is_unknown_is_not_judged_by_its_pace() -> None:
-    """Guards against a filling run that is moved as slow before its agent has found its pace."""
-    watched = Watched(StepSpec(cpu_millicores=1000, estimate_ms=4000, fills=True, image="f"))
-    watched.goes_on([0, 4, 8, 12], paced=40)
-    watched.boots[watched.run.agent] = "b2"
-    watched.goes_on([16], paced=-1)
-    assert not watched.run.stop_wanted
+def test_run_of_unknown_pace_is_not_judged_by_its_speed() -> None:
+    """Guards against moving a best-effort run as slow before its pace is known."""
+    observed = ObservedFleet(StepSpec(cpu_millicores=1000, estimate_ms=4000, fills=True, image="f"))
+    observed.report_progress([0, 4, 8, 12], paced=40)
+    observed.boots[observed.run.agent] = "b2"
+    observed.report_progress([16], paced=-1)
+    assert not observed.run.stop_wanted
 
 
 @pytest.mark.looptime
-async def test_a_run_is_not_moved_to_an_agent_that_cannot_be_reached() -> None:
-    """Guards against a run that is stopped for a place whose agent is away."""
+async def test_run_is_not_moved_to_an_unreachable_agent() -> None:
+    """Guards against stopping a run to move it to an unreachable agent."""
     async with leading(SlowTable()) as leader:
-        watched = Watched(STEP, leader.sched)
-        watched.goes_on([0, 1])
-        leader._send = lambda agent, _: agent != watched.other
-        leader._answer(watched.other, watched.at, 0)
-        watched.report({watched.run.agent: 2})
-        assert not watched.run.stop_wanted
-        watched.goes_on([3])
-        assert watched.run.stop_wanted
-
-
-def test_runs_that_all_outlast_their_estimate_are_not_moved_from_worker_to_worker() -> None:
-    """Guards against work thrown away for an estimate that is too low."""
-    watched = Watched(StepSpec(tasks=2, cpu_millicores=3000, estimate_ms=200))
+        observed = ObservedFleet(STEP, leader.sched)
+        observed.report_progress([0, 1])
+        leader._send = lambda agent, _: agent != observed.other
+        leader._answer(observed.other, observed.at, 0)
+        observed.report({observed.run.agent: 2})
+        assert not observed.run.stop_wanted
+        observed.report_progress([3])
+        assert observed.run.stop_wanted
+
+
+def test_runs_are_not_moved_if_the_estimate_is_too_low() -> None:
+    """Guards against discarding work because the estimate is too low."""
+    observed = ObservedFleet(StepSpec(tasks=2, cpu_millicores=3000, estimate_ms=200))
     for percent in (0, 22, 44, 66, 88):
-        watched.report({"g1": percent, "g2": percent})
-    assert {run.agent for run in watched.runs} == {"g1", "g2"}
-    assert not any(run.stop_wanted for run in watched.runs)
+        observed.report({"g1": percent, "g2": percent})
+    assert {run.agent for run in observed.runs} == {"g1", "g2"}
+    assert not any(run.stop_wanted for run in observed.runs)
 
 
-def test_a_slow_worker_is_found_though_the_estimate_is_too_low() -> None:
-    """Guards against a worker that crawls unseen because its step's estimate is wrong."""
+def test_slow_worker_is_detected_if_the_estimate_is_too_low() -> None:
+    """Guards against missing a slow worker because the estimate is wrong."""
     step = StepSpec(tasks=3, cpu_millicores=3000, estimate_ms=400)
-    watched = Watched(step, workers=("g1", "g2", "g3"))
+    observed = ObservedFleet(step, workers=("g1", "g2", "g3"))
     for number in range(5):
-        watched.report({"g1": 11 * number, "g2": number, "g3": 11 * number})
-    stopped = {run.agent for run in watched.runs if run.stop_wanted}
+        observed.report({"g1": 11 * number, "g2": number, "g3": 11 * number})
+    stopped = {run.agent for run in observed.runs if run.stop_wanted}
     assert stopped == {"g2"}
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -1,44 +1,45 @@
-"""Filling work beside serving tasks: pressure that differs by pair, on a model without network.
+"""Best-effort work beside latency-critical tasks, with interference that differs by pair of images.
 
-The load that these tests stand for: a few serving images, of which one filling image presses hard
-and another hardly; every worker serves; tails lag by half a second.
+Uses a model of tail latencies, without network.
 """
 
 import pytest
 
 from sapphirelead.node_messages import ServingPress
-from sapphirelead.policy_pressure import USED_SHARE
-from sapphirelead.runner_pace import PaceControl, Tail
+from sapphirelead.policy_pressure import CPU_USED_SHARE
+from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_consolidate import Consolidation
 from sapphirelead.sched_fleet import Phase
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import LEAST_PACE, Need, choose
-from sapphirelead.sched_planner import GATHER_S, plan, wanted_cpu
+from sapphirelead.sched_place import MIN_PACE, PlacementRequest, choose
+from sapphirelead.sched_planner import GROUPING_DELAY_S, plan, wanted_cpu
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store
-from tests.sched.pressure import play_drift
+from tests.sched.pressure import simulate_drift
 from tests.sched.serving import TARGET_MS, fill, report, serving_fleet
 
 BASE_MS = 25.0
-PRESS = {"heavy": 20.0, "light": 0.2}
-"""Growth of the tail if the image took the whole worker."""
+TAIL_GROWTH = {"heavy": 20.0, "light": 0.2}
+"""Growth of the tail latency if the image uses the whole worker."""
 
 
 class TailModel:
-    """A serving task's tail beside filling images; it moves half of the way in each report."""
+    """Tail latency of a task beside best-effort images; it lags behind by about one report."""
 
     def __init__(self) -> None:
         self.tail = BASE_MS
 
     def step(self, using: dict[str, float], load: float = 1.0) -> int:
-        """Return the tail after half a second with these shares of the worker in use."""
-        aim = BASE_MS * load * (1 + sum(PRESS[image] * share for image, share in using.items()))
-        self.tail += 0.7 * (aim - self.tail)
+        """Return the tail latency half a second later, at these CPU shares by image."""
+        settled = (
+            BASE_MS * load * (1 + sum(TAIL_GROWTH[image] * share for image, share in using.items()))
+        )
+        self.tail += 0.7 * (settled - self.tail)
         return round(self.tail)
 
 
 def play(demand: dict[str, float], reports: int = 60, swing: float = 0.0) -> tuple[int, float]:
-    """Let a control pace ``demand``; return reports over target and the mean use."""
+    """Simulate pacing of ``demand``; return the reports over target and the mean use."""
     control, model = PaceControl(), TailModel()
     using = dict.fromkeys(demand, 0.0)
     over, used = 0, 0.0
@@ -46,7 +47,7 @@
         load = 1.0 + swing * (1 if number // 10 % 2 else -1)
         tail = model.step(using, load)
         over += tail > TARGET_MS
-        control.update([Tail("s.0.0.0", "serve", tail, TARGET_MS)], using, number * 0.45)
+        control.update([TailLatency("s.0.0.0", "serve", tail, TARGET_MS)], using, number * 0.45)
         using = {image: share * control.percent(image) / 100 for image, share in demand.items()}
         used += sum(using.values())
     return over, used / reports
@@ -58,42 +59,40 @@
     assert used >= 0.35
 
 
-def test_heavy_work_alone_is_held_at_the_aim_and_still_goes_on() -> None:
+def test_heavy_work_alone_is_throttled_but_progresses() -> None:
     over, used = play({"heavy": 0.4}, swing=0.3)
     assert over <= 4
     assert used >= 0.05
 
 
-def test_without_serving_tasks_nothing_is_paced() -> None:
+def test_nothing_is_throttled_without_latency_critical_tasks() -> None:
     control = PaceControl()
     control.update([], {"heavy": 0.5}, 0.0)
     assert control.percent("heavy") == 100
 
 
-def test_a_tail_far_over_its_target_is_cut_at_once() -> None:
+def test_pace_is_cut_at_once_when_a_tail_is_far_over_its_target() -> None:
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
     before = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 250, TARGET_MS)], {"heavy": 0.3}, 0.5)
+    control.update([TailLatency("s.0.0.0", "serve", 250, TARGET_MS)], {"heavy": 0.3}, 0.5)
     assert control.percent("heavy") <= before * 0.2
 
 
-def test_what_was_slowed_comes_back_within_seconds() -> None:
+def test_throttled_work_recovers_within_seconds() -> None:
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 300, TARGET_MS)], {"light": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 300, TARGET_MS)], {"light": 0.3}, 0.0)
     steps = 0
     while control.percent("light") < 90:
         steps += 1
-        control.update([Tail("s.0.0.0", "serve", 25, TARGET_MS)], {"light": 0.3}, steps * 0.45)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", 25, TARGET_MS)], {"light": 0.3}, steps * 0.45
+        )
     assert steps * 0.45 <= 4
 
 
-def test_an_image_that_has_pressed_hard_goes_elsewhere() -> None:
-    """A filling image drives the tail beside it to three times its target within a report.
-
-    The next task of that image must not go beside the same serving image again, while an image
-    that showed no effect may.
-    """
+def test_image_with_high_interference_is_placed_elsewhere() -> None:
+    """Guards against placing an image again beside one that it is known to interfere with."""
     sched, agents = serving_fleet(2)
     for image, tail in (("heavy", 200), ("light", 26)):
         sched.submit(job(f"job-{image}", fill(image)), lambda *_: None)
@@ -108,19 +107,19 @@
                 report(agents, sched, agent, 26, 3.0 + number * 0.1)
     places = list(sched.fleet.live())
     for image, allowed in (("heavy", False), ("light", True)):
-        need = Need(fill(image), "svc", press=sched.press)
-        assert (choose(places, need, TaskRef("x", 0, 0, 0)) is not None) is allowed
-    assert sched.press.pace_beside(places[0], "heavy", 4000) < LEAST_PACE
-    # The agent there, told what the leader knows, would hold it back as much.
+        request = PlacementRequest(fill(image), "svc", press=sched.press)
+        assert (choose(places, request, TaskRef("x", 0, 0, 0)) is not None) is allowed
+    assert sched.press.pace_beside(places[0], "heavy", 4000) < MIN_PACE
+    # The agent throttles it as well, given the same weights.
     control = PaceControl()
     weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
     control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
-    wanted = {"heavy": USED_SHARE * 4000 / 32_000}
-    control.update([Tail("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
-    assert control.percent("heavy") < 100 * LEAST_PACE
+    wanted = {"heavy": CPU_USED_SHARE * 4000 / 32_000}
+    control.update([TailLatency("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
+    assert control.percent("heavy") < 100 * MIN_PACE
 
 
-def test_filling_work_goes_where_nothing_serves_first() -> None:
+def test_best_effort_work_prefers_workers_without_latency_critical_tasks() -> None:
     sched, agents = serving_fleet(2)
     report(agents, sched, "free", 25, 0.25)
     sched.submit(job("f1", fill("light", tasks=6)), lambda *_: None)
@@ -129,7 +128,7 @@
     assert filling == ["free"] * 6
 
 
-def test_lasting_tasks_that_come_together_are_packed_and_leave_workers_free() -> None:
+def test_long_running_tasks_submitted_together_are_packed() -> None:
     sched = scheduler()
     agents = Agents(sched)
     for number in range(4):
@@ -138,14 +137,14 @@
         step = StepSpec(cpu_millicores=cpu, lasting=True, image="s", target_ms=100)
         sched.submit(job(f"s{number}", step), lambda *_: None)
         plan(sched, number * 0.01, 0)
-    plan(sched, 0.06 + GATHER_S, 0)
+    plan(sched, 0.06 + GROUPING_DELAY_S, 0)
     used = {run.agent for run in sched.fleet.runs.values()}
     assert len(sched.fleet.runs) == 6
     assert len(used) == 2
 
 
 @pytest.mark.parametrize("wants_room", [True, False])
-def test_a_worker_that_serves_little_is_emptied_only_for_work_that_waits(wants_room: bool) -> None:
+def test_worker_is_emptied_only_if_best_effort_work_waits(wants_room: bool) -> None:
     sched, agents = serving_fleet(3)
     for agent in ("g0", "g1", "g2"):
         report(agents, sched, agent, 80, 0.4)
@@ -155,19 +154,19 @@
     free = StepSpec(cpu_millicores=8000, lasting=True, image="serve", target_ms=TARGET_MS)
     sched.submit(job("alone", free), lambda *_: None)
     plan(sched, 0.5, 0)
-    plan(sched, 0.5 + 1.1 * GATHER_S, 0)
+    plan(sched, 0.5 + 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for agent in ("g0", "g1", "g2"):
         report(agents, sched, agent, 80, 0.8)
     Consolidation().review(sched, wanted_cpu(sched), 0.9)
     stopped = [run for run in sched.fleet.runs.values() if run.stop_wanted]
-    # Two of the three serve one task that may not share a worker with its like: they stay.
+    # The step "serve" allows one task per worker, so its tasks have to stay.
     assert all(run.ref.job_id == "alone" for run in stopped)
     if not wants_room:
         assert stopped == []
 
 
-def test_emptying_never_takes_two_tasks_of_a_step_at_once() -> None:
+def test_consolidation_never_moves_two_tasks_of_a_step_at_once() -> None:
     sched = scheduler()
     agents = Agents(sched)
     for agent in ("g0", "g1"):
@@ -177,7 +176,7 @@
     other = StepSpec(cpu_millicores=30_000, lasting=True, image="serve", target_ms=TARGET_MS)
     sched.submit(job("other", other), lambda *_: None)
     plan(sched, 0.0, 0)
-    plan(sched, 1.1 * GATHER_S, 0)
+    plan(sched, 1.1 * GROUPING_DELAY_S, 0)
     store(sched)
     for agent in ("g0", "g1"):
         report(agents, sched, agent, 25, 0.4)
@@ -186,48 +185,44 @@
     assert not any(run.stop_wanted for run in sched.fleet.runs.values())
 
 
-def test_a_tail_on_its_way_up_is_met_before_it_is_over_its_target() -> None:
-    """A tail of 34, then 60 of 100 ms: half a second later it stands over its aim.
-
-    Judged by the figure alone the filling work got more room just then, and the serving task's
-    users waited two reports longer than they had to.
-    """
+def test_pace_falls_before_a_rising_tail_exceeds_its_target() -> None:
+    """Guards against a control that ignores the trend of the tail latency."""
     control = PaceControl()
     for number in range(6):
-        control.update([Tail("s.0.0.0", "serve", 34, TARGET_MS)], {"heavy": 0.1}, number * 0.5)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", 34, TARGET_MS)], {"heavy": 0.1}, number * 0.5
+        )
     before = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 60, TARGET_MS)], {"heavy": 0.1}, 3.0)
+    control.update([TailLatency("s.0.0.0", "serve", 60, TARGET_MS)], {"heavy": 0.1}, 3.0)
     assert control.percent("heavy") < before
 
 
-def test_a_tail_on_its_way_down_is_not_cut_for_again() -> None:
-    """The first report after a cut shows a tail that is still over its target, but falls fast."""
+def test_pace_is_not_cut_again_for_a_falling_tail() -> None:
+    """Guards against a second cut for a tail that is over its target but falling."""
     control = PaceControl()
-    control.update([Tail("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
-    control.update([Tail("s.0.0.0", "serve", 160, TARGET_MS)], {"heavy": 0.3}, 0.5)
+    control.update([TailLatency("s.0.0.0", "serve", 30, TARGET_MS)], {"heavy": 0.3}, 0.0)
+    control.update([TailLatency("s.0.0.0", "serve", 160, TARGET_MS)], {"heavy": 0.3}, 0.5)
     cut = control.percent("heavy")
-    control.update([Tail("s.0.0.0", "serve", 115, TARGET_MS)], {"heavy": 0.02}, 1.0)
+    control.update([TailLatency("s.0.0.0", "serve", 115, TARGET_MS)], {"heavy": 0.02}, 1.0)
     assert control.percent("heavy") >= cut > 0
 
 
-def test_over_the_target_a_new_image_does_not_shield_the_one_that_presses() -> None:
-    """A filling image that has pressed for seconds drives a tail over its target.
-
-    Another image begins in the same second.  Only the new one was blamed, was slowed to nothing,
-    and the tail went on to twice its target.
-    """
+def test_new_image_does_not_shield_the_interfering_one() -> None:
+    """Guards against throttling only a newly started image while another one interferes."""
     control = PaceControl()
     for number, tail in enumerate((25, 40, 55, 65)):
         level = 0.05 * (number + 1)
-        control.update([Tail("s.0.0.0", "serve", tail, TARGET_MS)], {"heavy": level}, number * 0.5)
+        control.update(
+            [TailLatency("s.0.0.0", "serve", tail, TARGET_MS)], {"heavy": level}, number * 0.5
+        )
     before = control.percent("heavy")
     using = {"heavy": 0.2, "new": 0.01}
-    control.update([Tail("s.0.0.0", "serve", 130, TARGET_MS)], using, 2.0)
+    control.update([TailLatency("s.0.0.0", "serve", 130, TARGET_MS)], using, 2.0)
     assert control.percent("heavy") < before * 0.6
 
 
-def test_drifting_pressure_is_met_and_filling_work_goes_on() -> None:
-    played = [play_drift(seed) for seed in range(6)]
+def test_drifting_interference_is_controlled_while_work_progresses() -> None:
+    played = [simulate_drift(seed) for seed in range(6)]
     over = sum(item.over_target for item in played) / len(played)
     used = sum(item.used_cores for item in played) / len(played)
     assert over < 0.06
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's answers to submissions that reach it late or more than once, on a paused clock."""
+"""A leader's replies to submissions and cancels that arrive late, repeatedly or without a store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 from sapphirelead.node_cancels import KEPT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
-from sapphirelead.node_leader import STORE_PATIENCE_S, Leader
+from sapphirelead.node_leader import FINAL_COMMIT_TIMEOUT_S, Leader
 from sapphirelead.node_leader_calls import MayCome
 from sapphirelead.node_messages import (
     AgentReport,
@@ -33,7 +33,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_job import JobState, encode_spec
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice, job, worker_info
@@ -47,25 +47,25 @@
 
 @pytest.fixture(autouse=True)
 def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+    # No suspension is simulated, so the clock that includes suspensions equals the loop's clock.
     monkeypatch.setattr(node_leader, "awake_now", now)
     monkeypatch.setattr(sched_head, "awake_now", now)
 
 
 class SlowTable(MemoryTable):
-    """A store that goes away: it does not answer while ``away``.
+    """A store that rejects commits after a delay while ``unavailable``.
 
-    :ivar takes_s: time that a transaction takes.
+    :ivar takes_s: duration of a transaction in seconds.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.away = False
+        self.unavailable = False
         self.takes_s = 0.0
 
     async def commit(self, txn: Txn) -> Commit:
         await asyncio.sleep(self.takes_s)
-        if self.away:
+        if self.unavailable:
             await asyncio.sleep(1.0)
             return Commit(CommitStatus.REJECTED)
         return await super().commit(txn)
@@ -73,7 +73,7 @@
 
 @asynccontextmanager
 async def leading(table: SlowTable, may_come: MayCome = lambda _: False) -> AsyncIterator[Leader]:
-    """Lead on ``table``."""
+    """Run a leader on ``table``."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
     leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_come)
@@ -87,35 +87,30 @@
 
 
 async def submit(leader: Leader, number: int) -> Reply:
-    """Submit the job, as the try of a call with this number."""
+    """Submit the job as one attempt of call ``number``."""
     call = Call(number, CallKind.SUBMIT, "q", "a1", 1, encode_spec(job("a1")))
     return await leader.call(call, now() + DEADLINE_S)
 
 
-async def test_a_later_try_of_a_refused_submission_is_refused_as_well() -> None:
-    """A surveyor is told that her check was not taken; it runs all the same, and she has it twice.
-
-    The store is away, and the leader refuses the submission after a while.  The entry had not
-    waited for that: a second try of the same call reaches the leader when the store is back.
-    """
+async def test_a_retry_of_a_refused_submission_is_refused() -> None:
+    """Guards against running a refused job when a retry of the same call arrives later."""
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
-        table.away = False
-        await asyncio.sleep(2 * STORE_PATIENCE_S + 1.0)
+        table.unavailable = False
+        await asyncio.sleep(2 * FINAL_COMMIT_TIMEOUT_S + 1.0)
         assert (await submit(leader, 7)).kind is ReplyKind.NOT_RUN
         assert leader.sched.state("a1") is None
         again = await submit(leader, 8)
-        assert again.kind is ReplyKind.OK, "a new call of the caller is another matter"
+        assert again.kind is ReplyKind.OK, "a new call of the caller must be accepted"
 
 
-async def test_a_slow_store_that_answers_refuses_nobody_and_an_absent_one_does_at_once() -> None:
-    """Members cannot book for five seconds although every transaction is stored.
+async def test_a_slow_store_causes_no_refusals_and_an_unreachable_one_immediate_ones() -> None:
+    """Guards against refusing submissions, or holding them, on a wrong estimate of the store.
 
-    The store takes 0.39 s for each instead of 0.01 s.  Submissions came while one was on its way,
-    and were refused before the next could take them.  Once it does not answer at all, they are.
+    They wait for a store that is slow but answers, and are refused at once when it does not answer.
     """
     table = SlowTable()
     async with leading(table) as leader:
@@ -128,7 +123,7 @@
             calls.append(asyncio.create_task(leader.call(call, now() + DEADLINE_S)))
             await asyncio.sleep(0.07)
         assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(2.0)
         began = now()
         assert (await submit(leader, 9)).kind is ReplyKind.NOT_RUN
@@ -139,11 +134,7 @@
 async def test_a_call_of_an_earlier_leadership_is_not_carried_out(
     asked: int, carried_out: int
 ) -> None:
-    """A job runs although its caller has been told that it never would.
-
-    The call lay unread while its entry lost the lead; its caller was refused, and the entry took
-    the lead again before it read the call.
-    """
+    """Guards against executing a call that was refused when an earlier leadership ended."""
     calls = 0
     replies: list[Reply] = []
 
@@ -168,15 +159,14 @@
 
 
 async def test_a_new_leader_renews_leases_from_the_first_report_on() -> None:
-    """Everything was off, and comes back; tasks start, and all of them lapse after a second.
+    """Guards against a new leader that mistakes its predecessor's possible renewals for its own.
 
-    The new leader counts with renewals that the one before may have sent up to 4 s later than it
-    took over. Taken for its own last answer, that time kept it from renewing any lease until then.
+    It would renew no lease until that time had passed, and running tasks would be lost.
     """
     table = SlowTable()
     info = worker_info("w1")
     async with leading(table) as before:
-        assert take_report(before.sched, AgentReport("g1", "b", 1, 1, 1, info, True, [], []), 1, 0)
+        assert apply_report(before.sched, AgentReport("g1", "b", 1, 1, 1, info, True, [], []), 1, 0)
         assert (await submit(before, 7)).kind is ReplyKind.OK
         await asyncio.sleep(0.5)
         assert before.sched.fleet.runs
@@ -193,12 +183,12 @@
 
 
 async def cancel(leader: Leader, wait_s: float) -> Reply:
-    """Cancel the job, as another entry does that waits for ``wait_s``."""
+    """Cancel the job with a deadline in ``wait_s``."""
     return await leader.call(Call(8, CallKind.CANCEL, "q", "a1", 1), now() + wait_s)
 
 
 async def test_a_cancel_of_a_job_that_is_being_stored_is_not_called_absent() -> None:
-    """A job whose submission was being stored was cancelled as "no such job", and then ran."""
+    """Guards against reporting a job as absent while its submission is being stored."""
     table = SlowTable()
     async with leading(table) as leader:
         table.takes_s = 0.39
@@ -211,25 +201,25 @@
         assert leader.sched.state("a1") == "cancelled"
 
 
-async def test_a_cancel_of_a_submission_that_is_taken_back_is_called_absent() -> None:
+async def test_a_cancel_of_a_withdrawn_submission_is_called_absent() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(0.6)
         submitting = asyncio.create_task(submit(leader, 7))
         await asyncio.sleep(0.1)
         cancelling = asyncio.create_task(cancel(leader, DEADLINE_S))
         await asyncio.sleep(0.3)
-        table.away = False
+        table.unavailable = False
         assert (await submitting).kind is ReplyKind.NOT_RUN
         assert (await cancelling).kind is ReplyKind.ABSENT
 
 
 async def test_a_cancel_is_not_called_absent_by_a_leader_that_may_have_been_replaced() -> None:
-    """A leader cut off from the store answered "no such job" of one that its successor ran."""
+    """Guards against reporting a job as absent that a successor may have accepted."""
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         began = now()
         reply = await cancel(leader, 0.9)
@@ -237,13 +227,13 @@
         assert now() - began == pytest.approx(0.9, abs=0.05)
 
 
-async def test_waiting_cancels_cost_nothing_while_the_store_is_away(
+async def test_waiting_cancels_do_not_poll_while_the_store_is_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each cancel looked for the store's word 80 times a second; 500 took half a processor."""
+    """Guards against busy polling by cancels that wait for the store."""
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         looks = 0
         real = Scheduler.state
@@ -263,20 +253,20 @@
 async def test_a_waiting_cancel_is_answered_when_the_store_is_back() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         cancelling = asyncio.create_task(cancel(leader, 10.0))
         await asyncio.sleep(1.0)
-        table.away = False
+        table.unavailable = False
         began = now()
         assert (await cancelling).kind is ReplyKind.ABSENT
         assert now() - began < 2.0
 
 
-async def test_a_waiting_cancel_is_answered_when_the_lead_is_lost() -> None:
+async def test_a_waiting_cancel_is_answered_when_the_leadership_is_lost() -> None:
     table = SlowTable()
     async with leading(table) as leader:
-        table.away = True
+        table.unavailable = True
         await asyncio.sleep(3.0)
         cancelling = asyncio.create_task(cancel(leader, 10.0))
         await asyncio.sleep(1.0)
@@ -287,7 +277,7 @@
 
 
 async def test_a_late_cancel_ends_a_job_that_was_accepted_while_it_was_on_its_way() -> None:
-    """A job that its client had given up ran on, as its submission came in before its cancel."""
+    """Guards against losing a cancel that was delayed until after the job was accepted."""
     table = SlowTable()
     async with leading(table) as leader:
 
@@ -326,7 +316,7 @@
 async def test_a_cancel_is_not_called_absent_while_a_dropped_submission_may_come_again(
     comes_again: bool,
 ) -> None:
-    """A submission was dropped past the inbox's bound, its cancel answered 410, and the job ran."""
+    """Guards against reporting a job as absent while its dropped submission may be retried."""
     inbox = Inbox(HOLD_S)
     async with leading(SlowTable(), lambda job_id: inbox.may_come(job_id, now())) as leader:
         for number in range(CALLS_KEPT + 1):
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -1,4 +1,4 @@
-"""What a leader logs and counts of its own load and of cancels, on a paused clock."""
+"""Logs and metrics of a leader's load and of cancels."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -9,8 +9,14 @@
 
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_leader_load import HELD_S, PERIOD_S, UNPLANNED_S, LoopLoad, Part
-from sapphirelead.sched_cancels import CancelTimes
+from sapphirelead.node_leader_load import (
+    LOG_INTERVAL_S,
+    MAX_PLANNING_WAIT_S,
+    MAX_ROUND_HOLD_S,
+    LoopLoad,
+    Part,
+)
+from sapphirelead.sched_cancels import CancelLatency
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_job import EndKind
 from sapphirelead.sched_planner import plan
@@ -22,7 +28,7 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """Collect the lines logged."""
+    """Collect the logged lines."""
     found: list[str] = []
     number = logger.add(lambda message: found.append(message.record["message"]), format="")
     yield found
@@ -31,7 +37,7 @@
 
 @pytest.fixture
 async def work(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Return a function that takes processor time: it advances the clock without waiting."""
+    """Return a function that consumes simulated processor time by advancing the clock."""
     loop: Any = asyncio.get_running_loop()
     time = loop.time
     worked_s = 0.0
@@ -48,53 +54,53 @@
     return [line for line in lines if f"event={event} " in line]
 
 
-async def test_a_round_that_holds_the_loop_too_long_says_in_which_part(
+async def test_a_long_round_is_logged_with_its_longest_part(
     lines: list[str], work: Callable[[float], None]
 ) -> None:
     metrics = Metrics(now)
     load = LoopLoad(metrics, now())
     sched = scheduler()
     for _ in range(3):
-        with load.held(Part.REVIEW):
-            work(HELD_S / 4)
-        with load.held(Part.PLAN):
-            work(HELD_S)
-        with load.held(Part.REPORTS):
-            work(HELD_S)
+        with load.measure(Part.REVIEW):
+            work(MAX_ROUND_HOLD_S / 4)
+        with load.measure(Part.PLAN):
+            work(MAX_ROUND_HOLD_S)
+        with load.measure(Part.REPORTS):
+            work(MAX_ROUND_HOLD_S)
         load.round_ended(sched)
     behind = _of(lines, "leader_behind")
     assert len(behind) == 1, "one line a second"
     assert "held_s=0.125 over_s=0.025 part=plan part_s=0.1" in behind[0]
-    await asyncio.sleep(PERIOD_S)
-    with load.held(Part.PLAN):
-        work(HELD_S / 2)
+    await asyncio.sleep(LOG_INTERVAL_S)
+    with load.measure(Part.PLAN):
+        work(MAX_ROUND_HOLD_S / 2)
     load.round_ended(sched)
     assert len(_of(lines, "leader_behind")) == 1
-    (told,) = _of(lines, "leader_load")
-    assert "rounds=4 reports=3 held_ms=725 round_ms=125" in told
-    assert "reports_ms=100 " in told
-    assert "review_ms=25 " in told
-    assert "plan_ms=100 " in told
+    (load_line,) = _of(lines, "leader_load")
+    assert "rounds=4 reports=3 held_ms=725 round_ms=125" in load_line
+    assert "reports_ms=100 " in load_line
+    assert "review_ms=25 " in load_line
+    assert "plan_ms=100 " in load_line
     assert metrics.percentiles_ms("loop_held_ms", part="plan")[99.0] == pytest.approx(100, rel=0.02)
 
 
-async def test_a_planner_that_is_behind_says_for_how_long_steps_wait(
+async def test_a_planner_backlog_is_logged_with_its_longest_wait(
     lines: list[str],
 ) -> None:
     load = LoopLoad(Metrics(now), now())
-    load.round_ended(scheduler(), UNPLANNED_S)
+    load.round_ended(scheduler(), MAX_PLANNING_WAIT_S)
     assert not _of(lines, "leader_behind")
-    load.round_ended(scheduler(), 1.5 * UNPLANNED_S)
+    load.round_ended(scheduler(), 1.5 * MAX_PLANNING_WAIT_S)
     (behind,) = _of(lines, "leader_behind")
     assert "over_s=0 " in behind
     assert "unplanned_s=1.5 " in behind
 
 
-async def test_a_cancel_tells_how_long_it_waited_and_when_its_last_run_ended(
+async def test_the_latency_of_a_cancel_is_logged_and_measured(
     lines: list[str], work: Callable[[float], None]
 ) -> None:
     metrics = Metrics(now)
-    sched = Scheduler(Bounds(), now(), CancelTimes(metrics, now))
+    sched = Scheduler(Bounds(), now(), CancelLatency(metrics, now))
     agents = Agents(sched)
     agents.report("g1", at=now())
     for name in ("a1", "a2"):
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -1,4 +1,4 @@
-"""What has found no room and is not tried again before a worker changes; no network."""
+"""Cache of tasks that fit on no worker until a worker changes; no network."""
 
 import random
 
@@ -7,11 +7,17 @@
 
 from sapphirelead.model_resources import Resources
 from sapphirelead.sched_fleet import Instance, Run
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, can_take_work, choose
-from sapphirelead.sched_planner import STARVING_S, plan
-from sapphirelead.sched_press_guard import GuardedPress
-from sapphirelead.sched_room import MOST_KINDS, MOST_SIZES, Kind, NoRoom, Openings
+from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
+from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
+from sapphirelead.sched_room import (
+    MAX_KINDS,
+    MAX_SIZES_PER_KIND,
+    FeasibleWorkers,
+    InfeasibleCache,
+    Kind,
+)
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -48,22 +54,22 @@
 
 
 def change(rng: random.Random, places: list[Instance], at: float) -> None:
-    """Let something happen to some of the workers."""
+    """Apply random changes to some of the workers."""
     for place in places:
         place.heard_at = at if rng.random() < 0.97 else place.heard_at
         if place.runs and rng.random() < 0.2:
             place.drop(rng.choice(list(place.runs.values())))
         if rng.random() < 0.05:
-            place.track.note_failed(at)
+            place.track.record_failure(at)
         if rng.random() < 0.05:
-            place.track.note_done(1.0)
+            place.track.record_success(1.0)
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_same_place_is_found_as_by_a_look_at_every_worker(seed: int) -> None:
+def test_cache_finds_the_same_worker_as_a_full_scan(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = NoRoom(), GuardedPress()
+    no_room, press = InfeasibleCache(), GuardedInterferenceModel()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
@@ -72,17 +78,21 @@
         no_room.begin(live, at)
         steps = [random_step(rng) for _ in range(6)]
         kinds = [Kind.of(step, "svc", rng.random() < 0.2) for step in steps]
-        openings = Openings(no_room, zip(kinds, steps, strict=True), press, at)
+        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), press, at)
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
-            need = Need(step, "svc", starving=kind.starving, press=press)
-            expected = choose([item for item in live if can_take_work(item, need, at)], need, ref)
-            places = openings.places(kind, step)
-            found = choose([item for item in places if can_take_work(item, need, at)], need, ref)
+            request = PlacementRequest(step, "svc", starving=kind.starving, press=press)
+            expected = choose(
+                [item for item in live if is_eligible(item, request, at)], request, ref
+            )
+            places = feasible.places(kind, step)
+            found = choose(
+                [item for item in places if is_eligible(item, request, at)], request, ref
+            )
             assert found is expected
             if found is None:
-                no_room.note(kind, step)
+                no_room.record_infeasible(kind, step)
                 missed += 1
             else:
                 found.add(Run(ref, 1, found.agent, "w", step, claimed_at=at))
@@ -90,47 +100,47 @@
 
 
 def one_worker() -> list[Instance]:
-    """Return a fleet of one worker that takes work."""
+    """Return a fleet of one worker that accepts work."""
     return [Instance("g1", worker=worker_info())]
 
 
-def test_the_kind_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+def test_oldest_kind_is_evicted_from_a_full_cache() -> None:
+    no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
-    steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MOST_KINDS + 1)]
+    steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MAX_KINDS + 1)]
     for step in steps:
-        no_room.note(Kind.of(step, "svc"), step)
+        no_room.record_infeasible(Kind.of(step, "svc"), step)
     tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
-def test_the_size_that_was_noted_longest_ago_is_tried_again_where_there_are_too_many() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+def test_oldest_size_is_evicted_from_a_full_cache() -> None:
+    no_room, fleet = InfeasibleCache(), one_worker()
     no_room.begin(fleet, 0.0)
     steps = [
         StepSpec(cpu_millicores=100 + number, memory_mb=100 - number)
-        for number in range(MOST_SIZES + 1)
+        for number in range(MAX_SIZES_PER_KIND + 1)
     ]
     for step in steps:
-        no_room.note(Kind.of(step, "svc"), step)
+        no_room.record_infeasible(Kind.of(step, "svc"), step)
     tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
-def test_a_worker_that_is_gone_is_no_longer_kept() -> None:
-    no_room, fleet = NoRoom(), one_worker()
+def test_removed_worker_is_not_kept() -> None:
+    no_room, fleet = InfeasibleCache(), one_worker()
     step = StepSpec()
     kind = Kind.of(step, "svc")
     no_room.begin(fleet, 0.0)
     assert no_room.places(kind, step) == fleet
-    no_room.note(kind, step)
+    no_room.record_infeasible(kind, step)
     no_room.begin([], 0.1)
     no_room.begin(fleet, 0.2)
     assert no_room.places(kind, step) == fleet
 
 
-def test_a_step_that_stops_starving_in_a_pass_leaves_free_workers_unused() -> None:
-    """Tasks of a job wait beside free workers once another step of it has begun."""
+def test_step_that_stops_starving_in_a_pass_uses_free_workers() -> None:
+    """Guards against tasks that wait beside free workers after another step has started."""
     sched = scheduler()
     agents = Agents(sched)
     sizes = (500, 2000, 3000)
@@ -144,7 +154,7 @@
     small = StepSpec(cpu_millicores=500, memory_mb=1, estimate_ms=10)
     sched.submit(job("small", small, replace(small, tasks=12)), lambda *_: None)
     plan(sched, 0.0, 0)
-    at = 1.1 * STARVING_S
+    at = 1.1 * STARVATION_THRESHOLD_S
     for run in full:
         sched.fleet.drop(run)
     for number in range(2):
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -1,8 +1,4 @@
-"""What a leader must do in time although more work waits than it can plan.
-
-The load that this stands for: five hundred filling steps of different images wait, and looking for
-their places takes an entry with a third of a core longer than any of its callers waits.
-"""
+"""Deadlines that a leader must keep while it has more work than it can plan in time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,13 +12,13 @@
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
 from sapphirelead.node_leader import Leader
-from sapphirelead.node_leader_load import HELD_S
+from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S
 from sapphirelead.node_messages import Call, CallKind, ReplyKind
 from sapphirelead.sched_fleet import Instance, Phase
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_job import JobState
 from sapphirelead.sched_spec import StepSpec
-from sapphirelead.sched_timing import LEADER_SILENCE_S, Bounds
+from sapphirelead.sched_timing import LEADER_TIMEOUT_S, Bounds
 from tests.sched.fakes import NoAdvice, job
 from tests.sched.loaded import LoadedLeader, simulated_work
 from tests.unit.fakes import MemoryTable
@@ -31,54 +27,54 @@
 
 WORKERS: Final = 53
 WAITING: Final = 500
-LOOK_S: Final = 0.0004
-"""Processor time of one look at one worker for one step."""
+FIT_CHECK_S: Final = 0.0004
+"""Processor time of one check whether a step fits on a worker."""
 
 READ_S: Final = 0.0015
 """Processor time of reading a report."""
 
 BOUNDS: Final = Bounds(lease_max_s=6.0, kill_grace_s=0.2)
 CANCEL_S: Final = 4.0
-"""A cancelled job's tasks are gone so long after the acknowledgement, plus the time of a stop."""
+"""Time from the acknowledgement of a cancel to the end of the job's tasks, without the stop."""
 UNACKED_S: Final = 6.0
-"""A cancel that is not acknowledged counts from so long after it was sent."""
+"""Time after which a cancel takes effect even if it is not acknowledged."""
 
 
 @pytest.fixture(autouse=True)
 def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+    # No suspension is simulated, so the clock that includes suspensions equals the loop's clock.
     monkeypatch.setattr(node_leader, "awake_now", now)
     monkeypatch.setattr(sched_head, "awake_now", now)
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """How a cancel went; seconds of the loop's clock."""
+    """The times of a cancel, in seconds of the loop's clock."""
 
     sent_at: float
     acked_at: float
 
     @property
     def gone_by(self) -> float:
-        """When the job's tasks must be gone."""
+        """Deadline for the end of the job's tasks."""
         return min(self.acked_at, self.sent_at + UNACKED_S) + CANCEL_S + BOUNDS.kill_grace_s
 
 
 @asynccontextmanager
 async def loaded(
-    monkeypatch: pytest.MonkeyPatch, look_s: float = LOOK_S, read_s: float = READ_S
+    monkeypatch: pytest.MonkeyPatch, fit_check_s: float = FIT_CHECK_S, read_s: float = READ_S
 ) -> AsyncIterator[LoadedLeader]:
-    """Lead a fleet on which a lasting job runs.
+    """Run a leader whose fleet runs a lasting job.
 
-    :param look_s: processor time of one look at one worker for one step.
+    :param fit_check_s: processor time of one check whether a step fits on a worker.
     :param read_s: processor time of reading a report.
     """
     work = simulated_work(monkeypatch)
     fits = Instance.fits
 
     def slow_fits(instance: Instance, step: StepSpec) -> bool:
-        work(look_s)
-        world.looked_s += look_s
+        work(fit_check_s)
+        world.placement_s += fit_check_s
         return fits(instance, step)
 
     monkeypatch.setattr(Instance, "fits", slow_fits)
@@ -89,7 +85,7 @@
     world = LoadedLeader(leader, WORKERS, work, read_s)
     leader._send = world.send
     await leader.load()
-    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(world.arrive())]
+    tasks = [asyncio.create_task(leader.run()), asyncio.create_task(world.deliver_messages())]
     try:
         lasting = StepSpec(tasks=WORKERS, cpu_millicores=8000, lasting=True, per_worker=1)
         leader.sched.submit(job("lasts", lasting), lambda *_: None)
@@ -103,7 +99,7 @@
 
 
 def running(leader: Leader, job_id: str) -> list[tuple[str, int]]:
-    """Return the runs of a job that an agent has listed."""
+    """Return the runs of a job that agents report as running."""
     runs = leader.sched.fleet.runs.values()
     return [
         (run.ref.text(), run.attempt)
@@ -113,11 +109,12 @@
 
 
 def submit_fills(leader: Leader, estimate_ms: int = 60_000) -> None:
-    """Submit more filling work than there is room for, of images that are all looked at.
+    """Submit more filling work than fits, with a distinct image per step.
 
-    :param estimate_ms: no task ends within the test, so that those with a short one crawl.
+    :param estimate_ms: estimated duration; no task ends within the test, so tasks with a short
+        estimate become stragglers.
     """
-    assert (WAITING - 4 * WORKERS) * WORKERS * LOOK_S > LEADER_SILENCE_S
+    assert (WAITING - 4 * WORKERS) * WORKERS * FIT_CHECK_S > LEADER_TIMEOUT_S
     for number in range(WAITING):
         step = StepSpec(
             cpu_millicores=4000,
@@ -130,21 +127,21 @@
 
 
 async def cancel(leader: Leader, job_id: str, sent_at: float) -> Cancelled:
-    """Cancel a job by a call that was sent at ``sent_at`` and lay unread until now."""
+    """Cancel a job by a call that was sent at ``sent_at`` and is read now."""
     call = Call(1, CallKind.CANCEL, "q", job_id, 1)
     reply = await leader.call(call, now() + 60.0)
     assert reply.kind is ReplyKind.OK
     return Cancelled(sent_at, now())
 
 
-async def test_a_cancelled_job_is_gone_in_time_while_more_waits_than_can_be_planned(
+async def test_a_cancelled_job_ends_in_time_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Work runs on for seconds after its job was cancelled, and its caller gets no answer."""
+    """Guards against late stops and late replies to cancels while planning is overloaded."""
     async with loaded(monkeypatch) as world:
         runs = running(world.leader, "lasts")
         submit_fills(world.leader)
-        # The caller's clock goes on while the leader's loop is held.
+        # The caller's clock advances while the leader's loop is blocked.
         sent_at = now() + 0.1
         await asyncio.sleep(0.1)
         cancelled = await cancel(world.leader, "lasts", sent_at)
@@ -162,34 +159,30 @@
 
 
 @pytest.mark.parametrize("estimate_ms", [60_000, 4_000])
-async def test_leases_and_followers_are_served_while_more_waits_than_can_be_planned(
+async def test_leases_and_followers_are_served_while_planning_is_overloaded(
     monkeypatch: pytest.MonkeyPatch, estimate_ms: int
 ) -> None:
-    """Work is lost because its agent's lease ran out, and followers refuse their callers.
+    """Guards against expired leases and missed heartbeats while planning is overloaded.
 
-    With the short estimate all that runs crawls, and each review looks for other places.
+    With the short estimate all runs become stragglers, and each review searches for placements.
     """
     async with loaded(monkeypatch) as world:
         submit_fills(world.leader, estimate_ms)
-        began, looked_s = now(), world.looked_s
+        began, placement_s = now(), world.placement_s
         await asyncio.sleep(20.0)
-        assert world.looked_s - looked_s <= (now() - began) / 2 + HELD_S
-        assert not world.silences
+        assert world.placement_s - placement_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
+        assert not world.leader_losses
         assert not [at for agent in world.agents.values() for at in agent.lapses]
         held_ms = world.leader.metrics.percentiles_ms
-        assert held_ms("loop_held_ms", part="plan")[99.9] <= HELD_S * 1000
-        assert held_ms("loop_held_ms", part="review")[99.9] <= HELD_S * 1000
+        assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_HOLD_S * 1000
+        assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_HOLD_S * 1000
 
 
-async def test_an_agent_is_not_sent_its_starts_again_because_its_leader_is_behind(
+async def test_an_overloaded_leader_does_not_resend_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A leader that is behind with its reports takes each start that they lack for lost.
-
-    The reports were made before the starts were sent.  In an overload it sent a good part of its
-    starts twice, which took the time to read the reports.
-    """
-    async with loaded(monkeypatch, look_s=0.0, read_s=0.006) as world:
+    """Guards against resending starts because of reports that were made before they were sent."""
+    async with loaded(monkeypatch, fit_check_s=0.0, read_s=0.006) as world:
         world.work(2.0)
         submit_fills(world.leader)
         await asyncio.sleep(6.0)
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -1,8 +1,4 @@
-"""A backlog of filling work on a fleet that serves: what planning costs; no network.
-
-The load that these tests stand for: hundreds of filling tasks of some twenty images and many sizes
-wait on dozens of workers, and the leader's entry has a third of a core.
-"""
+"""Cost of planning a backlog of best-effort tasks beside latency-critical ones; no network."""
 
 import random
 from typing import Any
@@ -10,52 +6,52 @@
 import pytest
 from msgspec.structs import replace
 
-from sapphirelead.policy_pressure import Allotment, Room
+from sapphirelead.policy_pressure import LevelAllocation, LoadBudget
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_fleet import Instance, Run
+from sapphirelead.sched_interference import InterferenceModel
 from sapphirelead.sched_job import EndKind, Job, JobState, TaskRef
-from sapphirelead.sched_planner import LOOK_AGAIN_S, plan
-from sapphirelead.sched_press import PressModel
+from sapphirelead.sched_planner import RETRY_DELAY_S, plan
 from sapphirelead.sched_spec import StepSpec
 from sapphirelead.sched_timing import Bounds
 from tests.sched.fakes import Agents, job, scheduler, store
 from tests.sched.serving import TARGET_MS, fill, report, serving_fleet
 
-LEAST = 0.8
+MIN_PACE = 0.8
 
 
-def beside_filling(images: int) -> Scheduler:
-    """Return a fleet of one worker that serves and runs a task of each of ``images``."""
+def mixed_fleet(images: int) -> Scheduler:
+    """Return one worker with a latency-critical task and a best-effort task per image."""
     sched, _ = serving_fleet(1)
     for number in range(images):
         sched.fleet.add(Run(TaskRef(f"f{number}", 0, 0, 0), 1, "g0", "w-g0", fill(f"i{number}")))
     return sched
 
 
-def test_each_further_size_of_waiting_work_asks_for_all_pairs_of_images_again(
+def test_pair_weights_are_not_recomputed_for_each_task_size(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A leader spends half of its processor on the weights of pairs that have not changed."""
-    sched = beside_filling(6)
+    """Guards against recomputing unchanged pair weights."""
+    sched = mixed_fleet(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     asked = 0
-    weight = PressModel.weight
+    weight = InterferenceModel.weight
 
     def counting(*args: Any) -> float:
         nonlocal asked
         asked += 1
         return weight(*args)
 
-    monkeypatch.setattr(PressModel, "weight", counting)
+    monkeypatch.setattr(InterferenceModel, "weight", counting)
     for number in range(40):
         model.pace_beside(instance, f"i{number % 8}", 1000 + number)
     assert asked <= 8
 
 
-def test_waiting_work_is_judged_on_workers_that_are_as_they_were_when_it_found_no_room(
+def test_waiting_steps_are_not_retried_on_unchanged_workers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cancels wait for seconds while hundreds of filling tasks find no room, plan after plan."""
+    """Guards against slow passes that retry waiting tasks on unchanged workers."""
     workers, images, steps = 53, 18, 40
     sched, agents = serving_fleet(workers)
     for number in range(workers):
@@ -77,20 +73,20 @@
     plan(sched, at, 0)
     assert judged <= workers * images
     judged = 0
-    at += 1.1 * LOOK_AGAIN_S
+    at += 1.1 * RETRY_DELAY_S
     plan(sched, at, 0)
     assert judged == 0
-    at += 1.1 * LOOK_AGAIN_S
+    at += 1.1 * RETRY_DELAY_S
     report(agents, sched, "g7", TARGET_MS - 5, at)
     plan(sched, at, 0)
     assert 0 < judged <= images
     assert len(sched.fleet.runs) == running
 
 
-def random_rooms(rng: random.Random) -> tuple[list[Room], dict[tuple[str, str], float]]:
-    """Return serving tasks, and the weights of twelve filling images beside them."""
+def random_rooms(rng: random.Random) -> tuple[list[LoadBudget], dict[tuple[str, str], float]]:
+    """Return latency-critical tasks and the weights of twelve best-effort images."""
     rooms = [
-        Room(f"s{number}", rng.uniform(0.0, 0.75), rng.uniform(0.7, 0.9))
+        LoadBudget(f"s{number}", rng.uniform(0.0, 0.75), rng.uniform(0.7, 0.9))
         for number in range(rng.randint(0, 4))
     ]
     weights = {
@@ -102,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_one_more_task_gets_what_it_gets_where_all_is_shared_out_anew(seed: int) -> None:
+def test_incremental_allotment_equals_full_allotment(seed: int) -> None:
     rng = random.Random(seed)
     rooms, weights = random_rooms(rng)
 
@@ -110,46 +106,46 @@
         return weights[serving, filling]
 
     wanted = {f"f{number}": rng.uniform(0.01, 0.3) for number in rng.sample(range(12), 6)}
-    known = Allotment(rooms, wanted, weight)
+    known = LevelAllocation(rooms, wanted, weight)
     for number in range(12):
         image, share = f"f{number}", rng.uniform(0.001, 0.2)
-        anew = Allotment(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
-        assert known.used_with(image, share) == pytest.approx(anew.used, abs=1e-12)
+        full = LevelAllocation(rooms, {**wanted, image: wanted.get(image, 0.0) + share}, weight)
+        assert known.used_with(image, share) == pytest.approx(full.used, abs=1e-12)
 
 
-def test_a_larger_task_than_one_that_was_refused_is_not_worked_out(
+def test_pace_of_larger_tasks_than_a_refused_one_is_not_computed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sched = beside_filling(6)
+    sched = mixed_fleet(6)
     model, instance = sched.press.model, sched.fleet.instance("g0")
     sizes = range(200, 32_000, 200)
     paces = {size: model.pace_beside(instance, "new", size) for size in sizes}
-    first = next(size for size in sizes if paces[size] < LEAST)
-    assert not model.gives_pace(instance, "new", first, LEAST)
-    worked_out = []
+    first = next(size for size in sizes if paces[size] < MIN_PACE)
+    assert not model.gives_pace(instance, "new", first, MIN_PACE)
+    computed = []
 
     def counting(*args: Any) -> float:
-        worked_out.append(args)
+        computed.append(args)
         return 0.0
 
-    monkeypatch.setattr(PressModel, "pace_beside", counting)
+    monkeypatch.setattr(InterferenceModel, "pace_beside", counting)
     larger = [size for size in sizes if size >= first]
-    assert not any(model.gives_pace(instance, "new", size, LEAST) for size in larger)
-    assert not worked_out
+    assert not any(model.gives_pace(instance, "new", size, MIN_PACE) for size in larger)
+    assert not computed
 
 
-def test_smaller_tasks_and_a_changed_worker_are_worked_out_again() -> None:
-    sched = beside_filling(2)
+def test_pace_is_recomputed_for_smaller_tasks_and_changed_workers() -> None:
+    sched = mixed_fleet(2)
     model, instance = sched.press.model, sched.fleet.instance("g0")
-    assert not model.gives_pace(instance, "new", 8000, LEAST)
-    assert model.gives_pace(instance, "new", 400, LEAST)
+    assert not model.gives_pace(instance, "new", 8000, MIN_PACE)
+    assert model.gives_pace(instance, "new", 400, MIN_PACE)
     for run in [run for run in instance.runs.values() if run.step.fills]:
         sched.fleet.drop(run)
-    assert model.gives_pace(instance, "new", 8000, LEAST)
+    assert model.gives_pace(instance, "new", 8000, MIN_PACE)
 
 
-def test_each_round_goes_through_all_jobs_that_have_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader gets slower with each job that ends, until callers may no longer ask for them."""
+def test_planning_does_not_scan_ended_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against rounds whose cost grows with the number of ended jobs."""
     sched = scheduler(Bounds(keep_ended_s=120.0))
     for number in range(300):
         sched.submit(job(f"j{number}"), lambda *_: None)
@@ -157,23 +153,23 @@
     for number in range(299):
         sched.cancel(f"j{number}", lambda *_: None)
     store(sched)
-    looked = 0
+    visited = 0
     state = vars(Job)["state"]
 
     def counting(self: Job) -> JobState:
-        nonlocal looked
-        looked += 1
+        nonlocal visited
+        visited += 1
         found: JobState = state.fget(self)
         return found
 
     monkeypatch.setattr(Job, "state", property(counting))
-    sched.forget_ended(0)
+    sched.evict_ended(0)
     plan(sched, 0.0, 0)
     assert sched.waiting("q") == 1
-    assert looked <= 3
+    assert visited <= 3
 
 
-def test_a_job_that_still_runs_is_kept_and_keeps_no_other_job() -> None:
+def test_running_job_is_kept_without_delaying_removal_of_others() -> None:
     sched = scheduler(Bounds(keep_ended_s=1.0))
     Agents(sched).report()
     for name in ("runs", "waits"):
@@ -183,11 +179,11 @@
     for name in ("runs", "waits"):
         sched.cancel(name, lambda *_: None)
     sched.take_batch(1000)
-    sched.forget_ended(2999)
+    sched.evict_ended(2999)
     assert sched.jobs.keys() == {"runs", "waits"}
-    sched.forget_ended(3000)
+    sched.evict_ended(3000)
     assert sched.jobs.keys() == {"runs"}
     run = next(iter(sched.fleet.runs.values()))
     sched.end(run, EndKind.STOPPED, "", "", 3.0)
-    sched.forget_ended(3000)
+    sched.evict_ended(3000)
     assert not sched.jobs
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -1,4 +1,4 @@
-"""The agent's side: runs, ends, leases and lost calls, against a fake worker on a paused clock."""
+"""Runs, outcomes, leases and lost calls of an agent, with a fake worker on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 from sapphirelead.node_messages import StartOrder, StopOrder
 from sapphirelead.runner_lease import RunnerLease
 from sapphirelead.runner_life import FencingToken, RunnerLife
-from sapphirelead.sched_timing import STALE_ORDER_S
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S
 from tests.sched.fakes import FakeRun, FakeWorker, worker_info
 
 pytestmark = pytest.mark.looptime
@@ -22,8 +22,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing is suspended here, so the clock that counts suspensions is the loop's.
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Replaces the clock that includes suspensions, because only the loop's clock is simulated.
     monkeypatch.setattr(runner_life, "awake_now", now)
 
 
@@ -46,7 +46,7 @@
 
 @asynccontextmanager
 async def life_of(worker: FakeWorker) -> AsyncIterator[tuple[RunnerLife, RunnerLease]]:
-    """Run a life of ``worker`` whose agent holds a lease."""
+    """Run a worker life whose agent holds a lease."""
     lease = RunnerLease(LEASE_S, now())
     lease.sent(1, now())
     lease.acknowledged(1)
@@ -61,39 +61,36 @@
 
 
 def silent(life: RunnerLife) -> bool:
-    """Return whether ``life`` counts as silent now."""
+    """Return the current value of ``life.silent``, which mypy does not narrow in a call."""
     return life.silent
 
 
 def kinds(life: RunnerLife) -> dict[str, str]:
-    """Return how each ended run ended."""
-    return {end.task: end.kind for end in life.book.ends.values()}
+    """Return the outcome of each ended run by task."""
+    return {end.task: end.kind for end in life.registry.ends.values()}
 
 
 async def test_an_adopted_run_gets_its_pace_once_its_order_is_known() -> None:
-    """An earlier process of the agent had paced a filling run, and the pressure is gone.
-
-    The worker keeps the pace that it was told last, which the new process does not know.
-    """
+    """Guards against a filling run that keeps a slow pace set by an earlier agent process."""
     worker = FakeWorker(work_s=30)
     worker.runs[("a.0.0.0", 1)] = FakeRun("a.0.0.0", 1, now() + 30)
     async with life_of(worker) as (life, _):
-        assert [status.order_known for status in life.book.statuses(True)] == [False]
+        assert [status.order_known for status in life.registry.statuses(True)] == [False]
         life.start(order(image="f", fills=True))
         await asyncio.sleep(1)
-        assert [status.order_known for status in life.book.statuses(True)] == [True]
+        assert [status.order_known for status in life.registry.statuses(True)] == [True]
         assert worker.paces == [("a.0.0.0", 100)]
         assert worker.starts == 0
 
 
-async def test_an_end_is_kept_until_it_is_stored() -> None:
+async def test_an_outcome_is_kept_until_it_is_stored() -> None:
     worker = FakeWorker(work_s=0.3)
     async with life_of(worker) as (life, _):
         life.start(order())
         await asyncio.sleep(2)
         assert kinds(life) == {"a.0.0.0": "done"}
         assert len(worker.ended) == 1
-        life.book.stored(("a.0.0.0", 1))
+        life.registry.stored(("a.0.0.0", 1))
         await asyncio.sleep(1)
         assert worker.ended == []
         assert kinds(life) == {}
@@ -110,12 +107,8 @@
         assert len(worker.ended) == 1
 
 
-async def test_a_start_given_up_on_never_runs_later() -> None:
-    """The worker leaves orders unanswered and carries them out seconds later.
-
-    The agent gives a start up and says that it never ran; the task starts elsewhere.  If the
-    worker then carried the order out, the task would run in two places.
-    """
+async def test_an_abandoned_start_never_runs_later() -> None:
+    """Guards against a task that runs twice because the worker carries out a start late."""
     worker = FakeWorker()
     worker.faults = ["late"] * 3
     async with life_of(worker) as (life, _):
@@ -126,13 +119,13 @@
         assert worker.ended == []
 
 
-async def test_a_stop_of_an_unknown_run_seals_it() -> None:
+async def test_a_stop_of_an_unknown_run_prevents_its_start() -> None:
     worker = FakeWorker()
     async with life_of(worker) as (life, _):
         life.stop(StopOrder("a.0.0.0", 3))
         await asyncio.sleep(2)
         assert kinds(life) == {"a.0.0.0": "not_started"}
-        life.book.stored(("a.0.0.0", 3))
+        life.registry.stored(("a.0.0.0", 3))
         life.start(order(attempt=3))
         await asyncio.sleep(2)
         assert worker.runs == {}
@@ -150,14 +143,14 @@
         assert now() >= lease.until
 
 
-async def test_the_lease_is_never_longer_than_the_leader_thinks() -> None:
+async def test_the_worker_lease_never_exceeds_the_agent_lease() -> None:
     worker = FakeWorker()
     async with life_of(worker) as (_, lease):
         await asyncio.sleep(3)
         assert worker.lease_ms - worker.clock_ms <= (lease.until - now()) * 1000
 
 
-async def test_a_worker_that_refuses_connections_is_gone() -> None:
+async def test_refused_connections_end_the_worker_life() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -167,13 +160,13 @@
         assert life.over
 
 
-async def test_a_silent_worker_is_gone_only_after_its_lease() -> None:
+async def test_a_silent_worker_counts_as_lost_only_after_its_lease() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
         await asyncio.sleep(1)
         worker.silent = True
-        await asyncio.sleep(lease.bound - now() - 0.5)
+        await asyncio.sleep(lease.expiry_bound - now() - 0.5)
         assert not silent(life)
         await asyncio.sleep(3)
         assert silent(life)
@@ -183,12 +176,8 @@
         assert kinds(life) == {"a.0.0.0": "lapsed"}
 
 
-async def test_a_worker_that_has_seen_a_higher_token_is_taken_over() -> None:
-    """The machine's clock was set back between two processes of the agent.
-
-    Tokens are times of day, so the newer process has the lower one and the worker does nothing for
-    it: no lease is renewed and all that runs lapses.
-    """
+async def test_the_token_is_raised_after_a_worker_refuses_it() -> None:
+    """Guards against a worker that refuses an agent restarted after its clock was set back."""
     worker = FakeWorker()
     worker.token = 5_000
     lease = RunnerLease(LEASE_S, now())
@@ -197,7 +186,7 @@
     assert await life.adopt() is None
 
 
-async def test_more_than_the_capacity_is_never_started() -> None:
+async def test_starts_beyond_the_capacity_are_refused() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         for number in range(12):
@@ -207,7 +196,7 @@
         assert list(kinds(life).values()) == ["not_started"] * 4
 
 
-async def test_filling_work_slows_down_beside_a_serving_task_that_is_late() -> None:
+async def test_filling_work_slows_down_beside_a_serving_task_over_its_target() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order("s.0.0.0", target_ms=100))
@@ -222,39 +211,28 @@
         assert worker.paces[-1] == ("f.0.0.0", 100)
 
 
-def test_orders_that_were_held_up_are_not_carried_out() -> None:
-    """A job is cancelled, and its task starts seconds later.
-
-    The order to start was on its way when the agent's link stood still; the cancellation was
-    acknowledged meanwhile.  The order arrives with the next packet that gets through.
-    """
+def test_stale_start_orders_are_refused() -> None:
+    """Guards against a delayed start order that starts a task cancelled in the meantime."""
     lease = RunnerLease(LEASE_S, 0.0)
     lease.sent(7, 10.0)
-    assert lease.bears_starts(7, 10.0 + STALE_ORDER_S)
-    assert not lease.bears_starts(7, 10.1 + STALE_ORDER_S)
-    assert not lease.bears_starts(8, 10.0)
+    assert lease.allows_starts(7, 10.0 + MAX_ORDER_AGE_S)
+    assert not lease.allows_starts(7, 10.1 + MAX_ORDER_AGE_S)
+    assert not lease.allows_starts(8, 10.0)
 
 
-async def test_a_leaving_worker_is_given_nothing_that_was_ordered_before() -> None:
-    """A task starts on a worker that has said that it leaves, and is lost with it.
-
-    The leader gave the order before it knew; the agent, to which the worker says so first, does.
-    """
+async def test_a_draining_worker_gets_no_starts() -> None:
+    """Guards against a task that starts on a draining worker and is lost with it."""
     worker = FakeWorker()
     async with life_of(worker) as (life, _):
-        life.book.info = worker_info(draining=True)
+        life.registry.info = worker_info(draining=True)
         life.start(order())
         await asyncio.sleep(0.1)
         assert worker.starts == 0
         assert kinds(life) == {"a.0.0.0": "not_started"}
 
 
-async def test_ends_that_the_leader_is_behind_with_do_not_bring_more_and_more_reports() -> None:
-    """A burst makes the leader slow; within seconds it stores nothing any more, for half a minute.
-
-    While an end waits for being stored, the worker answers each list call at once, and each list
-    brought a report with all such ends.  The slower the leader, the more reports it got.
-    """
+async def test_unstored_outcomes_do_not_multiply_reports() -> None:
+    """Guards against more reports and list calls the longer the leader takes to store outcomes."""
     worker = FakeWorker(work_s=0.3)
     reports = 0
     ends = 0
@@ -262,27 +240,23 @@
     def report() -> None:
         nonlocal reports, ends
         reports += 1
-        ends += len(life.book.report_ends(full=False))
+        ends += len(life.registry.report_ends(full=False))
 
     async with life_of(worker) as (life, _):
         life.on_change = report
         for number in range(3):
             life.start(order(f"a.0.0.{number}"))
         await asyncio.sleep(10)
-        assert reports <= 10 / runner_life.NEWS_S + 6
+        assert reports <= 10 / runner_life.PROGRESS_REPORT_INTERVAL_S + 6
         assert ends == 3
-        assert len(life.book.report_ends(full=True)) == 3
+        assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
-        assert ends == 4, "an order for a run that has ended is answered with its end"
-        assert worker.holds <= 10 / runner_life.UNNOTED_MOST_S + 12
-
+        assert ends == 4, "an order for an ended run is answered with its outcome"
+        assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
 
-async def test_a_new_end_is_seen_soon_after_the_ones_before_it_are_stored() -> None:
-    """A leader was behind for a while; the steps that wait for the next end start late.
 
-    The agent asks its worker less often while ends wait for being stored.  As soon as one is, it
-    has to ask on, since the worker tells of the next end only in a list.
-    """
+async def test_polling_resumes_once_an_outcome_is_stored() -> None:
+    """Guards against an outcome that is seen late because the pause after a list goes on."""
     worker = FakeWorker(work_s=0.3)
     async with life_of(worker) as (life, _):
         life.start(order("a.0.0.0"))
@@ -290,7 +264,7 @@
         life.start(order("a.0.0.1"))
         await asyncio.sleep(0.31)
         holds = worker.holds
-        assert kinds(life) == {"a.0.0.0": "done"}, "the pause goes on"
+        assert kinds(life) == {"a.0.0.0": "done"}, "the pause has not ended yet"
         life.stored(("a.0.0.0", 1))
         await asyncio.sleep(0.06)
         assert worker.holds > holds
