--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -1,4 +1,4 @@
-"""Stops on the agent's side: none waits for long, and whatever runs on is visible in the log."""
+"""Stops by an agent: they are not delayed by other calls, and slow stops are logged."""
 
 import asyncio
 from typing import Any, cast
@@ -18,44 +18,44 @@
 from sapphirelead.platform.worker import CONNECTIONS
 from sapphirelead.runner_life import RunnerLife
 from sapphirelead.runner_slots import Slots
-from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
-from tests.sched.agent_leader import TASK, FakeLeader, agent_of
+from sapphirelead.sched_timing import MAX_ORDER_AGE_S, Bounds
+from tests.sched.agent_leader import TASK, FakeLeader, run_agent
 from tests.sched.fakes import FakeRun, FakeWorker
 from tests.sched.test_runner import kinds, life_of, order
 
 pytestmark = pytest.mark.looptime
 
-LATE_S = STALE_ORDER_S + 0.5
+ACKNOWLEDGEMENT_DELAY_S = MAX_ORDER_AGE_S + 0.5
 
 
 @pytest.fixture(autouse=True)
-def _one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def _use_loop_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(runner_life, "awake_now", now)
     monkeypatch.setattr(runner_service, "awake_now", now)
 
 
 @pytest.fixture
 def events(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Return the log events that are written from now on."""
+    """Return the list to which log events are recorded."""
     found: list[dict[str, Any]] = []
 
-    def note(level: str, event: str, /, **fields: object) -> None:
+    def record(level: str, event: str, /, **fields: object) -> None:
         found.append({"event": event, **fields})
 
-    monkeypatch.setattr(runner_life, "log_event", note)
-    monkeypatch.setattr(runner_service, "log_event", note)
+    monkeypatch.setattr(runner_life, "log_event", record)
+    monkeypatch.setattr(runner_service, "log_event", record)
     return found
 
 
-def named(events: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
-    """Return the events of one name."""
+def events_named(events: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
+    """Return the events with the given name."""
     return [fields for fields in events if fields["event"] == event]
 
 
-async def test_a_stop_without_an_end_is_logged_once_with_its_parts(
+async def test_a_slow_stop_is_logged_once(
     events: list[dict[str, Any]],
 ) -> None:
-    """Guards against a run that outlives its stop while no log line says what took so long."""
+    """Guards against a slow stop that leaves no log line with its durations."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -63,71 +63,71 @@
         worker.silent = True
         life.stop(StopOrder(TASK, 1))
         await asyncio.sleep(4)
-        slow = named(events, "stop_slow")
+        slow = events_named(events, "stop_slow")
         assert [line["confirmed_s"] for line in slow] == [-1.0]
-        assert slow[0]["stop_s"] > runner_life.STOP_SLOW_S
+        assert slow[0]["stop_s"] > runner_life.SLOW_STOP_S
         worker.silent = False
         await asyncio.sleep(2)
-        (end,) = named(events, "run_end_seen")
+        (end,) = events_named(events, "run_end_seen")
         assert end["stop_s"] >= end["confirmed_s"] > 3.9
 
 
-async def test_refused_orders_are_logged_with_their_age_once_a_second(
+async def test_stale_orders_are_logged_with_their_age_once_a_second(
     events: list[dict[str, Any]],
 ) -> None:
-    """Guards against a leader that renews leases and cannot order, unseen in the agent's log."""
-    async with agent_of(FakeWorker(work_s=60)) as leader:
+    """Guards against stale orders from a slow leader that are refused without a log line."""
+    async with run_agent(FakeWorker(work_s=60)) as leader:
         await asyncio.sleep(4)
         for _ in range(30):
             leader.order(1, starts=[order()])
             await asyncio.sleep(0.1)
-        lines = named(events, "orders_stale")
-        assert len(lines) <= 1 + 3 / runner_service.STALE_LOG_S
+        lines = events_named(events, "orders_stale")
+        assert len(lines) <= 1 + 3 / runner_service.STALE_LOG_INTERVAL_S
         assert lines[0]["age_s"] > 3.5
         assert lines[0]["lease_left_s"] > 8
         assert sum(line["starts"] for line in lines) > 15
 
 
-async def test_an_agent_that_ends_logs_what_runs_on(events: list[dict[str, Any]]) -> None:
-    """Guards against runs left to the rest of a lease with no line that says so."""
-    async with agent_of(FakeWorker(work_s=60)) as leader:
+async def test_an_agent_that_shuts_down_logs_remaining_runs(events: list[dict[str, Any]]) -> None:
+    """Guards against runs that continue without an agent and without a log line."""
+    async with run_agent(FakeWorker(work_s=60)) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
-    (line,) = named(events, "runs_left")
+    (line,) = events_named(events, "runs_left")
     assert (line["runs"], line["stopping"]) == (1, 0)
     assert line["lease_left_s"] > 8
 
 
-async def test_a_stop_is_carried_out_however_old_the_report_it_is_based_on() -> None:
-    """Guards against a leader that is behind and keeps a run alive that it can no longer stop."""
+async def test_a_stop_based_on_an_old_report_is_carried_out() -> None:
+    """Guards against a run that a slow leader keeps alive but cannot stop."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(), order("a.0.0.1")])
-        await asyncio.sleep(STALE_ORDER_S + 1)
+        await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, starts=[order("a.0.0.2")], stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(0.5)
         assert list(worker.runs) == [("a.0.0.1", 1)], "only the start is refused"
 
 
-async def test_a_late_stop_of_a_run_leaves_the_next_attempt_alone() -> None:
-    """Guards against orders to stop that were held up and end a run that is wanted."""
+async def test_a_late_stop_does_not_affect_the_next_attempt() -> None:
+    """Guards against a delayed stop order that ends a later attempt."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order(attempt=2)])
-        await asyncio.sleep(STALE_ORDER_S + 1)
+        await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(2)
         assert list(worker.runs) == [(TASK, 2)]
 
 
-async def test_a_stop_does_not_wait_for_starts_that_get_no_answer() -> None:
-    """Guards against a cancelled task that runs on while its agent repeats starts of others."""
+async def test_a_stop_does_not_wait_for_unanswered_starts() -> None:
+    """Guards against a cancelled task that keeps running while other starts are retried."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
         await asyncio.sleep(0.5)
         worker.faults = ["unanswered"] * 100
-        for number in range(1, 3 * runner_life.CALLS_AT_ONCE):
+        for number in range(1, 3 * runner_life.MAX_CONCURRENT_CALLS):
             life.start(order(f"b.0.0.{number}", room=Resources(10, 10)))
         await asyncio.sleep(0.1)
         life.stop(StopOrder(TASK, 1))
@@ -135,13 +135,13 @@
         assert worker.runs == {}
 
 
-async def test_a_stop_does_not_wait_for_stops_that_get_no_answer() -> None:
-    """Guards against a cancelled task that runs on while its agent repeats stops of others."""
+async def test_a_stop_does_not_wait_for_unanswered_stops() -> None:
+    """Guards against a cancelled task that keeps running while other stops are retried."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
         await asyncio.sleep(0.5)
-        unanswered = [f"b.0.0.{number}" for number in range(runner_life.STOPS_AT_ONCE)]
+        unanswered = [f"b.0.0.{number}" for number in range(runner_life.MAX_CONCURRENT_STOPS)]
         worker.stops_unanswered.update(unanswered)
         for task in unanswered:
             life.stop(StopOrder(task, 1))
@@ -151,8 +151,8 @@
         assert worker.runs == {}
 
 
-async def stop_took(life: RunnerLife, worker: FakeWorker, task: str = TASK) -> float:
-    """Ask for a stop; return how long it took to be carried out."""
+async def measure_stop_s(life: RunnerLife, worker: FakeWorker, task: str = TASK) -> float:
+    """Request a stop; return the seconds until it was carried out."""
     at = now()
     life.stop(StopOrder(task, 1))
     while task not in worker.sealed and now() - at < 20:
@@ -161,8 +161,8 @@
 
 
 @pytest.mark.parametrize("count", [8, 40, 80])
-async def test_a_stop_comes_in_time_behind_many_that_get_no_answer(count: int) -> None:
-    """Guards against a cancelled task that runs on past 4 s while its agent stops many others."""
+async def test_a_stop_is_in_time_behind_many_unanswered_stops(count: int) -> None:
+    """Guards against a cancelled task that runs for more than 4 s behind many other stops."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(count)]
     worker.stops_unanswered.update(names)
@@ -170,12 +170,12 @@
         for task in names:
             life.stop(StopOrder(task, 1))
         await asyncio.sleep(0.05)
-        assert await stop_took(life, worker) < 4 - Bounds().kill_grace_s
+        assert await measure_stop_s(life, worker) < 4 - Bounds().kill_grace_s
 
 
 @pytest.mark.parametrize("tries", [1, 2])
-async def test_a_stop_does_not_wait_for_repeats_of_many_others(tries: int) -> None:
-    """Guards against a cancelled task that runs on while stops that get no answer are repeated."""
+async def test_a_stop_does_not_wait_for_retries_of_other_stops(tries: int) -> None:
+    """Guards against a cancelled task that keeps running behind retries of unanswered stops."""
     worker = FakeWorker(work_s=60)
     names = [f"b.0.0.{number}" for number in range(160)]
     worker.stops_unanswered.update(names)
@@ -186,11 +186,11 @@
         if tries == 2:
             worker.stops_unanswered.add(TASK)
             asyncio.get_running_loop().call_later(0.6, worker.stops_unanswered.discard, TASK)
-        assert await stop_took(life, worker) < tries * 0.6 + 0.6
+        assert await measure_stop_s(life, worker) < tries * 0.6 + 0.6
 
 
-async def test_a_slot_is_not_lost_with_the_call_that_waits_for_it() -> None:
-    """Guards against slots that are used up by calls that were given up on."""
+async def test_a_cancelled_call_releases_its_slot() -> None:
+    """Guards against slots that leak when calls are cancelled."""
     slots = Slots(1)
 
     async def call(tries: int) -> None:
@@ -207,10 +207,10 @@
         pass
 
 
-async def test_calls_of_one_kind_go_out_in_a_bounded_number() -> None:
-    """Guards against more calls to a worker than its client has connections."""
+async def test_calls_in_flight_are_limited() -> None:
+    """Guards against more concurrent calls to a worker than its client has connections."""
     worker = FakeWorker(work_s=60)
-    most = 1 + runner_life.CALLS_AT_ONCE + runner_life.STOPS_AT_ONCE
+    most = 1 + runner_life.MAX_CONCURRENT_CALLS + runner_life.MAX_CONCURRENT_STOPS
     assert most <= CONNECTIONS
     async with life_of(worker) as (life, _):
         worker.silent = True
@@ -218,11 +218,11 @@
             life.start(order(f"b.0.0.{number}", room=Resources(10, 10)))
             life.stop(StopOrder(f"c.0.0.{number}", 1))
         await asyncio.sleep(5)
-        assert worker.most_at_once <= most
+        assert worker.max_unanswered_calls <= most
 
 
 async def test_a_run_that_is_listed_after_its_confirmed_stop_is_stopped_again() -> None:
-    """Guards against a run that goes on for good because its first stop had no effect."""
+    """Guards against a run that never ends because its first stop had no effect."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order())
@@ -235,7 +235,7 @@
         assert worker.runs == {}
 
 
-async def test_a_stop_that_takes_its_whole_grace_is_not_repeated() -> None:
+async def test_a_stop_that_takes_its_whole_grace_period_is_not_repeated() -> None:
     """Guards against a second stop of a run that is saving its progress."""
     worker = FakeWorker(work_s=60)
     worker.grace_s = Bounds().kill_grace_s
@@ -248,23 +248,23 @@
         assert worker.stops == 1
 
 
-async def test_a_run_that_counted_as_never_started_is_stopped_once_it_is_listed() -> None:
-    """Guards against a run that goes on under the lease because its end is believed."""
+async def test_a_listed_run_recorded_as_not_started_is_stopped() -> None:
+    """Guards against a run that continues under the lease although recorded as not started."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order(room=Resources(9000, 100)))
         assert kinds(life) == {TASK: "not_started"}
         worker.runs[(TASK, 1)] = FakeRun(TASK, 1, now() + 60)
         await asyncio.sleep(0.5)
-        assert [status.phase for status in life.book.statuses(True)] == [RunPhase.STOPPING]
+        assert [status.phase for status in life.registry.statuses(True)] == [RunPhase.STOPPING]
         await asyncio.sleep(0.5)
         assert worker.runs == {}
-        (end,) = life.book.report_ends(full=False)
-        assert (end.kind, end.number) == ("stopped", 1), "its end is what the worker says"
+        (end,) = life.registry.report_ends(full=False)
+        assert (end.kind, end.number) == ("stopped", 1), "the outcome comes from the worker"
 
 
-async def test_a_listed_end_stands_although_the_run_is_listed_beside_it() -> None:
-    """Guards against an end that is taken back and reported twice."""
+async def test_a_listed_outcome_is_kept_although_the_run_is_listed_too() -> None:
+    """Guards against an outcome that is withdrawn and reported twice."""
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         run = FakeRun(TASK, 1, now() + 60)
@@ -278,7 +278,7 @@
 
 
 async def test_a_start_of_an_earlier_process_is_fenced_off() -> None:
-    """Guards against a run that begins after the next process of the agent has refused it."""
+    """Guards against a run that starts after the next agent process has refused it."""
     worker = FakeWorker(work_s=60)
     worker.faults = ["late"]
     call = StartCall(TASK, 1, "p", "", "", worker.clock_ms + 9_000, fencing_token=99)
@@ -290,30 +290,32 @@
         assert worker.runs == {}
 
 
-async def test_an_agent_that_ends_sends_the_stops_that_it_has_first() -> None:
-    """Guards against a cancelled task that runs on because its agent ended with its stop."""
+async def test_an_agent_sends_pending_stops_before_shutdown() -> None:
+    """Guards against a cancelled task that keeps running because its agent shut down first."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
         leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
     assert worker.runs == {}
 
 
-async def test_an_agent_ends_although_its_worker_confirms_no_stop() -> None:
-    """Guards against a process that outlives its time to end."""
+async def test_unconfirmed_stops_do_not_block_shutdown() -> None:
+    """Guards against an agent that exceeds its time to shut down."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         worker.stops_unanswered.add(TASK)
         leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
         ends_at = now()
-    assert now() - ends_at <= runner_life.LAST_STOPS_S + 0.1
+    assert now() - ends_at <= runner_life.FINAL_STOPS_TIMEOUT_S + 0.1
 
 
-async def test_an_agent_that_ends_takes_stops_and_no_starts(events: list[dict[str, Any]]) -> None:
-    """Guards against a start that is cut off, so that its outcome is unknown."""
+async def test_an_agent_accepts_stops_but_no_starts_during_shutdown(
+    events: list[dict[str, Any]],
+) -> None:
+    """Guards against a start call interrupted by shutdown, whose result is unknown."""
     worker = FakeWorker(work_s=60)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].beat, starts=[order("a.0.0.1")])
         await asyncio.sleep(1)
         worker.stops_unanswered.add(TASK)
@@ -324,28 +326,31 @@
         loop.call_later(0.3, lambda: leader.order(beat, stops=[StopOrder("a.0.0.1", 1)]))
     assert worker.starts == 1
     assert worker.runs == {}
-    assert [line["starts"] for line in named(events, "starts_left")] == [1]
+    assert [line["starts"] for line in events_named(events, "starts_left")] == [1]
 
 
 class LateLeader(FakeLeader):
-    """A leader that takes each report late, and orders a stop until it has an end."""
+    """A leader that processes each report late and orders a stop each time."""
 
     async def take_late(self) -> None:
-        """Acknowledge reports late; order the stop with each of them."""
+        """Acknowledge reports late, each with an order for the stop."""
         taken = 0
         while True:
             await asyncio.sleep(0.1)
-            while taken < len(self.reports) and now() - self.reported_at[taken] >= LATE_S:
+            while (
+                taken < len(self.reports)
+                and now() - self.reported_at[taken] >= ACKNOWLEDGEMENT_DELAY_S
+            ):
                 beat = self.reports[taken].beat
                 taken += 1
                 self.order(beat, beat=beat, stops=[StopOrder(TASK, 1)])
 
 
-async def test_a_leader_that_is_behind_does_not_keep_a_cancelled_run_alive() -> None:
-    """Guards against a cancelled task that runs on: its lease is renewed, its stops are refused."""
+async def test_a_slow_leader_can_stop_a_cancelled_run() -> None:
+    """Guards against a cancelled task whose lease is renewed while its stops are refused."""
     bounds = Bounds()
     worker = FakeWorker(work_s=600)
-    async with agent_of(worker) as leader:
+    async with run_agent(worker) as leader:
         runner = leader.runner
         leader.order(leader.reports[-1].beat, starts=[order()])
         await asyncio.sleep(1)
@@ -353,6 +358,6 @@
         late.acknowledges = False
         runner._links = cast(Any, late)
         task = asyncio.create_task(late.take_late())
-        await asyncio.sleep(LATE_S + bounds.kill_grace_s + 1)
+        await asyncio.sleep(ACKNOWLEDGEMENT_DELAY_S + bounds.kill_grace_s + 1)
         task.cancel()
         assert worker.runs == {}
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's decisions: claims, ends, cancellations, losses; no network, no clock of its own."""
+"""Tests of the scheduler's state machine: claims, ends, cancellations and lost agents."""
 
 from sapphirelead.node_messages import AgentReport, ReplyKind, RunEnded, RunPhase, RunStatus
 from sapphirelead.ports import Row
@@ -7,7 +7,7 @@
 from sapphirelead.sched_job import Job, JobState, TaskRef
 from sapphirelead.sched_journal import JOURNAL_PREFIX, SNAPSHOT_PREFIX, SPEC_PREFIX, Journal
 from sapphirelead.sched_planner import plan
-from sapphirelead.sched_reports import take_report
+from sapphirelead.sched_reports import apply_report
 from sapphirelead.sched_spec import AdvicePolicy, JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 from tests.sched.fakes import POLICY, Agents, job, scheduler, store, worker_info
@@ -15,24 +15,24 @@
 
 
 class Answers:
-    """Collects what callers are told."""
+    """Collects the replies to callers."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[ReplyKind, str]] = []
+        self.received: list[tuple[ReplyKind, str]] = []
 
     def __call__(self, kind: ReplyKind, text: str) -> None:
-        self.told.append((kind, text))
+        self.received.append((kind, text))
 
 
 def submit(sched: Scheduler, spec: JobSpec) -> Answers:
-    """Submit a job."""
+    """Submit a job; return the replies to its caller."""
     answers = Answers()
     sched.submit(spec, answers)
     return answers
 
 
-def with_claim() -> tuple[Scheduler, Agents]:
-    """Return a scheduler that has claimed the one task of a job for a worker; nothing is stored."""
+def scheduler_with_claim() -> tuple[Scheduler, Agents]:
+    """Return a scheduler with an unstored claim of the only task of a job."""
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -41,15 +41,15 @@
     return sched, agents
 
 
-def reread(sched: Scheduler, table: MemoryTable) -> dict[str, Job]:
-    """Store what waits, and read all jobs back as a successor does."""
+def store_and_reload(sched: Scheduler, table: MemoryTable) -> dict[str, Job]:
+    """Store pending changes, and load all jobs as a successor does."""
     for write in Journal().writes(sched.take_batch(0), sched.jobs):
         table.data[write.key] = Row(write.key, 1, write.value)
     return load_jobs(table)[1]
 
 
 def load_jobs(table: MemoryTable) -> tuple[Journal, dict[str, Job]]:
-    """Read all jobs from the store."""
+    """Load all jobs from the store."""
     found = [
         [table.data[key] for key in sorted(table.data) if key.startswith(prefix)]
         for prefix in (SPEC_PREFIX, SNAPSHOT_PREFIX, JOURNAL_PREFIX)
@@ -69,12 +69,12 @@
 
 
 def ended(run: Run, kind: str, number: int = 1, saved: str = "") -> RunEnded:
-    """Return the worker's word that ``run`` has ended."""
+    """Return a report that ``run`` has ended."""
     return RunEnded(number, run.ref.text(), run.attempt, kind, saved)
 
 
-def run_out(sched: Scheduler, agents: Agents, at: float) -> None:
-    """Let every run end well."""
+def end_all_runs(sched: Scheduler, agents: Agents, at: float) -> None:
+    """Report every run as done."""
     by_agent: dict[str, list[Run]] = {}
     for run in sched.fleet.runs.values():
         by_agent.setdefault(run.agent, []).append(run)
@@ -83,7 +83,7 @@
         agents.report(agent, ends=ends, at=at)
 
 
-def test_a_start_goes_out_only_after_its_claim_is_stored() -> None:
+def test_start_is_sent_only_after_its_claim_is_stored() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -91,13 +91,13 @@
     plan(sched, 1.0, 0)
     assert runs(sched) == [("a1.0.0.0", 1)]
     assert sched.orders_for("g1", 1.0)[0] == []
-    assert answers.told == []
+    assert answers.received == []
     store(sched)
     assert [order.task for order in sched.orders_for("g1", 1.0)[0]] == ["a1.0.0.0"]
-    assert answers.told == [(ReplyKind.OK, "queued")]
+    assert answers.received == [(ReplyKind.OK, "queued")]
 
 
-def test_a_step_waits_for_all_tasks_before_it() -> None:
+def test_step_waits_for_all_tasks_it_depends_on() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -110,16 +110,16 @@
     agents.report(ends=[ended(first, "done")], runs=[("a1.0.0.1", 1)], at=2.0)
     plan(sched, 2.0, 0)
     assert runs(sched) == [("a1.0.0.1", 1)]
-    run_out(sched, agents, 3.0)
+    end_all_runs(sched, agents, 3.0)
     plan(sched, 3.0, 0)
     assert runs(sched) == [("a1.0.1.0", 1)]
 
 
-def test_a_job_is_shown_as_completed_only_once_its_last_end_is_stored() -> None:
-    sched, agents = with_claim()
+def test_job_is_completed_only_once_its_last_end_is_stored() -> None:
+    sched, agents = scheduler_with_claim()
     store(sched)
     assert sched.state("a1") is JobState.RUNNING
-    run_out(sched, agents, 2.0)
+    end_all_runs(sched, agents, 2.0)
     assert sched.state("a1") is JobState.RUNNING
     assert sched.orders_for("g1", 2.0)[2] == []
     store(sched)
@@ -127,7 +127,7 @@
     assert sched.orders_for("g1", 2.0)[2] == [("a1.0.0.0", 1)]
 
 
-def test_room_is_free_only_once_the_end_is_known() -> None:
+def test_resources_are_freed_only_once_the_end_is_known() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -145,7 +145,7 @@
     assert run.key not in sched.fleet.runs
 
 
-def test_a_task_that_fails_too_often_fails_its_job() -> None:
+def test_job_fails_after_max_failures_of_a_task() -> None:
     sched = scheduler()
     agents = Agents(sched)
     policy = QueuePolicy("svc", max_failures=2)
@@ -164,7 +164,7 @@
     assert runs(sched) == []
 
 
-def test_runs_that_end_otherwise_are_no_failures() -> None:
+def test_lapsed_runs_do_not_count_as_failures() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -176,7 +176,7 @@
     assert sched.jobs["a1"].open
 
 
-def test_a_cancelled_job_starts_nothing_and_stops_what_runs() -> None:
+def test_cancelled_job_stops_its_runs_and_starts_no_others() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -184,22 +184,19 @@
     plan(sched, 1.0, 0)
     store(sched)
     sched.orders_for("g1", 1.0)
-    told = Answers()
-    sched.cancel("a1", told)
-    assert told.told == []
+    received = Answers()
+    sched.cancel("a1", received)
+    assert received.received == []
     store(sched)
-    assert told.told == [(ReplyKind.OK, "cancelled")]
+    assert received.received == [(ReplyKind.OK, "cancelled")]
     assert len(sched.orders_for("g1", 1.0)[1]) == 3
-    run_out(sched, agents, 2.0)
+    end_all_runs(sched, agents, 2.0)
     plan(sched, 2.0, 0)
     assert runs(sched) == []
 
 
-def test_a_claim_stored_together_with_its_cancellation_is_never_sent() -> None:
-    """A caller cancels while the claim of the job's start is being stored.
-
-    The start would go out after the cancellation was acknowledged.
-    """
+def test_claim_stored_with_its_cancellation_is_never_sent() -> None:
+    """Guards against a start that is sent after the cancellation was acknowledged."""
     sched = scheduler()
     Agents(sched).report(at=1.0)
     submit(sched, job())
@@ -210,29 +207,23 @@
     assert runs(sched) == []
 
 
-def test_a_withdrawn_submission_never_runs() -> None:
-    """The store is away; the caller is told that its job was not run.
-
-    What had been planned for it in memory must be gone before the store comes back.
-    """
+def test_withdrawn_submission_never_runs() -> None:
+    """Guards against runs of a job whose caller was told that it was not run."""
     sched = scheduler()
     Agents(sched).report(at=1.0)
     answers = submit(sched, job())
     plan(sched, 1.0, 0)
     assert sched.withdraw("a1")
-    assert answers.told[0][0] is ReplyKind.NOT_RUN
+    assert answers.received[0][0] is ReplyKind.NOT_RUN
     assert store(sched) == []
     assert runs(sched) == []
     assert sched.state("a1") is None
 
 
-def test_a_submission_withdrawn_and_repeated_is_not_accepted_before_it_is_stored() -> None:
-    """A caller's job is answered 200, and 410 ever after.
+def test_repeat_of_withdrawn_submission_is_accepted_only_once_stored() -> None:
+    """Guards against accepting a repeat by the effect of the withdrawn submission.
 
-    The store turns the leader away while one batch is on its way, and the submission behind it is
-    withdrawn.  The caller repeats it just after the next batch, without it, has been sent.  What
-    that batch brought about held the first submission's acceptance still, took the repeat for it
-    and answered the caller; the leader handed over before it had stored the repeat.
+    The job would be lost if the leader changed before the repeat was stored.
     """
     sched = scheduler()
     submit(sched, job())
@@ -241,12 +232,12 @@
     repeat = submit(sched, job())
     for effect in batch.effects:
         effect()
-    assert (repeat.told, sched.state("a1")) == ([], None)
+    assert (repeat.received, sched.state("a1")) == ([], None)
     assert store(sched) == ["a1"]
-    assert repeat.told == [(ReplyKind.OK, JobState.QUEUED)]
+    assert repeat.received == [(ReplyKind.OK, JobState.QUEUED)]
 
 
-def test_a_submission_on_its_way_to_the_store_cannot_be_withdrawn() -> None:
+def test_submission_cannot_be_withdrawn_after_its_write_is_sent() -> None:
     sched = scheduler()
     submit(sched, job())
     batch = sched.take_batch(0)
@@ -256,24 +247,23 @@
     assert sched.state("a1") is JobState.QUEUED
 
 
-def test_a_repeated_submission_joins_the_first() -> None:
+def test_repeated_submission_is_deduplicated() -> None:
     sched = scheduler()
     first = submit(sched, job())
     second = submit(sched, job())
     store(sched)
     third = submit(sched, job())
-    assert [len(answers.told) for answers in (first, second, third)] == [1, 1, 1]
+    assert [len(answers.received) for answers in (first, second, third)] == [1, 1, 1]
     assert len(sched.jobs) == 1
 
 
-def test_the_successor_knows_every_run_that_may_exist() -> None:
-    """The leader ends right after it has stored a claim.
+def test_successor_resends_start_of_stored_claim() -> None:
+    """The leader ends after it has stored a claim, and it is unknown whether the start arrived.
 
-    Whether the start reached the worker nobody knows.  The successor must neither start the task
-    elsewhere nor forget it: it sends the same attempt again.
+    Guards against a successor that starts the task on another worker or never.
     """
-    sched, _ = with_claim()
-    loaded = reread(sched, MemoryTable())
+    sched, _ = scheduler_with_claim()
+    loaded = store_and_reload(sched, MemoryTable())
 
     after = Scheduler(Bounds(), 5.0)
     after.load(loaded["a1"])
@@ -286,26 +276,26 @@
     assert [(order.task, order.attempt) for order in starts] == [("a1.0.0.0", 1)]
 
 
-def test_the_successor_waits_for_agents_that_it_has_not_heard_of() -> None:
-    sched, _ = with_claim()
-    loaded = reread(sched, MemoryTable())
+def test_successor_waits_for_leases_of_unreported_agents() -> None:
+    sched, _ = scheduler_with_claim()
+    loaded = store_and_reload(sched, MemoryTable())
 
     after = Scheduler(Bounds(), 5.0)
     after.load(loaded["a1"])
     agents = Agents(after, epoch=2)
     over_at = 5.0 + HEAD_LEASE_S + Bounds().loss_s
     agents.report("g2", at=over_at - 0.1)
-    after.lose_silent(over_at - 0.1)
+    after.end_runs_of_lost_agents(over_at - 0.1)
     plan(after, over_at - 0.1, 0)
     assert runs(after) == [("a1.0.0.0", 1)]
-    after.lose_silent(over_at + 0.1)
+    after.end_runs_of_lost_agents(over_at + 0.1)
     plan(after, over_at + 0.1, 0)
     assert runs(after) == [("a1.0.0.0", 2)]
     assert only_run(after).agent == "g2"
 
 
-def test_another_life_of_the_worker_ends_the_claims_of_the_one_before() -> None:
-    sched, agents = with_claim()
+def test_worker_restart_ends_its_claims() -> None:
+    sched, agents = scheduler_with_claim()
     store(sched)
     agents.report(worker=worker_info("w-new"), at=1.5)
     plan(sched, 1.5, 0)
@@ -313,12 +303,9 @@
     assert only_run(sched).worker == "w-new"
 
 
-def test_an_end_that_is_reported_again_is_acknowledged_only_once_stored() -> None:
-    """The agent repeats an end while the leader is storing it.
-
-    An acknowledgement would let the worker forget an end that is not stored yet.
-    """
-    sched, agents = with_claim()
+def test_repeated_end_is_acknowledged_only_once_stored() -> None:
+    """Guards against acknowledging an end before it is stored, so that the worker discards it."""
+    sched, agents = scheduler_with_claim()
     store(sched)
     end = ended(only_run(sched), "done")
     agents.report(ends=[end], at=2.0)
@@ -329,7 +316,7 @@
     assert sched.orders_for("g1", 2.2)[2] == [("a1.0.0.0", 1)]
 
 
-def test_reports_of_an_earlier_process_of_the_agent_are_ignored() -> None:
+def test_reports_of_previous_agent_process_are_ignored() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(boot="old", at=1.0)
@@ -339,35 +326,29 @@
     assert sched.fleet.instance("g1").beat == before
 
 
-def test_a_run_that_nobody_claims_is_stopped() -> None:
+def test_run_without_claim_is_stopped() -> None:
     sched = scheduler()
     Agents(sched).report(runs=[("zz.0.0.0", 4)], at=1.0)
     assert [stop.task for stop in sched.orders_for("g1", 1.0)[1]] == ["zz.0.0.0"]
 
 
-def test_an_agent_that_does_not_know_the_order_of_a_run_gets_it_again() -> None:
-    """An agent is restarted and lists a run that an earlier process of it has started.
-
-    It has to know what the run is: whether it fills or serves, and how much room it takes.
-    """
-    sched, _ = with_claim()
+def test_order_unknown_to_restarted_agent_is_resent() -> None:
+    """Guards against a restarted agent that does not know the properties of a running task."""
+    sched, _ = scheduler_with_claim()
     store(sched)
     sched.orders_for("g1", 1.1)
     run = only_run(sched)
     status = RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10, order_known=False)
     info = worker_info("w-g1")
     for beat, at in ((1, 5.0), (2, 5.1)):
-        take_report(sched, AgentReport("g1", "b2", beat, 1, 1, info, True, [status], []), 1, at)
+        apply_report(sched, AgentReport("g1", "b2", beat, 1, 1, info, True, [status], []), 1, at)
     starts, stops, _ = sched.orders_for("g1", 5.2)
     assert [(order.task, order.attempt) for order in starts] == [(run.ref.text(), run.attempt)]
     assert not stops
 
 
-def test_a_worker_that_refuses_every_start_is_left_alone() -> None:
-    """A worker answers every start with "unhealthy".
-
-    Without a pause its task would be claimed for it again in every round, dozens of times a second.
-    """
+def test_worker_that_refuses_every_start_is_paused() -> None:
+    """Guards against claiming a task for an unhealthy worker again in every planning pass."""
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -385,7 +366,7 @@
     assert claims <= 6
 
 
-def test_lasting_tasks_are_started_again_however_they_end() -> None:
+def test_lasting_tasks_are_restarted_after_any_end() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -402,7 +383,7 @@
     assert sched.state("a1") is JobState.RUNNING
 
 
-def test_a_gang_starts_whole_and_restarts_with_one_attempt() -> None:
+def test_gang_starts_and_restarts_as_a_unit() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -424,7 +405,7 @@
     assert {run.attempt for run in sched.fleet.runs.values()} == {2}
 
 
-def test_one_done_of_a_gang_stands_for_all() -> None:
+def test_gang_is_done_once_one_member_is_done() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
@@ -450,18 +431,18 @@
     plan(sched, 1.0, 11_000)
     store(sched)
     assert runs(sched) == [("a1.0.0.0", 1), ("a1.1.0.0", 1)]
-    run_out(sched, agents, 1.1)
+    end_all_runs(sched, agents, 1.1)
     store(sched)
     assert sched.state("a1") is JobState.RUNNING
     plan(sched, 1.2, 12_000)
     store(sched)
-    run_out(sched, agents, 1.3)
+    end_all_runs(sched, agents, 1.3)
     store(sched)
     assert sched.state("a1") is JobState.COMPLETED
     assert sched.waiting("q") == 0
 
 
-def test_a_start_that_needs_a_ticket_waits_for_the_advice() -> None:
+def test_start_that_needs_a_ticket_waits_for_advice() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report("g1", at=1.0)
@@ -472,14 +453,14 @@
     assert sorted(ask.workers) == ["w-g1", "w-g2"]
     assert plan(sched, 1.1, 0) == []
     assert runs(sched) == []
-    sched.advice.answered(ask.key, {"w-g2": "t2"}, 4.0)
+    sched.advice.add_tickets(ask.key, {"w-g2": "t2"}, 4.0)
     plan(sched, 1.2, 0)
     store(sched)
     (start,) = sched.orders_for("g2", 1.2)[0]
     assert start.ticket == "t2"
 
 
-def test_progress_survives_its_stored_form() -> None:
+def test_progress_survives_serialization() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
--- a/tests/sched/test_wide_steps.py
+++ b/tests/sched/test_wide_steps.py
@@ -1,18 +1,14 @@
-"""Wide steps on a large fleet: what a plan costs, and that it chooses as before; no network.
-
-The load that these tests stand for: a step of dozens of tasks comes to hundreds of workers, many
-times a second.
-"""
+"""Wide steps on a large fleet: cost of placement and equality with a full scan; no network."""
 
 import random
 
 import pytest
 
 from sapphirelead.model_resources import Resources
-from sapphirelead.sched_choice import Choice
+from sapphirelead.sched_choice import PlacementHeap
 from sapphirelead.sched_fleet import Instance, Run
 from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import Need, choose
+from sapphirelead.sched_place import PlacementRequest, choose
 from sapphirelead.sched_planner import plan
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, worker_info
@@ -27,7 +23,7 @@
 
 
 def random_places(rng: random.Random) -> list[Instance]:
-    """Return workers of which some run tasks already."""
+    """Return workers, some of which run tasks."""
     places = []
     for number in range(30):
         capacity = Resources(rng.choice((16_000, 32_000)), 16_000, 0)
@@ -42,43 +38,39 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("seed", range(20))
-def test_the_same_places_are_chosen_as_by_a_look_at_every_worker(step: StepSpec, seed: int) -> None:
+def test_heap_returns_the_same_workers_as_a_full_scan(step: StepSpec, seed: int) -> None:
     rng = random.Random(seed)
     places = random_places(rng)
-    need = Need(step, "svc", tasks=step.tasks)
-    choice = Choice(places, need, TaskRef("a1", 0, 0, 0))
+    request = PlacementRequest(step, "svc", tasks=step.tasks)
+    heap = PlacementHeap(places, request, TaskRef("a1", 0, 0, 0))
     for number in range(60):
         ref = TaskRef("a1", 0, 0, number)
         avoid = frozenset(rng.sample([place.agent for place in places], rng.choice((0, 0, 3, 30))))
-        expected = choose(places, need, ref, avoid)
-        taken = choice.take(avoid)
+        expected = choose(places, request, ref, avoid)
+        taken = heap.take(avoid)
         assert taken is expected
         if taken is None:
             break
         taken.add(Run(ref, 1, taken.agent, "w", step))
-        choice.put_back(taken)
-
+        heap.put_back(taken)
 
-def test_a_wide_step_looks_at_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Work starts seconds late on a fleet of hundreds of workers, and the leader is never idle.
 
-    Each of a step's tasks was tried on every worker, forty tasks on two hundred workers eight
-    thousand times, and all other reports and calls waited meanwhile.
-    """
+def test_wide_step_checks_each_worker_about_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against testing every task of a step on every worker."""
     sched = scheduler()
     agents = Agents(sched)
     for number in range(200):
         agents.report(f"g{number}")
     fits = Instance.fits
-    looks = 0
+    checks = 0
 
     def counting(self: Instance, step: StepSpec) -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return fits(self, step)
 
     monkeypatch.setattr(Instance, "fits", counting)
     sched.submit(job("a1", StepSpec(tasks=40, cpu_millicores=1000)), lambda *_: None)
     plan(sched, 1.0, 0)
     assert len(sched.fleet.runs) == 40
-    assert looks <= 200 + 40
+    assert checks <= 200 + 40
