--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -46,10 +46,10 @@
 from sapphirelead.sched_head import read_head
 from sapphirelead.sched_timing import Bounds
 
-STEP_S: Final = 0.1
+ELECTION_INTERVAL_S: Final = 0.1
 """Time between two looks at who leads; a fraction of the heartbeat."""
 
-TAKEN_S: Final = 0.1
+TAKEN_REPLY_DELAY_S: Final = 0.1
 """Another entry is told after this that its call has been read and waits for the store; well
 under the time after which a call counts as late."""
 
@@ -85,7 +85,7 @@
     _entries: dict[str, EntryAddress]
     _entries_version: int
     _entries_epoch: int
-    _keeper: LeadKeeper
+    _handover: LeadKeeper
     _agents: dict[str, bytes]
     _calls: CallDesk
     _tasks: list["asyncio.Task[None]"]
@@ -107,7 +107,7 @@
         self._entries = {node.address.name: node.address}
         self._entries_version = 1
         self._entries_epoch = 0
-        self._keeper = LeadKeeper(self.send_to, node.address.cores)
+        self._handover = LeadKeeper(self.send_to, node.address.cores)
         self._agents = {}
         self._calls = CallDesk(self)
         self._tasks = []
@@ -165,7 +165,7 @@
         self._links = Links(self._ctx, self.name, self.name, self._on_link, self.node.keys)
         self._tasks = [
             spawn(self._register(), "register"),
-            spawn(self._lead_or_follow(), "election"),
+            spawn(self._run_election(), "election"),
         ]
 
     def set_config(self, config: QueueConfig) -> None:
@@ -196,17 +196,17 @@
             await asyncio.sleep(pause)
             pause = min(pause * 2, 1.0)
         for address in found.ok_value:
-            self._know(address)
+            self._add_entry(address)
         log_event("INFO", "entries_read", entries=len(found.ok_value))
 
-    def _know(self, address: EntryAddress) -> None:
+    def _add_entry(self, address: EntryAddress) -> None:
         if self._entries.get(address.name) == address:
             return
         self._entries[address.name] = address
         self._entries_version += 1
         self._links.set_entries(list(self._entries.values()))
 
-    def _take_entries(self, beat: LeaderBeat) -> None:
+    def _replace_entries(self, beat: LeaderBeat) -> None:
         """Take the leader's list over, where it has sent one."""
         if beat.entries is None:
             return
@@ -218,23 +218,23 @@
 
     # Election
 
-    async def _lead_or_follow(self) -> None:
+    async def _run_election(self) -> None:
         while True:
             at = now()
             if self._election.beat_due(at):
-                self._beat()
+                self._send_heartbeat()
             move = self._election.next_move(at)
             if move is Move.READ:
                 await self._read_head()
             elif move is Move.TAKE:
-                await self._take()
+                await self._acquire_lead()
             leader = self.serving_leader()
             if leader is not None:
-                self._keeper.watch(leader)
-            self._note_followed(at)
-            await asyncio.sleep(STEP_S * (0.75 + 0.5 * random.random()))
+                self._handover.watch(leader)
+            self._log_leader_state(at)
+            await asyncio.sleep(ELECTION_INTERVAL_S * (0.75 + 0.5 * random.random()))
 
-    def _note_followed(self, at: float) -> None:
+    def _log_leader_state(self, at: float) -> None:
         """Log it when the leader falls silent for this entry, and when it is heard of again."""
         followed = self._election.followed(at)
         if followed == self._followed:
@@ -245,7 +245,7 @@
         elif self.leader is None:
             log_event("WARNING", "leader_silent", leader=self._election.leader)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         election = self._election
         beat = EntryBeat(
             self.node.address,
@@ -270,21 +270,21 @@
                 "INFO", "leader_read", leader=self._election.leader, epoch=self._election.epoch
             )
             self._calls.changed.set()
-        await self._find_leader()
+        await self._find_leader_address()
 
-    async def _find_leader(self) -> None:
+    async def _find_leader_address(self) -> None:
         """Learn where the leader listens, if that is not known yet."""
         if not self._election.leader or self._election.leader in self._entries:
             return
         found = await read_entries(self._table)
         for address in found.unwrap_or([]):
-            self._know(address)
+            self._add_entry(address)
 
-    async def _take(self) -> None:
+    async def _acquire_lead(self) -> None:
         head = await self._election.take(self._table)
         if head is None:
             # Another entry may have been faster, one whose row was not there at the first reading.
-            await self._find_leader()
+            await self._find_leader_address()
             return
         if self._stopping:
             # The signal came while the store was writing.  A process that is about to end would
@@ -305,23 +305,23 @@
         )
         self.leader = leader
         leader.set_config(self.config)
-        task = spawn(self._lead(leader), "leader")
+        task = spawn(self._run_leader(leader), "leader")
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    async def _lead(self, leader: Leader) -> None:
+    async def _run_leader(self, leader: Leader) -> None:
         try:
             await leader.load()
             if leader.serving:
                 self._announce()
-            await self._run_until_over(leader)
+            await self._run_until_ended(leader)
         finally:
             if self.leader is leader:
                 self.leader = None
                 self._election.lost_lead()
                 self._calls.changed.set()
 
-    async def _run_until_over(self, leader: Leader) -> None:
+    async def _run_until_ended(self, leader: Leader) -> None:
         running = spawn(leader.run(), "leader-rounds")
         over = asyncio.create_task(leader.over())
         try:
@@ -349,7 +349,7 @@
                 self._on_report(identity, message)
             case WhoLeads():
                 self._agents[message.sender] = identity
-                self._hub.send(identity, self._leads())
+                self._hub.send(identity, self._leads_message())
             case EntryBeat():
                 self._on_entry_beat(identity, message)
             case Call():
@@ -361,7 +361,7 @@
             case _:
                 log_event("WARNING", "message_unexpected", kind=type(message).__name__)
 
-    def _leads(self) -> Leads:
+    def _leads_message(self) -> Leads:
         if self.serving_leader() is not None:
             return Leads(self._election.epoch, self.name)
         if self._election.followed(now()):
@@ -372,7 +372,7 @@
         self._agents[report.agent] = identity
         leader = self.serving_leader()
         if leader is None or report.epoch > leader.head.epoch:
-            self._hub.send(identity, self._leads())
+            self._hub.send(identity, self._leads_message())
             return
         leader.on_report(report)
 
@@ -389,10 +389,10 @@
         return self._hub.send(identity, orders)
 
     def _on_entry_beat(self, identity: bytes, beat: EntryBeat) -> None:
-        self._know(beat.address)
-        self._keeper.heard(beat)
+        self._add_entry(beat.address)
+        self._handover.heard(beat)
         if self.leader is None:
-            self._hub.send(identity, self._leads())
+            self._hub.send(identity, self._leads_message())
             return
         if beat.config_version > self.config.version:
             self.on_newer_config()
@@ -405,7 +405,7 @@
             self.config.version,
             self._entries_version,
             None if known == self._entries_version else list(self._entries.values()),
-            self._keeper.followers.strongest(now()),
+            self._handover.followers.strongest(now()),
         )
         self._hub.send(identity, answer)
 
@@ -442,7 +442,7 @@
     def _on_leader_beat(self, beat: LeaderBeat) -> None:
         if not self._election.heard(beat.epoch, beat.leader, beat.serving, now(), beat.strongest):
             return
-        self._take_entries(beat)
+        self._replace_entries(beat)
         if beat.config_version > self.config.version:
             self.on_newer_config()
         if beat.serving:
@@ -471,7 +471,7 @@
             if call.config_version > self.config.version:
                 self.on_newer_config()
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
-            late = asyncio.get_running_loop().call_later(TAKEN_S, self._hub.send, identity, taken)
+            late = asyncio.get_running_loop().call_later(TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken)
             try:
                 reply = await leader.call(call, now() + longest_wait_s(call.kind))
             finally:
@@ -491,9 +491,9 @@
         self._election.leave()
         if self.leader is None:
             # The leader must not offer the lead to this entry meanwhile.
-            self._beat()
+            self._send_heartbeat()
         self._calls.close_at(until)
-        await self._keeper.leave(lambda: self.leader, until)
+        await self._handover.leave(lambda: self.leader, until)
         await self._calls.cancels_settled(until)
 
     async def stop(self) -> None:
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -14,7 +14,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.node_calls import HOLD_S, CallDesk
-from sapphirelead.node_entry import TAKEN_S, EntryNode, FleetEntry
+from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
 from sapphirelead.node_window import HELD_MOST, LATE_S, LEAST, LOST_S, MOST, CallWindow
 from sapphirelead.sched_timing import Bounds
@@ -215,7 +215,7 @@
         (7, ReplyKind.OK),
         (8, ReplyKind.OK),
     ]
-    assert replies[0][0] - began == pytest.approx(TAKEN_S)
+    assert replies[0][0] - began == pytest.approx(TAKEN_REPLY_DELAY_S)
 
 
 async def enter(window: CallWindow, number: int, wait_s: float, submits: bool = False) -> bool:
