--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -178,7 +178,7 @@
             self.leader.set_config(config)
         self._calls.changed.set()
 
-    def store_seen(self, answered: bool) -> None:
+    def record_store_result(self, answered: bool) -> None:
         """Take note of whether a call to the store was answered."""
         self._election.store_ok = answered
 
--- a/sapphirelead/platform/main.py
+++ b/sapphirelead/platform/main.py
@@ -84,7 +84,7 @@
     node = EntryNode(address, settings.zone, settings.bounds)
     context = make_context()
     entry = FleetEntry(node, table, advice, context)
-    follower = ConfigFollower(table, entry.set_config, entry.store_seen)
+    follower = ConfigFollower(table, entry.set_config, entry.record_store_result)
     entry.on_newer_config = follower.read_now
     ingress = Ingress(entry)
     metrics = HttpServer(metrics_handler(entry.metrics))
