--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -107,7 +107,7 @@
         return max(until, min(end, self.taken_at + longest_wait_s(kind)))
 
 
-class CallDesk:
+class CallForwarder:
     """The calls in progress at one entry.
 
     :ivar changed: set when it becomes known who leads.
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -19,7 +19,7 @@
 from sapphirelead.keys import Keys
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_calls import HOLD_S, CallDesk, longest_wait_s
+from sapphirelead.node_calls import HOLD_S, CallForwarder, longest_wait_s
 from sapphirelead.node_directory import read_entries, write_entry
 from sapphirelead.node_election import Election, Move
 from sapphirelead.node_handover import LeadKeeper
@@ -87,7 +87,7 @@
     _entries_epoch: int
     _handover: LeadKeeper
     _agents: dict[str, bytes]
-    _calls: CallDesk
+    _calls: CallForwarder
     _tasks: list["asyncio.Task[None]"]
     _stopping: bool
     _followed: bool
@@ -109,7 +109,7 @@
         self._entries_epoch = 0
         self._handover = LeadKeeper(self.send_to, node.address.cores)
         self._agents = {}
-        self._calls = CallDesk(self)
+        self._calls = CallForwarder(self)
         self._tasks = []
         self._stopping = False
         self._followed = False
@@ -453,7 +453,7 @@
     async def call(
         self, kind: CallKind, queue: str, job_id: str, job: bytes, deadline_s: float
     ) -> Reply:
-        """Carry out a caller's request and return its final answer; see :class:`CallDesk`."""
+        """Carry out a caller's request and return its final answer; see :class:`CallForwarder`."""
         return await self._calls.call(kind, queue, job_id, job, deadline_s)
 
     def _on_call(self, identity: bytes, call: Call) -> None:
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import FORWARD_S, HOLD_S, CallDesk
+from sapphirelead.node_calls import FORWARD_S, HOLD_S, CallForwarder
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 
@@ -47,7 +47,7 @@
         return self.epoch
 
 
-async def ask(desk: CallDesk, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
+async def ask(desk: CallForwarder, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
     """Make a call; return its reply and how long it took."""
     began = now()
     reply = await desk.call(kind, "q", "a1", b"", DEADLINE_S)
@@ -57,7 +57,7 @@
 async def test_without_a_leader_a_caller_is_told_soon_that_nothing_was_run() -> None:
     view = View()
     view.leader = ""
-    reply, took = await ask(CallDesk(view))
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s > 0
     assert took <= HOLD_S + 0.01
@@ -66,7 +66,7 @@
 async def test_a_leader_that_appears_gets_the_waiting_calls_at_once() -> None:
     view = View()
     view.leader = ""
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(0.5)
     view.leader = "e2"
@@ -85,14 +85,14 @@
     same order under another id, and a depositor's money would be locked twice.
     """
     view = View()
-    reply, took = await ask(CallDesk(view))
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.UNKNOWN
     assert took >= DEADLINE_S - 0.5
     assert len(view.sent) >= 3
     assert len({call.number for call in view.sent}) == 1
 
 
-async def answer_each(desk: CallDesk, view: View, kind: ReplyKind) -> None:
+async def answer_each(desk: CallForwarder, view: View, kind: ReplyKind) -> None:
     """Answer every pass of a call in the same way, after a usual way there and back."""
     answered = 0
     while True:
@@ -110,7 +110,7 @@
     closed connection where the entry itself was stopping.
     """
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     answering = asyncio.create_task(answer_each(desk, view, ReplyKind.NOT_LEADER))
     reply, took = await ask(desk)
     answering.cancel()
@@ -120,7 +120,7 @@
 
 async def test_a_submission_that_was_begun_under_a_lost_lead_is_never_called_not_run() -> None:
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
     reply, _ = await ask(desk)
     answering.cancel()
@@ -133,7 +133,7 @@
     The leader stored the cancellation and was lost before it answered.
     """
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
     reply, took = await ask(desk, CallKind.CANCEL)
     answering.cancel()
@@ -171,7 +171,7 @@
     No other leader appears in time.  The caller was told that the job had not been run, and the
     next leader found it in the store and ran it.
     """
-    reply, _ = await ask(CallDesk(LeadingView()))
+    reply, _ = await ask(CallForwarder(LeadingView()))
     assert reply.kind is ReplyKind.UNKNOWN
 
 
@@ -182,7 +182,7 @@
 async def test_each_call_has_its_answer_when_the_entry_closes(leader: str, told: ReplyKind) -> None:
     view = View()
     view.leader = leader
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(0.5)
     desk.close_at(now() + 0.1)
@@ -193,7 +193,7 @@
 
 async def test_the_successor_settles_what_its_predecessor_left_open() -> None:
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_S / 2)
     view.leader = ""
@@ -207,7 +207,7 @@
 
 
 async def test_a_question_is_given_up_soon_also_when_it_was_passed_on() -> None:
-    reply, took = await ask(CallDesk(View()), CallKind.STATE)
+    reply, took = await ask(CallForwarder(View()), CallKind.STATE)
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_S + 0.01
 
@@ -215,7 +215,7 @@
 async def test_a_broken_link_is_tried_again_without_spinning() -> None:
     view = View()
     view.connected = False
-    reply, took = await ask(CallDesk(view))
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_S + 0.01
 
@@ -227,7 +227,7 @@
     would be carried out after all.
     """
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_S / 2)
     view.epoch = 3
@@ -243,7 +243,7 @@
     one's "not run" arrives.
     """
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_S / 2)
     view.leader, view.epoch = "e2", view.epoch + 1
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import CANCEL_AGAIN_S, HOLD_S, CallDesk, longest_wait_s
+from sapphirelead.node_calls import CANCEL_AGAIN_S, HOLD_S, CallForwarder, longest_wait_s
 from sapphirelead.node_cancels import KEPT_MOST, KEPT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from tests.sched.test_calls import View
@@ -33,11 +33,11 @@
         return super().send_to(name, message)
 
 
-async def cancel(desk: CallDesk, job_id: str = "a1") -> Reply:
+async def cancel(desk: CallForwarder, job_id: str = "a1") -> Reply:
     return await desk.call(CallKind.CANCEL, "q", job_id, b"", DEADLINE_S)
 
 
-def settle(desk: CallDesk, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
+def settle(desk: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
     """Let the leader answer the newest try."""
     call = view.passed[-1][2]
     desk.replied(Reply(call.number, kind, "cancelled", epoch=call.epoch))
@@ -46,7 +46,7 @@
 async def test_a_cancel_is_not_lost_when_its_caller_has_been_answered() -> None:
     """A leader that answered nobody for seconds never learnt of cancels whose callers had left."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     began = now()
     reply = await cancel(desk)
     assert reply.kind is ReplyKind.UNKNOWN
@@ -64,7 +64,7 @@
     """A cancel ended with its caller's connection, though the entry had read it."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     asking.cancel()
@@ -80,7 +80,7 @@
     """A cancel taken while nobody led was dropped after 0.9 s and never reached the successor."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     reply = await cancel(desk)
     assert reply.kind is ReplyKind.UNKNOWN
     await asyncio.sleep(3.0)
@@ -94,7 +94,7 @@
 async def test_a_cancel_goes_to_the_next_leader_without_waiting_for_the_silent_one() -> None:
     """A cancel that a lost leader had in its queue waited there although a successor served."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     began = now()
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
@@ -109,7 +109,7 @@
 async def test_cancels_of_one_job_at_one_entry_are_one_message_to_the_leader() -> None:
     """Repeated cancels of a job doubled what a leader that had fallen behind had to read."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     began = now()
     while now() - began < 3 * CANCEL_AGAIN_S - 0.5:
         assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
@@ -123,7 +123,7 @@
 
 async def test_a_cancel_of_a_job_that_no_leader_knows_is_settled() -> None:
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     settle(desk, view, ReplyKind.ABSENT)
@@ -135,7 +135,7 @@
 async def test_a_cancel_whose_store_is_slow_is_asked_for_again() -> None:
     """The leader answers that its store has not: the cancel may be lost with that leader."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     settle(desk, view, ReplyKind.UNKNOWN)
@@ -147,7 +147,7 @@
 
 async def test_an_unsettled_cancel_is_given_up_after_its_time() -> None:
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     began = now()
     await cancel(desk)
     await asyncio.sleep(2 * KEPT_S)
@@ -159,7 +159,7 @@
     """Unbounded, the cancels that wait for a lost leader would take an entry's memory."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     first = [asyncio.create_task(cancel(desk, f"a{number}")) for number in range(KEPT_MOST)]
     await asyncio.sleep(0.01)
     began = now()
@@ -175,7 +175,7 @@
 async def test_a_leaving_entry_waits_for_its_cancels() -> None:
     """An entry that left dropped the cancels that its leader had not confirmed yet."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
     leaving = asyncio.create_task(desk.cancels_settled(now() + 5.0))
@@ -187,7 +187,7 @@
 
 
 async def test_a_leaving_entry_waits_for_its_cancels_no_longer_than_it_may() -> None:
-    desk = CallDesk(TimedView())
+    desk = CallForwarder(TimedView())
     await cancel(desk)
     began = now()
     await desk.cancels_settled(now() + 5.0)
@@ -198,7 +198,7 @@
 async def test_a_cancel_is_not_answered_by_what_the_leader_said_before_it_came() -> None:
     """A cancel of an accepted job joined one from before its submission: 410, and the job ran."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     first = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     # The leader has decided on the first one; its word is still on its way.
@@ -218,7 +218,7 @@
 async def test_a_cancel_behind_an_older_one_is_not_lost_when_its_caller_has_been_answered() -> None:
     """The older one ended as "no such job", and the newer one was never passed on."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     await cancel(desk)
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
@@ -232,7 +232,7 @@
 
 async def test_a_cancel_that_is_stored_answers_those_that_came_after_it() -> None:
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     calls = [asyncio.create_task(cancel(desk)) for _ in range(50)]
     await asyncio.sleep(0.1)
     assert len(desk._cancels._all()) == 2
@@ -245,7 +245,7 @@
 async def test_a_call_that_the_leader_has_read_is_not_repeated(kind: CallKind) -> None:
     """Entries repeated what a leader had read and kept waiting for its store."""
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * KEPT_S))
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
@@ -262,7 +262,7 @@
 
 async def test_a_call_that_a_lost_leader_has_read_goes_to_the_next_one() -> None:
     view = TimedView()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -13,7 +13,7 @@
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
 from sapphirelead.node_call_queue import CALLS_KEPT
-from sapphirelead.node_calls import HOLD_S, CallDesk
+from sapphirelead.node_calls import HOLD_S, CallForwarder
 from sapphirelead.node_cancels import KEPT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
@@ -294,7 +294,7 @@
         class Entry(View):
             def __init__(self) -> None:
                 super().__init__()
-                self.desk = CallDesk(self)
+                self.desk = CallForwarder(self)
 
             def send_to(self, name: str, message: AnyNodeMessage) -> bool:
                 assert isinstance(message, Call)
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import HOLD_S, CallDesk
+from sapphirelead.node_calls import HOLD_S, CallForwarder
 from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
 from sapphirelead.node_window import HELD_MOST, LATE_S, LEAST, LOST_S, MOST, CallWindow
@@ -31,7 +31,7 @@
 class Reader:
     """A leader elsewhere that reads calls in order, one each ``each_s``, while ``reads`` is set."""
 
-    def __init__(self, view: View, desk: CallDesk) -> None:
+    def __init__(self, view: View, desk: CallForwarder) -> None:
         self.view = view
         self.desk = desk
         self.reads = asyncio.Event()
@@ -52,10 +52,10 @@
 
 
 @asynccontextmanager
-async def behind() -> AsyncIterator[tuple[CallDesk, Reader]]:
+async def behind() -> AsyncIterator[tuple[CallForwarder, Reader]]:
     """An entry whose leader reads nothing yet."""
     view = View()
-    desk = CallDesk(view)
+    desk = CallForwarder(view)
     reader = Reader(view, desk)
     task = asyncio.create_task(reader.run())
     yield desk, reader
@@ -63,11 +63,11 @@
     await desk.stop()
 
 
-def ask(desk: CallDesk, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
+def ask(desk: CallForwarder, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
     return asyncio.create_task(desk.call(kind, "q", job_id, b"", DEADLINE_S))
 
 
-async def callers(desk: CallDesk, each_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
+async def callers(desk: CallForwarder, each_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
     """Ask for the state of another job each ``each_s``."""
     while True:
         asked.append(ask(desk, CallKind.STATE, f"b{len(asked)}"))
