--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -24,44 +24,44 @@
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 from sapphirelead.node_window import CallWindow
 
-HOLD_S: Final = 0.9
+HOLD_TIMEOUT_S: Final = 0.9
 """Longest time that a call is held while no leader answers.
 
 The caller can try another entry, which may reach the leader; with four retries it outlasts an
 election of about two seconds."""
 
-FORWARD_S: Final = 0.4
+FORWARD_RETRY_DELAY_S: Final = 0.4
 """A submission that the leader has not read is passed on again after this, and then after twice as
 long each time.  A question is passed on once more after this, only where the leader has read a
 later call and is not behind: it is lost, or newer ones went before it."""
 
-ANSWER_LATER_S: Final = 2.5
+FORWARDED_WRITE_TIMEOUT_S: Final = 2.5
 """How long a leader waits for the store on behalf of another entry, for a submission whose write
 has been sent or a cancellation; the entry asks again meanwhile and gives its caller the first
 answer."""
 
-CANCEL_AGAIN_S: Final = SILENCE_S
+CANCEL_RETRY_DELAY_S: Final = SILENCE_S
 """A cancellation that the leader has not read is passed on to it again after this.  Its first
 message is lost only with the connection; the leader takes a second one for the first."""
 
-ANSWER_MARGIN_S: Final = 0.15
+REPLY_MARGIN_S: Final = 0.15
 """Time kept before a caller's deadline, so that the answer still arrives."""
 
-RETRY_SOON_S: Final = 1.0
+RETRY_AFTER_S: Final = 1.0
 """When a caller may come back after a change of the leader or a short fault."""
 
-NUMBER_BITS: Final = 62
+CALL_NUMBER_BITS: Final = 62
 """Bits of the first call's number; chosen at random, two processes do not get near each other."""
 
-LOOK_S: Final = 0.1
+RETRY_DELAY_S: Final = 0.1
 """Pause before a call is tried again without a change of the leader."""
 
-QUESTIONS: Final = frozenset({CallKind.STATE, CallKind.WAITING})
+QUERIES: Final = frozenset({CallKind.STATE, CallKind.WAITING})
 
 
-def longest_wait_s(kind: CallKind) -> float:
+def forwarded_call_timeout_s(kind: CallKind) -> float:
     """Return how long a leader works on a call that another entry has passed on."""
-    return ANSWER_LATER_S if kind in (CallKind.SUBMIT, CallKind.CANCEL) else HOLD_S
+    return FORWARDED_WRITE_TIMEOUT_S if kind in (CallKind.SUBMIT, CallKind.CANCEL) else HOLD_TIMEOUT_S
 
 
 class LeaderView(Protocol):
@@ -102,9 +102,9 @@
         :param until: how long a call that has not been read is waited for.
         :param end: how long the call may take in all.
         """
-        if self.taken_at is None or kind in QUESTIONS:
+        if self.taken_at is None or kind in QUERIES:
             return until
-        return max(until, min(end, self.taken_at + longest_wait_s(kind)))
+        return max(until, min(end, self.taken_at + forwarded_call_timeout_s(kind)))
 
 
 class CallForwarder:
@@ -128,7 +128,7 @@
         self._cancels = PendingCancels()
         self._window = CallWindow()
         # Told apart from the numbers of all other processes, so that a leader knows a try again.
-        self._number = secrets.randbits(NUMBER_BITS)
+        self._number = secrets.randbits(CALL_NUMBER_BITS)
         self._closes_at = math.inf
 
     def close_at(self, at: float) -> None:
@@ -153,14 +153,14 @@
     ) -> Reply:
         """Carry out a caller's request and return its final answer.
 
-        A call that no leader has seen is held for :data:`HOLD_S` at most.
+        A call that no leader has seen is held for :data:`HOLD_TIMEOUT_S` at most.
 
         :param deadline_s: how long the caller waits, in seconds.
         """
         self._number += 1
         call = Call(self._number, kind, queue, job_id, self._view.config_version(), job)
-        end = now() + max(deadline_s - ANSWER_MARGIN_S, 0.05)
-        until = min(end, now() + HOLD_S)
+        end = now() + max(deadline_s - REPLY_MARGIN_S, 0.05)
+        until = min(end, now() + HOLD_TIMEOUT_S)
         if kind is CallKind.CANCEL:
             return await self._cancel(call, until)
         return await self._pass_on(call, until, end)
@@ -172,7 +172,7 @@
         :param end: how long it may take in all.
         """
         maybe_stored = False
-        again_s = FORWARD_S if call.kind is CallKind.SUBMIT else HOLD_S
+        again_s = FORWARD_RETRY_DELAY_S if call.kind is CallKind.SUBMIT else HOLD_TIMEOUT_S
         while now() < min(until, self._closes_at):
             if not maybe_stored:
                 began = now()
@@ -191,7 +191,7 @@
                 maybe_stored = True
                 until = end
                 again_s *= 2
-            await self._wait_for_change(min(until, self._closes_at, now() + LOOK_S))
+            await self._wait_for_change(min(until, self._closes_at, now() + RETRY_DELAY_S))
         return _no_answer(call, ReplyKind.UNKNOWN if maybe_stored else ReplyKind.NOT_RUN)
 
     async def _admitted(self, call: Call, until: float, end: float) -> bool:
@@ -199,7 +199,7 @@
         if self._view.serving_leader() is not None or not self._view.followed_leader():
             return True
         submits = call.kind is CallKind.SUBMIT
-        patient_until = min(max(until, end - HOLD_S) if submits else until, self._closes_at)
+        patient_until = min(max(until, end - HOLD_TIMEOUT_S) if submits else until, self._closes_at)
         return await self._window.enter(
             call.number, self._view.leader_epoch, patient_until, submits
         )
@@ -219,11 +219,11 @@
     async def _until_settled(self, call: Call, give_up_at: float) -> Reply:
         """Pass a cancellation on until a leader has stored it or knows of no such job."""
         while (at := now()) < min(give_up_at, self._closes_at):
-            until = min(give_up_at, self._closes_at, at + ANSWER_LATER_S)
-            reply = await self._ask_leader(call, until, give_up_at, CANCEL_AGAIN_S)
+            until = min(give_up_at, self._closes_at, at + FORWARDED_WRITE_TIMEOUT_S)
+            reply = await self._ask_leader(call, until, give_up_at, CANCEL_RETRY_DELAY_S)
             if reply is not None and reply.kind in SETTLED:
                 return reply
-            await self._wait_for_change(min(until, now() + LOOK_S))
+            await self._wait_for_change(min(until, now() + RETRY_DELAY_S))
         return _no_answer(call, ReplyKind.UNKNOWN)
 
     async def _ask_leader(
@@ -252,7 +252,7 @@
         waiting = self._waiting[call.number] = _Asked(asked.epoch, fut)
         try:
             if not self._view.send_to(leader, asked):
-                await self._wait_for_change(min(until, now() + LOOK_S))
+                await self._wait_for_change(min(until, now() + RETRY_DELAY_S))
                 return None
             await self._wait_for_reply(waiting, asked, min(until, now() + again_s), end)
         finally:
@@ -269,10 +269,10 @@
             left_s = min(waiting.waits_until(asked.kind, until, end), self._closes_at) - now()
             if left_s <= 0:
                 return
-            await asyncio.wait({fut}, timeout=max(0.001, min(left_s, FORWARD_S)))
+            await asyncio.wait({fut}, timeout=max(0.001, min(left_s, FORWARD_RETRY_DELAY_S)))
             if self._view.leader_epoch() != asked.epoch:
                 return
-            if asked.kind in QUESTIONS and self._window.passed_over(asked.number):
+            if asked.kind in QUERIES and self._window.passed_over(asked.number):
                 return
 
     def replied(self, reply: Reply) -> None:
@@ -301,4 +301,4 @@
 
 
 def _no_answer(call: Call, kind: ReplyKind, detail: str = "no leader answers") -> Reply:
-    return Reply(call.number, kind, retry_after_s=RETRY_SOON_S, detail=detail)
+    return Reply(call.number, kind, retry_after_s=RETRY_AFTER_S, detail=detail)
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -19,7 +19,7 @@
 from sapphirelead.keys import Keys
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_calls import HOLD_S, CallForwarder, longest_wait_s
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder, forwarded_call_timeout_s
 from sapphirelead.node_directory import read_entries, write_entry
 from sapphirelead.node_election import Election, Move
 from sapphirelead.node_handover import LeadKeeper
@@ -159,7 +159,7 @@
             self._on_hub,
             self.node.keys,
             self.metrics,
-            question_s=HOLD_S,
+            question_s=HOLD_TIMEOUT_S,
         )
         self._hub.start()
         self._links = Links(self._ctx, self.name, self.name, self._on_link, self.node.keys)
@@ -473,7 +473,7 @@
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
             late = asyncio.get_running_loop().call_later(TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken)
             try:
-                reply = await leader.call(call, now() + longest_wait_s(call.kind))
+                reply = await leader.call(call, now() + forwarded_call_timeout_s(call.kind))
             finally:
                 late.cancel()
         self._hub.send(identity, msgspec.structs.replace(reply, epoch=call.epoch))
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import FORWARD_S, HOLD_S, CallForwarder
+from sapphirelead.node_calls import FORWARD_RETRY_DELAY_S, HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 
@@ -60,7 +60,7 @@
     reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s > 0
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 async def test_a_leader_that_appears_gets_the_waiting_calls_at_once() -> None:
@@ -115,7 +115,7 @@
     reply, took = await ask(desk)
     answering.cancel()
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 async def test_a_submission_that_was_begun_under_a_lost_lead_is_never_called_not_run() -> None:
@@ -138,7 +138,7 @@
     reply, took = await ask(desk, CallKind.CANCEL)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 class ResigningLeader:
@@ -188,14 +188,14 @@
     desk.close_at(now() + 0.1)
     reply, took = await asking
     assert reply.kind is told
-    assert took <= 0.6 + FORWARD_S + 0.01
+    assert took <= 0.6 + FORWARD_RETRY_DELAY_S + 0.01
 
 
 async def test_the_successor_settles_what_its_predecessor_left_open() -> None:
     view = View()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader = ""
     await asyncio.sleep(1.2)
     view.leader = "e2"
@@ -209,7 +209,7 @@
 async def test_a_question_is_given_up_soon_also_when_it_was_passed_on() -> None:
     reply, took = await ask(CallForwarder(View()), CallKind.STATE)
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 async def test_a_broken_link_is_tried_again_without_spinning() -> None:
@@ -217,7 +217,7 @@
     view.connected = False
     reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 async def test_each_try_names_the_leadership_that_it_asks() -> None:
@@ -229,7 +229,7 @@
     view = View()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.epoch = 3
     await asking
     assert [call.epoch for call in view.sent][:2] == [1, 3]
@@ -245,9 +245,9 @@
     view = View()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader, view.epoch = "e2", view.epoch + 1
-    await asyncio.sleep(FORWARD_S)
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S)
     first, second = view.sent
     desk.replied(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
     await asyncio.sleep(0.01)
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import HOLD_S, CallForwarder
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 from sapphirelead.node_window import LEAST, MOST
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.inbox = Inbox(HOLD_S)
+        self.inbox = Inbox(HOLD_TIMEOUT_S)
         self.desk = CallForwarder(self)
         self.most_waiting = 0
         self.accepted: dict[str, float] = {}
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import CANCEL_AGAIN_S, HOLD_S, CallForwarder, longest_wait_s
+from sapphirelead.node_calls import CANCEL_RETRY_DELAY_S, HOLD_TIMEOUT_S, CallForwarder, forwarded_call_timeout_s
 from sapphirelead.node_cancels import KEPT_MOST, KEPT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from tests.sched.test_calls import View
@@ -50,7 +50,7 @@
     began = now()
     reply = await cancel(desk)
     assert reply.kind is ReplyKind.UNKNOWN
-    assert now() - began <= HOLD_S + 0.01
+    assert now() - began <= HOLD_TIMEOUT_S + 0.01
     await asyncio.sleep(5.0)
     assert view.passed[-1][0] - began > 3.0
     settle(desk, view)
@@ -101,7 +101,7 @@
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.7)
     assert view.passed[-1][1] == "e2"
-    assert view.passed[-1][0] - began < CANCEL_AGAIN_S
+    assert view.passed[-1][0] - began < CANCEL_RETRY_DELAY_S
     settle(desk, view)
     assert (await asking).kind is ReplyKind.OK
 
@@ -111,7 +111,7 @@
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
-    while now() - began < 3 * CANCEL_AGAIN_S - 0.5:
+    while now() - began < 3 * CANCEL_RETRY_DELAY_S - 0.5:
         assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     assert len(view.passed) == 3
     assert len({call.number for _, _, call in view.passed}) == 1
@@ -152,7 +152,7 @@
     await cancel(desk)
     await asyncio.sleep(2 * KEPT_S)
     assert view.passed[-1][0] - began <= KEPT_S
-    assert view.passed[-1][0] - began > KEPT_S - 2 * CANCEL_AGAIN_S
+    assert view.passed[-1][0] - began > KEPT_S - 2 * CANCEL_RETRY_DELAY_S
 
 
 async def test_cancels_past_the_bound_are_refused_as_not_run() -> None:
@@ -250,7 +250,7 @@
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
     desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
-    await asyncio.sleep(longest_wait_s(kind) - 0.1)
+    await asyncio.sleep(forwarded_call_timeout_s(kind) - 0.1)
     assert len(view.passed) == 1
     await asyncio.sleep(0.4)
     assert len(view.passed) == 2, "its answer is lost"
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -13,7 +13,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_calls import HOLD_S
+from sapphirelead.node_calls import HOLD_TIMEOUT_S
 from sapphirelead.node_intake import READ_TURN, TURN, TURN_S, Intake
 from sapphirelead.node_messages import (
     AgentReport,
@@ -125,7 +125,7 @@
 
     async def go() -> None:
         transport = Transport(arrivals, READ_S)
-        intake = Intake(transport.receive, waits.work, HOLD_S, Metrics())
+        intake = Intake(transport.receive, waits.work, HOLD_TIMEOUT_S, Metrics())
         intake.start()
         planning = asyncio.create_task(plan(round_s))
         while now() < LASTS_S - 1:
@@ -168,19 +168,19 @@
 
 def test_what_waits_is_bounded(waits: Waits) -> None:
     """What waits grows for as long as more arrives than is worked on."""
-    answerable = len(FOLLOWERS) * CALLS_A_S * HOLD_S
+    answerable = len(FOLLOWERS) * CALLS_A_S * HOLD_TIMEOUT_S
     assert waits.most <= len(AGENTS) + 1 + len(FOLLOWERS) * 2 + answerable + READ_TURN
 
 
 def test_questions_are_answered_while_their_callers_wait(waits: Waits) -> None:
     """Answered oldest first, each question gets its answer after its caller has left."""
-    assert waits.longest["state"] <= HOLD_S + TURN_S
+    assert waits.longest["state"] <= HOLD_TIMEOUT_S + TURN_S
     assert waits.worked["state"] >= LASTS_S * len(FOLLOWERS)
 
 
 def test_submissions_are_taken_while_their_entry_holds_them(waits: Waits) -> None:
     """A caller gets 504 for a job that is accepted seconds later."""
-    assert waits.longest["submit"] < HOLD_S
+    assert waits.longest["submit"] < HOLD_TIMEOUT_S
 
 
 @pytest.mark.parametrize(("share", "round_s"), [(2.0, 0.0), (3.0, 0.0), (1.0, 0.25)])
@@ -191,7 +191,7 @@
     assert waits.longest["beat"] < LEADER_SILENCE_S - BEAT_S
     assert waits.longest["busiest_end"] < STALE_ORDER_S / 2
     assert waits.longest["agent_renewal"] < STALE_ORDER_S / 2
-    assert waits.longest["submit"] < HOLD_S
+    assert waits.longest["submit"] < HOLD_TIMEOUT_S
     assert waits.worked["state"] >= LASTS_S
 
 
@@ -203,7 +203,7 @@
         word = WhoLeads("g")
         arrivals: deque[Arrival] = deque((0.0, f"{n}".encode(), word) for n in range(3_000))
         intake = Intake(
-            Transport(arrivals, READ_S).receive, lambda *_: spend(WORK_S), HOLD_S, Metrics()
+            Transport(arrivals, READ_S).receive, lambda *_: spend(WORK_S), HOLD_TIMEOUT_S, Metrics()
         )
         intake.start()
         while now() < 3_000 * WORK_S:
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import HOLD_S, CallForwarder
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
 from sapphirelead.node_window import HELD_MOST, LATE_S, LEAST, LOST_S, MOST, CallWindow
@@ -280,5 +280,5 @@
     await asyncio.sleep(LATE_S + 0.1)
     assert not await enter(window, 100, 0.0)
     assert window.limit == MOST // 2
-    assert await window.enter(101, lambda: 2, now() + HOLD_S, False)
+    assert await window.enter(101, lambda: 2, now() + HOLD_TIMEOUT_S, False)
     assert window.limit == MOST
