--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -140,7 +140,7 @@
         self._closes_at = at
         asyncio.get_running_loop().call_at(at, self.changed.set)
 
-    async def cancels_settled(self, until: float) -> None:
+    async def wait_for_cancels(self, until: float) -> None:
         """Wait until no cancellation is passed on any more, or until ``until``."""
         await self._cancels.settled(until - now())
 
@@ -275,7 +275,7 @@
             if asked.kind in QUERIES and self._window.passed_over(asked.number):
                 return
 
-    def replied(self, reply: Reply) -> None:
+    def handle_reply(self, reply: Reply) -> None:
         """Take the reply of the leadership that was asked last.
 
         A call that got no answer in time has gone to the next leader.  When the earlier one, which
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -479,7 +479,7 @@
         self._hub.send(identity, msgspec.structs.replace(reply, epoch=call.epoch))
 
     def _on_reply(self, reply: Reply) -> None:
-        self._calls.replied(reply)
+        self._calls.handle_reply(reply)
         if reply.config_version > self.config.version:
             self.on_newer_config()
 
@@ -494,7 +494,7 @@
             self._send_heartbeat()
         self._calls.close_at(until)
         await self._handover.leave(lambda: self.leader, until)
-        await self._calls.cancels_settled(until)
+        await self._calls.wait_for_cancels(until)
 
     async def stop(self) -> None:
         """Stop everything."""
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -72,7 +72,7 @@
     view.leader = "e2"
     desk.changed.set()
     await asyncio.sleep(0.01)
-    desk.replied(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    desk.handle_reply(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, took = await asking
     assert reply.kind is ReplyKind.OK
     assert took < 0.6
@@ -98,7 +98,7 @@
     while True:
         await asyncio.sleep(0.02)
         for call in view.sent[answered:]:
-            desk.replied(Reply(call.number, kind, epoch=call.epoch))
+            desk.handle_reply(Reply(call.number, kind, epoch=call.epoch))
         answered = len(view.sent)
 
 
@@ -201,7 +201,7 @@
     view.leader = "e2"
     desk.changed.set()
     await asyncio.sleep(0.2)
-    desk.replied(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    desk.handle_reply(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
 
@@ -249,8 +249,8 @@
     view.leader, view.epoch = "e2", view.epoch + 1
     await asyncio.sleep(FORWARD_RETRY_DELAY_S)
     first, second = view.sent
-    desk.replied(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
+    desk.handle_reply(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
     await asyncio.sleep(0.01)
-    desk.replied(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
+    desk.handle_reply(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -43,7 +43,7 @@
             call = item.message
             if call.kind is CallKind.SUBMIT:
                 self.accepted.setdefault(call.job_id, now())
-            self.desk.replied(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+            self.desk.handle_reply(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
 
 
 class Callers:
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -40,7 +40,7 @@
 def settle(desk: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
     """Let the leader answer the newest try."""
     call = view.passed[-1][2]
-    desk.replied(Reply(call.number, kind, "cancelled", epoch=call.epoch))
+    desk.handle_reply(Reply(call.number, kind, "cancelled", epoch=call.epoch))
 
 
 async def test_a_cancel_is_not_lost_when_its_caller_has_been_answered() -> None:
@@ -178,7 +178,7 @@
     desk = CallForwarder(view)
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
-    leaving = asyncio.create_task(desk.cancels_settled(now() + 5.0))
+    leaving = asyncio.create_task(desk.wait_for_cancels(now() + 5.0))
     await asyncio.sleep(2.0)
     assert not leaving.done()
     settle(desk, view)
@@ -190,7 +190,7 @@
     desk = CallForwarder(TimedView())
     await cancel(desk)
     began = now()
-    await desk.cancels_settled(now() + 5.0)
+    await desk.wait_for_cancels(now() + 5.0)
     assert now() - began == pytest.approx(5.0)
     await desk.stop()
 
@@ -249,7 +249,7 @@
     asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * KEPT_S))
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
-    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+    desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
     await asyncio.sleep(forwarded_call_timeout_s(kind) - 0.1)
     assert len(view.passed) == 1
     await asyncio.sleep(0.4)
@@ -266,7 +266,7 @@
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
-    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+    desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.6)
     assert [name for _, name, _ in view.passed] == ["e1", "e2"]
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -304,7 +304,7 @@
 
             async def carry_out(self, call: Call) -> None:
                 reply = await leader.call(call, now() + DEADLINE_S)
-                self.desk.replied(msgspec.structs.replace(reply, epoch=call.epoch))
+                self.desk.handle_reply(msgspec.structs.replace(reply, epoch=call.epoch))
 
             async def ask(self, kind: CallKind) -> ReplyKind:
                 spec = encode_spec(job("a1")) if kind is CallKind.SUBMIT else b""
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -48,7 +48,7 @@
             await asyncio.sleep(self.each_s)
             for call in self.unread[:1]:
                 self.read += 1
-                self.desk.replied(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+                self.desk.handle_reply(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
 
 
 @asynccontextmanager
@@ -182,7 +182,7 @@
             # Each is read 0.1 s after it was sent.
             for call in reader.view.sent:
                 if call.job_id == f"c{number - 20}":
-                    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+                    desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
                     break
         assert len({call.job_id for call in reader.view.sent}) == 10 * MOST
         reader.reads.set()
