--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _ForwardedCall:
     """A call that has been passed on, and the leadership that it went to.
 
     :ivar taken_at: when the leader said that it had read the call; ``None`` before.
@@ -94,7 +94,7 @@
     reply: "asyncio.Future[Reply]"
     taken_at: float | None = None
 
-    def waits_until(self, kind: CallKind, until: float, end: float) -> float:
+    def reply_deadline(self, kind: CallKind, until: float, end: float) -> float:
         """Return until when a reply is waited for.
 
         A call that has been read is not lost, and the leader answers it in its time.
@@ -115,7 +115,7 @@
 
     changed: asyncio.Event
     _view: LeaderView
-    _waiting: dict[int, _Asked]
+    _waiting: dict[int, _ForwardedCall]
     _cancels: PendingCancels
     _window: CallWindow
     _number: int
@@ -163,9 +163,9 @@
         until = min(end, now() + HOLD_TIMEOUT_S)
         if kind is CallKind.CANCEL:
             return await self._cancel(call, until)
-        return await self._pass_on(call, until, end)
+        return await self._forward_until_answered(call, until, end)
 
-    async def _pass_on(self, call: Call, until: float, end: float) -> Reply:
+    async def _forward_until_answered(self, call: Call, until: float, end: float) -> Reply:
         """Ask whoever leads until there is an answer.
 
         :param until: how long the call is held while no leader can have taken it.
@@ -176,10 +176,10 @@
         while now() < min(until, self._closes_at):
             if not maybe_stored:
                 began = now()
-                if not await self._admitted(call, until, end):
-                    return _no_answer(call, ReplyKind.NOT_RUN, "the leader is behind")
+                if not await self._wait_for_admission(call, until, end):
+                    return _unanswered(call, ReplyKind.NOT_RUN, "the leader is behind")
                 until = min(end, until + (now() - began))
-            reply = await self._ask_leader(call, min(until, self._closes_at), end, again_s)
+            reply = await self._send_to_leader(call, min(until, self._closes_at), end, again_s)
             if reply is None:
                 self._window.leave(call.number)
                 continue
@@ -191,10 +191,10 @@
                 maybe_stored = True
                 until = end
                 again_s *= 2
-            await self._wait_for_change(min(until, self._closes_at, now() + RETRY_DELAY_S))
-        return _no_answer(call, ReplyKind.UNKNOWN if maybe_stored else ReplyKind.NOT_RUN)
+            await self._wait_for_leader_change(min(until, self._closes_at, now() + RETRY_DELAY_S))
+        return _unanswered(call, ReplyKind.UNKNOWN if maybe_stored else ReplyKind.NOT_RUN)
 
-    async def _admitted(self, call: Call, until: float, end: float) -> bool:
+    async def _wait_for_admission(self, call: Call, until: float, end: float) -> bool:
         """Wait until a call may be passed on; a submission leaves the leader time to store it."""
         if self._view.serving_leader() is not None or not self._view.followed_leader():
             return True
@@ -207,26 +207,26 @@
     async def _cancel(self, call: Call, until: float) -> Reply:
         """Have a job cancelled; the caller waits until ``until``, the cancellation goes on."""
         give_up_at = now() + KEPT_S
-        pending = self._cancels.join(call.job_id, lambda: self._until_settled(call, give_up_at))
+        pending = self._cancels.join(call.job_id, lambda: self._forward_until_confirmed(call, give_up_at))
         if pending is None:
-            return _no_answer(call, ReplyKind.NOT_RUN, "too many jobs are being cancelled")
+            return _unanswered(call, ReplyKind.NOT_RUN, "too many jobs are being cancelled")
         # Waiting for a task leaves it alone when the caller's own time is up.
         await asyncio.wait({pending}, timeout=until - now())
         if pending.done() and not pending.cancelled() and pending.exception() is None:
             return msgspec.structs.replace(pending.result(), number=call.number)
-        return _no_answer(call, ReplyKind.UNKNOWN)
+        return _unanswered(call, ReplyKind.UNKNOWN)
 
-    async def _until_settled(self, call: Call, give_up_at: float) -> Reply:
+    async def _forward_until_confirmed(self, call: Call, give_up_at: float) -> Reply:
         """Pass a cancellation on until a leader has stored it or knows of no such job."""
         while (at := now()) < min(give_up_at, self._closes_at):
             until = min(give_up_at, self._closes_at, at + FORWARDED_WRITE_TIMEOUT_S)
-            reply = await self._ask_leader(call, until, give_up_at, CANCEL_RETRY_DELAY_S)
+            reply = await self._send_to_leader(call, until, give_up_at, CANCEL_RETRY_DELAY_S)
             if reply is not None and reply.kind in SETTLED:
                 return reply
-            await self._wait_for_change(min(until, now() + RETRY_DELAY_S))
-        return _no_answer(call, ReplyKind.UNKNOWN)
+            await self._wait_for_leader_change(min(until, now() + RETRY_DELAY_S))
+        return _unanswered(call, ReplyKind.UNKNOWN)
 
-    async def _ask_leader(
+    async def _send_to_leader(
         self, call: Call, until: float, end: float, again_s: float
     ) -> Reply | None:
         """Ask whoever leads now, once; ``None`` where nobody is known to lead.
@@ -245,14 +245,14 @@
         """Pass a call on; a call that was sent and not answered counts as lost with the lead."""
         leader = self._view.followed_leader()
         if not leader:
-            await self._wait_for_change(until)
+            await self._wait_for_leader_change(until)
             return None
         fut: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         asked = msgspec.structs.replace(call, epoch=self._view.leader_epoch())
-        waiting = self._waiting[call.number] = _Asked(asked.epoch, fut)
+        waiting = self._waiting[call.number] = _ForwardedCall(asked.epoch, fut)
         try:
             if not self._view.send_to(leader, asked):
-                await self._wait_for_change(min(until, now() + RETRY_DELAY_S))
+                await self._wait_for_leader_change(min(until, now() + RETRY_DELAY_S))
                 return None
             await self._wait_for_reply(waiting, asked, min(until, now() + again_s), end)
         finally:
@@ -262,11 +262,11 @@
         log_event("INFO", "call_not_answered", job=call.job_id, kind=call.kind, leader=leader)
         return Reply(call.number, ReplyKind.LEAD_LOST)
 
-    async def _wait_for_reply(self, waiting: _Asked, asked: Call, until: float, end: float) -> None:
+    async def _wait_for_reply(self, waiting: _ForwardedCall, asked: Call, until: float, end: float) -> None:
         """Wait for a reply while the leadership that was asked may still give one."""
         fut = waiting.reply
         while not fut.done():
-            left_s = min(waiting.waits_until(asked.kind, until, end), self._closes_at) - now()
+            left_s = min(waiting.reply_deadline(asked.kind, until, end), self._closes_at) - now()
             if left_s <= 0:
                 return
             await asyncio.wait({fut}, timeout=max(0.001, min(left_s, FORWARD_RETRY_DELAY_S)))
@@ -291,7 +291,7 @@
         else:
             asked.reply.set_result(reply)
 
-    async def _wait_for_change(self, until: float) -> None:
+    async def _wait_for_leader_change(self, until: float) -> None:
         self.changed.clear()
         try:
             async with asyncio.timeout(max(until - now(), 0.001)):
@@ -300,5 +300,5 @@
             return
 
 
-def _no_answer(call: Call, kind: ReplyKind, detail: str = "no leader answers") -> Reply:
+def _unanswered(call: Call, kind: ReplyKind, detail: str = "no leader answers") -> Reply:
     return Reply(call.number, kind, retry_after_s=RETRY_AFTER_S, detail=detail)
