--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -15,10 +15,10 @@
 from sapphirelead.node_dropped import DroppedSubmits
 from sapphirelead.node_messages import Call, CallKind
 
-CALLS_KEPT: Final = 2_000
+MAX_QUEUED_CALLS: Final = 2_000
 """Calls that wait, cancels among them."""
 
-CALL_BYTES_KEPT: Final = 16 * 1024 * 1024
+MAX_QUEUED_CALL_BYTES: Final = 16 * 1024 * 1024
 """Size of the jobs in the calls that wait."""
 
 Key = tuple[bytes, int]
@@ -159,7 +159,7 @@
             self._drop(oldest, at)
 
     def _over_bound(self) -> bool:
-        return len(self._waiting) > CALLS_KEPT or self._bytes > CALL_BYTES_KEPT
+        return len(self._waiting) > MAX_QUEUED_CALLS or self._bytes > MAX_QUEUED_CALL_BYTES
 
     def _add(self, new: WaitingCall) -> None:
         call, key = new.call, new.key
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sapphirelead import node_call_queue
-from sapphirelead.node_call_queue import CALL_BYTES_KEPT, CALLS_KEPT
+from sapphirelead.node_call_queue import MAX_QUEUED_CALL_BYTES, MAX_QUEUED_CALLS
 from sapphirelead.node_cancels import KEPT_S
 from sapphirelead.node_dropped import DROPPED_KEPT, DroppedSubmits
 from sapphirelead.node_inbox import REPORTS_KEPT, SHARES, Inbox, Urgency
@@ -194,27 +194,27 @@
     inbox = Inbox(QUESTION_S)
     inbox.put(b"e2", call(1, CallKind.SUBMIT), 0.0)
     inbox.put(b"e2", call(2, CallKind.CANCEL), 0.0)
-    for number in range(CALLS_KEPT + 50):
+    for number in range(MAX_QUEUED_CALLS + 50):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
-    assert len(inbox) == CALLS_KEPT
+    assert len(inbox) == MAX_QUEUED_CALLS
     found = numbers(inbox)
     assert found[0] == 2 and 1 in found[1:4]
-    assert max(found) == CALLS_KEPT - 3
+    assert max(found) == MAX_QUEUED_CALLS - 3
     assert inbox.dropped == {"submit": 52}
 
 
 def test_questions_are_dropped_before_submissions() -> None:
     inbox = Inbox(QUESTION_S)
-    for number in range(CALLS_KEPT):
+    for number in range(MAX_QUEUED_CALLS):
         inbox.put(b"e1", call(number), 0.0)
-    inbox.put(b"e1", call(CALLS_KEPT, CallKind.SUBMIT), 0.0)
+    inbox.put(b"e1", call(MAX_QUEUED_CALLS, CallKind.SUBMIT), 0.0)
     assert inbox.dropped == {"state": 1}
-    assert set(numbers(inbox)) == set(range(1, CALLS_KEPT + 1))
+    assert set(numbers(inbox)) == set(range(1, MAX_QUEUED_CALLS + 1))
 
 
 def test_questions_without_callers_take_no_place_of_others() -> None:
     inbox = Inbox(QUESTION_S)
-    for number in range(CALLS_KEPT):
+    for number in range(MAX_QUEUED_CALLS):
         inbox.put(b"e1", call(number), 0.0)
     inbox.put(b"e2", call(1), QUESTION_S + 0.1)
     assert len(inbox) == 1
@@ -222,14 +222,14 @@
 
 def test_cancels_that_wait_are_bounded() -> None:
     inbox = Inbox(QUESTION_S)
-    for number in range(CALLS_KEPT + 3):
+    for number in range(MAX_QUEUED_CALLS + 3):
         inbox.put(b"e1", call(number, CallKind.CANCEL), 0.0)
-    assert len(inbox) == CALLS_KEPT and inbox.dropped == {"cancel": 3}
+    assert len(inbox) == MAX_QUEUED_CALLS and inbox.dropped == {"cancel": 3}
 
 
 def test_jobs_that_wait_are_bounded_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_call_queue, "CALL_BYTES_KEPT", 1_000)
-    assert CALL_BYTES_KEPT > 1_000
+    monkeypatch.setattr(node_call_queue, "MAX_QUEUED_CALL_BYTES", 1_000)
+    assert MAX_QUEUED_CALL_BYTES > 1_000
     inbox = Inbox(QUESTION_S)
     for _ in range(3):
         for number in range(20):
@@ -243,9 +243,9 @@
 def test_a_submission_that_waits_or_was_dropped_may_come() -> None:
     """A job was called absent whose submission was dropped, came again and ran."""
     inbox = Inbox(QUESTION_S)
-    for number in range(CALLS_KEPT + 1):
+    for number in range(MAX_QUEUED_CALLS + 1):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
-    dropped = f"j{CALLS_KEPT}"
+    dropped = f"j{MAX_QUEUED_CALLS}"
     assert inbox.may_come("j0", 0.0) and inbox.may_come(dropped, 0.0)
     assert not inbox.may_come("other", 0.0)
     drained(inbox)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -12,7 +12,7 @@
 import sapphirelead.node_leader as node_leader
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
-from sapphirelead.node_call_queue import CALLS_KEPT
+from sapphirelead.node_call_queue import MAX_QUEUED_CALLS
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_cancels import KEPT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
@@ -329,7 +329,7 @@
     """A submission was dropped past the inbox's bound, its cancel answered 410, and the job ran."""
     inbox = Inbox(HOLD_TIMEOUT_S)
     async with leading(SlowTable(), lambda job_id: inbox.may_come(job_id, now())) as leader:
-        for number in range(CALLS_KEPT + 1):
+        for number in range(MAX_QUEUED_CALLS + 1):
             inbox.put(b"e2", Call(number, CallKind.SUBMIT, "q", f"a{number}", 1), now())
         inbox.put(b"e2", Call(9_999, CallKind.SUBMIT, "q", "a1", 1), now())
         while inbox.take(now()) is not None:
