--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -21,11 +21,11 @@
 MAX_QUEUED_CALL_BYTES: Final = 16 * 1024 * 1024
 """Size of the jobs in the calls that wait."""
 
-Key = tuple[bytes, int]
+CallKey = tuple[bytes, int]
 
 
 @dataclass(slots=True)
-class WaitingCall:
+class QueuedCall:
     """A call that waits; a later try of it takes its place.
 
     :ivar since: when its first try arrived.
@@ -36,7 +36,7 @@
     since: float
 
     @property
-    def key(self) -> Key:
+    def key(self) -> CallKey:
         """Identity of the call, the same in each try."""
         return self.identity, self.call.number
 
@@ -45,25 +45,25 @@
 class _Sender:
     """Submissions and questions of one sender, each in the order of their arrival."""
 
-    submits: dict[Key, WaitingCall] = field(default_factory=dict)
-    questions: dict[Key, WaitingCall] = field(default_factory=dict)
+    submits: dict[CallKey, QueuedCall] = field(default_factory=dict)
+    queries: dict[CallKey, QueuedCall] = field(default_factory=dict)
     submit_next: bool = True
 
     def __len__(self) -> int:
-        return len(self.submits) + len(self.questions)
+        return len(self.submits) + len(self.queries)
 
-    def next(self) -> WaitingCall:
+    def next(self) -> QueuedCall:
         """Return what comes next: a submission and a question in turn."""
-        submit = bool(self.submits) and (self.submit_next or not self.questions)
+        submit = bool(self.submits) and (self.submit_next or not self.queries)
         self.submit_next = not submit
         if submit:
             return next(iter(self.submits.values()))
-        return next(reversed(self.questions.values()))
+        return next(reversed(self.queries.values()))
 
-    def least(self) -> WaitingCall:
+    def drop_candidate(self) -> QueuedCall:
         """Return the call that is dropped where too many wait."""
-        if self.questions:
-            return next(iter(self.questions.values()))
+        if self.queries:
+            return next(iter(self.queries.values()))
         return next(reversed(self.submits.values()))
 
 
@@ -76,40 +76,40 @@
 
     merged: Counter[str]
     dropped: Counter[str]
-    _question_s: float
-    _waiting: dict[Key, WaitingCall]
-    _cancels: dict[Key, WaitingCall]
+    _query_timeout_s: float
+    _waiting: dict[CallKey, QueuedCall]
+    _cancels: dict[CallKey, QueuedCall]
     _senders: dict[bytes, _Sender]
-    _questions: dict[Key, WaitingCall]
-    _submits: dict[str, dict[Key, WaitingCall]]
+    _queries: dict[CallKey, QueuedCall]
+    _submits: dict[str, dict[CallKey, QueuedCall]]
     _dropped_submits: DroppedSubmits
     _bytes: int
 
-    def __init__(self, question_s: float) -> None:
+    def __init__(self, query_timeout_s: float) -> None:
         """Make an empty queue.
 
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: how long the caller of a question waits at most.
         """
         self.merged = Counter()
         self.dropped = Counter()
-        self._question_s = question_s
+        self._query_timeout_s = query_timeout_s
         self._waiting = {}
         self._cancels = {}
         self._senders = {}
-        self._questions = {}
+        self._queries = {}
         self._submits = {}
         self._dropped_submits = DroppedSubmits()
         self._bytes = 0
 
-    def waiting(self) -> Iterator[WaitingCall]:
+    def waiting(self) -> Iterator[QueuedCall]:
         """Yield all that waits."""
         yield from self._waiting.values()
 
-    def any_cancel(self) -> bool:
+    def has_cancel(self) -> bool:
         """Whether a cancel waits."""
         return bool(self._cancels)
 
-    def any_call(self) -> bool:
+    def has_call(self) -> bool:
         """Whether a submission or a question waits."""
         return bool(self._senders)
 
@@ -120,7 +120,7 @@
     def put(self, identity: bytes, call: Call, at: float) -> None:
         """Take a call that has arrived at time ``at``."""
         self.expire(at)
-        new = WaitingCall(identity, call, at)
+        new = QueuedCall(identity, call, at)
         known = self._waiting.get(new.key)
         if known is not None:
             self.merged[call.kind.value] += 1
@@ -129,17 +129,17 @@
         else:
             self._add(new)
         if call.kind is CallKind.CANCEL:
-            self._put_submits_before(known or new)
-        while self._senders and self._over_bound():
-            self._drop(max(self._senders.values(), key=len).least(), at)
-        if self._over_bound() and known is None:
+            self._move_submits_before(known or new)
+        while self._senders and self._over_limit():
+            self._drop(max(self._senders.values(), key=len).drop_candidate(), at)
+        if self._over_limit() and known is None:
             self._drop(new, at)
 
-    def take_cancel(self) -> WaitingCall:
+    def take_cancel(self) -> QueuedCall:
         """Take what comes next of the cancels, and of the submissions that they wait for."""
         return self._remove(next(iter(self._cancels.values())))
 
-    def take_call(self) -> WaitingCall:
+    def take_call(self) -> QueuedCall:
         """Take what comes next of the submissions and questions."""
         identity, sender = next(iter(self._senders.items()))
         found = sender.next()
@@ -152,16 +152,16 @@
 
     def expire(self, at: float) -> None:
         """Drop the questions whose callers have left by time ``at``."""
-        while self._questions:
-            oldest = next(iter(self._questions.values()))
-            if at - oldest.since <= self._question_s:
+        while self._queries:
+            oldest = next(iter(self._queries.values()))
+            if at - oldest.since <= self._query_timeout_s:
                 return
             self._drop(oldest, at)
 
-    def _over_bound(self) -> bool:
+    def _over_limit(self) -> bool:
         return len(self._waiting) > MAX_QUEUED_CALLS or self._bytes > MAX_QUEUED_CALL_BYTES
 
-    def _add(self, new: WaitingCall) -> None:
+    def _add(self, new: QueuedCall) -> None:
         call, key = new.call, new.key
         self._waiting[key] = new
         self._bytes += len(call.job)
@@ -173,33 +173,33 @@
             sender.submits[key] = new
             self._submits.setdefault(call.job_id, {})[key] = new
         else:
-            sender.questions[key] = new
-            self._questions[key] = new
+            sender.queries[key] = new
+            self._queries[key] = new
 
-    def _put_submits_before(self, cancel: WaitingCall) -> None:
+    def _move_submits_before(self, cancel: QueuedCall) -> None:
         """Let a cancel wait for the submissions of its job, and these only for other cancels."""
         submits = self._submits.get(cancel.call.job_id)
         if not submits:
             return
         del self._cancels[cancel.key]
         for submit in submits.values():
-            self._leave_sender(submit)
+            self._remove_from_sender(submit)
             self._cancels[submit.key] = submit
         self._cancels[cancel.key] = cancel
 
-    def _drop(self, dropped: WaitingCall, at: float) -> None:
+    def _drop(self, dropped: QueuedCall, at: float) -> None:
         self.dropped[dropped.call.kind.value] += 1
         self._remove(dropped)
         if dropped.call.kind is CallKind.SUBMIT:
             self._dropped_submits.note(dropped.call.job_id, at)
 
-    def _remove(self, gone: WaitingCall) -> WaitingCall:
+    def _remove(self, gone: QueuedCall) -> QueuedCall:
         key = gone.key
         del self._waiting[key]
         self._bytes -= len(gone.call.job)
         self._cancels.pop(key, None)
-        self._questions.pop(key, None)
-        self._leave_sender(gone)
+        self._queries.pop(key, None)
+        self._remove_from_sender(gone)
         if gone.call.kind is CallKind.SUBMIT:
             submits = self._submits[gone.call.job_id]
             del submits[key]
@@ -207,11 +207,11 @@
                 del self._submits[gone.call.job_id]
         return gone
 
-    def _leave_sender(self, call: WaitingCall) -> None:
+    def _remove_from_sender(self, call: QueuedCall) -> None:
         sender = self._senders.get(call.identity)
         if sender is None:
             return
         sender.submits.pop(call.key, None)
-        sender.questions.pop(call.key, None)
+        sender.queries.pop(call.key, None)
         if not sender:
             del self._senders[call.identity]
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -159,7 +159,7 @@
             self._on_hub,
             self.node.keys,
             self.metrics,
-            question_s=HOLD_TIMEOUT_S,
+            query_timeout_s=HOLD_TIMEOUT_S,
         )
         self._hub.start()
         self._links = Links(self._ctx, self.name, self.name, self._on_link, self.node.keys)
--- a/sapphirelead/node_inbox.py
+++ b/sapphirelead/node_inbox.py
@@ -17,7 +17,7 @@
 from enum import IntEnum
 from typing import Final
 
-from sapphirelead.node_call_queue import CallQueue, WaitingCall
+from sapphirelead.node_call_queue import CallQueue, QueuedCall
 from sapphirelead.node_codec import message_kind
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, Call
 from sapphirelead.node_report_merge import merge_reports
@@ -61,16 +61,16 @@
     _calls: CallQueue
     _credits: dict[Urgency, int]
 
-    def __init__(self, question_s: float) -> None:
+    def __init__(self, query_timeout_s: float) -> None:
         """Make an empty inbox.
 
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: how long the caller of a question waits at most.
         """
         self._merged = Counter()
         self._dropped = Counter()
         self._lead = {}
         self._reports = {}
-        self._calls = CallQueue(question_s)
+        self._calls = CallQueue(query_timeout_s)
         self._credits = dict(SHARES)
 
     @property
@@ -126,11 +126,11 @@
             case Urgency.LEAD:
                 return bool(self._lead)
             case Urgency.CANCEL:
-                return self._calls.any_cancel()
+                return self._calls.has_cancel()
             case Urgency.REPORT:
                 return bool(self._reports)
             case Urgency.CALL:
-                return self._calls.any_call()
+                return self._calls.has_call()
 
     def _next(self, urgency: Urgency) -> Waiting:
         match urgency:
@@ -172,5 +172,5 @@
         return first
 
 
-def _from_call(item: WaitingCall) -> Waiting:
+def _from_call(item: QueuedCall) -> Waiting:
     return Waiting(item.identity, item.call, item.since)
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -83,16 +83,16 @@
     _tasks: list["asyncio.Task[None]"]
 
     def __init__(
-        self, receive: Receive, handler: HubHandler, question_s: float, metrics: Metrics
+        self, receive: Receive, handler: HubHandler, query_timeout_s: float, metrics: Metrics
     ) -> None:
         """Set the intake up.
 
         :param receive: takes a message off the transport.
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: how long the caller of a question waits at most.
         """
         self._receive = receive
         self._handler = handler
-        self.inbox = Inbox(question_s)
+        self.inbox = Inbox(query_timeout_s)
         self._meter = HubMeter(metrics, self.inbox, now())
         self._arrived = asyncio.Event()
         self._tasks = []
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -58,14 +58,14 @@
         handler: HubHandler,
         keys: Keys | None = None,
         metrics: Metrics | None = None,
-        question_s: float = math.inf,
+        query_timeout_s: float = math.inf,
     ) -> None:
         """Bind the hub.
 
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: how long the caller of a question waits at most.
         """
         self._sock, self.port = bind_router(ctx, host, port, keys)
-        self._intake = Intake(self._sock.recv_multipart, handler, question_s, metrics or Metrics())
+        self._intake = Intake(self._sock.recv_multipart, handler, query_timeout_s, metrics or Metrics())
 
     def start(self) -> None:
         """Start receiving."""
