--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -246,21 +246,21 @@
     for number in range(MAX_QUEUED_CALLS + 1):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     dropped = f"j{MAX_QUEUED_CALLS}"
-    assert inbox.may_come("j0", 0.0) and inbox.may_come(dropped, 0.0)
-    assert not inbox.may_come("other", 0.0)
+    assert inbox.may_be_submitted("j0", 0.0) and inbox.may_be_submitted(dropped, 0.0)
+    assert not inbox.may_be_submitted("other", 0.0)
     drained(inbox)
-    assert not inbox.may_come("j0", 0.0)
-    assert inbox.may_come(dropped, KEPT_S - 0.1)
-    assert not inbox.may_come(dropped, KEPT_S + 0.1)
+    assert not inbox.may_be_submitted("j0", 0.0)
+    assert inbox.may_be_submitted(dropped, KEPT_S - 0.1)
+    assert not inbox.may_be_submitted(dropped, KEPT_S + 0.1)
 
 
 def test_dropped_submissions_past_the_bound_leave_no_job_that_is_called_absent() -> None:
     dropped = DroppedSubmits()
     for number in range(DROPPED_KEPT):
         dropped.note(f"j{number}", float(number) / DROPPED_KEPT)
-    assert not dropped.may_come("other", 1.0)
+    assert not dropped.may_be_submitted("other", 1.0)
     dropped.note("one more", 2.0)
     assert len(dropped) == DROPPED_KEPT
-    assert dropped.may_come("j0", KEPT_S - 0.1) and dropped.may_come("other", KEPT_S - 0.1)
-    assert not dropped.may_come("other", KEPT_S + 0.1)
-    assert dropped.may_come("one more", KEPT_S + 1.9)
+    assert dropped.may_be_submitted("j0", KEPT_S - 0.1) and dropped.may_be_submitted("other", KEPT_S - 0.1)
+    assert not dropped.may_be_submitted("other", KEPT_S + 0.1)
+    assert dropped.may_be_submitted("one more", KEPT_S + 1.9)
