--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -27,7 +27,7 @@
 from sapphirelead.entry_ports import ConfigService
 from sapphirelead.errors import Code, Failure, Outcome
 from sapphirelead.fleet_jobs import parse_job_id, parse_job_of_steps
-from sapphirelead.node_callers import CallerAccount
+from sapphirelead.node_callers import RequestTracker
 from sapphirelead.node_entry import FleetEntry
 from sapphirelead.node_messages import CallKind, Reply, ReplyKind
 from sapphirelead.sched_job import encode_spec
@@ -59,7 +59,7 @@
     _entry: FleetEntry
     _config: ConfigService
     _advised: bool
-    _account: CallerAccount
+    _account: RequestTracker
     _closed: bool
 
     def __init__(
@@ -73,7 +73,7 @@
         self._entry = entry
         self._config = config
         self._advised = advised
-        self._account = CallerAccount(entry, USUAL)
+        self._account = RequestTracker(entry, USUAL)
         self._closed = False
 
     def routes(self) -> list[web.AbstractRouteDef]:
@@ -100,7 +100,7 @@
     async def close(self) -> None:
         """Refuse what comes from now on, and answer what has been read."""
         self._closed = True
-        await self._account.until_answered()
+        await self._account.wait_until_idle()
 
     # Requests.
 
--- a/sapphirelead/node_callers.py
+++ b/sapphirelead/node_callers.py
@@ -16,11 +16,11 @@
 
 R = TypeVar("R", bound=web.BaseRequest)
 
-SLOW_MS: Final = 500.0
+SLOW_RESPONSE_MS: Final = 500.0
 """An answer that took longer is logged; usual ones take a few milliseconds."""
 
 
-class CallerAccount:
+class RequestTracker:
     """Requests of callers at one entry.
 
     :ivar leaving: callers are told to use another connection.
@@ -30,22 +30,22 @@
     leaving: bool
     in_progress: int
     _entry: FleetEntry
-    _usual: frozenset[int]
+    _quiet_statuses: frozenset[int]
     _idle: asyncio.Event
 
-    def __init__(self, entry: FleetEntry, usual: frozenset[int]) -> None:
+    def __init__(self, entry: FleetEntry, quiet_statuses: frozenset[int]) -> None:
         """Start an empty account.
 
-        :param usual: statuses that are not logged, where they come quickly.
+        :param quiet_statuses: statuses that are not logged, where they come quickly.
         """
         self.leaving = False
         self.in_progress = 0
         self._entry = entry
-        self._usual = usual
+        self._quiet_statuses = quiet_statuses
         self._idle = asyncio.Event()
         self._idle.set()
 
-    async def until_answered(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until every request that has been read is answered."""
         await self._idle.wait()
 
@@ -59,7 +59,7 @@
         try:
             response = await handler(request)
         except asyncio.CancelledError:
-            self._cut(request, began)
+            self._log_aborted(request, began)
             raise
         finally:
             self.in_progress -= 1
@@ -70,7 +70,7 @@
         took_ms = (now() - began) * 1000
         self._entry.metrics.latency("call_ms", took_ms, method=request.method)
         self._entry.metrics.count("calls_total", method=request.method, status=str(response.status))
-        if response.status not in self._usual or took_ms > SLOW_MS:
+        if response.status not in self._quiet_statuses or took_ms > SLOW_RESPONSE_MS:
             log_event(
                 "INFO",
                 "call_ended",
@@ -83,7 +83,7 @@
             )
         return response
 
-    def _cut(self, request: web.BaseRequest, began: float) -> None:
+    def _log_aborted(self, request: web.BaseRequest, began: float) -> None:
         """Log a request that ends without an answer: the caller has left, or this process ends."""
         log_event(
             "WARNING" if self.leaving else "INFO",
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from sapphirelead.clock import wall_ms
-from sapphirelead.node_callers import CallerAccount
+from sapphirelead.node_callers import RequestTracker
 from sapphirelead.node_entry import FleetEntry
 from sapphirelead.node_messages import CallKind, Reply, ReplyKind
 from sapphirelead.platform.decoding import Whole, decode
@@ -140,12 +140,12 @@
 class Ingress:
     """Answers callers on behalf of one entry."""
 
-    _account: CallerAccount
+    _account: RequestTracker
     _entry: FleetEntry
     _servers: list[HttpServer]
 
     def __init__(self, entry: FleetEntry) -> None:
-        self._account = CallerAccount(entry, USUAL)
+        self._account = RequestTracker(entry, USUAL)
         self._entry = entry
         # Calls may be held for seconds.  The product gives each its answer in time before the kill;
         # a server that gives up sooner cancels them, and callers see a closed connection.
