--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -18,7 +18,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
-from sapphirelead.node_cancels import KEPT_S, SETTLED, PendingCancels
+from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S, CONFIRMED_KINDS, PendingCancels
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_links import SILENCE_S
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
@@ -206,7 +206,7 @@
 
     async def _cancel(self, call: Call, until: float) -> Reply:
         """Have a job cancelled; the caller waits until ``until``, the cancellation goes on."""
-        give_up_at = now() + KEPT_S
+        give_up_at = now() + PENDING_CANCEL_TIMEOUT_S
         pending = self._cancels.join(call.job_id, lambda: self._forward_until_confirmed(call, give_up_at))
         if pending is None:
             return _unanswered(call, ReplyKind.NOT_RUN, "too many jobs are being cancelled")
@@ -221,7 +221,7 @@
         while (at := now()) < min(give_up_at, self._closes_at):
             until = min(give_up_at, self._closes_at, at + FORWARDED_WRITE_TIMEOUT_S)
             reply = await self._send_to_leader(call, until, give_up_at, CANCEL_RETRY_DELAY_S)
-            if reply is not None and reply.kind in SETTLED:
+            if reply is not None and reply.kind in CONFIRMED_KINDS:
                 return reply
             await self._wait_for_leader_change(min(until, now() + RETRY_DELAY_S))
         return _unanswered(call, ReplyKind.UNKNOWN)
--- a/sapphirelead/node_cancels.py
+++ b/sapphirelead/node_cancels.py
@@ -12,13 +12,13 @@
 from sapphirelead.logs import log_event
 from sapphirelead.node_messages import Reply, ReplyKind
 
-KEPT_S: Final = 30.0
+PENDING_CANCEL_TIMEOUT_S: Final = 30.0
 """How long a cancellation is passed on."""
 
-KEPT_MOST: Final = 1_000
+MAX_PENDING_CANCELS: Final = 1_000
 """Jobs whose cancellation is passed on at a time; bounds the messages to the leader."""
 
-SETTLED: Final = frozenset({ReplyKind.OK, ReplyKind.ABSENT})
+CONFIRMED_KINDS: Final = frozenset({ReplyKind.OK, ReplyKind.ABSENT})
 """Replies after which there is nothing left to cancel."""
 
 
@@ -35,40 +35,40 @@
     ) -> "asyncio.Task[Reply] | None":
         """Return a cancellation of a job that no leader has been asked for yet.
 
-        ``None`` where :data:`KEPT_MOST` jobs are being cancelled already.
+        ``None`` where :data:`MAX_PENDING_CANCELS` jobs are being cancelled already.
 
         :param carry_out: passes the cancellation on.
         """
         tasks = self._tasks.get(job_id)
         if tasks is None:
-            if len(self._tasks) >= KEPT_MOST:
+            if len(self._tasks) >= MAX_PENDING_CANCELS:
                 log_event("WARNING", "cancel_refused", job=job_id, pending=len(self._tasks))
                 return None
             tasks = self._tasks[job_id] = []
         if len(tasks) == 2:
             return tasks[1]
-        work = _after(tasks[0], carry_out) if tasks else carry_out()
+        work = _run_after(tasks[0], carry_out) if tasks else carry_out()
         task = asyncio.create_task(work, name="cancel")
         tasks.append(task)
-        task.add_done_callback(lambda ended: self._ended(job_id, ended))
+        task.add_done_callback(lambda ended: self._on_done(job_id, ended))
         return task
 
-    async def settled(self, patience_s: float) -> None:
-        """Wait for the end of those in progress, for ``patience_s`` at most."""
-        if tasks := self._all():
-            await asyncio.wait(tasks, timeout=max(patience_s, 0.0))
+    async def settled(self, timeout_s: float) -> None:
+        """Wait for the end of those in progress, for ``timeout_s`` at most."""
+        if tasks := self._all_tasks():
+            await asyncio.wait(tasks, timeout=max(timeout_s, 0.0))
 
     async def stop(self) -> None:
         """Give up what is not settled; the process ends."""
-        tasks = self._all()
+        tasks = self._all_tasks()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _all(self) -> list["asyncio.Task[Reply]"]:
+    def _all_tasks(self) -> list["asyncio.Task[Reply]"]:
         return [task for tasks in self._tasks.values() for task in tasks]
 
-    def _ended(self, job_id: str, task: "asyncio.Task[Reply]") -> None:
+    def _on_done(self, job_id: str, task: "asyncio.Task[Reply]") -> None:
         self._tasks[job_id].remove(task)
         if not self._tasks[job_id]:
             del self._tasks[job_id]
@@ -76,11 +76,11 @@
             log_event("WARNING", "cancel_given_up", job=job_id, reason="the entry ends")
         elif (exc := task.exception()) is not None:
             log_event("ERROR", "cancel_given_up", job=job_id, reason=repr(exc))
-        elif task.result().kind not in SETTLED:
+        elif task.result().kind not in CONFIRMED_KINDS:
             log_event("WARNING", "cancel_given_up", job=job_id, reason=task.result().detail)
 
 
-async def _after(
+async def _run_after(
     first: "asyncio.Task[Reply]", carry_out: Callable[[], Coroutine[Any, Any, Reply]]
 ) -> Reply:
     """Wait for another cancellation of the job; carry out a second one unless it was stored."""
--- a/sapphirelead/node_dropped.py
+++ b/sapphirelead/node_dropped.py
@@ -6,7 +6,7 @@
 
 from typing import Final
 
-from sapphirelead.node_cancels import KEPT_S
+from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 
 DROPPED_KEPT: Final = 4_000
 """Jobs that are remembered; past it, any job that is not known counts as one of them."""
@@ -28,7 +28,7 @@
     def note(self, job_id: str, at: float) -> None:
         """Take note that a submission was dropped at time ``at``."""
         self._until.pop(job_id, None)
-        self._until[job_id] = at + KEPT_S
+        self._until[job_id] = at + PENDING_CANCEL_TIMEOUT_S
         if len(self._until) > DROPPED_KEPT:
             self._any_until = self._until.pop(next(iter(self._until)))
 
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -10,7 +10,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.node_calls import CANCEL_RETRY_DELAY_S, HOLD_TIMEOUT_S, CallForwarder, forwarded_call_timeout_s
-from sapphirelead.node_cancels import KEPT_MOST, KEPT_S
+from sapphirelead.node_cancels import MAX_PENDING_CANCELS, PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from tests.sched.test_calls import View
 
@@ -56,7 +56,7 @@
     settle(desk, view)
     await asyncio.sleep(0.01)
     passed = len(view.passed)
-    await asyncio.sleep(KEPT_S)
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
     assert len(view.passed) == passed
 
 
@@ -128,7 +128,7 @@
     await asyncio.sleep(0.1)
     settle(desk, view, ReplyKind.ABSENT)
     assert (await asking).kind is ReplyKind.ABSENT
-    await asyncio.sleep(KEPT_S)
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
     assert len(view.passed) == 1
 
 
@@ -150,9 +150,9 @@
     desk = CallForwarder(view)
     began = now()
     await cancel(desk)
-    await asyncio.sleep(2 * KEPT_S)
-    assert view.passed[-1][0] - began <= KEPT_S
-    assert view.passed[-1][0] - began > KEPT_S - 2 * CANCEL_RETRY_DELAY_S
+    await asyncio.sleep(2 * PENDING_CANCEL_TIMEOUT_S)
+    assert view.passed[-1][0] - began <= PENDING_CANCEL_TIMEOUT_S
+    assert view.passed[-1][0] - began > PENDING_CANCEL_TIMEOUT_S - 2 * CANCEL_RETRY_DELAY_S
 
 
 async def test_cancels_past_the_bound_are_refused_as_not_run() -> None:
@@ -160,7 +160,7 @@
     view = TimedView()
     view.leader = ""
     desk = CallForwarder(view)
-    first = [asyncio.create_task(cancel(desk, f"a{number}")) for number in range(KEPT_MOST)]
+    first = [asyncio.create_task(cancel(desk, f"a{number}")) for number in range(MAX_PENDING_CANCELS)]
     await asyncio.sleep(0.01)
     began = now()
     reply = await cancel(desk, "b1")
@@ -223,10 +223,10 @@
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
     settle(desk, view, ReplyKind.ABSENT)
-    await asyncio.sleep(KEPT_S + 2.0)
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S + 2.0)
     numbers = [call.number for _, _, call in view.passed]
     assert len(set(numbers)) == 2
-    assert view.passed[-1][0] <= began + KEPT_S
+    assert view.passed[-1][0] <= began + PENDING_CANCEL_TIMEOUT_S
     assert not desk._cancels._tasks
 
 
@@ -235,7 +235,7 @@
     desk = CallForwarder(view)
     calls = [asyncio.create_task(cancel(desk)) for _ in range(50)]
     await asyncio.sleep(0.1)
-    assert len(desk._cancels._all()) == 2
+    assert len(desk._cancels._all_tasks()) == 2
     settle(desk, view)
     assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
     assert len(view.passed) == 1
@@ -246,7 +246,7 @@
     """Entries repeated what a leader had read and kept waiting for its store."""
     view = TimedView()
     desk = CallForwarder(view)
-    asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * KEPT_S))
+    asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * PENDING_CANCEL_TIMEOUT_S))
     await asyncio.sleep(0.1)
     call = view.passed[-1][2]
     desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -4,7 +4,7 @@
 
 from sapphirelead import node_call_queue
 from sapphirelead.node_call_queue import MAX_QUEUED_CALL_BYTES, MAX_QUEUED_CALLS
-from sapphirelead.node_cancels import KEPT_S
+from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_dropped import DROPPED_KEPT, DroppedSubmits
 from sapphirelead.node_inbox import REPORTS_KEPT, SHARES, Inbox, Urgency
 from sapphirelead.node_messages import (
@@ -250,8 +250,8 @@
     assert not inbox.may_be_submitted("other", 0.0)
     drained(inbox)
     assert not inbox.may_be_submitted("j0", 0.0)
-    assert inbox.may_be_submitted(dropped, KEPT_S - 0.1)
-    assert not inbox.may_be_submitted(dropped, KEPT_S + 0.1)
+    assert inbox.may_be_submitted(dropped, PENDING_CANCEL_TIMEOUT_S - 0.1)
+    assert not inbox.may_be_submitted(dropped, PENDING_CANCEL_TIMEOUT_S + 0.1)
 
 
 def test_dropped_submissions_past_the_bound_leave_no_job_that_is_called_absent() -> None:
@@ -261,6 +261,6 @@
     assert not dropped.may_be_submitted("other", 1.0)
     dropped.note("one more", 2.0)
     assert len(dropped) == DROPPED_KEPT
-    assert dropped.may_be_submitted("j0", KEPT_S - 0.1) and dropped.may_be_submitted("other", KEPT_S - 0.1)
-    assert not dropped.may_be_submitted("other", KEPT_S + 0.1)
-    assert dropped.may_be_submitted("one more", KEPT_S + 1.9)
+    assert dropped.may_be_submitted("j0", PENDING_CANCEL_TIMEOUT_S - 0.1) and dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S - 0.1)
+    assert not dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S + 0.1)
+    assert dropped.may_be_submitted("one more", PENDING_CANCEL_TIMEOUT_S + 1.9)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -14,7 +14,7 @@
 from sapphirelead.clock import now
 from sapphirelead.node_call_queue import MAX_QUEUED_CALLS
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
-from sapphirelead.node_cancels import KEPT_S
+from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_leader import STORE_PATIENCE_S, Leader
@@ -315,7 +315,7 @@
         assert await cut_off.ask(CallKind.CANCEL) is ReplyKind.UNKNOWN
         assert await other.ask(CallKind.CANCEL) is ReplyKind.ABSENT
         assert await other.ask(CallKind.SUBMIT) is ReplyKind.OK
-        await asyncio.sleep(KEPT_S / 2)
+        await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S / 2)
         cut_off.connected = True
         await asyncio.sleep(1.0)
         assert leader.sched.state("a1") is JobState.CANCELLED
@@ -343,5 +343,5 @@
             assert (reply.kind, reply.state) == (ReplyKind.OK, "cancelled")
             return
         assert (await cancelling).kind is ReplyKind.NOT_RUN
-        await asyncio.sleep(KEPT_S)
+        await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
         assert (await cancel(leader, DEADLINE_S)).kind is ReplyKind.ABSENT
