--- a/sapphirelead/node_window.py
+++ b/sapphirelead/node_window.py
@@ -21,26 +21,26 @@
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 
-MOST: Final = 32
+MAX_WINDOW: Final = 32
 """Unread calls of an entry with a leader that keeps up."""
 
-LEAST: Final = 4
+MIN_WINDOW: Final = 4
 """Unread calls of an entry with a leader that is behind; they show when it has caught up."""
 
-LATE_S: Final = 0.9
+LATE_AFTER_S: Final = 0.9
 """A call that lies unread for so long is late: a question is not held any longer."""
 
-PROMPT_S: Final = LATE_S / 2
+MAX_GROWTH_DELAY_S: Final = LATE_AFTER_S / 2
 """While a call lies unread for longer, the bound does not grow: a submission would be accepted when
 its caller has left."""
 
-LOST_S: Final = 3.0
+LOST_AFTER_S: Final = 3.0
 """A call unread for so long no longer counts: it may have been lost with its connection."""
 
-HELD_MOST: Final = 256
+MAX_HELD_CALLS: Final = 256
 """Calls held at an entry; what is past it could not be sent in its caller's time."""
 
-LOOK_S: Final = 0.1
+CHECK_INTERVAL_S: Final = 0.1
 """Time between two looks of a held call at the leadership and at what has been lost."""
 
 
@@ -60,7 +60,7 @@
     _newest_read: float
 
     def __init__(self) -> None:
-        self.limit = MOST
+        self.limit = MAX_WINDOW
         self._epoch = 0
         self._unread = {}
         self._submissions = deque()
@@ -97,7 +97,7 @@
         if not self.held and len(self._unread) < self.limit:
             self._unread[number] = now()
             return True
-        if self.held >= HELD_MOST or (self.limit <= LEAST and not submits):
+        if self.held >= MAX_HELD_CALLS or (self.limit <= MIN_WINDOW and not submits):
             return False
         line = self._submissions if submits else self._questions
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -105,7 +105,7 @@
         admitted = False
         try:
             while not fut.done() and now() < until:
-                await asyncio.wait({fut}, timeout=max(0.001, min(LOOK_S, until - now())))
+                await asyncio.wait({fut}, timeout=max(0.001, min(CHECK_INTERVAL_S, until - now())))
                 self._look(epoch())
             admitted = fut.done()
             return admitted
@@ -129,9 +129,9 @@
         self._newest_read = max(self._newest_read, sent_at)
         at = now()
         oldest = min(sent_at, next(iter(self._unread.values()), sent_at))
-        if at - sent_at > LATE_S:
+        if at - sent_at > LATE_AFTER_S:
             self._cut()
-        elif at - oldest <= PROMPT_S and self.limit < MOST:
+        elif at - oldest <= MAX_GROWTH_DELAY_S and self.limit < MAX_WINDOW:
             self.limit += 1
             self._note()
         self._admit()
@@ -142,30 +142,30 @@
             self._epoch = epoch
             self._unread.clear()
             self._newest_read = 0.0
-            self.limit = MOST
+            self.limit = MAX_WINDOW
             self._note()
         at = now()
-        if self._unread and at - next(iter(self._unread.values())) > LATE_S:
+        if self._unread and at - next(iter(self._unread.values())) > LATE_AFTER_S:
             self._cut()
         for number, sent_at in list(self._unread.items()):
-            if at - sent_at <= LOST_S:
+            if at - sent_at <= LOST_AFTER_S:
                 break
             del self._unread[number]
         self._admit()
 
     def _cut(self) -> None:
         """Halve the bound, once for all that is late at a time."""
-        if now() - self._cut_at >= LATE_S:
+        if now() - self._cut_at >= LATE_AFTER_S:
             self._cut_at = now()
-            self.limit = max(LEAST, self.limit // 2)
+            self.limit = max(MIN_WINDOW, self.limit // 2)
             self._note()
 
     def _note(self) -> None:
         """Log it when the leader falls behind, and when it has caught up."""
-        if not self._behind and self.limit == LEAST:
+        if not self._behind and self.limit == MIN_WINDOW:
             self._behind = True
             log_event("WARNING", "calls_unread", unread=len(self._unread), held=self.held)
-        elif self._behind and self.limit >= MOST // 2:
+        elif self._behind and self.limit >= MAX_WINDOW // 2:
             self._behind = False
             log_event("INFO", "calls_read", epoch=self._epoch)
 
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -10,7 +10,7 @@
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
-from sapphirelead.node_window import LEAST, MOST
+from sapphirelead.node_window import MIN_WINDOW, MAX_WINDOW
 from tests.sched.test_calls import View
 
 pytestmark = pytest.mark.looptime
@@ -104,9 +104,9 @@
         first = callers.accepted_late()
         await callers.press(30.0, *kinds)
         # Those that count as lost after some seconds may still wait there.
-        assert view.most_waiting <= MOST + LEAST
-        assert len(view.inbox) <= MOST
-        assert callers.accepted_late() - first <= 1.5 * first + LEAST
+        assert view.most_waiting <= MAX_WINDOW + MIN_WINDOW
+        assert len(view.inbox) <= MAX_WINDOW
+        assert callers.accepted_late() - first <= 1.5 * first + MIN_WINDOW
         cancels = [job_id for job_id in callers.took if job_id.startswith("cancel")]
         assert len(cancels) >= 55
         assert {callers.ended[job_id][1].kind for job_id in cancels} == {ReplyKind.OK}
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -16,7 +16,7 @@
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
-from sapphirelead.node_window import HELD_MOST, LATE_S, LEAST, LOST_S, MOST, CallWindow
+from sapphirelead.node_window import MAX_HELD_CALLS, LATE_AFTER_S, MIN_WINDOW, LOST_AFTER_S, MAX_WINDOW, CallWindow
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice
@@ -86,7 +86,7 @@
         assert kinds.count(CallKind.CANCEL) == 1
         recent = [call for call in reader.view.sent if call.kind is CallKind.STATE]
         asking.cancel()
-        assert len(recent) <= MOST + LEAST * (10.0 / LOST_S + 1)
+        assert len(recent) <= MAX_WINDOW + MIN_WINDOW * (10.0 / LOST_AFTER_S + 1)
         reader.reads.set()
         assert (await cancelling).kind is ReplyKind.OK
 
@@ -94,7 +94,7 @@
 async def test_a_call_whose_caller_leaves_while_it_is_held_is_never_sent() -> None:
     """Calls whose callers had left were passed on and worked off all the same."""
     async with behind() as (desk, reader):
-        first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MOST)]
+        first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
         await asyncio.sleep(0.01)
         late = ask(desk, CallKind.SUBMIT, "late")
         await asyncio.sleep(0.1)
@@ -176,7 +176,7 @@
     """A leader that has read its submissions is not behind, however long its store takes."""
     async with behind() as (desk, reader):
         calls = []
-        for number in range(10 * MOST):
+        for number in range(10 * MAX_WINDOW):
             calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.005)
             # Each is read 0.1 s after it was sent.
@@ -184,7 +184,7 @@
                 if call.job_id == f"c{number - 20}":
                     desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
                     break
-        assert len({call.job_id for call in reader.view.sent}) == 10 * MOST
+        assert len({call.job_id for call in reader.view.sent}) == 10 * MAX_WINDOW
         reader.reads.set()
         assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
 
@@ -224,24 +224,24 @@
 
 async def test_the_window_holds_what_is_past_its_bound() -> None:
     window = CallWindow()
-    for number in range(MOST):
+    for number in range(MAX_WINDOW):
         assert await enter(window, number, 0.0)
     began = now()
-    assert not await enter(window, MOST, 0.5)
+    assert not await enter(window, MAX_WINDOW, 0.5)
     assert now() - began == pytest.approx(0.5)
     assert window.held == 0
 
 
 async def test_held_calls_past_the_bound_are_refused_at_once() -> None:
     window = CallWindow()
-    for number in range(MOST):
+    for number in range(MAX_WINDOW):
         assert await enter(window, number, 0.0)
     held = [
-        asyncio.create_task(enter(window, MOST + number, 0.5, True)) for number in range(HELD_MOST)
+        asyncio.create_task(enter(window, MAX_WINDOW + number, 0.5, True)) for number in range(MAX_HELD_CALLS)
     ]
     await asyncio.sleep(0.01)
     began = now()
-    assert window.held == HELD_MOST
+    assert window.held == MAX_HELD_CALLS
     assert not await enter(window, 10_000, 0.5, True)
     assert now() == began
     assert not any(await asyncio.gather(*held))
@@ -250,7 +250,7 @@
 
 async def test_submissions_are_sent_before_questions() -> None:
     window = CallWindow()
-    for number in range(MOST):
+    for number in range(MAX_WINDOW):
         assert await enter(window, number, 0.0)
     question = asyncio.create_task(enter(window, 100, 0.5))
     await asyncio.sleep(0.01)
@@ -266,19 +266,19 @@
 async def test_lost_calls_do_not_hold_others_back_for_good() -> None:
     """All that had been sent on a broken connection would have counted as unread for ever."""
     window = CallWindow()
-    for number in range(MOST):
+    for number in range(MAX_WINDOW):
         assert await enter(window, number, 0.0)
     began = now()
-    assert await enter(window, 100, 2 * LOST_S)
-    assert now() - began == pytest.approx(LOST_S, abs=0.2)
+    assert await enter(window, 100, 2 * LOST_AFTER_S)
+    assert now() - began == pytest.approx(LOST_AFTER_S, abs=0.2)
 
 
 async def test_another_leadership_is_not_behind() -> None:
     window = CallWindow()
-    for number in range(MOST):
+    for number in range(MAX_WINDOW):
         assert await enter(window, number, 0.0)
-    await asyncio.sleep(LATE_S + 0.1)
+    await asyncio.sleep(LATE_AFTER_S + 0.1)
     assert not await enter(window, 100, 0.0)
-    assert window.limit == MOST // 2
+    assert window.limit == MAX_WINDOW // 2
     assert await window.enter(101, lambda: 2, now() + HOLD_TIMEOUT_S, False)
-    assert window.limit == MOST
+    assert window.limit == MAX_WINDOW
