--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -181,7 +181,7 @@
                 until = min(end, until + (now() - began))
             reply = await self._send_to_leader(call, min(until, self._closes_at), end, again_s)
             if reply is None:
-                self._window.leave(call.number)
+                self._window.release(call.number)
                 continue
             if reply.kind not in (ReplyKind.NOT_LEADER, ReplyKind.LEAD_LOST):
                 return reply
@@ -200,7 +200,7 @@
             return True
         submits = call.kind is CallKind.SUBMIT
         patient_until = min(max(until, end - HOLD_TIMEOUT_S) if submits else until, self._closes_at)
-        return await self._window.enter(
+        return await self._window.acquire(
             call.number, self._view.leader_epoch, patient_until, submits
         )
 
@@ -272,7 +272,7 @@
             await asyncio.wait({fut}, timeout=max(0.001, min(left_s, FORWARD_RETRY_DELAY_S)))
             if self._view.leader_epoch() != asked.epoch:
                 return
-            if asked.kind in QUERIES and self._window.passed_over(asked.number):
+            if asked.kind in QUERIES and self._window.overtaken(asked.number):
                 return
 
     def handle_reply(self, reply: Reply) -> None:
--- a/sapphirelead/node_window.py
+++ b/sapphirelead/node_window.py
@@ -54,32 +54,32 @@
     _epoch: int
     _unread: dict[int, float]
     _submissions: "deque[tuple[int, asyncio.Future[None]]]"
-    _questions: "deque[tuple[int, asyncio.Future[None]]]"
-    _cut_at: float
-    _behind: bool
-    _newest_read: float
+    _queries: "deque[tuple[int, asyncio.Future[None]]]"
+    _shrunk_at: float
+    _congested: bool
+    _newest_read_sent_at: float
 
     def __init__(self) -> None:
         self.limit = MAX_WINDOW
         self._epoch = 0
         self._unread = {}
         self._submissions = deque()
-        self._questions = deque()
-        self._cut_at = 0.0
-        self._behind = False
-        self._newest_read = 0.0
+        self._queries = deque()
+        self._shrunk_at = 0.0
+        self._congested = False
+        self._newest_read_sent_at = 0.0
 
     @property
     def held(self) -> int:
         """Number of calls that wait at this entry."""
-        return len(self._submissions) + len(self._questions)
+        return len(self._submissions) + len(self._queries)
 
-    def passed_over(self, number: int) -> bool:
+    def overtaken(self, number: int) -> bool:
         """Whether a leader that keeps up has read a call that was sent after this one."""
         sent_at = self._unread.get(number, math.inf)
-        return not self._behind and sent_at < self._newest_read
+        return not self._congested and sent_at < self._newest_read_sent_at
 
-    async def enter(
+    async def acquire(
         self, number: int, epoch: Callable[[], int], until: float, submits: bool
     ) -> bool:
         """Wait until a call may be sent; ``False`` where it is not to be sent at all.
@@ -90,7 +90,7 @@
         :param epoch: returns the leadership that is followed.
         :param submits: submissions go before questions.
         """
-        self._look(epoch())
+        self._refresh(epoch())
         if number in self._unread:
             # Tries of a call that wait at the leader are one.
             return True
@@ -99,14 +99,14 @@
             return True
         if self.held >= MAX_HELD_CALLS or (self.limit <= MIN_WINDOW and not submits):
             return False
-        line = self._submissions if submits else self._questions
+        line = self._submissions if submits else self._queries
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         line.append((number, fut))
         admitted = False
         try:
             while not fut.done() and now() < until:
                 await asyncio.wait({fut}, timeout=max(0.001, min(CHECK_INTERVAL_S, until - now())))
-                self._look(epoch())
+                self._refresh(epoch())
             admitted = fut.done()
             return admitted
         finally:
@@ -114,9 +114,9 @@
                 line.remove((number, fut))
             elif not admitted:
                 # The caller left between its admission and its turn.
-                self.leave(number)
+                self.release(number)
 
-    def leave(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """Take note that a call was not sent."""
         self._unread.pop(number, None)
         self._admit()
@@ -126,52 +126,52 @@
         if epoch != self._epoch or number not in self._unread:
             return
         sent_at = self._unread.pop(number)
-        self._newest_read = max(self._newest_read, sent_at)
+        self._newest_read_sent_at = max(self._newest_read_sent_at, sent_at)
         at = now()
         oldest = min(sent_at, next(iter(self._unread.values()), sent_at))
         if at - sent_at > LATE_AFTER_S:
-            self._cut()
+            self._shrink()
         elif at - oldest <= MAX_GROWTH_DELAY_S and self.limit < MAX_WINDOW:
             self.limit += 1
-            self._note()
+            self._log_congestion()
         self._admit()
 
-    def _look(self, epoch: int) -> None:
+    def _refresh(self, epoch: int) -> None:
         """Follow another leadership, or find what is late or lost under this one."""
         if epoch != self._epoch:
             self._epoch = epoch
             self._unread.clear()
-            self._newest_read = 0.0
+            self._newest_read_sent_at = 0.0
             self.limit = MAX_WINDOW
-            self._note()
+            self._log_congestion()
         at = now()
         if self._unread and at - next(iter(self._unread.values())) > LATE_AFTER_S:
-            self._cut()
+            self._shrink()
         for number, sent_at in list(self._unread.items()):
             if at - sent_at <= LOST_AFTER_S:
                 break
             del self._unread[number]
         self._admit()
 
-    def _cut(self) -> None:
+    def _shrink(self) -> None:
         """Halve the bound, once for all that is late at a time."""
-        if now() - self._cut_at >= LATE_AFTER_S:
-            self._cut_at = now()
+        if now() - self._shrunk_at >= LATE_AFTER_S:
+            self._shrunk_at = now()
             self.limit = max(MIN_WINDOW, self.limit // 2)
-            self._note()
+            self._log_congestion()
 
-    def _note(self) -> None:
+    def _log_congestion(self) -> None:
         """Log it when the leader falls behind, and when it has caught up."""
-        if not self._behind and self.limit == MIN_WINDOW:
-            self._behind = True
+        if not self._congested and self.limit == MIN_WINDOW:
+            self._congested = True
             log_event("WARNING", "calls_unread", unread=len(self._unread), held=self.held)
-        elif self._behind and self.limit >= MAX_WINDOW // 2:
-            self._behind = False
+        elif self._congested and self.limit >= MAX_WINDOW // 2:
+            self._congested = False
             log_event("INFO", "calls_read", epoch=self._epoch)
 
     def _admit(self) -> None:
         while self.held and len(self._unread) < self.limit:
-            line = self._submissions or self._questions
+            line = self._submissions or self._queries
             number, fut = line.popleft()
             if not fut.done():
                 self._unread[number] = now()
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -218,16 +218,16 @@
     assert replies[0][0] - began == pytest.approx(TAKEN_REPLY_DELAY_S)
 
 
-async def enter(window: CallWindow, number: int, wait_s: float, submits: bool = False) -> bool:
-    return await window.enter(number, lambda: 1, now() + wait_s, submits)
+async def acquire(window: CallWindow, number: int, wait_s: float, submits: bool = False) -> bool:
+    return await window.acquire(number, lambda: 1, now() + wait_s, submits)
 
 
 async def test_the_window_holds_what_is_past_its_bound() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
-        assert await enter(window, number, 0.0)
+        assert await acquire(window, number, 0.0)
     began = now()
-    assert not await enter(window, MAX_WINDOW, 0.5)
+    assert not await acquire(window, MAX_WINDOW, 0.5)
     assert now() - began == pytest.approx(0.5)
     assert window.held == 0
 
@@ -235,14 +235,14 @@
 async def test_held_calls_past_the_bound_are_refused_at_once() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
-        assert await enter(window, number, 0.0)
+        assert await acquire(window, number, 0.0)
     held = [
-        asyncio.create_task(enter(window, MAX_WINDOW + number, 0.5, True)) for number in range(MAX_HELD_CALLS)
+        asyncio.create_task(acquire(window, MAX_WINDOW + number, 0.5, True)) for number in range(MAX_HELD_CALLS)
     ]
     await asyncio.sleep(0.01)
     began = now()
     assert window.held == MAX_HELD_CALLS
-    assert not await enter(window, 10_000, 0.5, True)
+    assert not await acquire(window, 10_000, 0.5, True)
     assert now() == began
     assert not any(await asyncio.gather(*held))
     assert window.held == 0
@@ -251,10 +251,10 @@
 async def test_submissions_are_sent_before_questions() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
-        assert await enter(window, number, 0.0)
-    question = asyncio.create_task(enter(window, 100, 0.5))
+        assert await acquire(window, number, 0.0)
+    question = asyncio.create_task(acquire(window, 100, 0.5))
     await asyncio.sleep(0.01)
-    submission = asyncio.create_task(enter(window, 101, 0.5, True))
+    submission = asyncio.create_task(acquire(window, 101, 0.5, True))
     await asyncio.sleep(0.01)
     window.read(0, 1)
     await asyncio.sleep(0.01)
@@ -267,18 +267,18 @@
     """All that had been sent on a broken connection would have counted as unread for ever."""
     window = CallWindow()
     for number in range(MAX_WINDOW):
-        assert await enter(window, number, 0.0)
+        assert await acquire(window, number, 0.0)
     began = now()
-    assert await enter(window, 100, 2 * LOST_AFTER_S)
+    assert await acquire(window, 100, 2 * LOST_AFTER_S)
     assert now() - began == pytest.approx(LOST_AFTER_S, abs=0.2)
 
 
 async def test_another_leadership_is_not_behind() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
-        assert await enter(window, number, 0.0)
+        assert await acquire(window, number, 0.0)
     await asyncio.sleep(LATE_AFTER_S + 0.1)
-    assert not await enter(window, 100, 0.0)
+    assert not await acquire(window, 100, 0.0)
     assert window.limit == MAX_WINDOW // 2
-    assert await window.enter(101, lambda: 2, now() + HOLD_TIMEOUT_S, False)
+    assert await window.acquire(101, lambda: 2, now() + HOLD_TIMEOUT_S, False)
     assert window.limit == MAX_WINDOW
