--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -28,12 +28,12 @@
 class QueuedCall:
     """A call that waits; a later try of it takes its place.
 
-    :ivar since: when its first try arrived.
+    :ivar arrived_at: when its first try arrived.
     """
 
     identity: bytes
     call: Call
-    since: float
+    arrived_at: float
 
     @property
     def key(self) -> CallKey:
@@ -154,7 +154,7 @@
         """Drop the questions whose callers have left by time ``at``."""
         while self._queries:
             oldest = next(iter(self._queries.values()))
-            if at - oldest.since <= self._query_timeout_s:
+            if at - oldest.arrived_at <= self._query_timeout_s:
                 return
             self._drop(oldest, at)
 
--- a/sapphirelead/node_inbox.py
+++ b/sapphirelead/node_inbox.py
@@ -22,7 +22,7 @@
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, Call
 from sapphirelead.node_report_merge import merge_reports
 
-REPORTS_KEPT: Final = 4
+MAX_REPORTS_PER_AGENT: Final = 4
 """Reports of one agent that wait and cannot be merged."""
 
 
@@ -35,20 +35,20 @@
     CALL = 3
 
 
-SHARES: Final = {Urgency.LEAD: 8, Urgency.CANCEL: 4, Urgency.REPORT: 4, Urgency.CALL: 2}
+CLASS_WEIGHTS: Final = {Urgency.LEAD: 8, Urgency.CANCEL: 4, Urgency.REPORT: 4, Urgency.CALL: 2}
 """Messages of each class in one round while all of them wait."""
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedMessage:
     """A message that waits, or is worked on.
 
-    :ivar since: when it arrived, or the oldest of those that it stands for.
+    :ivar arrived_at: when it arrived, or the oldest of those that it stands for.
     """
 
     identity: bytes
     message: AnyNodeMessage
-    since: float
+    arrived_at: float
 
 
 class Inbox:
@@ -56,8 +56,8 @@
 
     _merged: Counter[str]
     _dropped: Counter[str]
-    _lead: dict[tuple[bytes, str], Waiting]
-    _reports: dict[bytes, list[Waiting]]
+    _latest: dict[tuple[bytes, str], QueuedMessage]
+    _reports: dict[bytes, list[QueuedMessage]]
     _calls: CallQueue
     _credits: dict[Urgency, int]
 
@@ -68,10 +68,10 @@
         """
         self._merged = Counter()
         self._dropped = Counter()
-        self._lead = {}
+        self._latest = {}
         self._reports = {}
         self._calls = CallQueue(query_timeout_s)
-        self._credits = dict(SHARES)
+        self._credits = dict(CLASS_WEIGHTS)
 
     @property
     def merged(self) -> Counter[str]:
@@ -88,7 +88,7 @@
 
     def counts(self) -> Counter[str]:
         """Count what waits by kind."""
-        counts = Counter(kind for _, kind in self._lead)
+        counts = Counter(kind for _, kind in self._latest)
         counts.update(item.call.kind.value for item in self._calls.waiting())
         reports = sum(len(waiting) for waiting in self._reports.values())
         if reports:
@@ -103,20 +103,20 @@
         """Take a message that has arrived at time ``at``."""
         match message:
             case AgentReport():
-                self._put_report(Waiting(identity, message, at), message)
+                self._put_report(QueuedMessage(identity, message, at), message)
             case Call():
                 self._calls.put(identity, message, at)
             case _:
-                self._put_newest(Waiting(identity, message, at))
+                self._put_newest(QueuedMessage(identity, message, at))
 
-    def take(self, at: float) -> Waiting | None:
+    def take(self, at: float) -> QueuedMessage | None:
         """Return what is to be worked on next; ``None`` where nothing waits."""
         self._calls.expire(at)
         waiting = [urgency for urgency in Urgency if self._has(urgency)]
         if not waiting:
             return None
         if not any(self._credits[urgency] for urgency in waiting):
-            self._credits = dict(SHARES)
+            self._credits = dict(CLASS_WEIGHTS)
         urgency = next(urgency for urgency in waiting if self._credits[urgency])
         self._credits[urgency] -= 1
         return self._next(urgency)
@@ -124,7 +124,7 @@
     def _has(self, urgency: Urgency) -> bool:
         match urgency:
             case Urgency.LEAD:
-                return bool(self._lead)
+                return bool(self._latest)
             case Urgency.CANCEL:
                 return self._calls.has_cancel()
             case Urgency.REPORT:
@@ -132,10 +132,10 @@
             case Urgency.CALL:
                 return self._calls.has_call()
 
-    def _next(self, urgency: Urgency) -> Waiting:
+    def _next(self, urgency: Urgency) -> QueuedMessage:
         match urgency:
             case Urgency.LEAD:
-                return self._lead.pop(next(iter(self._lead)))
+                return self._latest.pop(next(iter(self._latest)))
             case Urgency.CANCEL:
                 return _from_call(self._calls.take_cancel())
             case Urgency.REPORT:
@@ -143,14 +143,14 @@
             case Urgency.CALL:
                 return _from_call(self._calls.take_call())
 
-    def _put_newest(self, new: Waiting) -> None:
+    def _put_newest(self, new: QueuedMessage) -> None:
         kind = message_kind(new.message)
-        known = self._lead.setdefault((new.identity, kind), new)
+        known = self._latest.setdefault((new.identity, kind), new)
         if known is not new:
             known.message = new.message
             self._merged[kind] += 1
 
-    def _put_report(self, new: Waiting, report: AgentReport) -> None:
+    def _put_report(self, new: QueuedMessage, report: AgentReport) -> None:
         waiting = self._reports.setdefault(new.identity, [])
         last = waiting[-1] if waiting else None
         if last is not None and isinstance(last.message, AgentReport):
@@ -160,11 +160,11 @@
                 self._merged[AgentReport.__name__] += 1
                 return
         waiting.append(new)
-        if len(waiting) > REPORTS_KEPT:
+        if len(waiting) > MAX_REPORTS_PER_AGENT:
             del waiting[0]
             self._dropped[AgentReport.__name__] += 1
 
-    def _next_report(self) -> Waiting:
+    def _next_report(self) -> QueuedMessage:
         identity = next(iter(self._reports))
         first, *others = self._reports.pop(identity)
         if others:
@@ -172,5 +172,5 @@
         return first
 
 
-def _from_call(item: QueuedCall) -> Waiting:
-    return Waiting(item.identity, item.call, item.since)
+def _from_call(item: QueuedCall) -> QueuedMessage:
+    return QueuedMessage(item.identity, item.call, item.arrived_at)
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -126,7 +126,7 @@
                 self._arrived.clear()
                 await self._arrived.wait()
                 continue
-            self._meter.took(message_kind(item.message), at - item.since)
+            self._meter.took(message_kind(item.message), at - item.arrived_at)
             self._handler(item.identity, item.message)
             turn_s = await turns.took()
             if turn_s:
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -6,7 +6,7 @@
 from sapphirelead.node_call_queue import MAX_QUEUED_CALL_BYTES, MAX_QUEUED_CALLS
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_dropped import DROPPED_KEPT, DroppedSubmits
-from sapphirelead.node_inbox import REPORTS_KEPT, SHARES, Inbox, Urgency
+from sapphirelead.node_inbox import MAX_REPORTS_PER_AGENT, CLASS_WEIGHTS, Inbox, Urgency
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
@@ -69,7 +69,7 @@
     assert len(inbox) == 2
     assert inbox.merged == {"EntryBeat": 96}
     item = inbox.take(50.0)
-    assert item is not None and item.since == 1.0
+    assert item is not None and item.arrived_at == 1.0
     assert item.message == EntryBeat(ADDRESS, 49, True, 1)
 
 
@@ -83,12 +83,12 @@
 
 def test_reports_that_cannot_be_merged_are_bounded_and_in_order() -> None:
     inbox = Inbox(QUESTION_S)
-    for beat in range(1, REPORTS_KEPT + 3):
+    for beat in range(1, MAX_REPORTS_PER_AGENT + 3):
         inbox.put(b"g1", report("g1", beat, f"w{beat}"), 0.0)
     inbox.put(b"g2", report("g2", 1), 0.0)
     found = drained(inbox)
     own = [word.beat for word in found if isinstance(word, AgentReport) and word.agent == "g1"]
-    assert own == list(range(3, REPORTS_KEPT + 3))
+    assert own == list(range(3, MAX_REPORTS_PER_AGENT + 3))
     assert inbox.dropped == {"AgentReport": 2}
     assert found[1] == report("g2", 1)
 
@@ -108,7 +108,7 @@
         inbox.put(f"{number}".encode(), messages[flooded], 0.0)
     for word in others.values():
         inbox.put(b"other", word, 0.0)
-    first = [item.message for _ in range(sum(SHARES.values())) if (item := inbox.take(0.0))]
+    first = [item.message for _ in range(sum(CLASS_WEIGHTS.values())) if (item := inbox.take(0.0))]
     assert all(word in first for word in others.values())
 
 
