--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -17,14 +17,14 @@
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage
 
-TURN: Final = 10
+MAX_BATCH: Final = 10
 """Messages worked on before the rest of the process gets its turn.  Taking one that has arrived
 never waits, so that a backlog would keep the loop."""
 
-READ_TURN: Final = 100
+MAX_READ_BATCH: Final = 100
 """Messages read and decoded before the rest of the process gets its turn."""
 
-TURN_S: Final = 0.01
+MAX_BATCH_S: Final = 0.01
 """Time after which a turn ends in any case, on a slow processor turns have fewer messages."""
 
 HubHandler = Callable[[bytes, AnyNodeMessage], None]
@@ -33,23 +33,23 @@
 """Waits for the next message: the identity of its sender, and its frame."""
 
 
-class Turns:
+class LoopYielder:
     """Lets a reader of messages give way to the rest of the process."""
 
-    _at_most: int
-    _at_most_s: float
+    _max_messages: int
+    _max_s: float
     _taken: int
     _began_at: float
 
-    def __init__(self, at_most: int = TURN, at_most_s: float = math.inf) -> None:
+    def __init__(self, max_messages: int = MAX_BATCH, max_s: float = math.inf) -> None:
         """Begin the first turn.
 
-        :param at_most: messages of a turn.
-        :param at_most_s: time from the end of the first of them after which the turn ends in any
+        :param max_messages: messages of a turn.
+        :param max_s: time from the end of the first of them after which the turn ends in any
             case.
         """
-        self._at_most = at_most
-        self._at_most_s = at_most_s
+        self._max_messages = max_messages
+        self._max_s = max_s
         self._taken = 0
         self._began_at = 0.0
 
@@ -62,7 +62,7 @@
         if not self._taken:
             self._began_at = at
         self._taken += 1
-        if self._taken < self._at_most and at - self._began_at < self._at_most_s:
+        if self._taken < self._max_messages and at - self._began_at < self._max_s:
             return 0.0
         self._taken = 0
         await asyncio.sleep(0)
@@ -108,7 +108,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _read(self) -> None:
-        turns = Turns(READ_TURN, TURN_S)
+        turns = LoopYielder(MAX_READ_BATCH, MAX_BATCH_S)
         while True:
             identity, frame = await self._receive()
             message = decode_node(frame, identity.decode(errors="replace"))
@@ -118,7 +118,7 @@
             await turns.took()
 
     async def _work(self) -> None:
-        turns = Turns(TURN, TURN_S)
+        turns = LoopYielder(MAX_BATCH, MAX_BATCH_S)
         while True:
             at = now()
             item = self.inbox.take(at)
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -22,7 +22,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_codec import decode_node, encode_node
-from sapphirelead.node_intake import HubHandler, Intake, Turns
+from sapphirelead.node_intake import HubHandler, Intake, LoopYielder
 from sapphirelead.node_messages import AnyNodeMessage, EntryAddress
 from sapphirelead.wire_sockets import bind_router, connect_dealer
 
@@ -111,7 +111,7 @@
         return _send_now(self._sock, [encode_node(message)])
 
     async def _receive(self) -> None:
-        turns = Turns()
+        turns = LoopYielder()
         while True:
             frame = await self._sock.recv()
             message = decode_node(frame, self.address.name)
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -15,7 +15,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.node_election import Election
-from sapphirelead.node_intake import Turns
+from sapphirelead.node_intake import LoopYielder
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AgentReport, Orders, RunEnded, RunPhase, RunStatus
 from sapphirelead.runner_service import FULL_S, REPORT_S
@@ -165,7 +165,7 @@
 
     async def arrive(self) -> None:
         """Bring what agents and the follower send to the leader, whenever the loop is free."""
-        turns = Turns()
+        turns = LoopYielder()
         while True:
             at = now()
             for agent in self.agents.values():
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -14,7 +14,7 @@
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_calls import HOLD_TIMEOUT_S
-from sapphirelead.node_intake import READ_TURN, TURN, TURN_S, Intake
+from sapphirelead.node_intake import MAX_READ_BATCH, MAX_BATCH, MAX_BATCH_S, Intake
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
@@ -169,12 +169,12 @@
 def test_what_waits_is_bounded(waits: Waits) -> None:
     """What waits grows for as long as more arrives than is worked on."""
     answerable = len(FOLLOWERS) * CALLS_A_S * HOLD_TIMEOUT_S
-    assert waits.most <= len(AGENTS) + 1 + len(FOLLOWERS) * 2 + answerable + READ_TURN
+    assert waits.most <= len(AGENTS) + 1 + len(FOLLOWERS) * 2 + answerable + MAX_READ_BATCH
 
 
 def test_questions_are_answered_while_their_callers_wait(waits: Waits) -> None:
     """Answered oldest first, each question gets its answer after its caller has left."""
-    assert waits.longest["state"] <= HOLD_TIMEOUT_S + TURN_S
+    assert waits.longest["state"] <= HOLD_TIMEOUT_S + MAX_BATCH_S
     assert waits.worked["state"] >= LASTS_S * len(FOLLOWERS)
 
 
@@ -213,5 +213,5 @@
         await intake.stop()
 
     run_busy(go())
-    assert max(gaps) <= 2 * TURN_S + 2 * WORK_S
-    assert READ_TURN * READ_S <= TURN_S and TURN * WORK_S > TURN_S
+    assert max(gaps) <= 2 * MAX_BATCH_S + 2 * WORK_S
+    assert MAX_READ_BATCH * READ_S <= MAX_BATCH_S and MAX_BATCH * WORK_S > MAX_BATCH_S
