--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -20,7 +20,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S, CONFIRMED_KINDS, PendingCancels
 from sapphirelead.node_leader import Leader
-from sapphirelead.node_links import SILENCE_S
+from sapphirelead.node_links import LINK_TIMEOUT_S
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 from sapphirelead.node_window import CallWindow
 
@@ -40,7 +40,7 @@
 has been sent or a cancellation; the entry asks again meanwhile and gives its caller the first
 answer."""
 
-CANCEL_RETRY_DELAY_S: Final = SILENCE_S
+CANCEL_RETRY_DELAY_S: Final = LINK_TIMEOUT_S
 """A cancellation that the leader has not read is passed on to it again after this.  Its first
 message is lost only with the connection; the leader takes a second one for the first."""
 
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -26,7 +26,7 @@
 from sapphirelead.node_messages import AnyNodeMessage, EntryAddress
 from sapphirelead.wire_sockets import bind_router, connect_dealer
 
-SILENCE_S: Final = 1.5
+LINK_TIMEOUT_S: Final = 1.5
 """A connection that carries nothing for so long is closed and opened anew: three heartbeats."""
 
 LinkHandler = Callable[[AnyNodeMessage], None]
@@ -102,7 +102,7 @@
         keys: Keys | None = None,
     ) -> None:
         self.address = address
-        self._sock = connect_dealer(ctx, identity, address.host, address.port, SILENCE_S, keys)
+        self._sock = connect_dealer(ctx, identity, address.host, address.port, LINK_TIMEOUT_S, keys)
         self._handler = handler
         self._task = spawn(self._receive(), f"link-{address.name}")
 
