--- a/sapphirelead/node_report_merge.py
+++ b/sapphirelead/node_report_merge.py
@@ -11,10 +11,10 @@
 
 from sapphirelead.node_messages import AgentReport, RunEnded, RunStatus
 
-MOST_ENDS: Final = 1_000
+MAX_MERGED_ENDS: Final = 1_000
 """Ends in a merged report: five times what an agent puts into one report."""
 
-Name = tuple[str, int]
+RunKey = tuple[str, int]
 
 
 def merge_reports(older: AgentReport, newer: AgentReport) -> AgentReport | None:
@@ -32,7 +32,7 @@
     saved = {(run.task, run.attempt): run.saved for run in older.runs if run.saved}
     saved |= {(end.task, end.attempt): end.saved for end in older.ends if end.saved}
     ends = _all_ends(older, newer, saved)
-    if len(ends) > MOST_ENDS:
+    if len(ends) > MAX_MERGED_ENDS:
         return None
     return msgspec.structs.replace(
         newer,
@@ -48,21 +48,21 @@
 
 
 def _all_ends(
-    older: AgentReport, newer: AgentReport, saved: dict[Name, str]
-) -> dict[Name, RunEnded]:
+    older: AgentReport, newer: AgentReport, saved: dict[RunKey, str]
+) -> dict[RunKey, RunEnded]:
     ends = {(end.task, end.attempt): end for end in (*older.ends, *newer.ends)}
-    for name in saved.keys() & ends.keys():
-        if not ends[name].saved:
-            ends[name] = msgspec.structs.replace(ends[name], saved=saved[name])
+    for key in saved.keys() & ends.keys():
+        if not ends[key].saved:
+            ends[key] = msgspec.structs.replace(ends[key], saved=saved[key])
     return ends
 
 
 def _runs(
-    older: AgentReport, newer: AgentReport, saved: dict[Name, str], ends: dict[Name, RunEnded]
+    older: AgentReport, newer: AgentReport, saved: dict[RunKey, str], ends: dict[RunKey, RunEnded]
 ) -> list[RunStatus]:
     runs = {} if newer.full else {(run.task, run.attempt): run for run in older.runs}
     for run in newer.runs:
-        name = (run.task, run.attempt)
-        kept = saved.get(name, "")
-        runs[name] = run if run.saved or not kept else msgspec.structs.replace(run, saved=kept)
-    return [run for name, run in runs.items() if name not in ends]
+        key = (run.task, run.attempt)
+        kept = saved.get(key, "")
+        runs[key] = run if run.saved or not kept else msgspec.structs.replace(run, saved=kept)
+    return [run for key, run in runs.items() if key not in ends]
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -8,7 +8,7 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus, WorkerInfo
 from sapphirelead.node_ports import WorkerEnd, WorkerRun, WorkerView
-from sapphirelead.node_report_merge import MOST_ENDS, merge_reports
+from sapphirelead.node_report_merge import MAX_MERGED_ENDS, merge_reports
 from sapphirelead.runner_book import ENDS_IN_REPORT, RunnerBook, RunnerRun
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
@@ -56,9 +56,9 @@
 
 
 def test_ends_that_grow_past_the_bound_are_not_merged() -> None:
-    first = [end(number) for number in range(MOST_ENDS)]
-    assert merge_reports(report(1, ends=first), report(2, ends=[end(MOST_ENDS - 1)]))
-    assert merge_reports(report(1, ends=first), report(2, ends=[end(MOST_ENDS)])) is None
+    first = [end(number) for number in range(MAX_MERGED_ENDS)]
+    assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS - 1)]))
+    assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS)])) is None
 
 
 def test_a_short_report_leaves_a_full_one_full() -> None:
