--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -191,7 +191,7 @@
         self.dropped[dropped.call.kind.value] += 1
         self._remove(dropped)
         if dropped.call.kind is CallKind.SUBMIT:
-            self._dropped_submits.note(dropped.call.job_id, at)
+            self._dropped_submits.record(dropped.call.job_id, at)
 
     def _remove(self, gone: QueuedCall) -> QueuedCall:
         key = gone.key
--- a/sapphirelead/node_dropped.py
+++ b/sapphirelead/node_dropped.py
@@ -8,7 +8,7 @@
 
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 
-DROPPED_KEPT: Final = 4_000
+MAX_DROPPED_JOBS: Final = 4_000
 """Jobs that are remembered; past it, any job that is not known counts as one of them."""
 
 
@@ -25,11 +25,11 @@
     def __len__(self) -> int:
         return len(self._until)
 
-    def note(self, job_id: str, at: float) -> None:
+    def record(self, job_id: str, at: float) -> None:
         """Take note that a submission was dropped at time ``at``."""
         self._until.pop(job_id, None)
         self._until[job_id] = at + PENDING_CANCEL_TIMEOUT_S
-        if len(self._until) > DROPPED_KEPT:
+        if len(self._until) > MAX_DROPPED_JOBS:
             self._any_until = self._until.pop(next(iter(self._until)))
 
     def may_be_submitted(self, job_id: str, at: float) -> bool:
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -5,7 +5,7 @@
 from sapphirelead import node_call_queue
 from sapphirelead.node_call_queue import MAX_QUEUED_CALL_BYTES, MAX_QUEUED_CALLS
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
-from sapphirelead.node_dropped import DROPPED_KEPT, DroppedSubmits
+from sapphirelead.node_dropped import MAX_DROPPED_JOBS, DroppedSubmits
 from sapphirelead.node_inbox import MAX_REPORTS_PER_AGENT, CLASS_WEIGHTS, Inbox, Urgency
 from sapphirelead.node_messages import (
     AgentReport,
@@ -256,11 +256,11 @@
 
 def test_dropped_submissions_past_the_bound_leave_no_job_that_is_called_absent() -> None:
     dropped = DroppedSubmits()
-    for number in range(DROPPED_KEPT):
-        dropped.note(f"j{number}", float(number) / DROPPED_KEPT)
+    for number in range(MAX_DROPPED_JOBS):
+        dropped.record(f"j{number}", float(number) / MAX_DROPPED_JOBS)
     assert not dropped.may_be_submitted("other", 1.0)
-    dropped.note("one more", 2.0)
-    assert len(dropped) == DROPPED_KEPT
+    dropped.record("one more", 2.0)
+    assert len(dropped) == MAX_DROPPED_JOBS
     assert dropped.may_be_submitted("j0", PENDING_CANCEL_TIMEOUT_S - 0.1) and dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S - 0.1)
     assert not dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S + 0.1)
     assert dropped.may_be_submitted("one more", PENDING_CANCEL_TIMEOUT_S + 1.9)
