--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -18,7 +18,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
-from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S, CONFIRMED_KINDS, PendingCancels
+from sapphirelead.node_cancels import CONFIRMED_KINDS, PENDING_CANCEL_TIMEOUT_S, PendingCancels
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_links import LINK_TIMEOUT_S
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
@@ -61,7 +61,9 @@
 
 def forwarded_call_timeout_s(kind: CallKind) -> float:
     """Return how long a leader works on a call that another entry has passed on."""
-    return FORWARDED_WRITE_TIMEOUT_S if kind in (CallKind.SUBMIT, CallKind.CANCEL) else HOLD_TIMEOUT_S
+    return (
+        FORWARDED_WRITE_TIMEOUT_S if kind in (CallKind.SUBMIT, CallKind.CANCEL) else HOLD_TIMEOUT_S
+    )
 
 
 class LeaderView(Protocol):
@@ -142,7 +144,7 @@
 
     async def wait_for_cancels(self, until: float) -> None:
         """Wait until no cancellation is passed on any more, or until ``until``."""
-        await self._cancels.settled(until - now())
+        await self._cancels.wait_all(until - now())
 
     async def stop(self) -> None:
         """End what goes on without a caller."""
@@ -207,7 +209,9 @@
     async def _cancel(self, call: Call, until: float) -> Reply:
         """Have a job cancelled; the caller waits until ``until``, the cancellation goes on."""
         give_up_at = now() + PENDING_CANCEL_TIMEOUT_S
-        pending = self._cancels.join(call.job_id, lambda: self._forward_until_confirmed(call, give_up_at))
+        pending = self._cancels.join(
+            call.job_id, lambda: self._forward_until_confirmed(call, give_up_at)
+        )
         if pending is None:
             return _unanswered(call, ReplyKind.NOT_RUN, "too many jobs are being cancelled")
         # Waiting for a task leaves it alone when the caller's own time is up.
@@ -262,7 +266,9 @@
         log_event("INFO", "call_not_answered", job=call.job_id, kind=call.kind, leader=leader)
         return Reply(call.number, ReplyKind.LEAD_LOST)
 
-    async def _wait_for_reply(self, waiting: _ForwardedCall, asked: Call, until: float, end: float) -> None:
+    async def _wait_for_reply(
+        self, waiting: _ForwardedCall, asked: Call, until: float, end: float
+    ) -> None:
         """Wait for a reply while the leadership that was asked may still give one."""
         fut = waiting.reply
         while not fut.done():
--- a/sapphirelead/node_cancels.py
+++ b/sapphirelead/node_cancels.py
@@ -53,7 +53,7 @@
         task.add_done_callback(lambda ended: self._on_done(job_id, ended))
         return task
 
-    async def settled(self, timeout_s: float) -> None:
+    async def wait_all(self, timeout_s: float) -> None:
         """Wait for the end of those in progress, for ``timeout_s`` at most."""
         if tasks := self._all_tasks():
             await asyncio.wait(tasks, timeout=max(timeout_s, 0.0))
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -471,7 +471,9 @@
             if call.config_version > self.config.version:
                 self.on_newer_config()
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
-            late = asyncio.get_running_loop().call_later(TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken)
+            late = asyncio.get_running_loop().call_later(
+                TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken
+            )
             try:
                 reply = await leader.call(call, now() + forwarded_call_timeout_s(call.kind))
             finally:
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -65,7 +65,9 @@
         :param query_timeout_s: how long the caller of a question waits at most.
         """
         self._sock, self.port = bind_router(ctx, host, port, keys)
-        self._intake = Intake(self._sock.recv_multipart, handler, query_timeout_s, metrics or Metrics())
+        self._intake = Intake(
+            self._sock.recv_multipart, handler, query_timeout_s, metrics or Metrics()
+        )
 
     def start(self) -> None:
         """Start receiving."""
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -10,7 +10,7 @@
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
-from sapphirelead.node_window import MIN_WINDOW, MAX_WINDOW
+from sapphirelead.node_window import MAX_WINDOW, MIN_WINDOW
 from tests.sched.test_calls import View
 
 pytestmark = pytest.mark.looptime
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -9,7 +9,12 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import CANCEL_RETRY_DELAY_S, HOLD_TIMEOUT_S, CallForwarder, forwarded_call_timeout_s
+from sapphirelead.node_calls import (
+    CANCEL_RETRY_DELAY_S,
+    HOLD_TIMEOUT_S,
+    CallForwarder,
+    forwarded_call_timeout_s,
+)
 from sapphirelead.node_cancels import MAX_PENDING_CANCELS, PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
 from tests.sched.test_calls import View
@@ -160,7 +165,9 @@
     view = TimedView()
     view.leader = ""
     desk = CallForwarder(view)
-    first = [asyncio.create_task(cancel(desk, f"a{number}")) for number in range(MAX_PENDING_CANCELS)]
+    first = [
+        asyncio.create_task(cancel(desk, f"a{number}")) for number in range(MAX_PENDING_CANCELS)
+    ]
     await asyncio.sleep(0.01)
     began = now()
     reply = await cancel(desk, "b1")
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -6,7 +6,7 @@
 from sapphirelead.node_call_queue import MAX_QUEUED_CALL_BYTES, MAX_QUEUED_CALLS
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_dropped import MAX_DROPPED_JOBS, DroppedSubmits
-from sapphirelead.node_inbox import MAX_REPORTS_PER_AGENT, CLASS_WEIGHTS, Inbox, Urgency
+from sapphirelead.node_inbox import CLASS_WEIGHTS, MAX_REPORTS_PER_AGENT, Inbox, Urgency
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
@@ -261,6 +261,8 @@
     assert not dropped.may_be_submitted("other", 1.0)
     dropped.record("one more", 2.0)
     assert len(dropped) == MAX_DROPPED_JOBS
-    assert dropped.may_be_submitted("j0", PENDING_CANCEL_TIMEOUT_S - 0.1) and dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S - 0.1)
+    assert dropped.may_be_submitted(
+        "j0", PENDING_CANCEL_TIMEOUT_S - 0.1
+    ) and dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S - 0.1)
     assert not dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S + 0.1)
     assert dropped.may_be_submitted("one more", PENDING_CANCEL_TIMEOUT_S + 1.9)
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -14,7 +14,7 @@
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_calls import HOLD_TIMEOUT_S
-from sapphirelead.node_intake import MAX_READ_BATCH, MAX_BATCH, MAX_BATCH_S, Intake
+from sapphirelead.node_intake import MAX_BATCH, MAX_BATCH_S, MAX_READ_BATCH, Intake
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -77,7 +77,7 @@
             await asyncio.sleep(self._takes_s)
             item = self._inbox.take(now())
             if item is not None and isinstance(item.message, AgentReport):
-                self.waited_s.append(now() - item.since)
+                self.waited_s.append(now() - item.arrived_at)
                 leader.on_report(item.message)
 
     async def stop(self) -> None:
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -16,7 +16,14 @@
 from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
-from sapphirelead.node_window import MAX_HELD_CALLS, LATE_AFTER_S, MIN_WINDOW, LOST_AFTER_S, MAX_WINDOW, CallWindow
+from sapphirelead.node_window import (
+    LATE_AFTER_S,
+    LOST_AFTER_S,
+    MAX_HELD_CALLS,
+    MAX_WINDOW,
+    MIN_WINDOW,
+    CallWindow,
+)
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice
@@ -237,7 +244,8 @@
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
     held = [
-        asyncio.create_task(acquire(window, MAX_WINDOW + number, 0.5, True)) for number in range(MAX_HELD_CALLS)
+        asyncio.create_task(acquire(window, MAX_WINDOW + number, 0.5, True))
+        for number in range(MAX_HELD_CALLS)
     ]
     await asyncio.sleep(0.01)
     began = now()
