--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -3,7 +3,7 @@
 Of one sender the newest question goes first: the callers of older ones are about to give up.  A
 question is dropped once its caller has given up, a submission only where too many calls wait.  No
 call for a job goes before a submission of that job that arrived earlier, so that a job is not
-called absent and then run.  :meth:`CallQueue.may_be_submitted` tells whether a submission of a job waits
+called absent and then run.  :meth:`CallQueue.may_arrive` tells whether a submission of a job waits
 here or was dropped and may be repeated.
 """
 
@@ -113,9 +113,9 @@
         """Whether a submission or a question waits."""
         return bool(self._senders)
 
-    def may_be_submitted(self, job_id: str, at: float) -> bool:
+    def may_arrive(self, job_id: str, at: float) -> bool:
         """Whether a submission of the job waits, or was dropped and may come again."""
-        return job_id in self._submits or self._dropped_submits.may_be_submitted(job_id, at)
+        return job_id in self._submits or self._dropped_submits.may_arrive(job_id, at)
 
     def put(self, identity: bytes, call: Call, at: float) -> None:
         """Take a call that has arrived at time ``at``."""
--- a/sapphirelead/node_dropped.py
+++ b/sapphirelead/node_dropped.py
@@ -32,6 +32,6 @@
         if len(self._until) > MAX_DROPPED_JOBS:
             self._any_until = self._until.pop(next(iter(self._until)))
 
-    def may_be_submitted(self, job_id: str, at: float) -> bool:
+    def may_arrive(self, job_id: str, at: float) -> bool:
         """Whether a submission of the job may come again at time ``at`` or later."""
         return at < max(self._until.get(job_id, 0.0), self._any_until)
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -301,7 +301,7 @@
             self._advice,
             self._send_orders,
             self.metrics,
-            self._hub.may_be_submitted,
+            self._hub.may_arrive,
         )
         self.leader = leader
         leader.set_config(self.config)
--- a/sapphirelead/node_inbox.py
+++ b/sapphirelead/node_inbox.py
@@ -95,9 +95,9 @@
             counts[AgentReport.__name__] = reports
         return counts
 
-    def may_be_submitted(self, job_id: str, at: float) -> bool:
+    def may_arrive(self, job_id: str, at: float) -> bool:
         """Whether a submission of the job waits, or was dropped and may come again."""
-        return self._calls.may_be_submitted(job_id, at)
+        return self._calls.may_arrive(job_id, at)
 
     def put(self, identity: bytes, message: AnyNodeMessage, at: float) -> None:
         """Take a message that has arrived at time ``at``."""
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -77,9 +77,9 @@
         """Send to a connected peer; ``False`` means proven not sent."""
         return _send_now(self._sock, [identity, encode_node(message)])
 
-    def may_be_submitted(self, job_id: str) -> bool:
+    def may_arrive(self, job_id: str) -> bool:
         """Whether a submission of the job waits here, or was dropped and may come again."""
-        return self._intake.inbox.may_be_submitted(job_id, now())
+        return self._intake.inbox.may_arrive(job_id, now())
 
     async def stop(self) -> None:
         """Stop receiving and close."""
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -246,23 +246,23 @@
     for number in range(MAX_QUEUED_CALLS + 1):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     dropped = f"j{MAX_QUEUED_CALLS}"
-    assert inbox.may_be_submitted("j0", 0.0) and inbox.may_be_submitted(dropped, 0.0)
-    assert not inbox.may_be_submitted("other", 0.0)
+    assert inbox.may_arrive("j0", 0.0) and inbox.may_arrive(dropped, 0.0)
+    assert not inbox.may_arrive("other", 0.0)
     drained(inbox)
-    assert not inbox.may_be_submitted("j0", 0.0)
-    assert inbox.may_be_submitted(dropped, PENDING_CANCEL_TIMEOUT_S - 0.1)
-    assert not inbox.may_be_submitted(dropped, PENDING_CANCEL_TIMEOUT_S + 0.1)
+    assert not inbox.may_arrive("j0", 0.0)
+    assert inbox.may_arrive(dropped, PENDING_CANCEL_TIMEOUT_S - 0.1)
+    assert not inbox.may_arrive(dropped, PENDING_CANCEL_TIMEOUT_S + 0.1)
 
 
 def test_dropped_submissions_past_the_bound_leave_no_job_that_is_called_absent() -> None:
     dropped = DroppedSubmits()
     for number in range(MAX_DROPPED_JOBS):
         dropped.record(f"j{number}", float(number) / MAX_DROPPED_JOBS)
-    assert not dropped.may_be_submitted("other", 1.0)
+    assert not dropped.may_arrive("other", 1.0)
     dropped.record("one more", 2.0)
     assert len(dropped) == MAX_DROPPED_JOBS
-    assert dropped.may_be_submitted(
-        "j0", PENDING_CANCEL_TIMEOUT_S - 0.1
-    ) and dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S - 0.1)
-    assert not dropped.may_be_submitted("other", PENDING_CANCEL_TIMEOUT_S + 0.1)
-    assert dropped.may_be_submitted("one more", PENDING_CANCEL_TIMEOUT_S + 1.9)
+    assert dropped.may_arrive("j0", PENDING_CANCEL_TIMEOUT_S - 0.1) and dropped.may_arrive(
+        "other", PENDING_CANCEL_TIMEOUT_S - 0.1
+    )
+    assert not dropped.may_arrive("other", PENDING_CANCEL_TIMEOUT_S + 0.1)
+    assert dropped.may_arrive("one more", PENDING_CANCEL_TIMEOUT_S + 1.9)
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -72,11 +72,11 @@
 
 
 @asynccontextmanager
-async def leading(table: SlowTable, may_be_submitted: MayCome = lambda _: False) -> AsyncIterator[Leader]:
+async def leading(table: SlowTable, may_arrive: MayCome = lambda _: False) -> AsyncIterator[Leader]:
     """Lead on ``table``."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
-    leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_be_submitted)
+    leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_arrive)
     await leader.load()
     rounds = asyncio.create_task(leader.run())
     try:
@@ -328,7 +328,7 @@
 ) -> None:
     """A submission was dropped past the inbox's bound, its cancel answered 410, and the job ran."""
     inbox = Inbox(HOLD_TIMEOUT_S)
-    async with leading(SlowTable(), lambda job_id: inbox.may_be_submitted(job_id, now())) as leader:
+    async with leading(SlowTable(), lambda job_id: inbox.may_arrive(job_id, now())) as leader:
         for number in range(MAX_QUEUED_CALLS + 1):
             inbox.put(b"e2", Call(number, CallKind.SUBMIT, "q", f"a{number}", 1), now())
         inbox.put(b"e2", Call(9_999, CallKind.SUBMIT, "q", "a1", 1), now())
