--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -1,10 +1,10 @@
-"""Callers' requests that wait at a hub: cancels, and submissions and questions in turns by sender.
+"""Queue of callers' requests at a hub.
 
-Of one sender the newest question goes first: the callers of older ones are about to give up.  A
-question is dropped once its caller has given up, a submission only where too many calls wait.  No
-call for a job goes before a submission of that job that arrived earlier, so that a job is not
-called absent and then run.  :meth:`CallQueue.may_arrive` tells whether a submission of a job waits
-here or was dropped and may be repeated.
+Cancellations have a queue of their own.  Submissions and queries are taken round-robin by sender: a
+sender's submissions oldest first, its queries newest first, as the callers of older ones time out
+sooner.  A query is dropped on overflow or once its caller has timed out, a submission only on
+overflow.  No call for a job overtakes an earlier submission of that job, so that a job is not
+reported absent and then run.
 """
 
 from collections import Counter
@@ -16,19 +16,19 @@
 from sapphirelead.node_messages import Call, CallKind
 
 MAX_QUEUED_CALLS: Final = 2_000
-"""Calls that wait, cancels among them."""
+"""Bound on queued calls, including cancellations."""
 
 MAX_QUEUED_CALL_BYTES: Final = 16 * 1024 * 1024
-"""Size of the jobs in the calls that wait."""
+"""Bound on the total size of the jobs in queued calls."""
 
 CallKey = tuple[bytes, int]
 
 
 @dataclass(slots=True)
 class QueuedCall:
-    """A call that waits; a later try of it takes its place.
+    """A queued call; a retry replaces its content and keeps its position.
 
-    :ivar arrived_at: when its first try arrived.
+    :ivar arrived_at: arrival time of the first try.
     """
 
     identity: bytes
@@ -37,13 +37,13 @@
 
     @property
     def key(self) -> CallKey:
-        """Identity of the call, the same in each try."""
+        """Sender and number of the call, the same for each retry."""
         return self.identity, self.call.number
 
 
 @dataclass(slots=True)
 class _Sender:
-    """Submissions and questions of one sender, each in the order of their arrival."""
+    """Submissions and queries of one sender, each in order of arrival."""
 
     submits: dict[CallKey, QueuedCall] = field(default_factory=dict)
     queries: dict[CallKey, QueuedCall] = field(default_factory=dict)
@@ -53,7 +53,7 @@
         return len(self.submits) + len(self.queries)
 
     def next(self) -> QueuedCall:
-        """Return what comes next: a submission and a question in turn."""
+        """Return the next call: alternately the oldest submission and the newest query."""
         submit = bool(self.submits) and (self.submit_next or not self.queries)
         self.submit_next = not submit
         if submit:
@@ -61,17 +61,17 @@
         return next(reversed(self.queries.values()))
 
     def drop_candidate(self) -> QueuedCall:
-        """Return the call that is dropped where too many wait."""
+        """Return the call to drop on overflow: the oldest query, else the newest submission."""
         if self.queries:
             return next(iter(self.queries.values()))
         return next(reversed(self.submits.values()))
 
 
 class CallQueue:
-    """The calls that wait.
+    """The queued calls of all senders.
 
-    :ivar merged: calls in whose place a later try was put, by kind.
-    :ivar dropped: calls that were dropped, by kind.
+    :ivar merged: number of calls replaced by a retry, by kind.
+    :ivar dropped: number of dropped calls, by kind.
     """
 
     merged: Counter[str]
@@ -86,9 +86,9 @@
     _bytes: int
 
     def __init__(self, query_timeout_s: float) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
-        :param query_timeout_s: how long the caller of a question waits at most.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self.merged = Counter()
         self.dropped = Counter()
@@ -102,23 +102,23 @@
         self._bytes = 0
 
     def waiting(self) -> Iterator[QueuedCall]:
-        """Yield all that waits."""
+        """Yield all queued calls."""
         yield from self._waiting.values()
 
     def has_cancel(self) -> bool:
-        """Whether a cancel waits."""
+        """Whether :meth:`take_cancel` has anything to return."""
         return bool(self._cancels)
 
     def has_call(self) -> bool:
-        """Whether a submission or a question waits."""
+        """Whether :meth:`take_call` has anything to return."""
         return bool(self._senders)
 
     def may_arrive(self, job_id: str, at: float) -> bool:
-        """Whether a submission of the job waits, or was dropped and may come again."""
+        """Whether a submission of the job is queued, or was dropped and may be retried."""
         return job_id in self._submits or self._dropped_submits.may_arrive(job_id, at)
 
     def put(self, identity: bytes, call: Call, at: float) -> None:
-        """Take a call that has arrived at time ``at``."""
+        """Add a call that arrived at time ``at``; drops calls beyond the bounds."""
         self.expire(at)
         new = QueuedCall(identity, call, at)
         known = self._waiting.get(new.key)
@@ -136,11 +136,11 @@
             self._drop(new, at)
 
     def take_cancel(self) -> QueuedCall:
-        """Take what comes next of the cancels, and of the submissions that they wait for."""
+        """Remove and return the next cancellation, or a submission that precedes one of its job."""
         return self._remove(next(iter(self._cancels.values())))
 
     def take_call(self) -> QueuedCall:
-        """Take what comes next of the submissions and questions."""
+        """Remove and return the next submission or query, in round-robin order of senders."""
         identity, sender = next(iter(self._senders.items()))
         found = sender.next()
         if found.call.kind is CallKind.STATE:
@@ -151,7 +151,7 @@
         return found
 
     def expire(self, at: float) -> None:
-        """Drop the questions whose callers have left by time ``at``."""
+        """Drop the queries whose callers have timed out by time ``at``."""
         while self._queries:
             oldest = next(iter(self._queries.values()))
             if at - oldest.arrived_at <= self._query_timeout_s:
@@ -177,7 +177,7 @@
             self._queries[key] = new
 
     def _move_submits_before(self, cancel: QueuedCall) -> None:
-        """Let a cancel wait for the submissions of its job, and these only for other cancels."""
+        """Move the submissions of a cancelled job into the cancel queue, before the cancel."""
         submits = self._submits.get(cancel.call.job_id)
         if not submits:
             return
--- a/sapphirelead/node_callers.py
+++ b/sapphirelead/node_callers.py
@@ -1,7 +1,7 @@
-"""The account of callers' requests at an entry: how many are read and not answered, which are cut.
+"""Tracks the HTTP requests of callers at an entry: requests in progress, logs and metrics.
 
-The product's own API and the platform's adapter answer through it, so that a stop waits for the
-same requests, and logs and metrics say the same of them, whichever way they came.
+Shared by the product's own API and the platform adapter, so that a shutdown waits for the requests
+of both.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 R = TypeVar("R", bound=web.BaseRequest)
 
 SLOW_RESPONSE_MS: Final = 500.0
-"""An answer that took longer is logged; usual ones take a few milliseconds."""
+"""Responses slower than this are logged whatever their status."""
 
 
 class RequestTracker:
-    """Requests of callers at one entry.
+    """Tracks callers' requests at one entry.
 
-    :ivar leaving: callers are told to use another connection.
-    :ivar in_progress: requests that have been read and not been answered.
+    :ivar leaving: close the connection after each response.
+    :ivar in_progress: number of requests that have been read and not answered.
     """
 
     leaving: bool
@@ -34,9 +34,9 @@
     _idle: asyncio.Event
 
     def __init__(self, entry: FleetEntry, quiet_statuses: frozenset[int]) -> None:
-        """Start an empty account.
+        """Create a tracker without requests.
 
-        :param quiet_statuses: statuses that are not logged, where they come quickly.
+        :param quiet_statuses: statuses that are logged only for slow responses.
         """
         self.leaving = False
         self.in_progress = 0
@@ -46,13 +46,13 @@
         self._idle.set()
 
     async def wait_until_idle(self) -> None:
-        """Wait until every request that has been read is answered."""
+        """Wait until no request is in progress."""
         await self._idle.wait()
 
     async def answer(
         self, request: R, handler: Callable[[R], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
-        """Answer one request by ``handler``."""
+        """Run ``handler`` on a request, and record its duration and status."""
         began = now()
         self.in_progress += 1
         self._idle.clear()
@@ -84,7 +84,7 @@
         return response
 
     def _log_aborted(self, request: web.BaseRequest, began: float) -> None:
-        """Log a request that ends without an answer: the caller has left, or this process ends."""
+        """Log a request without a response: the caller disconnected or this process is stopping."""
         log_event(
             "WARNING" if self.leaving else "INFO",
             "call_cut",
--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -1,11 +1,10 @@
-"""Callers' requests at one entry: to the leader here or elsewhere, or an answer at once.
-
-A call that has been passed on and not been answered is passed on again, also to the next leader,
-because every call is idempotent.  What its caller is told in the end says what is known: done, not
-run, or unknown.  "Not run" is said only where no leader can have stored the call, or where the
-leader itself has said so; a successor knows whatever its predecessor stored, so its word counts
-too.  A cancellation goes on after its caller has been answered
-(:mod:`sapphirelead.node_cancels`), so it is unknown until a leader has confirmed it.
+"""Forwards callers' requests from one entry to the leader, which may be in the same process.
+
+Calls are idempotent, so a call without a reply is sent again, also to the next leader.  The final
+reply is done, not run or unknown.  "Not run" is returned only if no leader can have stored the call
+or if the current leader says so, since a leader knows all that its predecessors stored.  A
+cancellation continues after its caller has been answered (:mod:`sapphirelead.node_cancels`), so its
+outcome is unknown until a leader confirms it.
 """
 
 import asyncio
@@ -25,71 +24,69 @@
 from sapphirelead.node_window import CallWindow
 
 HOLD_TIMEOUT_S: Final = 0.9
-"""Longest time that a call is held while no leader answers.
-
-The caller can try another entry, which may reach the leader; with four retries it outlasts an
-election of about two seconds."""
+"""Maximum time for which a call is held while no leader can have stored it; then its caller can
+retry at another entry."""
 
 FORWARD_RETRY_DELAY_S: Final = 0.4
-"""A submission that the leader has not read is passed on again after this, and then after twice as
-long each time.  A question is passed on once more after this, only where the leader has read a
-later call and is not behind: it is lost, or newer ones went before it."""
+"""Initial retry delay of a submission that the leader has not read; it doubles with each retry.
+
+Also the interval at which a forwarded call is checked: a query is sent again once the leader has
+read a later call, unless the leader is congested."""
 
 FORWARDED_WRITE_TIMEOUT_S: Final = 2.5
-"""How long a leader waits for the store on behalf of another entry, for a submission whose write
-has been sent or a cancellation; the entry asks again meanwhile and gives its caller the first
-answer."""
+"""Maximum time that a leader works on a forwarded submission or cancellation."""
 
 CANCEL_RETRY_DELAY_S: Final = LINK_TIMEOUT_S
-"""A cancellation that the leader has not read is passed on to it again after this.  Its first
-message is lost only with the connection; the leader takes a second one for the first."""
+"""Retry delay of a cancellation that the leader has not read.  Messages are lost only with their
+connection; the leader merges retries of a call."""
 
 REPLY_MARGIN_S: Final = 0.15
-"""Time kept before a caller's deadline, so that the answer still arrives."""
+"""Time reserved before a caller's deadline for the reply to arrive."""
 
 RETRY_AFTER_S: Final = 1.0
-"""When a caller may come back after a change of the leader or a short fault."""
+"""``retry_after_s`` of a reply to a call that no leader answered."""
 
 CALL_NUMBER_BITS: Final = 62
-"""Bits of the first call's number; chosen at random, two processes do not get near each other."""
+"""Bits of the random first call number, so that numbers of different processes do not collide."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Pause before a call is tried again without a change of the leader."""
+"""Delay before a call is retried if the leader does not change."""
 
 QUERIES: Final = frozenset({CallKind.STATE, CallKind.WAITING})
 
 
 def forwarded_call_timeout_s(kind: CallKind) -> float:
-    """Return how long a leader works on a call that another entry has passed on."""
+    """Return how long a leader works on a call that another entry has forwarded."""
     return (
         FORWARDED_WRITE_TIMEOUT_S if kind in (CallKind.SUBMIT, CallKind.CANCEL) else HOLD_TIMEOUT_S
     )
 
 
 class LeaderView(Protocol):
-    """What the desk needs to know of who leads."""
+    """The forwarder's view of the leadership."""
 
     def serving_leader(self) -> Leader | None:
-        """Return the leader in this process, if it takes calls."""
+        """Return the leader in this process, if it accepts calls."""
 
     def followed_leader(self) -> str:
-        """Return the name of the leader elsewhere, if one has been heard of lately."""
+        """Return the name of the remote leader; empty if none responds."""
 
     def leader_epoch(self) -> int:
-        """Return the epoch of the leader that has been heard of last."""
+        """Return the epoch of the most recently known leader."""
 
     def send_to(self, name: str, message: AnyNodeMessage) -> bool:
-        """Send to another entry; ``False`` means proven not sent."""
+        """Send to another entry; ``False`` guarantees that the message was not sent."""
 
     def config_version(self) -> int:
-        """Return the version of the configuration in force here."""
+        """Return the version of the active configuration."""
 
 
 @dataclass(slots=True)
 class _ForwardedCall:
-    """A call that has been passed on, and the leadership that it went to.
+    """A forwarded call that waits for its reply.
 
-    :ivar taken_at: when the leader said that it had read the call; ``None`` before.
+    :ivar epoch: epoch of the leader that it was sent to.
+    :ivar taken_at: when the leader acknowledged that it had read the call; ``None`` before.
     """
 
     epoch: int
@@ -97,12 +94,12 @@
     taken_at: float | None = None
 
     def reply_deadline(self, kind: CallKind, until: float, end: float) -> float:
-        """Return until when a reply is waited for.
+        """Return the time until which to wait for the reply.
 
-        A call that has been read is not lost, and the leader answers it in its time.
+        A submission or cancellation that the leader has read gets the leader's full working time.
 
-        :param until: how long a call that has not been read is waited for.
-        :param end: how long the call may take in all.
+        :param until: deadline for a call that has not been read.
+        :param end: deadline for the call as a whole.
         """
         if self.taken_at is None or kind in QUERIES:
             return until
@@ -110,14 +107,14 @@
 
 
 class CallForwarder:
-    """The calls in progress at one entry.
+    """Forwards the calls of one entry to the leader.
 
-    :ivar changed: set when it becomes known who leads.
+    :ivar changed: set when the leader or the configuration has changed.
     """
 
     changed: asyncio.Event
     _view: LeaderView
-    _waiting: dict[int, _ForwardedCall]
+    _pending: dict[int, _ForwardedCall]
     _cancels: PendingCancels
     _window: CallWindow
     _number: int
@@ -126,36 +123,35 @@
     def __init__(self, view: LeaderView) -> None:
         self.changed = asyncio.Event()
         self._view = view
-        self._waiting = {}
+        self._pending = {}
         self._cancels = PendingCancels()
         self._window = CallWindow()
-        # Told apart from the numbers of all other processes, so that a leader knows a try again.
+        # Call numbers differ between processes, so that a leader recognizes a retry.
         self._number = secrets.randbits(CALL_NUMBER_BITS)
         self._closes_at = math.inf
 
     def close_at(self, at: float) -> None:
-        """Give every call its final answer at time ``at``, whatever its caller's deadline.
+        """Answer every pending call by time ``at``, before the process ends.
 
-        The process ends soon after.  A call that is still held then would end with a closed
-        connection, and its caller would not even learn whether it may come again.
+        Without a reply, the caller of a held call would only see a closed connection.
         """
         self._closes_at = at
         asyncio.get_running_loop().call_at(at, self.changed.set)
 
     async def wait_for_cancels(self, until: float) -> None:
-        """Wait until no cancellation is passed on any more, or until ``until``."""
+        """Wait until no cancellation is pending, or until ``until``."""
         await self._cancels.wait_all(until - now())
 
     async def stop(self) -> None:
-        """End what goes on without a caller."""
+        """Stop the pending cancellations."""
         await self._cancels.stop()
 
     async def call(
         self, kind: CallKind, queue: str, job_id: str, job: bytes, deadline_s: float
     ) -> Reply:
-        """Carry out a caller's request and return its final answer.
+        """Carry out a caller's request and return the final reply.
 
-        A call that no leader has seen is held for :data:`HOLD_TIMEOUT_S` at most.
+        While no leader is known, a call is held for at most :data:`HOLD_TIMEOUT_S`.
 
         :param deadline_s: how long the caller waits, in seconds.
         """
@@ -168,134 +164,133 @@
         return await self._forward_until_answered(call, until, end)
 
     async def _forward_until_answered(self, call: Call, until: float, end: float) -> Reply:
-        """Ask whoever leads until there is an answer.
+        """Send a call to the current leader until there is a final reply.
 
-        :param until: how long the call is held while no leader can have taken it.
-        :param end: how long it may take in all.
+        :param until: deadline while no leader can have stored the call.
+        :param end: deadline for the call as a whole.
         """
         maybe_stored = False
-        again_s = FORWARD_RETRY_DELAY_S if call.kind is CallKind.SUBMIT else HOLD_TIMEOUT_S
+        retry_s = FORWARD_RETRY_DELAY_S if call.kind is CallKind.SUBMIT else HOLD_TIMEOUT_S
         while now() < min(until, self._closes_at):
             if not maybe_stored:
                 began = now()
                 if not await self._wait_for_admission(call, until, end):
                     return _unanswered(call, ReplyKind.NOT_RUN, "the leader is behind")
                 until = min(end, until + (now() - began))
-            reply = await self._send_to_leader(call, min(until, self._closes_at), end, again_s)
+            reply = await self._send_to_leader(call, min(until, self._closes_at), end, retry_s)
             if reply is None:
                 self._window.release(call.number)
                 continue
             if reply.kind not in (ReplyKind.NOT_LEADER, ReplyKind.LEAD_LOST):
                 return reply
             if reply.kind is ReplyKind.LEAD_LOST and call.kind is CallKind.SUBMIT:
-                # A submission that a leader may have stored is not run again by a caller who is
-                # told "unknown".  The next leader knows, so it is asked to the end.
+                # The old leader may have stored the submission.  The next leader knows, so retry
+                # until the caller's deadline instead of returning "unknown" early.
                 maybe_stored = True
                 until = end
-                again_s *= 2
+                retry_s *= 2
             await self._wait_for_leader_change(min(until, self._closes_at, now() + RETRY_DELAY_S))
         return _unanswered(call, ReplyKind.UNKNOWN if maybe_stored else ReplyKind.NOT_RUN)
 
     async def _wait_for_admission(self, call: Call, until: float, end: float) -> bool:
-        """Wait until a call may be passed on; a submission leaves the leader time to store it."""
+        """Wait until a call may be sent; submissions keep time for the leader to store them."""
         if self._view.serving_leader() is not None or not self._view.followed_leader():
             return True
         submits = call.kind is CallKind.SUBMIT
-        patient_until = min(max(until, end - HOLD_TIMEOUT_S) if submits else until, self._closes_at)
+        admit_until = min(max(until, end - HOLD_TIMEOUT_S) if submits else until, self._closes_at)
         return await self._window.acquire(
-            call.number, self._view.leader_epoch, patient_until, submits
+            call.number, self._view.leader_epoch, admit_until, submits
         )
 
     async def _cancel(self, call: Call, until: float) -> Reply:
-        """Have a job cancelled; the caller waits until ``until``, the cancellation goes on."""
-        give_up_at = now() + PENDING_CANCEL_TIMEOUT_S
+        """Cancel a job; the cancellation continues in the background after ``until``."""
+        deadline = now() + PENDING_CANCEL_TIMEOUT_S
         pending = self._cancels.join(
-            call.job_id, lambda: self._forward_until_confirmed(call, give_up_at)
+            call.job_id, lambda: self._forward_until_confirmed(call, deadline)
         )
         if pending is None:
             return _unanswered(call, ReplyKind.NOT_RUN, "too many jobs are being cancelled")
-        # Waiting for a task leaves it alone when the caller's own time is up.
+        # asyncio.wait does not cancel the task on timeout.
         await asyncio.wait({pending}, timeout=until - now())
         if pending.done() and not pending.cancelled() and pending.exception() is None:
             return msgspec.structs.replace(pending.result(), number=call.number)
         return _unanswered(call, ReplyKind.UNKNOWN)
 
-    async def _forward_until_confirmed(self, call: Call, give_up_at: float) -> Reply:
-        """Pass a cancellation on until a leader has stored it or knows of no such job."""
-        while (at := now()) < min(give_up_at, self._closes_at):
-            until = min(give_up_at, self._closes_at, at + FORWARDED_WRITE_TIMEOUT_S)
-            reply = await self._send_to_leader(call, until, give_up_at, CANCEL_RETRY_DELAY_S)
+    async def _forward_until_confirmed(self, call: Call, deadline: float) -> Reply:
+        """Forward a cancellation until a leader has stored it or reports the job as absent."""
+        while (at := now()) < min(deadline, self._closes_at):
+            until = min(deadline, self._closes_at, at + FORWARDED_WRITE_TIMEOUT_S)
+            reply = await self._send_to_leader(call, until, deadline, CANCEL_RETRY_DELAY_S)
             if reply is not None and reply.kind in CONFIRMED_KINDS:
                 return reply
             await self._wait_for_leader_change(min(until, now() + RETRY_DELAY_S))
         return _unanswered(call, ReplyKind.UNKNOWN)
 
     async def _send_to_leader(
-        self, call: Call, until: float, end: float, again_s: float
+        self, call: Call, until: float, end: float, retry_s: float
     ) -> Reply | None:
-        """Ask whoever leads now, once; ``None`` where nobody is known to lead.
+        """Send a call once to the current leader; ``None`` if it was not sent.
 
-        :param until: how long the call may be held.
-        :param end: how long this entry itself, if it leads, may work on a submission, and another
-            one on a call that it has read.
-        :param again_s: how long another entry that leads has to read the call.
+        :param until: deadline of this attempt.
+        :param end: deadline of a submission to a local leader, and of a call that a remote leader
+            has read.
+        :param retry_s: time within which a remote leader has to read the call.
         """
         leader = self._view.serving_leader()
         if leader is None:
-            return await self._forward(call, until, end, again_s)
+            return await self._forward(call, until, end, retry_s)
         return await leader.call(call, end if call.kind is CallKind.SUBMIT else until)
 
-    async def _forward(self, call: Call, until: float, end: float, again_s: float) -> Reply | None:
-        """Pass a call on; a call that was sent and not answered counts as lost with the lead."""
+    async def _forward(self, call: Call, until: float, end: float, retry_s: float) -> Reply | None:
+        """Send a call to the remote leader; without a reply in time, return ``LEAD_LOST``."""
         leader = self._view.followed_leader()
         if not leader:
             await self._wait_for_leader_change(until)
             return None
         fut: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        asked = msgspec.structs.replace(call, epoch=self._view.leader_epoch())
-        waiting = self._waiting[call.number] = _ForwardedCall(asked.epoch, fut)
+        request = msgspec.structs.replace(call, epoch=self._view.leader_epoch())
+        pending = self._pending[call.number] = _ForwardedCall(request.epoch, fut)
         try:
-            if not self._view.send_to(leader, asked):
+            if not self._view.send_to(leader, request):
                 await self._wait_for_leader_change(min(until, now() + RETRY_DELAY_S))
                 return None
-            await self._wait_for_reply(waiting, asked, min(until, now() + again_s), end)
+            await self._wait_for_reply(pending, request, min(until, now() + retry_s), end)
         finally:
-            self._waiting.pop(call.number, None)
+            self._pending.pop(call.number, None)
         if fut.done():
             return fut.result()
         log_event("INFO", "call_not_answered", job=call.job_id, kind=call.kind, leader=leader)
         return Reply(call.number, ReplyKind.LEAD_LOST)
 
     async def _wait_for_reply(
-        self, waiting: _ForwardedCall, asked: Call, until: float, end: float
+        self, pending: _ForwardedCall, request: Call, until: float, end: float
     ) -> None:
-        """Wait for a reply while the leadership that was asked may still give one."""
-        fut = waiting.reply
+        """Wait for a reply until its deadline or until the leader's epoch changes."""
+        fut = pending.reply
         while not fut.done():
-            left_s = min(waiting.reply_deadline(asked.kind, until, end), self._closes_at) - now()
+            left_s = min(pending.reply_deadline(request.kind, until, end), self._closes_at) - now()
             if left_s <= 0:
                 return
             await asyncio.wait({fut}, timeout=max(0.001, min(left_s, FORWARD_RETRY_DELAY_S)))
-            if self._view.leader_epoch() != asked.epoch:
+            if self._view.leader_epoch() != request.epoch:
                 return
-            if asked.kind in QUERIES and self._window.overtaken(asked.number):
+            if request.kind in QUERIES and self._window.overtaken(request.number):
                 return
 
     def handle_reply(self, reply: Reply) -> None:
-        """Take the reply of the leadership that was asked last.
+        """Accept a reply of the leader to which the call was sent last.
 
-        A call that got no answer in time has gone to the next leader.  When the earlier one, which
-        was slow or suspended, then says "not run", that is true of itself only: the next one may
-        be storing the call at that moment, and a job would run whose caller was refused.
+        A late "not run" of an earlier leader is ignored: the call has been sent to the next leader
+        since, which may be storing it.
         """
         self._window.read(reply.number, reply.epoch)
-        asked = self._waiting.get(reply.number)
-        if asked is None or asked.epoch != reply.epoch or asked.reply.done():
+        pending = self._pending.get(reply.number)
+        if pending is None or pending.epoch != reply.epoch or pending.reply.done():
             return
         if reply.kind is ReplyKind.TAKEN:
-            asked.taken_at = now()
+            pending.taken_at = now()
         else:
-            asked.reply.set_result(reply)
+            pending.reply.set_result(reply)
 
     async def _wait_for_leader_change(self, until: float) -> None:
         self.changed.clear()
--- a/sapphirelead/node_cancels.py
+++ b/sapphirelead/node_cancels.py
@@ -1,8 +1,7 @@
-"""Cancellations that an entry has taken and no leader has confirmed yet.
+"""Cancellations that an entry has accepted and no leader has confirmed yet.
 
-A caller waits for less time than a leader that has fallen behind may need.  Its cancellation goes
-on without it, until a leader has stored it or says that there is no such job; cancelling is
-idempotent.
+A cancellation continues after its caller's timeout, until a leader has stored it or reports that
+there is no such job.  Cancelling is idempotent.
 """
 
 import asyncio
@@ -13,17 +12,17 @@
 from sapphirelead.node_messages import Reply, ReplyKind
 
 PENDING_CANCEL_TIMEOUT_S: Final = 30.0
-"""How long a cancellation is passed on."""
+"""Time after which an unconfirmed cancellation is abandoned."""
 
 MAX_PENDING_CANCELS: Final = 1_000
-"""Jobs whose cancellation is passed on at a time; bounds the messages to the leader."""
+"""Bound on jobs with pending cancellations; limits the messages to the leader."""
 
 CONFIRMED_KINDS: Final = frozenset({ReplyKind.OK, ReplyKind.ABSENT})
-"""Replies after which there is nothing left to cancel."""
+"""Reply kinds that end a cancellation."""
 
 
 class PendingCancels:
-    """At most two tasks for each job that is being cancelled: one passed on, and one after it."""
+    """The pending cancellations: per job, at most one task in progress and one queued after it."""
 
     _tasks: dict[str, list["asyncio.Task[Reply]"]]
 
@@ -33,11 +32,13 @@
     def join(
         self, job_id: str, carry_out: Callable[[], Coroutine[Any, Any, Reply]]
     ) -> "asyncio.Task[Reply] | None":
-        """Return a cancellation of a job that no leader has been asked for yet.
+        """Start or join a cancellation of a job, and return its task.
 
-        ``None`` where :data:`MAX_PENDING_CANCELS` jobs are being cancelled already.
+        A caller joins only a cancellation that has not been sent to a leader, since the reply to
+        one in progress may predate its request.  Returns ``None`` if :data:`MAX_PENDING_CANCELS`
+        jobs have pending cancellations.
 
-        :param carry_out: passes the cancellation on.
+        :param carry_out: forwards the cancellation to the leader.
         """
         tasks = self._tasks.get(job_id)
         if tasks is None:
@@ -54,12 +55,12 @@
         return task
 
     async def wait_all(self, timeout_s: float) -> None:
-        """Wait for the end of those in progress, for ``timeout_s`` at most."""
+        """Wait up to ``timeout_s`` for the pending cancellations to end."""
         if tasks := self._all_tasks():
             await asyncio.wait(tasks, timeout=max(timeout_s, 0.0))
 
     async def stop(self) -> None:
-        """Give up what is not settled; the process ends."""
+        """Abandon the pending cancellations."""
         tasks = self._all_tasks()
         for task in tasks:
             task.cancel()
@@ -73,7 +74,7 @@
         if not self._tasks[job_id]:
             del self._tasks[job_id]
         if task.cancelled():
-            log_event("WARNING", "cancel_given_up", job=job_id, reason="the entry ends")
+            log_event("WARNING", "cancel_given_up", job=job_id, reason="process is stopping")
         elif (exc := task.exception()) is not None:
             log_event("ERROR", "cancel_given_up", job=job_id, reason=repr(exc))
         elif task.result().kind not in CONFIRMED_KINDS:
@@ -83,7 +84,7 @@
 async def _run_after(
     first: "asyncio.Task[Reply]", carry_out: Callable[[], Coroutine[Any, Any, Reply]]
 ) -> Reply:
-    """Wait for another cancellation of the job; carry out a second one unless it was stored."""
+    """Wait for an earlier cancellation of the job, and carry out another unless it was stored."""
     await asyncio.wait({first})
     if not first.cancelled() and first.exception() is None and first.result().kind is ReplyKind.OK:
         return first.result()
--- a/sapphirelead/node_codec.py
+++ b/sapphirelead/node_codec.py
@@ -1,4 +1,4 @@
-"""Messages between the processes of a fleet as frames."""
+"""Encodes and decodes the messages between the processes of a fleet as MessagePack frames."""
 
 from typing import Final
 
@@ -12,21 +12,21 @@
 
 
 def encode_node(message: AnyNodeMessage) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     return _ENCODER.encode(message)
 
 
 def decode_node(frame: bytes, sender: str) -> AnyNodeMessage | None:
-    """Return the message of a frame; ``None``, with a log line, where it is none."""
+    """Decode a frame; logs and returns ``None`` if it is not a valid message."""
     try:
         message: AnyNodeMessage = _DECODER.decode(frame)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
-        # A peer of another version, or a damaged frame; the peer repeats what matters.
+        # Sent by a peer of another version, or corrupted.  Senders repeat essential messages.
         log_event("WARNING", "frame_dropped", sender=sender, reason=str(exc))
         return None
     return message
 
 
 def message_kind(message: AnyNodeMessage) -> str:
-    """Return the kind of a message as logs and metrics name it."""
+    """Return the kind of a message as used in logs and metrics."""
     return message.kind.value if isinstance(message, Call) else type(message).__name__
--- a/sapphirelead/node_dropped.py
+++ b/sapphirelead/node_dropped.py
@@ -1,7 +1,7 @@
-"""Jobs whose submission was dropped at a hub and may come again.
+"""Tracks jobs whose submission was dropped at a hub and may be retried.
 
-The sender repeats a submission for as long as its caller waits.  Until then nobody may be told that
-there is no such job: it would be accepted after its cancellation.
+Such a job must not be reported absent to a cancellation while its submission may be retried, or it
+would be accepted after its cancellation.
 """
 
 from typing import Final
@@ -9,11 +9,11 @@
 from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 
 MAX_DROPPED_JOBS: Final = 4_000
-"""Jobs that are remembered; past it, any job that is not known counts as one of them."""
+"""Bound on the tracked jobs; beyond it, every unknown job counts as dropped for a time."""
 
 
 class DroppedSubmits:
-    """Jobs with a dropped submission, the oldest first."""
+    """Jobs with a dropped submission, oldest first."""
 
     _until: dict[str, float]
     _any_until: float
@@ -26,12 +26,12 @@
         return len(self._until)
 
     def record(self, job_id: str, at: float) -> None:
-        """Take note that a submission was dropped at time ``at``."""
+        """Record that a submission was dropped at time ``at``."""
         self._until.pop(job_id, None)
         self._until[job_id] = at + PENDING_CANCEL_TIMEOUT_S
         if len(self._until) > MAX_DROPPED_JOBS:
             self._any_until = self._until.pop(next(iter(self._until)))
 
     def may_arrive(self, job_id: str, at: float) -> bool:
-        """Whether a submission of the job may come again at time ``at`` or later."""
+        """Whether a submission of the job may be retried at time ``at`` or later."""
         return at < max(self._until.get(job_id, 0.0), self._any_until)
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -1,7 +1,7 @@
-"""An entry of a fleet: takes callers' requests, follows the leader or leads.
+"""The entry process of a fleet: accepts callers' requests and takes part in leader election.
 
-All entries are alike.  One leads: it holds the jobs in memory, decides, and is the only one that
-writes.  The others pass callers' requests on to it (:mod:`sapphirelead.node_calls`).
+All entries run the same code.  The leader keeps the jobs in memory, schedules them and is the only
+writer to the store.  Followers forward requests to it (:mod:`sapphirelead.node_calls`).
 """
 
 import asyncio
@@ -47,19 +47,19 @@
 from sapphirelead.sched_timing import Bounds
 
 ELECTION_INTERVAL_S: Final = 0.1
-"""Time between two looks at who leads; a fraction of the heartbeat."""
+"""Mean interval of the election loop; shorter than the heartbeat interval."""
 
 TAKEN_REPLY_DELAY_S: Final = 0.1
-"""Another entry is told after this that its call has been read and waits for the store; well
-under the time after which a call counts as late."""
+"""Delay before a ``TAKEN`` reply to a forwarded call that waits for the store; well below
+:data:`sapphirelead.node_window.LATE_AFTER_S`."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryNode:
-    """Who this process is.
+    """Identity and settings of this entry process.
 
-    :ivar address: where its hub listens.
-    :ivar keys: protect its links; ``None`` leaves them open.
+    :ivar address: listening address of the hub.
+    :ivar keys: keys that encrypt and authenticate the links; ``None`` disables this.
     """
 
     address: EntryAddress
@@ -69,7 +69,7 @@
 
 
 class FleetEntry:
-    """The entry's process: hub, links, election, and the leader while it leads."""
+    """The hub, links and election of an entry, and its leader while it holds the leadership."""
 
     node: EntryNode
     metrics: Metrics
@@ -116,41 +116,41 @@
 
     @property
     def name(self) -> str:
-        """This entry's name."""
+        """Name of this entry."""
         return self.node.address.name
 
     @property
     def ready(self) -> bool:
-        """Whether callers can be served: a configuration and a leader are known."""
+        """Whether callers can be served: not stopping, with a known configuration and leader."""
         return not self._stopping and self.config.version > 0 and self.leader_known
 
     @property
     def leader_known(self) -> bool:
-        """Whether calls can be carried out here or passed on."""
+        """Whether calls can be carried out here or forwarded to a leader."""
         return self.serving_leader() is not None or self._election.followed(now())
 
     def serving_leader(self) -> Leader | None:
-        """Return the leader in this process, if it takes calls."""
+        """Return the leader in this process, if it accepts calls."""
         return self.leader if self.leader is not None and self.leader.serving else None
 
     def followed_leader(self) -> str:
-        """Return the name of the leader elsewhere, if one has been heard of lately."""
+        """Return the name of the remote leader; empty if none responds."""
         return self._election.leader if self._election.followed(now()) else ""
 
     def leader_epoch(self) -> int:
-        """Return the epoch of the leader that has been heard of last."""
+        """Return the epoch of the most recently known leader."""
         return self._election.epoch
 
     def send_to(self, name: str, message: AnyNodeMessage) -> bool:
-        """Send to another entry; ``False`` means proven not sent."""
+        """Send to another entry; ``False`` guarantees that the message was not sent."""
         return self._links.send(name, message)
 
     def config_version(self) -> int:
-        """Return the version of the configuration in force here."""
+        """Return the version of the active configuration."""
         return self.config.version
 
     async def start(self) -> None:
-        """Bind the hub and look for the others."""
+        """Bind the hub, register this entry and join the election."""
         address = self.node.address
         self._hub = Hub(
             self._ctx,
@@ -169,7 +169,7 @@
         ]
 
     def set_config(self, config: QueueConfig) -> None:
-        """Take a newer configuration; an older one is never taken."""
+        """Apply a configuration if it is newer than the active one."""
         if config.version <= self.config.version:
             return
         log_event("INFO", "config_taken", version=config.version, before=self.config.version)
@@ -179,13 +179,13 @@
         self._calls.changed.set()
 
     def record_store_result(self, answered: bool) -> None:
-        """Take note of whether a call to the store was answered."""
+        """Record whether the store replied to a call."""
         self._election.store_ok = answered
 
-    # Finding the others
+    # Discovery of entries
 
     async def _register(self) -> None:
-        """Write this entry's row and read those of the others, until both have worked."""
+        """Write this entry's row and read all rows, retrying until both succeed."""
         pause = 0.1
         written = False
         while True:
@@ -207,7 +207,7 @@
         self._links.set_entries(list(self._entries.values()))
 
     def _replace_entries(self, beat: LeaderBeat) -> None:
-        """Take the leader's list over, where it has sent one."""
+        """Replace the list of entries by the leader's, if the heartbeat carries one."""
         if beat.entries is None:
             return
         self._entries = {entry.name: entry for entry in beat.entries}
@@ -235,7 +235,7 @@
             await asyncio.sleep(ELECTION_INTERVAL_S * (0.75 + 0.5 * random.random()))
 
     def _log_leader_state(self, at: float) -> None:
-        """Log it when the leader falls silent for this entry, and when it is heard of again."""
+        """Log when the leader becomes unresponsive to this entry, and when it responds again."""
         followed = self._election.followed(at)
         if followed == self._followed:
             return
@@ -253,7 +253,7 @@
             election.store_ok,
             self.config.version,
             self._stopping,
-            # Each leader counts the versions of its own list.
+            # List versions are comparable only within one leader's epoch.
             self._entries_version if self._entries_epoch == election.epoch else 0,
         )
         self._links.send(election.leader, beat)
@@ -273,7 +273,7 @@
         await self._find_leader_address()
 
     async def _find_leader_address(self) -> None:
-        """Learn where the leader listens, if that is not known yet."""
+        """Read the entries from the store if the leader's address is unknown."""
         if not self._election.leader or self._election.leader in self._entries:
             return
         found = await read_entries(self._table)
@@ -283,12 +283,12 @@
     async def _acquire_lead(self) -> None:
         head = await self._election.take(self._table)
         if head is None:
-            # Another entry may have been faster, one whose row was not there at the first reading.
+            # Another entry may have won whose row did not exist when the entries were first read.
             await self._find_leader_address()
             return
         if self._stopping:
-            # The signal came while the store was writing.  A process that is about to end would
-            # hold the lead, and the others would wait until it counts as silent.
+            # The stop signal arrived during the write.  Release the leadership, so that the other
+            # entries do not have to wait until this process times out.
             await head.release()
             self._election.lost_lead()
             return
@@ -325,8 +325,8 @@
         running = spawn(leader.run(), "leader-rounds")
         over = asyncio.create_task(leader.over())
         try:
-            # A resigned leader may be waiting for the store; what it sent is settled by whoever
-            # leads next.
+            # A resigned leader may still wait for the store; the next leader resolves the writes
+            # that are in flight.
             await asyncio.wait({running, over}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for task in (running, over):
@@ -334,7 +334,7 @@
             await asyncio.gather(running, over, return_exceptions=True)
 
     def _announce(self) -> None:
-        """Tell everybody known who leads; those unknown ask."""
+        """Announce the leadership to all known agents and entries."""
         message = Leads(self._election.epoch, self.name)
         for identity in self._agents.values():
             self._hub.send(identity, message)
@@ -453,7 +453,7 @@
     async def call(
         self, kind: CallKind, queue: str, job_id: str, job: bytes, deadline_s: float
     ) -> Reply:
-        """Carry out a caller's request and return its final answer; see :class:`CallForwarder`."""
+        """Carry out a caller's request and return the final reply; see :class:`CallForwarder`."""
         return await self._calls.call(kind, queue, job_id, job, deadline_s)
 
     def _on_call(self, identity: bytes, call: Call) -> None:
@@ -464,8 +464,8 @@
     async def _answer_call(self, identity: bytes, call: Call) -> None:
         leader = self.serving_leader()
         if leader is None or call.epoch != leader.head.epoch:
-            # A call may have lain here since an earlier leadership of this entry; its caller has
-            # been told by now that it never ran.
+            # The call may have been queued since an earlier epoch of this entry, and its caller may
+            # have been told since that it did not run.
             reply = Reply(call.number, ReplyKind.NOT_LEADER)
         else:
             if call.config_version > self.config.version:
@@ -485,21 +485,21 @@
         if reply.config_version > self.config.version:
             self.on_newer_config()
 
-    # Leaving
+    # Shutdown
 
     async def drain(self, until: float) -> None:
-        """Lead on until another entry can, and settle each call and cancellation, by ``until``."""
+        """Hand over the leadership and finish pending calls and cancellations by ``until``."""
         self._stopping = True
         self._election.leave()
         if self.leader is None:
-            # The leader must not offer the lead to this entry meanwhile.
+            # Tell the leader not to hand the leadership over to this entry.
             self._send_heartbeat()
         self._calls.close_at(until)
         await self._handover.leave(lambda: self.leader, until)
         await self._calls.wait_for_cancels(until)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Cancel all tasks and close the links and the hub."""
         await self._calls.stop()
         for task in list(self._tasks):
             task.cancel()
--- a/sapphirelead/node_inbox.py
+++ b/sapphirelead/node_inbox.py
@@ -1,15 +1,10 @@
-"""What has arrived at an entry's hub and waits to be worked on: urgent first, each thing once.
+"""Priority queue of the messages that have arrived at an entry's hub.
 
-The transport hands out one message of each connection in turn, whatever it is.  Where more messages
-arrive than can be worked on, urgent ones would wait behind the rest of their connection.
-
-- Heartbeats and the word on who leads: the newest of each sender and kind.
-- Cancels, in the order of their arrival.
-- Reports, the agent first that has waited longest; what an agent tells meanwhile is merged.
-- Submissions and questions, in turns by sender (:mod:`sapphirelead.node_call_queue`).
-
-Each class has a share of the turns, so that none waits for ever.  A message dropped here counts as
-lost on its way: its sender repeats what matters.
+Keeps urgent messages from waiting behind the rest of their connection.  Of heartbeats and leader
+election messages, only the newest of each sender and kind is kept; reports of one agent are merged
+and taken in the order of the agents' oldest report; calls are ordered by
+:mod:`sapphirelead.node_call_queue`.  Weighted round-robin between the classes prevents starvation.
+Senders repeat messages that are dropped here.
 """
 
 from collections import Counter
@@ -23,11 +18,11 @@
 from sapphirelead.node_report_merge import merge_reports
 
 MAX_REPORTS_PER_AGENT: Final = 4
-"""Reports of one agent that wait and cannot be merged."""
+"""Bound on the queued reports of one agent that cannot be merged."""
 
 
 class Urgency(IntEnum):
-    """Classes of messages, the most urgent first."""
+    """Priority classes of messages, the most urgent first."""
 
     LEAD = 0
     CANCEL = 1
@@ -36,14 +31,14 @@
 
 
 CLASS_WEIGHTS: Final = {Urgency.LEAD: 8, Urgency.CANCEL: 4, Urgency.REPORT: 4, Urgency.CALL: 2}
-"""Messages of each class in one round while all of them wait."""
+"""Messages taken of each class in one round while all classes have some queued."""
 
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """A message that waits, or is worked on.
+    """A message that is queued or being handled.
 
-    :ivar arrived_at: when it arrived, or the oldest of those that it stands for.
+    :ivar arrived_at: arrival time; of merged messages, that of the oldest.
     """
 
     identity: bytes
@@ -52,7 +47,7 @@
 
 
 class Inbox:
-    """The messages that wait at one hub."""
+    """The queued messages of one hub."""
 
     _merged: Counter[str]
     _dropped: Counter[str]
@@ -62,9 +57,9 @@
     _credits: dict[Urgency, int]
 
     def __init__(self, query_timeout_s: float) -> None:
-        """Make an empty inbox.
+        """Create an empty inbox.
 
-        :param query_timeout_s: how long the caller of a question waits at most.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self._merged = Counter()
         self._dropped = Counter()
@@ -75,19 +70,19 @@
 
     @property
     def merged(self) -> Counter[str]:
-        """Messages that were merged into others, by kind."""
+        """Number of messages merged into others, by kind."""
         return self._merged + self._calls.merged
 
     @property
     def dropped(self) -> Counter[str]:
-        """Messages that were dropped, by kind."""
+        """Number of dropped messages, by kind."""
         return self._dropped + self._calls.dropped
 
     def __len__(self) -> int:
         return sum(self.counts().values())
 
     def counts(self) -> Counter[str]:
-        """Count what waits by kind."""
+        """Return the number of queued messages by kind."""
         counts = Counter(kind for _, kind in self._latest)
         counts.update(item.call.kind.value for item in self._calls.waiting())
         reports = sum(len(waiting) for waiting in self._reports.values())
@@ -96,11 +91,11 @@
         return counts
 
     def may_arrive(self, job_id: str, at: float) -> bool:
-        """Whether a submission of the job waits, or was dropped and may come again."""
+        """Whether a submission of the job is queued, or was dropped and may be retried."""
         return self._calls.may_arrive(job_id, at)
 
     def put(self, identity: bytes, message: AnyNodeMessage, at: float) -> None:
-        """Take a message that has arrived at time ``at``."""
+        """Add a message that arrived at time ``at``."""
         match message:
             case AgentReport():
                 self._put_report(QueuedMessage(identity, message, at), message)
@@ -110,7 +105,7 @@
                 self._put_newest(QueuedMessage(identity, message, at))
 
     def take(self, at: float) -> QueuedMessage | None:
-        """Return what is to be worked on next; ``None`` where nothing waits."""
+        """Remove and return the next message; ``None`` if the inbox is empty."""
         self._calls.expire(at)
         waiting = [urgency for urgency in Urgency if self._has(urgency)]
         if not waiting:
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -1,7 +1,7 @@
-"""Takes messages off a hub's transport and works on them in the order of the inbox.
+"""Reads messages from a hub's transport and handles them in the order of the inbox.
 
-The two are apart: what has arrived is read and decoded, which is cheap, before more than a few
-messages are worked on.  Only then is it known which of them is urgent.
+Reading and handling are separate tasks, so that arrived messages are decoded and prioritized before
+many of them are handled.
 """
 
 import asyncio
@@ -18,23 +18,22 @@
 from sapphirelead.node_messages import AnyNodeMessage
 
 MAX_BATCH: Final = 10
-"""Messages worked on before the rest of the process gets its turn.  Taking one that has arrived
-never waits, so that a backlog would keep the loop."""
+"""Messages handled before yielding to the event loop, which a backlog would block otherwise."""
 
 MAX_READ_BATCH: Final = 100
-"""Messages read and decoded before the rest of the process gets its turn."""
+"""Messages read and decoded before yielding to the event loop."""
 
 MAX_BATCH_S: Final = 0.01
-"""Time after which a turn ends in any case, on a slow processor turns have fewer messages."""
+"""Time limit of a batch, which shortens batches on slow processors."""
 
 HubHandler = Callable[[bytes, AnyNodeMessage], None]
 
 Receive = Callable[[], Awaitable[list[bytes]]]
-"""Waits for the next message: the identity of its sender, and its frame."""
+"""Waits for the next message and returns the identity of its sender, and its frame."""
 
 
 class LoopYielder:
-    """Lets a reader of messages give way to the rest of the process."""
+    """Yields to the event loop after each batch of messages."""
 
     _max_messages: int
     _max_s: float
@@ -42,11 +41,10 @@
     _began_at: float
 
     def __init__(self, max_messages: int = MAX_BATCH, max_s: float = math.inf) -> None:
-        """Begin the first turn.
+        """Begin the first batch.
 
-        :param max_messages: messages of a turn.
-        :param max_s: time from the end of the first of them after which the turn ends in any
-            case.
+        :param max_messages: largest batch, in messages.
+        :param max_s: time after the first message of a batch at which the batch ends in any case.
         """
         self._max_messages = max_messages
         self._max_s = max_s
@@ -54,9 +52,9 @@
         self._began_at = 0.0
 
     async def took(self) -> float:
-        """Count a message; at the end of a turn, wait for one turn of the loop.
+        """Count a message; at the end of a batch, yield for one iteration of the event loop.
 
-        :return: how long that took, in seconds; 0 where the reader may go on.
+        :return: duration of that iteration in seconds; 0 if the batch goes on.
         """
         at = now()
         if not self._taken:
@@ -70,9 +68,9 @@
 
 
 class Intake:
-    """The two tasks of a hub: one reads, the other works.
+    """The two tasks of a hub: one reads messages, the other handles them.
 
-    :ivar inbox: what has been read and waits.
+    :ivar inbox: messages that have been read and not handled.
     """
 
     inbox: Inbox
@@ -85,10 +83,10 @@
     def __init__(
         self, receive: Receive, handler: HubHandler, query_timeout_s: float, metrics: Metrics
     ) -> None:
-        """Set the intake up.
+        """Create an intake; :meth:`start` starts its tasks.
 
-        :param receive: takes a message off the transport.
-        :param query_timeout_s: how long the caller of a question waits at most.
+        :param receive: receives a message from the transport.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self._receive = receive
         self._handler = handler
@@ -98,27 +96,27 @@
         self._tasks = []
 
     def start(self) -> None:
-        """Start to read and to work."""
+        """Start reading and handling messages."""
         self._tasks = [spawn(self._read(), "hub"), spawn(self._work(), "hub-work")]
 
     async def stop(self) -> None:
-        """Stop; what waits is dropped."""
+        """Stop both tasks; queued messages are dropped."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _read(self) -> None:
-        turns = LoopYielder(MAX_READ_BATCH, MAX_BATCH_S)
+        yielder = LoopYielder(MAX_READ_BATCH, MAX_BATCH_S)
         while True:
             identity, frame = await self._receive()
             message = decode_node(frame, identity.decode(errors="replace"))
             if message is not None:
                 self.inbox.put(identity, message, now())
                 self._arrived.set()
-            await turns.took()
+            await yielder.took()
 
     async def _work(self) -> None:
-        turns = LoopYielder(MAX_BATCH, MAX_BATCH_S)
+        yielder = LoopYielder(MAX_BATCH, MAX_BATCH_S)
         while True:
             at = now()
             item = self.inbox.take(at)
@@ -128,7 +126,7 @@
                 continue
             self._meter.took(message_kind(item.message), at - item.arrived_at)
             self._handler(item.identity, item.message)
-            turn_s = await turns.took()
-            if turn_s:
-                self._meter.turned(turn_s)
+            yielded_s = await yielder.took()
+            if yielded_s:
+                self._meter.turned(yielded_s)
             self._meter.look(now())
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -1,10 +1,9 @@
-"""Links between the processes of a fleet: one listening hub, one dealing link for each peer.
+"""ZeroMQ links between the processes of a fleet: a router socket per entry, a dealer per peer.
 
-Each entry binds a hub.  Agents and other entries connect to it under an identity of their own; the
-hub answers to that identity.  Links are kept alive by the transport's heartbeats, which also end a
-connection that went silent without an error (see :mod:`sapphirelead.wire_sockets`).  A message that
-cannot be handed to a live connection is dropped and reported as such; every message of this level
-is repeated until it has had its effect.
+Each entry binds a hub.  Agents and other entries connect to it under their own identity, to which
+the hub replies.  Transport heartbeats detect unresponsive connections
+(:mod:`sapphirelead.wire_sockets`).  A message that cannot be handed to a live connection is dropped,
+and the sender is told so; senders repeat every message until it has taken effect.
 """
 
 import asyncio
@@ -27,25 +26,23 @@
 from sapphirelead.wire_sockets import bind_router, connect_dealer
 
 LINK_TIMEOUT_S: Final = 1.5
-"""A connection that carries nothing for so long is closed and opened anew: three heartbeats."""
+"""A connection without traffic for longer is closed and reopened."""
 
 LinkHandler = Callable[[AnyNodeMessage], None]
 
 
 def _send_now(sock: zmq.asyncio.Socket, parts: list[bytes]) -> bool:
-    """Send without waiting; ``False`` means proven not sent.
+    """Send without waiting; ``False`` guarantees that the message was not sent.
 
-    The socket's own asynchronous send has to be used, although its result is there at once: it
-    wakes the reader again.  The transport signals waiting messages only when its state changes,
-    and a plain send takes that signal away; messages then lay unread for good, while the other
-    direction went on.
+    Uses the asynchronous send, which wakes up the reader: ZeroMQ signals readable sockets on state
+    changes only, and a synchronous send consumes that signal and leaves received messages unread.
     """
     fut = cast("asyncio.Future[None]", sock.send_multipart(parts, flags=zmq.NOBLOCK))
     return fut.done() and fut.exception() is None
 
 
 class Hub:
-    """The listening end."""
+    """The listening end of links: a router socket and its intake."""
 
     _sock: zmq.asyncio.Socket
     _intake: Intake
@@ -62,7 +59,7 @@
     ) -> None:
         """Bind the hub.
 
-        :param query_timeout_s: how long the caller of a question waits at most.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self._sock, self.port = bind_router(ctx, host, port, keys)
         self._intake = Intake(
@@ -74,21 +71,21 @@
         self._intake.start()
 
     def send(self, identity: bytes, message: AnyNodeMessage) -> bool:
-        """Send to a connected peer; ``False`` means proven not sent."""
+        """Send to a connected peer; ``False`` guarantees that the message was not sent."""
         return _send_now(self._sock, [identity, encode_node(message)])
 
     def may_arrive(self, job_id: str) -> bool:
-        """Whether a submission of the job waits here, or was dropped and may come again."""
+        """Whether a submission of the job is queued, or was dropped and may be retried."""
         return self._intake.inbox.may_arrive(job_id, now())
 
     async def stop(self) -> None:
-        """Stop receiving and close."""
+        """Stop receiving and close the socket."""
         await self._intake.stop()
         self._sock.close(linger=200)
 
 
 class Link:
-    """The connecting end, to one entry's hub."""
+    """The connecting end of a link to one entry's hub."""
 
     address: EntryAddress
     _sock: zmq.asyncio.Socket
@@ -109,27 +106,27 @@
         self._task = spawn(self._receive(), f"link-{address.name}")
 
     def send(self, message: AnyNodeMessage) -> bool:
-        """Send to the peer; ``False`` means proven not sent."""
+        """Send to the peer; ``False`` guarantees that the message was not sent."""
         return _send_now(self._sock, [encode_node(message)])
 
     async def _receive(self) -> None:
-        turns = LoopYielder()
+        yielder = LoopYielder()
         while True:
             frame = await self._sock.recv()
             message = decode_node(frame, self.address.name)
             if message is not None:
                 self._handler(message)
-            await turns.took()
+            await yielder.took()
 
     async def stop(self) -> None:
-        """Stop receiving and close."""
+        """Stop receiving and close the socket."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         self._sock.close(linger=200)
 
 
 class Links:
-    """One link to each entry of a list that may change."""
+    """One link to each entry of a changing list."""
 
     _ctx: zmq.asyncio.Context
     _identity: str
@@ -156,7 +153,7 @@
         self._closing = set()
 
     def set_entries(self, entries: list[EntryAddress]) -> None:
-        """Connect to ``entries`` but not to this process itself; leave all others."""
+        """Connect to ``entries`` except this process, and disconnect from all others."""
         wanted = {entry.name: entry for entry in entries if entry.name != self._own}
         for name, link in list(self._links.items()):
             if wanted.get(name) != link.address:
@@ -170,15 +167,15 @@
                 try:
                     self._links[name] = Link(self._ctx, self._identity, entry, handler, self._keys)
                 except zmq.ZMQError as exc:
-                    # The address is what the row of that entry says; it keeps out no other.
+                    # An invalid address in one entry's row must not affect the other links.
                     log_event("ERROR", "entry_address_refused", name=name, reason=str(exc))
 
     def names(self) -> list[str]:
-        """Return the names of the entries connected to."""
+        """Return the names of the linked entries."""
         return list(self._links)
 
     def send(self, name: str, message: AnyNodeMessage) -> bool:
-        """Send to one entry; ``False`` means proven not sent."""
+        """Send to one entry; ``False`` guarantees that the message was not sent."""
         link = self._links.get(name)
         return link is not None and link.send(message)
 
--- a/sapphirelead/node_report_merge.py
+++ b/sapphirelead/node_report_merge.py
@@ -1,8 +1,8 @@
-"""Merges two reports of one agent that both wait at the leader.
+"""Merges two queued reports of one agent.
 
-A full report lists every run that is not over, so it replaces the statuses of an earlier one.  It
-does not replace the ends: a report carries a bounded number of them, and an end that was told in a
-short report may not be among those.  Saved progress is in full reports only and is kept as well.
+A full report lists every run that has not ended, so it replaces the statuses of an earlier report.
+Ended runs of both are kept, since a report carries a bounded number of them.  Saved progress is in
+full reports only and is kept as well.
 """
 
 from typing import Final
@@ -12,16 +12,17 @@
 from sapphirelead.node_messages import AgentReport, RunEnded, RunStatus
 
 MAX_MERGED_ENDS: Final = 1_000
-"""Ends in a merged report: five times what an agent puts into one report."""
+"""Bound on the ended runs in a merged report."""
 
 RunKey = tuple[str, int]
 
 
 def merge_reports(older: AgentReport, newer: AgentReport) -> AgentReport | None:
-    """Return one report that tells what both tell.
+    """Merge two reports into one with the information of both.
 
-    :return: ``None`` where they cannot be merged: they come from two processes of the agent or two
-        lives of its worker, or the newer one is for another leader and not full.
+    :return: ``None`` if they cannot be merged: they are out of order, come from two processes of
+        the agent or from two workers, carry too many ended runs, or the newer one is a partial
+        report to another leader.
     """
     if older.boot != newer.boot or newer.beat <= older.beat:
         return None
--- a/sapphirelead/node_window.py
+++ b/sapphirelead/node_window.py
@@ -1,15 +1,10 @@
-"""How many calls an entry may have with the leader that it has not read yet.
+"""Congestion window for the calls that an entry forwards to the leader.
 
-A congestion window.  What an entry has sent waits in the link and at the leader; while the leader
-is behind, an entry sends few calls and holds the others, where one that is given up costs the
-leader nothing.
-
-Additive increase, multiplicative decrease: the bound is halved while calls lie unread for too long
-and grows by one with each that is read while none has lain unread for half of that time.
-
-A call counts until its own reply, until the leader says that it has read it, or until it counts as
-lost.  That a later one has been answered says nothing of it: the leader takes newer questions first
-and cancels before all else, so submissions wait there behind what was sent after them.
+Bounds the calls that the leader has not read yet, and holds the others at the entry, where calls
+whose callers time out cost the leader nothing.  Uses additive increase, multiplicative decrease:
+the limit is halved when calls stay unread for too long, and grows by one with each call read while
+none has been unread for half of that time.  A call counts until its reply, until the leader
+acknowledges that it has read it, or until it is considered lost.
 """
 
 import asyncio
@@ -22,32 +17,31 @@
 from sapphirelead.logs import log_event
 
 MAX_WINDOW: Final = 32
-"""Unread calls of an entry with a leader that keeps up."""
+"""Largest window, in unread calls."""
 
 MIN_WINDOW: Final = 4
-"""Unread calls of an entry with a leader that is behind; they show when it has caught up."""
+"""Smallest window; these calls show when a congested leader has caught up."""
 
 LATE_AFTER_S: Final = 0.9
-"""A call that lies unread for so long is late: a question is not held any longer."""
+"""A call that stays unread for longer halves the window; equals the hold timeout of a query."""
 
 MAX_GROWTH_DELAY_S: Final = LATE_AFTER_S / 2
-"""While a call lies unread for longer, the bound does not grow: a submission would be accepted when
-its caller has left."""
+"""The window does not grow while a call has been unread for longer."""
 
 LOST_AFTER_S: Final = 3.0
-"""A call unread for so long no longer counts: it may have been lost with its connection."""
+"""A call unread for longer is not counted: it may have been lost with its connection."""
 
 MAX_HELD_CALLS: Final = 256
-"""Calls held at an entry; what is past it could not be sent in its caller's time."""
+"""Bound on the calls held at an entry; further calls are refused."""
 
 CHECK_INTERVAL_S: Final = 0.1
-"""Time between two looks of a held call at the leadership and at what has been lost."""
+"""Interval at which a held call checks for another leader and for lost calls."""
 
 
 class CallWindow:
-    """The unread calls of one entry with the leadership that it follows.
+    """The unread calls of one entry at the leader that it follows.
 
-    :ivar limit: how many there may be.
+    :ivar limit: current size of the window, in calls.
     """
 
     limit: int
@@ -71,37 +65,38 @@
 
     @property
     def held(self) -> int:
-        """Number of calls that wait at this entry."""
+        """Number of calls held at this entry."""
         return len(self._submissions) + len(self._queries)
 
     def overtaken(self, number: int) -> bool:
-        """Whether a leader that keeps up has read a call that was sent after this one."""
+        """Whether the leader has read a call sent after this one and is not congested."""
         sent_at = self._unread.get(number, math.inf)
         return not self._congested and sent_at < self._newest_read_sent_at
 
     async def acquire(
         self, number: int, epoch: Callable[[], int], until: float, submits: bool
     ) -> bool:
-        """Wait until a call may be sent; ``False`` where it is not to be sent at all.
+        """Wait until a call may be sent; ``False`` if it must not be sent.
 
-        Questions are refused at once by a full window of the least size: their callers can ask
-        again, and what could be sent for them would come too late.
+        Calls are refused at once if :data:`MAX_HELD_CALLS` are held; queries also if a window of
+        minimum size is full.
 
-        :param epoch: returns the leadership that is followed.
-        :param submits: submissions go before questions.
+        :param epoch: returns the epoch of the followed leader.
+        :param until: deadline of the wait.
+        :param submits: whether the call is a submission; these precede queries.
         """
         self._refresh(epoch())
         if number in self._unread:
-            # Tries of a call that wait at the leader are one.
+            # The leader merges retries of a queued call.
             return True
         if not self.held and len(self._unread) < self.limit:
             self._unread[number] = now()
             return True
         if self.held >= MAX_HELD_CALLS or (self.limit <= MIN_WINDOW and not submits):
             return False
-        line = self._submissions if submits else self._queries
+        queue = self._submissions if submits else self._queries
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        line.append((number, fut))
+        queue.append((number, fut))
         admitted = False
         try:
             while not fut.done() and now() < until:
@@ -111,18 +106,18 @@
             return admitted
         finally:
             if not fut.done():
-                line.remove((number, fut))
+                queue.remove((number, fut))
             elif not admitted:
-                # The caller left between its admission and its turn.
+                # The task was cancelled between its admission and its wakeup.
                 self.release(number)
 
     def release(self, number: int) -> None:
-        """Take note that a call was not sent."""
+        """Release the slot of a call that was not sent."""
         self._unread.pop(number, None)
         self._admit()
 
     def read(self, number: int, epoch: int) -> None:
-        """Take note that the leadership of ``epoch`` has read a call."""
+        """Record that the leader of ``epoch`` has read a call."""
         if epoch != self._epoch or number not in self._unread:
             return
         sent_at = self._unread.pop(number)
@@ -137,7 +132,7 @@
         self._admit()
 
     def _refresh(self, epoch: int) -> None:
-        """Follow another leadership, or find what is late or lost under this one."""
+        """Reset the window if the epoch has changed; then handle late and lost calls."""
         if epoch != self._epoch:
             self._epoch = epoch
             self._unread.clear()
@@ -154,14 +149,14 @@
         self._admit()
 
     def _shrink(self) -> None:
-        """Halve the bound, once for all that is late at a time."""
+        """Halve the limit, at most once per :data:`LATE_AFTER_S`."""
         if now() - self._shrunk_at >= LATE_AFTER_S:
             self._shrunk_at = now()
             self.limit = max(MIN_WINDOW, self.limit // 2)
             self._log_congestion()
 
     def _log_congestion(self) -> None:
-        """Log it when the leader falls behind, and when it has caught up."""
+        """Log the start and the end of congestion."""
         if not self._congested and self.limit == MIN_WINDOW:
             self._congested = True
             log_event("WARNING", "calls_unread", unread=len(self._unread), held=self.held)
@@ -171,8 +166,8 @@
 
     def _admit(self) -> None:
         while self.held and len(self._unread) < self.limit:
-            line = self._submissions or self._queries
-            number, fut = line.popleft()
+            queue = self._submissions or self._queries
+            number, fut = queue.popleft()
             if not fut.done():
                 self._unread[number] = now()
                 fut.set_result(None)
