--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -2,8 +2,8 @@
 
 Each entry binds a hub.  Agents and other entries connect to it under their own identity, to which
 the hub replies.  Transport heartbeats detect unresponsive connections
-(:mod:`sapphirelead.wire_sockets`).  A message that cannot be handed to a live connection is dropped,
-and the sender is told so; senders repeat every message until it has taken effect.
+(:mod:`sapphirelead.wire_sockets`).  A message that cannot be handed to a live connection is dropped
+and reported to the caller; senders repeat every message until it has taken effect.
 """
 
 import asyncio
--- a/sapphirelead/node_messages.py
+++ b/sapphirelead/node_messages.py
@@ -1,8 +1,8 @@
-"""Messages between the processes of a fleet: entries, of which one leads, and agents.
+"""Messages between the processes of a fleet: agents and entries, one of which is the leader.
 
-A lost message is made good by a later one: an agent's reports carry every end until it is stored
-and, once a second, all that its worker runs, and the leader repeats orders until a full report
-shows that they arrived.
+Lost messages are compensated by later ones: an agent reports each ended run until it is stored and,
+once a second, all runs of its worker; the leader repeats orders until a full report shows that they
+arrived.
 """
 
 from enum import IntEnum, StrEnum
@@ -18,9 +18,9 @@
 
 
 class EntryAddress(msgspec.Struct, array_like=True, frozen=True):
-    """Where an entry listens for other processes, and how much it can carry.
+    """Listening address and processing capacity of an entry.
 
-    :ivar cores: processors that its process may use; 0 where that is not known.
+    :ivar cores: processors available to its process; 0 if unknown.
     """
 
     name: str
@@ -30,12 +30,12 @@
 
 
 class WorkerInfo(msgspec.Struct, array_like=True, frozen=True):
-    """A worker as its agent knows it.
+    """A worker as reported by its agent.
 
-    :ivar worker: the worker's id, new after each crash.
-    :ivar draining: it is about to leave and takes no new work.
-    :ivar remaining_ms: least time that is left to a draining worker.
-    :ivar labels: kind of the worker and its rack.
+    :ivar worker: id of the worker, new after each crash.
+    :ivar draining: whether it is shutting down and accepts no new tasks.
+    :ivar remaining_ms: minimum remaining time of a draining worker.
+    :ivar labels: kind and rack of the worker.
     """
 
     worker: str
@@ -48,7 +48,7 @@
 
 
 class RunPhase(IntEnum):
-    """How far an agent has got with a run; a number, because each report carries many."""
+    """Phase of a run at its agent; an integer to keep reports small."""
 
     STARTING = 0
     RUNNING = 1
@@ -56,15 +56,15 @@
 
 
 class RunStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A run that is not over.
-
-    :ivar percent: progress; 100 for a lasting task that is at work.
-    :ivar figure: rough figure of the last half second: tail latency in milliseconds of a task that
-        serves, processors in use (thousandths) of others; -1 where none is known yet.
-    :ivar paced: share at which the agent lets it work, 0 to 100; -1 where that is not known.
-    :ivar saved: newest saved progress.
-    :ivar order_known: ``False`` for a run that an earlier process of the agent has started, until
-        the leader has sent its order again.
+    """Status of a run that has not ended.
+
+    :ivar percent: progress; 100 for a long-running task that is working.
+    :ivar figure: rough measurement over the last half second: tail latency in milliseconds of a
+        latency-critical task, CPU usage in millicores of others; -1 if unknown.
+    :ivar paced: pace set by the agent in percent of full speed, 0 to 100; -1 if unknown.
+    :ivar saved: latest saved progress.
+    :ivar order_known: ``False`` for a run started by an earlier process of the agent, until the
+        leader has sent its order again.
     """
 
     task: str
@@ -78,9 +78,9 @@
 
 
 class RunEnded(msgspec.Struct, array_like=True, frozen=True):
-    """A run that is over; repeated until the leader has stored it.
+    """An ended run; repeated until the leader has stored it.
 
-    :ivar number: the worker's number of the end; 0 where the agent found out by itself.
+    :ivar number: number assigned to the ended run by the worker; 0 if the agent detected the end.
     """
 
     number: int
@@ -92,17 +92,17 @@
 
 
 class AgentReport(Message, frozen=True):
-    """Everything an agent knows; also its heartbeat.
-
-    :ivar boot: random id of this run of the agent's process.
-    :ivar beat: number of the report, growing.
-    :ivar epoch: epoch of the leader that it follows.
-    :ivar entries_version: version of the list of entries that it has.
-    :ivar worker: ``None`` while no worker is known to live.
-    :ivar full: ``runs`` lists every run; else only those whose phase has changed.
-    :ivar gone: workers beside this agent that are known to have ended, with all they ran.
-    :ivar orders: number of the newest orders that this process of the agent has got from the leader
-        of ``epoch``; 0 for none.
+    """State report of an agent; also its heartbeat.
+
+    :ivar boot: random id of the agent's process.
+    :ivar beat: sequence number of the report, increasing.
+    :ivar epoch: epoch of the followed leader.
+    :ivar entries_version: version of the agent's list of entries.
+    :ivar worker: ``None`` while no worker is known to be alive.
+    :ivar full: whether ``runs`` lists every run, or only those whose phase has changed.
+    :ivar gone: ended workers of this agent; all their runs have ended.
+    :ivar orders: number of the latest orders that this process of the agent has received from the
+        leader of ``epoch``; 0 for none.
     """
 
     agent: str
@@ -119,23 +119,24 @@
 
 
 class WhoLeads(Message, frozen=True):
-    """An agent or entry asks any entry who leads."""
+    """Request of an agent or entry to any entry for the current leader."""
 
     sender: str
 
 
 class Leads(Message, frozen=True):
-    """Who leads, as far as the sender knows; ``leader`` is empty where it does not."""
+    """The leader as known to the sender; ``leader`` is empty if unknown."""
 
     epoch: int
     leader: str
 
 
 class StartOrder(msgspec.Struct, array_like=True, frozen=True):
-    """Start a run.
+    """Order to start a run.
 
-    :ivar ticket: permission of the advice service, where the queue needs one.
-    :ivar cpu_millicores: processors that it asks for; a filling task takes no room for them.
+    :ivar ticket: permission of the advice service, if the queue requires one.
+    :ivar fills: whether the task is best-effort (fill).
+    :ivar cpu_millicores: requested CPU; best-effort tasks reserve no capacity for it.
     """
 
     task: str
@@ -151,10 +152,13 @@
 
 
 class ServingPress(NamedTuple):
-    """How filling images press on a serving one; see :mod:`sapphirelead.policy_pressure`.
+    """Interference of best-effort images with a latency-critical image.
 
-    :ivar idle_ms: its tail without any load.
-    :ivar weights: by filling image, the load that is added if it takes the whole worker.
+    See :mod:`sapphirelead.policy_pressure`.
+
+    :ivar idle_ms: tail latency of the latency-critical image without load.
+    :ivar weights: pair weight by best-effort image: the load that it adds if it takes the whole
+        worker.
     """
 
     image: str
@@ -163,24 +167,24 @@
 
 
 class StopOrder(msgspec.Struct, array_like=True, frozen=True):
-    """Stop a run; one that has not started must never start."""
+    """Order to stop a run; a run that has not started must never start."""
 
     task: str
     attempt: int
 
 
 class Orders(Message, frozen=True):
-    """The leader's answer to a report, and its orders.
-
-    :ivar beat: newest report seen; it extends the agent's lease.  0 extends nothing.
-    :ivar after_beat: newest report known when the orders were given.  An agent refuses starts that
-        are based on a report from too long ago.
-    :ivar worker: worker that the orders and ``stored`` speak of.
-    :ivar stored: ends that are stored; the agent may let the worker forget them.
-    :ivar entries: set where the agent's list of entries is not the newest.
-    :ivar press: what the fleet has learnt of the pairs of images on the worker.
-    :ivar number: grows with each message of this leader to the agent; the agent's reports say which
-        it has got.
+    """The leader's response to a report, with its orders.
+
+    :ivar beat: latest report received, which extends the agent's lease; 0 does not extend it.
+    :ivar after_beat: latest report known when the orders were made.  Agents refuse starts based on
+        an outdated report.
+    :ivar worker: worker that the orders and ``stored`` refer to.
+    :ivar stored: ended runs that are stored; the agent may acknowledge them to the worker.
+    :ivar entries: set if the agent's list of entries is outdated.
+    :ivar press: interference estimates for the pairs of images on the worker.
+    :ivar number: sequence number of this leader's messages to the agent, which acknowledges it in
+        its reports.
     """
 
     epoch: int
@@ -201,10 +205,10 @@
 class EntryBeat(Message, frozen=True):
     """A follower's heartbeat to the leader.
 
-    :ivar store_ok: whether its last calls to the store were answered.
-    :ivar leaving: it is about to end and never takes the lead.
-    :ivar entries_version: version of the list of entries that it has from the leader of ``epoch``;
-        0 for none.
+    :ivar store_ok: whether the store replied to its last calls.
+    :ivar leaving: whether it is stopping and must not become the leader.
+    :ivar entries_version: version of the list of entries received from the leader of ``epoch``; 0
+        for none.
     """
 
     address: EntryAddress
@@ -216,12 +220,12 @@
 
 
 class LeaderBeat(Message, frozen=True):
-    """The leader's answer to a follower's heartbeat.
+    """The leader's response to a follower's heartbeat.
 
-    :ivar serving: it has read the stored state and takes calls.
-    :ivar store_ok: whether its last calls to the store were answered.
-    :ivar entries: set where the follower's list of entries is not the newest.
-    :ivar strongest: processors of the strongest follower that could take the lead.
+    :ivar serving: whether it has loaded the stored state and accepts calls.
+    :ivar store_ok: whether the store replied to its last calls.
+    :ivar entries: set if the follower's list of entries is outdated.
+    :ivar strongest: largest processor count among the followers that could become the leader.
     """
 
     epoch: int
@@ -235,14 +239,14 @@
 
 
 class Handover(Message, frozen=True):
-    """The leader asks a follower to lead from now on."""
+    """Request of the leader to a follower to take over the leadership."""
 
     epoch: int
     leader: str
 
 
 class CallKind(StrEnum):
-    """What a caller asks of the leader."""
+    """Kind of a caller's request."""
 
     SUBMIT = "submit"
     STATE = "state"
@@ -251,12 +255,11 @@
 
 
 class Call(Message, frozen=True):
-    """A caller's request, passed on to the leader.
+    """A caller's request, forwarded to the leader.
 
-    :ivar number: chosen by the sender, for the answer; the same in each try, and no other process
-        uses it.
-    :ivar job: the job in its stored form, for a submission.
-    :ivar epoch: leadership that is asked; no other one may carry the call out.
+    :ivar number: correlation id, unique across processes and the same for each retry.
+    :ivar job: the encoded job of a submission.
+    :ivar epoch: epoch of the addressed leader; a leader of another epoch must not carry it out.
     """
 
     number: int
@@ -269,13 +272,13 @@
 
 
 class ReplyKind(StrEnum):
-    """How a call ended.
+    """Outcome of a call.
 
-    ``NOT_RUN`` is said only of what has not been done and never will be; ``UNKNOWN`` where the
-    outcome is not known.  Three kinds pass between entries only: ``NOT_LEADER`` says that the entry
-    asked does not lead and has done nothing with the call, ``LEAD_LOST`` that it led when it took
-    the call and lost the lead before the outcome was known: the call may have been stored, and
-    ``TAKEN`` that it has read the call, whose outcome follows.
+    ``NOT_RUN`` guarantees that the call has not been carried out and never will be; ``UNKNOWN``
+    means that the outcome is not known.  Three kinds are sent between entries only: ``NOT_LEADER``
+    means that the addressed entry is not the leader and has not processed the call, ``LEAD_LOST``
+    that it lost the leadership before the outcome was known, so that the call may have been stored,
+    and ``TAKEN`` that it has read the call and the outcome follows.
     """
 
     OK = "ok"
@@ -289,13 +292,13 @@
 
 
 class Reply(Message, frozen=True):
-    """The answer to a call.
+    """The reply to a call.
 
-    :ivar state: the job's state, where one was asked for.
-    :ivar waiting: number of waiting jobs, where it was asked for.
-    :ivar retry_after_s: when the caller may come back.
-    :ivar other: the job known by the id of a submission asks for something else.
-    :ivar epoch: leadership that was asked, as in the call.
+    :ivar state: state of the job, if requested.
+    :ivar waiting: number of waiting jobs, if requested.
+    :ivar retry_after_s: delay after which the caller may retry.
+    :ivar other: whether the known job with the submitted id has a different specification.
+    :ivar epoch: epoch of the addressed leader, as in the call.
     """
 
     number: int
--- a/sapphirelead/node_ports.py
+++ b/sapphirelead/node_ports.py
@@ -1,7 +1,6 @@
-"""What the fleet's processes ask of their surroundings: one ``Protocol`` for each edge.
+"""Ports of the fleet's processes: protocols that a platform adapter implements.
 
-An adapter of a platform provides these and translates its errors into the values below; it never
-raises for them.
+Adapters return errors as the values below and never raise them.
 """
 
 from dataclasses import dataclass, field
@@ -16,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRun:
-    """A run as the worker lists it.
+    """A run as listed by the worker.
 
-    :ivar percent: progress; 100 for a lasting task that is at work.
-    :ivar figure: tail latency in milliseconds of a task that serves, else processors in use in
-        thousandths, over about the last half second; -1 where the worker gives none.
+    :ivar percent: progress; 100 for a long-running task that is working.
+    :ivar figure: tail latency in milliseconds of a latency-critical task, else CPU usage in
+        millicores, over about the last half second; -1 if the worker reports none.
     """
 
     task: str
@@ -32,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEnd:
-    """An end as the worker lists it, until it is told that the end has been noted.
+    """An ended run as listed by the worker, until it is acknowledged.
 
-    :ivar number: counts the ends of one life of the worker, from 1.
+    :ivar number: sequence number of the ended run in one lifetime of the worker, from 1.
     """
 
     number: int
@@ -46,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerView:
-    """A worker's answer: its clock, and what runs and has ended there."""
+    """A worker's response: its clock, its runs and its ended runs."""
 
     clock_ms: int
     running: list[WorkerRun]
@@ -54,11 +53,12 @@
 
 
 class StartAnswer(StrEnum):
-    """How a worker answered a start.
+    """A worker's response to a start.
 
-    ``STARTED`` also where that run is there already.  ``OUTDATED`` means that this run or a later
-    one was stopped or has ended there, ``TOO_LATE`` that the start's own deadline had passed,
-    ``FENCED`` that a higher token has been seen, ``UNHEALTHY`` that nothing was done.
+    ``STARTED`` is also returned if the run exists already.  ``OUTDATED`` means that this run or a
+    later one was stopped or has ended there, ``TOO_LATE`` that the deadline of the start had
+    passed, ``FENCED`` that the worker has seen a higher fencing token, ``UNHEALTHY`` that nothing
+    was done.
     """
 
     STARTED = "started"
@@ -72,11 +72,11 @@
 
 
 class CallFailure(StrEnum):
-    """Why a call to a worker gave no answer of its own.
+    """Why a call to a worker failed.
 
-    ``OTHER_LIFE``: another life of the worker answered, so the one meant is over.  ``REFUSED``: no
-    process listens there.  ``FENCED``: a higher token has
-    been seen.  ``NO_ANSWER``: the call may have been carried out, or may yet be.
+    ``OTHER_LIFE``: the worker has restarted, so the addressed lifetime has ended.  ``REFUSED``: no
+    process listens there.  ``FENCED``: the worker has seen a higher fencing token.  ``NO_ANSWER``:
+    the call may have been carried out, or may still be.
     """
 
     OTHER_LIFE = "other_life"
@@ -87,9 +87,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """A start, as it goes to the worker.
+    """A request to a worker to start a run.
 
-    :ivar deadline_ms: worker-clock time after which the worker refuses this call.
+    :ivar deadline_ms: time on the worker's clock after which the worker refuses this call.
     """
 
     task: str
@@ -103,54 +103,57 @@
 
 @dataclass(frozen=True, slots=True)
 class StartResult:
-    """A worker's answer to a start, with its clock."""
+    """A worker's response to a start, with its clock."""
 
     answer: StartAnswer
     clock_ms: int
 
 
 class RunWorker(Protocol):
-    """One life of the worker beside an agent.
+    """One lifetime of an agent's worker.
 
-    Every call names the life that is meant.  A lease is a time on the worker's own clock; it never
-    gets shorter, and everything the worker runs is ended when it passes.
+    Each call addresses one lifetime of the worker.  The lease is a time on the worker's clock, is
+    never shortened, and ends all runs of the worker when it expires.
     """
 
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
-        """List runs and ends; wait up to ``wait_ms`` for a new end.
+        """List runs and ended runs; wait up to ``wait_ms`` for another run to end.
 
-        :param noted: ends up to this number may be forgotten.
-        :param lease_ms: extends the lease to this worker-clock time; 0 leaves it.
+        :param noted: acknowledges ended runs up to this number, which the worker may forget.
+        :param lease_ms: new lease expiry on the worker's clock; 0 does not extend it.
         """
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
         """Start a run."""
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        """Stop a run, or see to it that it never starts; return the worker's clock."""
+        """Stop a run or prevent its start; return the worker's clock."""
 
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        """Let a run work at a share of its speed; return the worker's clock."""
+        """Set the pace of a run in percent of full speed; return the worker's clock."""
 
     async def close(self) -> None:
-        """Let go of the connections."""
+        """Close the connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceAnswer:
-    """The workers that may run a step, with their tickets."""
+    """The workers that may run a step.
+
+    :ivar tickets: ticket by worker.
+    """
 
     tickets: dict[str, str] = field(default_factory=dict)
 
 
 class AdviceService(Protocol):
-    """Knows which workers may run a step."""
+    """Service that decides which workers may run a step."""
 
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
     ) -> Result[AdviceAnswer, Failure]:
-        """Ask about ``workers`` for the step named ``step``."""
+        """Return which of ``workers`` may run the step named ``step``."""
