--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -97,7 +97,7 @@
 
     def start(self) -> None:
         """Start reading and handling messages."""
-        self._tasks = [spawn(self._read(), "hub"), spawn(self._work(), "hub-work")]
+        self._tasks = [spawn(self._read_messages(), "hub"), spawn(self._handle_messages(), "hub-work")]
 
     async def stop(self) -> None:
         """Stop both tasks; queued messages are dropped."""
@@ -105,7 +105,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _read(self) -> None:
+    async def _read_messages(self) -> None:
         yielder = LoopYielder(MAX_READ_BATCH, MAX_BATCH_S)
         while True:
             identity, frame = await self._receive()
@@ -115,7 +115,7 @@
                 self._arrived.set()
             await yielder.took()
 
-    async def _work(self) -> None:
+    async def _handle_messages(self) -> None:
         yielder = LoopYielder(MAX_BATCH, MAX_BATCH_S)
         while True:
             at = now()
