--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -19,7 +19,7 @@
 DEADLINE_S = 3.0
 
 
-class View:
+class FollowerView:
     """An entry that follows; what becomes of passed-on calls is set by the test."""
 
     def __init__(self) -> None:
@@ -54,8 +54,8 @@
     return reply, now() - began
 
 
-async def test_without_a_leader_a_caller_is_told_soon_that_nothing_was_run() -> None:
-    view = View()
+async def test_call_without_a_leader_is_not_run_within_the_hold_timeout() -> None:
+    view = FollowerView()
     view.leader = ""
     reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
@@ -63,8 +63,8 @@
     assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_leader_that_appears_gets_the_waiting_calls_at_once() -> None:
-    view = View()
+async def test_held_calls_are_forwarded_to_a_new_leader_at_once() -> None:
+    view = FollowerView()
     view.leader = ""
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
@@ -78,13 +78,13 @@
     assert took < 0.6
 
 
-async def test_a_submission_that_a_leader_may_have_stored_is_never_called_not_run() -> None:
+async def test_submission_that_may_be_stored_is_not_reported_as_not_run() -> None:
     """The leader ends right after a submission was passed on to it.
 
     Whether it was stored nobody knows yet.  "Not run" could be false; the caller would submit the
     same order under another id, and a depositor's money would be locked twice.
     """
-    view = View()
+    view = FollowerView()
     reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.UNKNOWN
     assert took >= DEADLINE_S - 0.5
@@ -92,7 +92,7 @@
     assert len({call.number for call in view.sent}) == 1
 
 
-async def answer_each(desk: CallForwarder, view: View, kind: ReplyKind) -> None:
+async def answer_each_try(desk: CallForwarder, view: FollowerView, kind: ReplyKind) -> None:
     """Answer every pass of a call in the same way, after a usual way there and back."""
     answered = 0
     while True:
@@ -102,39 +102,39 @@
         answered = len(view.sent)
 
 
-async def test_a_submission_that_no_leader_has_taken_is_not_held_to_its_deadline() -> None:
+async def test_submission_refused_by_a_non_leader_is_not_held_until_its_deadline() -> None:
     """The entry that is asked has just given up the lead, and says so at once.
 
     The submission was never begun, so its caller can be told that soon, and go to another entry.
     Held as one that may have been stored, it waited for its whole deadline, and ended with a
     closed connection where the entry itself was stopping.
     """
-    view = View()
+    view = FollowerView()
     desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.NOT_LEADER))
+    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.NOT_LEADER))
     reply, took = await ask(desk)
     answering.cancel()
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_submission_that_was_begun_under_a_lost_lead_is_never_called_not_run() -> None:
-    view = View()
+async def test_submission_to_a_lost_leader_is_not_reported_as_not_run() -> None:
+    view = FollowerView()
     desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
+    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.LEAD_LOST))
     reply, _ = await ask(desk)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
 
 
-async def test_a_cancellation_that_a_lost_leader_had_is_never_called_not_run() -> None:
+async def test_cancellation_at_a_lost_leader_is_not_reported_as_not_run() -> None:
     """A caller cancels a job and is told that nothing was done; the job has been cancelled.
 
     The leader stored the cancellation and was lost before it answered.
     """
-    view = View()
+    view = FollowerView()
     desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
+    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.LEAD_LOST))
     reply, took = await ask(desk, CallKind.CANCEL)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
@@ -153,7 +153,7 @@
         return Reply(call.number, ReplyKind.LEAD_LOST)
 
 
-class LeadingView(View):
+class LeadingView(FollowerView):
     """An entry that leads at first."""
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
         return cast(Leader | None, self.own)
 
 
-async def test_a_submission_begun_by_this_entry_itself_is_never_called_not_run() -> None:
+async def test_submission_to_a_lost_local_leader_is_not_reported_as_not_run() -> None:
     """The entry that takes the submission leads, and loses the lead while the store is writing.
 
     No other leader appears in time.  The caller was told that the job had not been run, and the
@@ -179,8 +179,8 @@
     ("leader", "told"),
     [("", ReplyKind.NOT_RUN), ("e1", ReplyKind.UNKNOWN)],
 )
-async def test_each_call_has_its_answer_when_the_entry_closes(leader: str, told: ReplyKind) -> None:
-    view = View()
+async def test_pending_calls_are_answered_when_the_entry_closes(leader: str, told: ReplyKind) -> None:
+    view = FollowerView()
     view.leader = leader
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
@@ -191,8 +191,8 @@
     assert took <= 0.6 + FORWARD_RETRY_DELAY_S + 0.01
 
 
-async def test_the_successor_settles_what_its_predecessor_left_open() -> None:
-    view = View()
+async def test_next_leader_answers_a_call_its_predecessor_left_open() -> None:
+    view = FollowerView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
@@ -206,27 +206,27 @@
     assert reply.kind is ReplyKind.OK
 
 
-async def test_a_question_is_given_up_soon_also_when_it_was_passed_on() -> None:
-    reply, took = await ask(CallForwarder(View()), CallKind.STATE)
+async def test_forwarded_query_ends_within_the_hold_timeout() -> None:
+    reply, took = await ask(CallForwarder(FollowerView()), CallKind.STATE)
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_broken_link_is_tried_again_without_spinning() -> None:
-    view = View()
+async def test_broken_link_is_retried_without_busy_waiting() -> None:
+    view = FollowerView()
     view.connected = False
     reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_each_try_names_the_leadership_that_it_asks() -> None:
+async def test_each_retry_carries_the_epoch_of_its_leader() -> None:
     """A call lies unread at a leader that falls behind; its caller is told that it never ran.
 
     The entry asked loses the lead and takes it again.  Read under the later leadership, the call
     would be carried out after all.
     """
-    view = View()
+    view = FollowerView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
@@ -236,13 +236,13 @@
     assert len({call.number for call in view.sent}) == 1
 
 
-async def test_a_late_refusal_of_an_earlier_leader_ends_no_call_of_the_next_one() -> None:
+async def test_late_refusal_of_an_earlier_leader_is_ignored() -> None:
     """A caller is refused, and the job runs all the same.
 
     The first leader is slow; the call goes on to its successor, which is storing it when the first
     one's "not run" arrives.
     """
-    view = View()
+    view = FollowerView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -11,14 +11,14 @@
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 from sapphirelead.node_window import MAX_WINDOW, MIN_WINDOW
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 
 pytestmark = pytest.mark.looptime
 
 DEADLINE_S = 3.0
 
 
-class HubView(View):
+class HubView(FollowerView):
     """An entry whose calls wait in a leader's inbox, which works off ten a second."""
 
     def __init__(self) -> None:
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -17,14 +17,14 @@
 )
 from sapphirelead.node_cancels import MAX_PENDING_CANCELS, PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 
 pytestmark = pytest.mark.looptime
 
 DEADLINE_S = 3.0
 
 
-class TimedView(View):
+class TimedView(FollowerView):
     """A view that notes when each call was passed on, and to whom."""
 
     def __init__(self) -> None:
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -37,7 +37,7 @@
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice, job, worker_info
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 from tests.unit.fakes import MemoryTable
 
 pytestmark = pytest.mark.looptime
@@ -291,7 +291,7 @@
     table = SlowTable()
     async with leading(table) as leader:
 
-        class Entry(View):
+        class Entry(FollowerView):
             def __init__(self) -> None:
                 super().__init__()
                 self.desk = CallForwarder(self)
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -27,7 +27,7 @@
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 from tests.unit.fakes import MemoryTable
 
 pytestmark = pytest.mark.looptime
@@ -38,7 +38,7 @@
 class Reader:
     """A leader elsewhere that reads calls in order, one each ``each_s``, while ``reads`` is set."""
 
-    def __init__(self, view: View, desk: CallForwarder) -> None:
+    def __init__(self, view: FollowerView, desk: CallForwarder) -> None:
         self.view = view
         self.desk = desk
         self.reads = asyncio.Event()
@@ -61,7 +61,7 @@
 @asynccontextmanager
 async def behind() -> AsyncIterator[tuple[CallForwarder, Reader]]:
     """An entry whose leader reads nothing yet."""
-    view = View()
+    view = FollowerView()
     desk = CallForwarder(view)
     reader = Reader(view, desk)
     task = asyncio.create_task(reader.run())
