--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -25,12 +25,12 @@
         super().__init__()
         self.inbox = Inbox(HOLD_TIMEOUT_S)
         self.desk = CallForwarder(self)
-        self.most_waiting = 0
+        self.max_waiting = 0
         self.accepted: dict[str, float] = {}
 
     def send_to(self, name: str, message: AnyNodeMessage) -> bool:
         self.inbox.put(b"e2", message, now())
-        self.most_waiting = max(self.most_waiting, len(self.inbox))
+        self.max_waiting = max(self.max_waiting, len(self.inbox))
         return super().send_to(name, message)
 
     async def lead(self) -> None:
@@ -61,7 +61,7 @@
         self.ended[job_id] = (now(), reply)
         self.took[job_id] = now() - began
 
-    async def press(self, for_s: float, *kinds: CallKind) -> None:
+    async def generate_load(self, for_s: float, *kinds: CallKind) -> None:
         """Make 30 calls a second of each kind, and a cancel each second."""
         until = now() + for_s
         while now() < until:
@@ -93,18 +93,18 @@
     await view.desk.stop()
 
 
-PRESSES = pytest.mark.parametrize("kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)])
+LOAD_KINDS = pytest.mark.parametrize("kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)])
 
 
-@PRESSES
-async def test_questions_do_not_hide_submissions_that_pile_up(kinds: tuple[CallKind, ...]) -> None:
+@LOAD_KINDS
+async def test_queries_do_not_hide_a_backlog_of_submissions(kinds: tuple[CallKind, ...]) -> None:
     """The leader answered the newest questions, and 500 submissions waited for half a minute."""
     async with overloaded() as (view, callers):
-        await callers.press(30.0, *kinds)
+        await callers.generate_load(30.0, *kinds)
         first = callers.accepted_late()
-        await callers.press(30.0, *kinds)
+        await callers.generate_load(30.0, *kinds)
         # Those that count as lost after some seconds may still wait there.
-        assert view.most_waiting <= MAX_WINDOW + MIN_WINDOW
+        assert view.max_waiting <= MAX_WINDOW + MIN_WINDOW
         assert len(view.inbox) <= MAX_WINDOW
         assert callers.accepted_late() - first <= 1.5 * first + MIN_WINDOW
         cancels = [job_id for job_id in callers.took if job_id.startswith("cancel")]
@@ -113,12 +113,12 @@
         assert max(callers.took[job_id] for job_id in cancels) < 0.5
 
 
-@PRESSES
-async def test_few_submissions_are_accepted_when_their_callers_have_left(
+@LOAD_KINDS
+async def test_few_submissions_are_accepted_after_their_callers_were_answered(
     kinds: tuple[CallKind, ...],
 ) -> None:
     """Each prompt answer let the window grow, until submissions waited longer than callers."""
     async with overloaded() as (view, callers):
-        await callers.press(60.0, *kinds)
+        await callers.generate_load(60.0, *kinds)
         assert callers.accepted_late() <= len(view.accepted) / 4
         assert len(view.accepted) >= 300
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -29,12 +29,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.passed: list[tuple[float, str, Call]] = []
+        self.forwarded: list[tuple[float, str, Call]] = []
 
     def send_to(self, name: str, message: object) -> bool:
         assert isinstance(message, Call)
         if self.connected:
-            self.passed.append((now(), name, message))
+            self.forwarded.append((now(), name, message))
         return super().send_to(name, message)
 
 
@@ -42,13 +42,13 @@
     return await desk.call(CallKind.CANCEL, "q", job_id, b"", DEADLINE_S)
 
 
-def settle(desk: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
+def answer_newest(desk: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
     """Let the leader answer the newest try."""
-    call = view.passed[-1][2]
+    call = view.forwarded[-1][2]
     desk.handle_reply(Reply(call.number, kind, "cancelled", epoch=call.epoch))
 
 
-async def test_a_cancel_is_not_lost_when_its_caller_has_been_answered() -> None:
+async def test_cancel_continues_after_its_caller_has_been_answered() -> None:
     """A leader that answered nobody for seconds never learnt of cancels whose callers had left."""
     view = TimedView()
     desk = CallForwarder(view)
@@ -57,15 +57,15 @@
     assert reply.kind is ReplyKind.UNKNOWN
     assert now() - began <= HOLD_TIMEOUT_S + 0.01
     await asyncio.sleep(5.0)
-    assert view.passed[-1][0] - began > 3.0
-    settle(desk, view)
+    assert view.forwarded[-1][0] - began > 3.0
+    answer_newest(desk, view)
     await asyncio.sleep(0.01)
-    passed = len(view.passed)
+    forwarded = len(view.forwarded)
     await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
-    assert len(view.passed) == passed
+    assert len(view.forwarded) == forwarded
 
 
-async def test_a_cancel_is_not_lost_with_the_connection_of_its_caller() -> None:
+async def test_cancel_continues_after_its_caller_disconnects() -> None:
     """A cancel ended with its caller's connection, though the entry had read it."""
     view = TimedView()
     view.leader = ""
@@ -77,11 +77,11 @@
     view.leader = "e1"
     desk.changed.set()
     await asyncio.sleep(0.2)
-    assert [call.job_id for _, _, call in view.passed] == ["a1"]
+    assert [call.job_id for _, _, call in view.forwarded] == ["a1"]
     await desk.stop()
 
 
-async def test_a_cancel_taken_between_two_leaders_reaches_the_next_one() -> None:
+async def test_cancel_accepted_without_a_leader_reaches_the_next_leader() -> None:
     """A cancel taken while nobody led was dropped after 0.9 s and never reached the successor."""
     view = TimedView()
     view.leader = ""
@@ -92,11 +92,11 @@
     view.leader, view.epoch = "e2", 2
     desk.changed.set()
     await asyncio.sleep(0.2)
-    assert [(name, call.epoch) for _, name, call in view.passed] == [("e2", 2)]
-    settle(desk, view)
+    assert [(name, call.epoch) for _, name, call in view.forwarded] == [("e2", 2)]
+    answer_newest(desk, view)
 
 
-async def test_a_cancel_goes_to_the_next_leader_without_waiting_for_the_silent_one() -> None:
+async def test_cancel_goes_to_the_next_leader_before_its_retry_delay() -> None:
     """A cancel that a lost leader had in its queue waited there although a successor served."""
     view = TimedView()
     desk = CallForwarder(view)
@@ -105,62 +105,62 @@
     await asyncio.sleep(0.1)
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.7)
-    assert view.passed[-1][1] == "e2"
-    assert view.passed[-1][0] - began < CANCEL_RETRY_DELAY_S
-    settle(desk, view)
+    assert view.forwarded[-1][1] == "e2"
+    assert view.forwarded[-1][0] - began < CANCEL_RETRY_DELAY_S
+    answer_newest(desk, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_cancels_of_one_job_at_one_entry_are_one_message_to_the_leader() -> None:
+async def test_cancels_of_one_job_share_one_call() -> None:
     """Repeated cancels of a job doubled what a leader that had fallen behind had to read."""
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
     while now() - began < 3 * CANCEL_RETRY_DELAY_S - 0.5:
         assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
-    assert len(view.passed) == 3
-    assert len({call.number for _, _, call in view.passed}) == 1
+    assert len(view.forwarded) == 3
+    assert len({call.number for _, _, call in view.forwarded}) == 1
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    settle(desk, view)
+    answer_newest(desk, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_a_cancel_of_a_job_that_no_leader_knows_is_settled() -> None:
+async def test_cancel_of_an_absent_job_ends() -> None:
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.ABSENT)
+    answer_newest(desk, view, ReplyKind.ABSENT)
     assert (await asking).kind is ReplyKind.ABSENT
     await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
-    assert len(view.passed) == 1
+    assert len(view.forwarded) == 1
 
 
-async def test_a_cancel_whose_store_is_slow_is_asked_for_again() -> None:
+async def test_cancel_is_retried_when_the_store_is_slow() -> None:
     """The leader answers that its store has not: the cancel may be lost with that leader."""
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.UNKNOWN)
+    answer_newest(desk, view, ReplyKind.UNKNOWN)
     await asyncio.sleep(0.2)
-    assert len(view.passed) == 2
-    settle(desk, view)
+    assert len(view.forwarded) == 2
+    answer_newest(desk, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_an_unsettled_cancel_is_given_up_after_its_time() -> None:
+async def test_unconfirmed_cancel_is_abandoned_after_its_timeout() -> None:
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
     await cancel(desk)
     await asyncio.sleep(2 * PENDING_CANCEL_TIMEOUT_S)
-    assert view.passed[-1][0] - began <= PENDING_CANCEL_TIMEOUT_S
-    assert view.passed[-1][0] - began > PENDING_CANCEL_TIMEOUT_S - 2 * CANCEL_RETRY_DELAY_S
+    assert view.forwarded[-1][0] - began <= PENDING_CANCEL_TIMEOUT_S
+    assert view.forwarded[-1][0] - began > PENDING_CANCEL_TIMEOUT_S - 2 * CANCEL_RETRY_DELAY_S
 
 
-async def test_cancels_past_the_bound_are_refused_as_not_run() -> None:
+async def test_cancels_beyond_the_bound_are_refused_as_not_run() -> None:
     """Unbounded, the cancels that wait for a lost leader would take an entry's memory."""
     view = TimedView()
     view.leader = ""
@@ -179,7 +179,7 @@
     await desk.stop()
 
 
-async def test_a_leaving_entry_waits_for_its_cancels() -> None:
+async def test_stopping_entry_waits_for_pending_cancels() -> None:
     """An entry that left dropped the cancels that its leader had not confirmed yet."""
     view = TimedView()
     desk = CallForwarder(view)
@@ -188,12 +188,12 @@
     leaving = asyncio.create_task(desk.wait_for_cancels(now() + 5.0))
     await asyncio.sleep(2.0)
     assert not leaving.done()
-    settle(desk, view)
+    answer_newest(desk, view)
     await leaving
     assert now() - began < 2.1
 
 
-async def test_a_leaving_entry_waits_for_its_cancels_no_longer_than_it_may() -> None:
+async def test_stopping_entry_waits_for_pending_cancels_until_its_deadline() -> None:
     desk = CallForwarder(TimedView())
     await cancel(desk)
     began = now()
@@ -202,7 +202,7 @@
     await desk.stop()
 
 
-async def test_a_cancel_is_not_answered_by_what_the_leader_said_before_it_came() -> None:
+async def test_cancel_is_not_answered_by_the_reply_to_an_earlier_one() -> None:
     """A cancel of an accepted job joined one from before its submission: 410, and the job ran."""
     view = TimedView()
     desk = CallForwarder(view)
@@ -212,70 +212,70 @@
     second = asyncio.create_task(cancel(desk))
     third = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.ABSENT)
+    answer_newest(desk, view, ReplyKind.ABSENT)
     await asyncio.sleep(0.01)
     assert (await first).kind is ReplyKind.ABSENT
     assert not second.done()
-    assert len(view.passed) == 2
-    settle(desk, view)
+    assert len(view.forwarded) == 2
+    answer_newest(desk, view)
     assert {(await second).kind, (await third).kind} == {ReplyKind.OK}
-    assert len({call.number for _, _, call in view.passed}) == 2
+    assert len({call.number for _, _, call in view.forwarded}) == 2
 
 
-async def test_a_cancel_behind_an_older_one_is_not_lost_when_its_caller_has_been_answered() -> None:
+async def test_queued_cancel_continues_after_its_caller_has_been_answered() -> None:
     """The older one ended as "no such job", and the newer one was never passed on."""
     view = TimedView()
     desk = CallForwarder(view)
     await cancel(desk)
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
-    settle(desk, view, ReplyKind.ABSENT)
+    answer_newest(desk, view, ReplyKind.ABSENT)
     await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S + 2.0)
-    numbers = [call.number for _, _, call in view.passed]
+    numbers = [call.number for _, _, call in view.forwarded]
     assert len(set(numbers)) == 2
-    assert view.passed[-1][0] <= began + PENDING_CANCEL_TIMEOUT_S
+    assert view.forwarded[-1][0] <= began + PENDING_CANCEL_TIMEOUT_S
     assert not desk._cancels._tasks
 
 
-async def test_a_cancel_that_is_stored_answers_those_that_came_after_it() -> None:
+async def test_stored_cancel_answers_later_cancels_of_its_job() -> None:
     view = TimedView()
     desk = CallForwarder(view)
     calls = [asyncio.create_task(cancel(desk)) for _ in range(50)]
     await asyncio.sleep(0.1)
     assert len(desk._cancels._all_tasks()) == 2
-    settle(desk, view)
+    answer_newest(desk, view)
     assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
-    assert len(view.passed) == 1
+    assert len(view.forwarded) == 1
 
 
 @pytest.mark.parametrize("kind", [CallKind.CANCEL, CallKind.SUBMIT])
-async def test_a_call_that_the_leader_has_read_is_not_repeated(kind: CallKind) -> None:
+async def test_call_read_by_the_leader_is_not_retried_early(kind: CallKind) -> None:
     """Entries repeated what a leader had read and kept waiting for its store."""
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * PENDING_CANCEL_TIMEOUT_S))
     await asyncio.sleep(0.1)
-    call = view.passed[-1][2]
+    call = view.forwarded[-1][2]
     desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
     await asyncio.sleep(forwarded_call_timeout_s(kind) - 0.1)
-    assert len(view.passed) == 1
+    assert len(view.forwarded) == 1
     await asyncio.sleep(0.4)
-    assert len(view.passed) == 2, "its answer is lost"
-    settle(desk, view)
+    assert len(view.forwarded) == 2, "its answer is lost"
+    answer_newest(desk, view)
     await asyncio.sleep(0.01)
     if kind is CallKind.SUBMIT:
         assert (await asking).kind is ReplyKind.OK
 
 
-async def test_a_call_that_a_lost_leader_has_read_goes_to_the_next_one() -> None:
+async def test_call_read_by_a_lost_leader_goes_to_the_next_leader() -> None:
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    call = view.passed[-1][2]
+    call = view.forwarded[-1][2]
     desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.6)
-    assert [name for _, name, _ in view.passed] == ["e1", "e2"]
-    settle(desk, view)
+    assert [name for _, name, _ in view.forwarded] == ["e1", "e2"]
+    answer_newest(desk, view)
     assert (await asking).kind is ReplyKind.OK
