--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -20,7 +20,7 @@
 )
 from tests.sched.fakes import worker_info
 
-QUESTION_S = 0.9
+QUERY_TIMEOUT_S = 0.9
 ADDRESS = EntryAddress("e1", "h", 1)
 
 
@@ -45,8 +45,8 @@
     return [message.number for message in drained(inbox, at) if isinstance(message, Call)]
 
 
-def test_what_others_wait_for_goes_first() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_messages_are_taken_by_priority() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     cancel, submit, beat = call(2, CallKind.CANCEL), call(3, CallKind.SUBMIT), report("g1", 1)
     for message in (call(1), submit, beat, cancel):
         inbox.put(b"e1", message, 0.0)
@@ -61,8 +61,8 @@
     assert drained(inbox) == [*others, cancel, beat, submit, call(1)]
 
 
-def test_the_newest_heartbeat_of_a_sender_stands_for_all() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_newest_heartbeat_of_a_sender_replaces_older_ones() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for epoch in range(1, 50):
         for sender in (b"e1", b"e2"):
             inbox.put(sender, EntryBeat(ADDRESS, epoch, True, 1), float(epoch))
@@ -73,8 +73,8 @@
     assert item.message == EntryBeat(ADDRESS, 49, True, 1)
 
 
-def test_reports_of_an_agent_are_one_and_the_oldest_agent_goes_first() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_reports_of_an_agent_are_merged_and_agents_taken_by_age() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for beat in range(1, 20):
         for agent in ("g2", "g1"):
             inbox.put(agent.encode(), report(agent, beat), float(beat))
@@ -82,7 +82,7 @@
 
 
 def test_reports_that_cannot_be_merged_are_bounded_and_in_order() -> None:
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for beat in range(1, MAX_REPORTS_PER_AGENT + 3):
         inbox.put(b"g1", report("g1", beat, f"w{beat}"), 0.0)
     inbox.put(b"g2", report("g2", 1), 0.0)
@@ -94,9 +94,9 @@
 
 
 @pytest.mark.parametrize("flooded", list(Urgency))
-def test_no_class_keeps_the_others_out(flooded: Urgency) -> None:
+def test_flood_of_one_class_does_not_starve_the_others(flooded: Urgency) -> None:
     """Calls are never answered while cancels or reports arrive faster than they are taken."""
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     messages: dict[Urgency, AnyNodeMessage] = {
         Urgency.LEAD: WhoLeads("g"),
         Urgency.CANCEL: call(1, CallKind.CANCEL),
@@ -112,9 +112,9 @@
     assert all(word in first for word in others.values())
 
 
-def test_senders_are_served_in_turns() -> None:
+def test_senders_are_served_round_robin() -> None:
     """An entry with many calls keeps those of the others waiting."""
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(50):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     for number in (100, 101):
@@ -122,8 +122,8 @@
     assert numbers(inbox)[:5] == [0, 100, 1, 101, 2]
 
 
-def test_submissions_and_questions_of_a_sender_go_in_turns_newest_questions_first() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_submissions_and_queries_of_a_sender_alternate_newest_query_first() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in (1, 2):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
         inbox.put(b"e1", call(10 + number), 0.0)
@@ -132,8 +132,8 @@
 
 
 @pytest.mark.parametrize("kind", list(CallKind))
-def test_tries_of_a_call_are_one(kind: CallKind) -> None:
-    inbox = Inbox(QUESTION_S)
+def test_retries_of_a_call_are_merged(kind: CallKind) -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     again = Call(7, kind, "q", "j7", 2, b"body", epoch=3)
     inbox.put(b"e1", call(7, kind), 0.0)
     inbox.put(b"e1", call(8, kind), 0.1)
@@ -143,29 +143,29 @@
     assert again in drained(inbox, 0.4)
 
 
-def test_a_question_without_a_caller_is_dropped() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_timed_out_query_is_dropped() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     inbox.put(b"e1", call(1), 0.0)
     inbox.put(b"e1", call(2, CallKind.WAITING), 0.5)
     inbox.put(b"e1", call(1), 0.4)
     inbox.put(b"e1", call(3, CallKind.SUBMIT), 0.0)
     inbox.put(b"e1", call(4, CallKind.CANCEL), 0.0)
-    assert sorted(numbers(inbox, QUESTION_S + 0.01)) == [2, 3, 4]
+    assert sorted(numbers(inbox, QUERY_TIMEOUT_S + 0.01)) == [2, 3, 4]
     assert inbox.dropped == {"state": 1}
 
 
 @pytest.mark.parametrize("canceller", [b"e1", b"e2"])
 def test_a_cancel_does_not_overtake_the_submission_of_its_job(canceller: bytes) -> None:
     """A caller is told that the job it cancels does not exist, and then the job runs."""
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(10):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     inbox.put(canceller, call(20, CallKind.CANCEL, "j9"), 0.1)
     assert numbers(inbox)[:3] == [9, 20, 0]
 
 
-def test_a_cancel_tried_again_does_not_overtake_a_submission_in_between() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_retried_cancel_does_not_overtake_a_submission_in_between() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     inbox.put(b"e1", call(20, CallKind.CANCEL, "j9"), 0.0)
     inbox.put(b"e2", call(9, CallKind.SUBMIT), 0.1)
     inbox.put(b"e1", call(20, CallKind.CANCEL, "j9"), 0.2)
@@ -173,16 +173,16 @@
     assert len(inbox) == 0
 
 
-def test_a_submission_tried_again_before_its_cancel_stays_before_it() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_retried_submission_stays_before_its_cancel() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     inbox.put(b"e1", call(9, CallKind.SUBMIT), 0.0)
     inbox.put(b"e1", call(20, CallKind.CANCEL, "j9"), 0.1)
     inbox.put(b"e1", call(9, CallKind.SUBMIT), 0.2)
     assert numbers(inbox) == [9, 20]
 
 
-def test_a_question_does_not_overtake_the_submission_of_its_job() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_query_does_not_overtake_the_submission_of_its_job() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in (1, 2, 3):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     inbox.put(b"e2", call(9, CallKind.STATE, "j3"), 0.1)
@@ -190,8 +190,8 @@
     assert found.index(3) < found.index(9)
 
 
-def test_calls_that_wait_are_bounded_by_the_sender_with_the_most() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_overflow_drops_calls_of_the_sender_with_the_most() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     inbox.put(b"e2", call(1, CallKind.SUBMIT), 0.0)
     inbox.put(b"e2", call(2, CallKind.CANCEL), 0.0)
     for number in range(MAX_QUEUED_CALLS + 50):
@@ -203,8 +203,8 @@
     assert inbox.dropped == {"submit": 52}
 
 
-def test_questions_are_dropped_before_submissions() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_queries_are_dropped_before_submissions() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(MAX_QUEUED_CALLS):
         inbox.put(b"e1", call(number), 0.0)
     inbox.put(b"e1", call(MAX_QUEUED_CALLS, CallKind.SUBMIT), 0.0)
@@ -212,25 +212,25 @@
     assert set(numbers(inbox)) == set(range(1, MAX_QUEUED_CALLS + 1))
 
 
-def test_questions_without_callers_take_no_place_of_others() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_timed_out_queries_do_not_displace_other_calls() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(MAX_QUEUED_CALLS):
         inbox.put(b"e1", call(number), 0.0)
-    inbox.put(b"e2", call(1), QUESTION_S + 0.1)
+    inbox.put(b"e2", call(1), QUERY_TIMEOUT_S + 0.1)
     assert len(inbox) == 1
 
 
-def test_cancels_that_wait_are_bounded() -> None:
-    inbox = Inbox(QUESTION_S)
+def test_queued_cancels_are_bounded() -> None:
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(MAX_QUEUED_CALLS + 3):
         inbox.put(b"e1", call(number, CallKind.CANCEL), 0.0)
     assert len(inbox) == MAX_QUEUED_CALLS and inbox.dropped == {"cancel": 3}
 
 
-def test_jobs_that_wait_are_bounded_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_queued_jobs_are_bounded_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(node_call_queue, "MAX_QUEUED_CALL_BYTES", 1_000)
     assert MAX_QUEUED_CALL_BYTES > 1_000
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for _ in range(3):
         for number in range(20):
             inbox.put(b"e1", call(number, CallKind.SUBMIT, body=b"x" * 100), 0.0)
@@ -240,9 +240,9 @@
     assert numbers(inbox) == [1]
 
 
-def test_a_submission_that_waits_or_was_dropped_may_come() -> None:
+def test_queued_or_dropped_submission_may_arrive() -> None:
     """A job was called absent whose submission was dropped, came again and ran."""
-    inbox = Inbox(QUESTION_S)
+    inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(MAX_QUEUED_CALLS + 1):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
     dropped = f"j{MAX_QUEUED_CALLS}"
@@ -254,7 +254,7 @@
     assert not inbox.may_arrive(dropped, PENDING_CANCEL_TIMEOUT_S + 0.1)
 
 
-def test_dropped_submissions_past_the_bound_leave_no_job_that_is_called_absent() -> None:
+def test_beyond_the_bound_no_unknown_job_is_reported_absent() -> None:
     dropped = DroppedSubmits()
     for number in range(MAX_DROPPED_JOBS):
         dropped.record(f"j{number}", float(number) / MAX_DROPPED_JOBS)
--- a/tests/sched/test_links.py
+++ b/tests/sched/test_links.py
@@ -11,7 +11,7 @@
 
 BACKLOG = 500
 
-AT_ONCE = 25
+MAX_MESSAGES_PER_STEP = 25
 """Messages that may be taken in one turn: 10 ms of processor time."""
 
 
@@ -30,7 +30,7 @@
         return [str(self.left).encode(), self.frame]
 
 
-async def test_a_backlog_of_reports_does_not_keep_everything_else_waiting() -> None:
+async def test_backlog_of_reports_does_not_block_the_event_loop() -> None:
     """A leader accepts, cancels and starts nothing for 15 s, although its store is well.
 
     After a burst its agents' reports arrive faster than it takes them.  The reader found the next
@@ -44,9 +44,9 @@
 
     intake = Intake(Backlog().recv_multipart, handler, 1.0, Metrics())
     intake.start()
-    turns = [0]
+    taken_by_step = [0]
     while taken < BACKLOG:
         await asyncio.sleep(0)
-        turns.append(taken)
-    assert max(after - before for before, after in pairwise(turns)) <= AT_ONCE
+        taken_by_step.append(taken)
+    assert max(after - before for before, after in pairwise(taken_by_step)) <= MAX_MESSAGES_PER_STEP
     await intake.stop()
