--- a/tests/process/test_node_links.py
+++ b/tests/process/test_node_links.py
@@ -14,10 +14,10 @@
 from sapphirelead.wire_sockets import make_context
 
 ROUNDS = 400
-AT_ONCE = 8
+BURST = 8
 
 
-async def test_nothing_is_left_lying_where_both_ends_send_at_once() -> None:
+async def test_no_message_is_left_unread_when_both_ends_send() -> None:
     """An agent reports while the leader sends it orders.
 
     The transport tells of waiting messages only when its state changes; a send in between takes
@@ -25,22 +25,22 @@
     good: the agent reports on, but starts nothing and its lease runs out.
     """
     ctx = make_context()
-    answered = 0
-    asked = 0
+    replies = 0
+    requests = 0
     # Submissions, because the hub takes each of them: of the same question of a sender, the newest.
     submits: list[Call] = []
 
     def on_hub(identity: bytes, message: AnyNodeMessage) -> None:
-        nonlocal asked
-        asked += 1
+        nonlocal requests
+        requests += 1
         if isinstance(message, Call):
             submits.append(message)
-        assert hub.send(identity, Leads(asked, "e1"))
+        assert hub.send(identity, Leads(requests, "e1"))
 
     def on_link(name: str, message: AnyNodeMessage) -> None:
-        nonlocal answered
-        answered += 1
-        if answered % 3 == 0:
+        nonlocal replies
+        replies += 1
+        if replies % 3 == 0:
             links.send(name, WhoLeads("extra"))
 
     hub = Hub(ctx, "127.0.0.1", 0, on_hub)
@@ -51,10 +51,10 @@
         while not links.send("e1", WhoLeads("agent")):
             await asyncio.sleep(0.01)
         for turn in range(ROUNDS):
-            for number in range(turn * AT_ONCE, (turn + 1) * AT_ONCE):
+            for number in range(turn * BURST, (turn + 1) * BURST):
                 links.send("e1", Call(number, CallKind.SUBMIT, "q", f"{number}", 1))
             await asyncio.sleep(0.002)
-        while answered < asked or len(submits) < ROUNDS * AT_ONCE:
+        while replies < requests or len(submits) < ROUNDS * BURST:
             await asyncio.sleep(0.01)
     await links.stop()
     await hub.stop()
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -55,7 +55,7 @@
     assert {ended.number for ended in found.ends} == set(range(ENDS_IN_REPORT + 1))
 
 
-def test_ends_that_grow_past_the_bound_are_not_merged() -> None:
+def test_ends_beyond_the_bound_are_not_merged() -> None:
     first = [end(number) for number in range(MAX_MERGED_ENDS)]
     assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS - 1)]))
     assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS)])) is None
@@ -85,7 +85,7 @@
     assert merged(found, report(3, full=True, ends=[lapsed])).ends == found.ends
 
 
-def test_workers_that_are_gone_are_kept() -> None:
+def test_ended_workers_are_kept() -> None:
     found = merged(report(1, gone=("w1",), worker=None), report(2, gone=("w2",), worker=None))
     assert found.gone == ("w1", "w2")
 
@@ -100,7 +100,7 @@
         (report(1), report(2, epoch=2)),
     ],
 )
-def test_reports_of_two_lives_are_taken_one_after_the_other(
+def test_reports_of_two_lifetimes_are_not_merged(
     older: AgentReport, newer: AgentReport
 ) -> None:
     assert merge_reports(older, newer) is None
@@ -123,8 +123,8 @@
         self.names = [(run.ref.text(), run.attempt) for run in self.sched.fleet.runs.values()]
         assert len(self.names) == TASKS
 
-    def take(self, word: AgentReport) -> None:
-        assert take_report(self.sched, word, 1, 1.0)
+    def take(self, make_report: AgentReport) -> None:
+        assert take_report(self.sched, make_report, 1, 1.0)
 
     def seen(self) -> object:
         """Return all that the leader has learnt from reports."""
@@ -138,11 +138,11 @@
         return runs, saved, instance.beat, instance.worker, self.sched.ends_in_store
 
 
-def word(book: RunnerBook, beat: int, full: bool) -> AgentReport:
+def make_report(book: RunnerBook, beat: int, full: bool) -> AgentReport:
     return report(beat, full, book.statuses(full), book.report_ends(full), book.info)
 
 
-def step_on(book: RunnerBook, rng: random.Random, numbers: list[int]) -> None:
+def advance(book: RunnerBook, rng: random.Random, numbers: list[int]) -> None:
     """Let the worker make progress, save some of it, and end some runs."""
     running, ended = [], []
     for name, known in sorted(book.runs.items()):
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_merged_reports_tell_what_they_told_one_by_one(seed: int) -> None:
+def test_merged_reports_are_equivalent_to_single_reports(seed: int) -> None:
     """A leader that is behind loses what was told only in the reports that it has not seen."""
     rng = random.Random(seed)
     one_by_one, at_once = Fleet(), Fleet()
@@ -169,8 +169,8 @@
         book.runs[task, attempt] = RunnerRun(task, attempt, RunPhase.STARTING)
     pending: AgentReport | None = None
     for beat in range(2, 12):
-        step_on(book, rng, numbers)
-        new = word(book, beat, rng.random() < 0.3)
+        advance(book, rng, numbers)
+        new = make_report(book, beat, rng.random() < 0.3)
         one_by_one.take(new)
         pending = new if pending is None else merged(pending, new)
     assert pending is not None
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -36,13 +36,13 @@
 
 
 class Reader:
-    """A leader elsewhere that reads calls in order, one each ``each_s``, while ``reads`` is set."""
+    """A leader elsewhere that reads calls in order, one each ``interval_s``, while ``reads`` is set."""
 
     def __init__(self, view: FollowerView, desk: CallForwarder) -> None:
         self.view = view
         self.desk = desk
         self.reads = asyncio.Event()
-        self.each_s = 0.001
+        self.interval_s = 0.001
         self.read = 0
 
     @property
@@ -52,14 +52,14 @@
     async def run(self) -> None:
         while True:
             await self.reads.wait()
-            await asyncio.sleep(self.each_s)
+            await asyncio.sleep(self.interval_s)
             for call in self.unread[:1]:
                 self.read += 1
                 self.desk.handle_reply(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
 
 
 @asynccontextmanager
-async def behind() -> AsyncIterator[tuple[CallForwarder, Reader]]:
+async def congested_leader() -> AsyncIterator[tuple[CallForwarder, Reader]]:
     """An entry whose leader reads nothing yet."""
     view = FollowerView()
     desk = CallForwarder(view)
@@ -74,18 +74,18 @@
     return asyncio.create_task(desk.call(kind, "q", job_id, b"", DEADLINE_S))
 
 
-async def callers(desk: CallForwarder, each_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
-    """Ask for the state of another job each ``each_s``."""
+async def make_queries(desk: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
+    """Ask for the state of another job each ``interval_s``."""
     while True:
         asked.append(ask(desk, CallKind.STATE, f"b{len(asked)}"))
-        await asyncio.sleep(each_s)
+        await asyncio.sleep(interval_s)
 
 
-async def test_a_cancel_does_not_wait_behind_the_questions_of_its_entry() -> None:
+async def test_cancel_does_not_wait_behind_the_queries_of_its_entry() -> None:
     """A cancel waited at the leader behind every question and repeat that its entry had sent."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
         await asyncio.sleep(10.0)
         cancelling = ask(desk, CallKind.CANCEL)
         await asyncio.sleep(0.01)
@@ -98,9 +98,9 @@
         assert (await cancelling).kind is ReplyKind.OK
 
 
-async def test_a_call_whose_caller_leaves_while_it_is_held_is_never_sent() -> None:
+async def test_held_call_is_not_sent_after_its_caller_disconnects() -> None:
     """Calls whose callers had left were passed on and worked off all the same."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
         await asyncio.sleep(0.01)
         late = ask(desk, CallKind.SUBMIT, "late")
@@ -114,19 +114,19 @@
         assert (await ask(desk, CallKind.STATE)).kind is ReplyKind.OK
 
 
-async def test_a_question_is_passed_on_once_to_a_leadership() -> None:
+async def test_query_is_sent_once_per_epoch() -> None:
     """Each question to a leader that was behind was sent twice, and read twice."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         reply = await ask(desk, CallKind.STATE)
         assert reply.kind is ReplyKind.NOT_RUN
         assert len(reader.view.sent) == 1
 
 
-async def test_questions_are_refused_at_once_when_the_leader_is_behind_for_long() -> None:
+async def test_queries_are_refused_at_once_while_the_leader_is_congested() -> None:
     """Each question was held for 0.9 s although the leader had read nothing for ten seconds."""
-    async with behind() as (desk, _):
+    async with congested_leader() as (desk, _):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
         await asyncio.sleep(10.0)
         began = now()
         replies = [await ask(desk, CallKind.STATE) for _ in range(10)]
@@ -136,10 +136,10 @@
         assert all(reply.retry_after_s > 0 for reply in replies)
 
 
-async def test_an_entry_finds_out_by_itself_that_its_leader_has_caught_up() -> None:
-    async with behind() as (desk, reader):
+async def test_entry_detects_that_its_leader_has_caught_up() -> None:
+    async with congested_leader() as (desk, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
         await asyncio.sleep(10.0)
         reader.reads.set()
         await asyncio.sleep(1.0)
@@ -152,7 +152,7 @@
 
 async def test_a_leader_that_is_busy_for_a_second_loses_no_submission() -> None:
     """The bound on unread calls must not refuse what a short round of the leader only delays."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         calls = []
         for number in range(100):
             calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
@@ -162,9 +162,9 @@
         assert {reply.kind for reply in replies} == {ReplyKind.OK}
 
 
-async def test_a_question_that_was_lost_is_passed_on_again() -> None:
+async def test_lost_query_is_sent_again() -> None:
     """A question lost with its connection was not asked again, though later ones were read."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         reader.reads.set()
         lost = ask(desk, CallKind.STATE, "lost")
         while not reader.view.sent:
@@ -179,9 +179,9 @@
         assert {reply.kind for reply in replies} == {ReplyKind.OK}
 
 
-async def test_submissions_that_wait_for_a_slow_store_are_not_held_back() -> None:
+async def test_submissions_waiting_for_a_slow_store_are_not_throttled() -> None:
     """A leader that has read its submissions is not behind, however long its store takes."""
-    async with behind() as (desk, reader):
+    async with congested_leader() as (desk, reader):
         calls = []
         for number in range(10 * MAX_WINDOW):
             calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
@@ -196,7 +196,7 @@
         assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
 
 
-async def test_the_leader_says_that_it_has_read_a_call_that_waits_for_the_store() -> None:
+async def test_leader_acknowledges_a_call_that_waits_for_the_store() -> None:
     replies: list[tuple[float, Reply]] = []
 
     class Storing:
@@ -229,7 +229,7 @@
     return await window.acquire(number, lambda: 1, now() + wait_s, submits)
 
 
-async def test_the_window_holds_what_is_past_its_bound() -> None:
+async def test_window_holds_calls_beyond_its_limit() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
@@ -239,7 +239,7 @@
     assert window.held == 0
 
 
-async def test_held_calls_past_the_bound_are_refused_at_once() -> None:
+async def test_held_calls_beyond_the_bound_are_refused_at_once() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
@@ -256,7 +256,7 @@
     assert window.held == 0
 
 
-async def test_submissions_are_sent_before_questions() -> None:
+async def test_submissions_are_sent_before_queries() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
@@ -271,7 +271,7 @@
     assert not await question
 
 
-async def test_lost_calls_do_not_hold_others_back_for_good() -> None:
+async def test_lost_calls_do_not_block_others_forever() -> None:
     """All that had been sent on a broken connection would have counted as unread for ever."""
     window = CallWindow()
     for number in range(MAX_WINDOW):
@@ -281,7 +281,7 @@
     assert now() - began == pytest.approx(LOST_AFTER_S, abs=0.2)
 
 
-async def test_another_leadership_is_not_behind() -> None:
+async def test_window_is_reset_for_a_new_epoch() -> None:
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
