--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -97,7 +97,10 @@
 
     def start(self) -> None:
         """Start reading and handling messages."""
-        self._tasks = [spawn(self._read_messages(), "hub"), spawn(self._handle_messages(), "hub-work")]
+        self._tasks = [
+            spawn(self._read_messages(), "hub"),
+            spawn(self._handle_messages(), "hub-work"),
+        ]
 
     async def stop(self) -> None:
         """Stop both tasks; queued messages are dropped."""
--- a/tests/process/test_node_links.py
+++ b/tests/process/test_node_links.py
@@ -1,4 +1,4 @@
-"""Links between processes of a fleet, over real sockets on loopback."""
+"""Tests of the links between processes of a fleet over loopback sockets."""
 
 import asyncio
 
@@ -18,16 +18,11 @@
 
 
 async def test_no_message_is_left_unread_when_both_ends_send() -> None:
-    """An agent reports while the leader sends it orders.
-
-    The transport tells of waiting messages only when its state changes; a send in between takes
-    that word away.  Where the reader is not woken again after a send, the orders lie there for
-    good: the agent reports on, but starts nothing and its lease runs out.
-    """
+    """Guards against unread messages when a send consumes the socket's edge-triggered signal."""
     ctx = make_context()
     replies = 0
     requests = 0
-    # Submissions, because the hub takes each of them: of the same question of a sender, the newest.
+    # Submissions with different numbers, which the hub does not merge.
     submits: list[Call] = []
 
     def on_hub(identity: bytes, message: AnyNodeMessage) -> None:
@@ -50,8 +45,8 @@
     async with asyncio.timeout(20):
         while not links.send("e1", WhoLeads("agent")):
             await asyncio.sleep(0.01)
-        for turn in range(ROUNDS):
-            for number in range(turn * BURST, (turn + 1) * BURST):
+        for round_number in range(ROUNDS):
+            for number in range(round_number * BURST, (round_number + 1) * BURST):
                 links.send("e1", Call(number, CallKind.SUBMIT, "q", f"{number}", 1))
             await asyncio.sleep(0.002)
         while replies < requests or len(submits) < ROUNDS * BURST:
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -1,7 +1,6 @@
-"""How long callers wait at an entry, and what they are told, on a paused clock.
+"""Tests of the waiting times and replies of calls at an entry, on a simulated clock.
 
-The load that these tests stand for: a leader has gone and callers keep coming, each with four
-retries at other entries; a held call costs its caller time that another entry could have used.
+Covers calls that arrive while the leader is lost, being replaced or unreachable.
 """
 
 import asyncio
@@ -20,7 +19,7 @@
 
 
 class FollowerView:
-    """An entry that follows; what becomes of passed-on calls is set by the test."""
+    """A following entry that records forwarded calls; the test replies to them."""
 
     def __init__(self) -> None:
         self.leader = "e1"
@@ -79,10 +78,9 @@
 
 
 async def test_submission_that_may_be_stored_is_not_reported_as_not_run() -> None:
-    """The leader ends right after a submission was passed on to it.
+    """The leader fails after a submission was forwarded to it, and may have stored it.
 
-    Whether it was stored nobody knows yet.  "Not run" could be false; the caller would submit the
-    same order under another id, and a depositor's money would be locked twice.
+    After a wrong "not run", the caller would submit the same work again under another id.
     """
     view = FollowerView()
     reply, took = await ask(CallForwarder(view))
@@ -93,7 +91,7 @@
 
 
 async def answer_each_try(desk: CallForwarder, view: FollowerView, kind: ReplyKind) -> None:
-    """Answer every pass of a call in the same way, after a usual way there and back."""
+    """Send the same reply to each try of a call, after a short round-trip time."""
     answered = 0
     while True:
         await asyncio.sleep(0.02)
@@ -103,11 +101,9 @@
 
 
 async def test_submission_refused_by_a_non_leader_is_not_held_until_its_deadline() -> None:
-    """The entry that is asked has just given up the lead, and says so at once.
+    """The addressed entry replies that it is no longer the leader.
 
-    The submission was never begun, so its caller can be told that soon, and go to another entry.
-    Held as one that may have been stored, it waited for its whole deadline, and ended with a
-    closed connection where the entry itself was stopping.
+    The submission was not started, so its caller must not wait until its deadline.
     """
     view = FollowerView()
     desk = CallForwarder(view)
@@ -128,10 +124,7 @@
 
 
 async def test_cancellation_at_a_lost_leader_is_not_reported_as_not_run() -> None:
-    """A caller cancels a job and is told that nothing was done; the job has been cancelled.
-
-    The leader stored the cancellation and was lost before it answered.
-    """
+    """The leader may have stored the cancellation before it was lost."""
     view = FollowerView()
     desk = CallForwarder(view)
     answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.LEAD_LOST))
@@ -142,7 +135,7 @@
 
 
 class ResigningLeader:
-    """A leader in the same process that loses the lead while it stores a submission."""
+    """A local leader that loses the leadership while it stores a submission."""
 
     def __init__(self, view: "LeadingView") -> None:
         self.view = view
@@ -154,7 +147,7 @@
 
 
 class LeadingView(FollowerView):
-    """An entry that leads at first."""
+    """An entry that is the leader at first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -166,10 +159,9 @@
 
 
 async def test_submission_to_a_lost_local_leader_is_not_reported_as_not_run() -> None:
-    """The entry that takes the submission leads, and loses the lead while the store is writing.
+    """The entry itself loses the leadership while the store writes a submission.
 
-    No other leader appears in time.  The caller was told that the job had not been run, and the
-    next leader found it in the store and ran it.
+    The next leader may find the job in the store and run it.
     """
     reply, _ = await ask(CallForwarder(LeadingView()))
     assert reply.kind is ReplyKind.UNKNOWN
@@ -179,7 +171,9 @@
     ("leader", "told"),
     [("", ReplyKind.NOT_RUN), ("e1", ReplyKind.UNKNOWN)],
 )
-async def test_pending_calls_are_answered_when_the_entry_closes(leader: str, told: ReplyKind) -> None:
+async def test_pending_calls_are_answered_when_the_entry_closes(
+    leader: str, told: ReplyKind
+) -> None:
     view = FollowerView()
     view.leader = leader
     desk = CallForwarder(view)
@@ -221,11 +215,7 @@
 
 
 async def test_each_retry_carries_the_epoch_of_its_leader() -> None:
-    """A call lies unread at a leader that falls behind; its caller is told that it never ran.
-
-    The entry asked loses the lead and takes it again.  Read under the later leadership, the call
-    would be carried out after all.
-    """
+    """A leader re-elected under a later epoch must not run a call whose caller was told "not run"."""
     view = FollowerView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
@@ -237,11 +227,7 @@
 
 
 async def test_late_refusal_of_an_earlier_leader_is_ignored() -> None:
-    """A caller is refused, and the job runs all the same.
-
-    The first leader is slow; the call goes on to its successor, which is storing it when the first
-    one's "not run" arrives.
-    """
+    """The late "not run" of a slow leader must not end a call that the next leader is storing."""
     view = FollowerView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(ask(desk))
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -1,4 +1,4 @@
-"""An entry's calls and the inbox of a leader that works off fewer than come, on a paused clock."""
+"""Tests of an entry's calls to an overloaded leader, on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,7 +19,7 @@
 
 
 class HubView(FollowerView):
-    """An entry whose calls wait in a leader's inbox, which works off ten a second."""
+    """An entry whose leader handles ten calls per second from its inbox."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
 
 
 class Callers:
-    """Callers of one entry; notes when each was answered."""
+    """Callers of one entry; records when each was answered."""
 
     def __init__(self, view: HubView) -> None:
         self.view = view
@@ -62,7 +62,7 @@
         self.took[job_id] = now() - began
 
     async def generate_load(self, for_s: float, *kinds: CallKind) -> None:
-        """Make 30 calls a second of each kind, and a cancel each second."""
+        """Make 30 calls per second of each kind, and one cancellation per second."""
         until = now() + for_s
         while now() < until:
             number = len(self._tasks)
@@ -72,7 +72,7 @@
             await asyncio.sleep(1 / 30)
 
     def accepted_late(self) -> int:
-        """Count the submissions that were accepted after their callers had been answered."""
+        """Return the number of submissions accepted after their callers had been answered."""
         accepted = self.view.accepted
         return sum(1 for job, end in self.ended.items() if accepted.get(job, 0.0) > end[0])
 
@@ -93,17 +93,19 @@
     await view.desk.stop()
 
 
-LOAD_KINDS = pytest.mark.parametrize("kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)])
+LOAD_KINDS = pytest.mark.parametrize(
+    "kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)]
+)
 
 
 @LOAD_KINDS
 async def test_queries_do_not_hide_a_backlog_of_submissions(kinds: tuple[CallKind, ...]) -> None:
-    """The leader answered the newest questions, and 500 submissions waited for half a minute."""
+    """Guards against a growing backlog of submissions while the leader answers queries."""
     async with overloaded() as (view, callers):
         await callers.generate_load(30.0, *kinds)
         first = callers.accepted_late()
         await callers.generate_load(30.0, *kinds)
-        # Those that count as lost after some seconds may still wait there.
+        # Calls considered lost may still be queued at the leader.
         assert view.max_waiting <= MAX_WINDOW + MIN_WINDOW
         assert len(view.inbox) <= MAX_WINDOW
         assert callers.accepted_late() - first <= 1.5 * first + MIN_WINDOW
@@ -117,7 +119,7 @@
 async def test_few_submissions_are_accepted_after_their_callers_were_answered(
     kinds: tuple[CallKind, ...],
 ) -> None:
-    """Each prompt answer let the window grow, until submissions waited longer than callers."""
+    """Guards against a window that grows until submissions wait longer than their callers."""
     async with overloaded() as (view, callers):
         await callers.generate_load(60.0, *kinds)
         assert callers.accepted_late() <= len(view.accepted) / 4
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -1,8 +1,4 @@
-"""Cancellations at an entry whose leader has fallen behind, on a paused clock.
-
-The load that these tests stand for: a leader reads what it is sent seconds late, and callers with
-deadlines of a second or two cancel jobs that must not run on.
-"""
+"""Tests of cancellations at an entry with a congested or lost leader, on a simulated clock."""
 
 import asyncio
 
@@ -25,7 +21,7 @@
 
 
 class TimedView(FollowerView):
-    """A view that notes when each call was passed on, and to whom."""
+    """A view that records when and to which leader each call was forwarded."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,13 +39,13 @@
 
 
 def answer_newest(desk: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
-    """Let the leader answer the newest try."""
+    """Reply to the newest try on behalf of the leader."""
     call = view.forwarded[-1][2]
     desk.handle_reply(Reply(call.number, kind, "cancelled", epoch=call.epoch))
 
 
 async def test_cancel_continues_after_its_caller_has_been_answered() -> None:
-    """A leader that answered nobody for seconds never learnt of cancels whose callers had left."""
+    """Guards against losing a cancel when the leader responds only after the caller's timeout."""
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
@@ -66,7 +62,7 @@
 
 
 async def test_cancel_continues_after_its_caller_disconnects() -> None:
-    """A cancel ended with its caller's connection, though the entry had read it."""
+    """Guards against losing a cancel that the entry has read when its caller disconnects."""
     view = TimedView()
     view.leader = ""
     desk = CallForwarder(view)
@@ -82,7 +78,7 @@
 
 
 async def test_cancel_accepted_without_a_leader_reaches_the_next_leader() -> None:
-    """A cancel taken while nobody led was dropped after 0.9 s and never reached the successor."""
+    """Guards against dropping a cancel that arrives while there is no leader."""
     view = TimedView()
     view.leader = ""
     desk = CallForwarder(view)
@@ -97,7 +93,7 @@
 
 
 async def test_cancel_goes_to_the_next_leader_before_its_retry_delay() -> None:
-    """A cancel that a lost leader had in its queue waited there although a successor served."""
+    """Guards against waiting for a lost leader although the next one is serving."""
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
@@ -112,7 +108,7 @@
 
 
 async def test_cancels_of_one_job_share_one_call() -> None:
-    """Repeated cancels of a job doubled what a leader that had fallen behind had to read."""
+    """Guards against repeated cancels of a job that add load to a congested leader."""
     view = TimedView()
     desk = CallForwarder(view)
     began = now()
@@ -138,7 +134,7 @@
 
 
 async def test_cancel_is_retried_when_the_store_is_slow() -> None:
-    """The leader answers that its store has not: the cancel may be lost with that leader."""
+    """The leader replies before the store has, so the cancel may be lost with that leader."""
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(cancel(desk))
@@ -161,7 +157,7 @@
 
 
 async def test_cancels_beyond_the_bound_are_refused_as_not_run() -> None:
-    """Unbounded, the cancels that wait for a lost leader would take an entry's memory."""
+    """Guards against unbounded memory use by cancels that wait for a lost leader."""
     view = TimedView()
     view.leader = ""
     desk = CallForwarder(view)
@@ -180,16 +176,16 @@
 
 
 async def test_stopping_entry_waits_for_pending_cancels() -> None:
-    """An entry that left dropped the cancels that its leader had not confirmed yet."""
+    """Guards against dropping unconfirmed cancels when the entry stops."""
     view = TimedView()
     desk = CallForwarder(view)
     assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
     began = now()
-    leaving = asyncio.create_task(desk.wait_for_cancels(now() + 5.0))
+    stopping = asyncio.create_task(desk.wait_for_cancels(now() + 5.0))
     await asyncio.sleep(2.0)
-    assert not leaving.done()
+    assert not stopping.done()
     answer_newest(desk, view)
-    await leaving
+    await stopping
     assert now() - began < 2.1
 
 
@@ -203,12 +199,12 @@
 
 
 async def test_cancel_is_not_answered_by_the_reply_to_an_earlier_one() -> None:
-    """A cancel of an accepted job joined one from before its submission: 410, and the job ran."""
+    """Guards against answering a cancel by one that was decided before the job's submission."""
     view = TimedView()
     desk = CallForwarder(view)
     first = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
-    # The leader has decided on the first one; its word is still on its way.
+    # The leader has decided on the first one; its reply is still in transit.
     second = asyncio.create_task(cancel(desk))
     third = asyncio.create_task(cancel(desk))
     await asyncio.sleep(0.1)
@@ -223,7 +219,7 @@
 
 
 async def test_queued_cancel_continues_after_its_caller_has_been_answered() -> None:
-    """The older one ended as "no such job", and the newer one was never passed on."""
+    """Guards against losing a cancel that is queued after one that ended as "no such job"."""
     view = TimedView()
     desk = CallForwarder(view)
     await cancel(desk)
@@ -250,7 +246,7 @@
 
 @pytest.mark.parametrize("kind", [CallKind.CANCEL, CallKind.SUBMIT])
 async def test_call_read_by_the_leader_is_not_retried_early(kind: CallKind) -> None:
-    """Entries repeated what a leader had read and kept waiting for its store."""
+    """Guards against retrying calls that the leader has read and that wait for its store."""
     view = TimedView()
     desk = CallForwarder(view)
     asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * PENDING_CANCEL_TIMEOUT_S))
@@ -260,7 +256,7 @@
     await asyncio.sleep(forwarded_call_timeout_s(kind) - 0.1)
     assert len(view.forwarded) == 1
     await asyncio.sleep(0.4)
-    assert len(view.forwarded) == 2, "its answer is lost"
+    assert len(view.forwarded) == 2, "its reply is lost"
     answer_newest(desk, view)
     await asyncio.sleep(0.01)
     if kind is CallKind.SUBMIT:
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -1,4 +1,4 @@
-"""In which order an entry works on what has arrived, and what it keeps of it."""
+"""Tests of the order, merging and bounds of messages in an entry's inbox."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 def drained(inbox: Inbox, at: float = 0.0) -> list[AnyNodeMessage]:
-    """Take all that waits."""
+    """Take all queued messages."""
     found = []
     while (item := inbox.take(at)) is not None:
         found.append(item.message)
@@ -41,7 +41,7 @@
 
 
 def numbers(inbox: Inbox, at: float = 0.0) -> list[int]:
-    """Take all that waits, and return the numbers of the calls."""
+    """Take all queued messages and return the numbers of the calls."""
     return [message.number for message in drained(inbox, at) if isinstance(message, Call)]
 
 
@@ -87,7 +87,11 @@
         inbox.put(b"g1", report("g1", beat, f"w{beat}"), 0.0)
     inbox.put(b"g2", report("g2", 1), 0.0)
     found = drained(inbox)
-    own = [word.beat for word in found if isinstance(word, AgentReport) and word.agent == "g1"]
+    own = [
+        message.beat
+        for message in found
+        if isinstance(message, AgentReport) and message.agent == "g1"
+    ]
     assert own == list(range(3, MAX_REPORTS_PER_AGENT + 3))
     assert inbox.dropped == {"AgentReport": 2}
     assert found[1] == report("g2", 1)
@@ -95,7 +99,7 @@
 
 @pytest.mark.parametrize("flooded", list(Urgency))
 def test_flood_of_one_class_does_not_starve_the_others(flooded: Urgency) -> None:
-    """Calls are never answered while cancels or reports arrive faster than they are taken."""
+    """Guards against starvation when messages of one class arrive faster than they are taken."""
     inbox = Inbox(QUERY_TIMEOUT_S)
     messages: dict[Urgency, AnyNodeMessage] = {
         Urgency.LEAD: WhoLeads("g"),
@@ -103,17 +107,17 @@
         Urgency.REPORT: report("g", 1),
         Urgency.CALL: call(2),
     }
-    others = {urgency: word for urgency, word in messages.items() if urgency is not flooded}
+    others = {urgency: message for urgency, message in messages.items() if urgency is not flooded}
     for number in range(100):
         inbox.put(f"{number}".encode(), messages[flooded], 0.0)
-    for word in others.values():
-        inbox.put(b"other", word, 0.0)
+    for message in others.values():
+        inbox.put(b"other", message, 0.0)
     first = [item.message for _ in range(sum(CLASS_WEIGHTS.values())) if (item := inbox.take(0.0))]
-    assert all(word in first for word in others.values())
+    assert all(message in first for message in others.values())
 
 
 def test_senders_are_served_round_robin() -> None:
-    """An entry with many calls keeps those of the others waiting."""
+    """Guards against one entry's many calls delaying those of the others."""
     inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(50):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
@@ -156,7 +160,7 @@
 
 @pytest.mark.parametrize("canceller", [b"e1", b"e2"])
 def test_a_cancel_does_not_overtake_the_submission_of_its_job(canceller: bytes) -> None:
-    """A caller is told that the job it cancels does not exist, and then the job runs."""
+    """Guards against reporting a cancelled job as absent and then running it."""
     inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(10):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
@@ -241,7 +245,7 @@
 
 
 def test_queued_or_dropped_submission_may_arrive() -> None:
-    """A job was called absent whose submission was dropped, came again and ran."""
+    """Guards against reporting a job as absent whose dropped submission is retried."""
     inbox = Inbox(QUERY_TIMEOUT_S)
     for number in range(MAX_QUEUED_CALLS + 1):
         inbox.put(b"e1", call(number, CallKind.SUBMIT), 0.0)
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -1,7 +1,6 @@
-"""What an entry works on first while more messages arrive than it can work on.
+"""Tests of message priorities at a leader that receives more messages than it can handle.
 
-The load that these tests stand for: a leader with a third of a processor, 53 agents of which one
-reports six times as often as the others, and six followers with many calls.
+The load has many agents, of which one reports more often than the others, and many calls.
 """
 
 import asyncio
@@ -34,7 +33,7 @@
 READ_S = 0.0001
 ROUND_INTERVAL_S = 0.5
 CANCEL_DEADLINE_S = 4.0
-"""Time within which a cancel has to take effect."""
+"""Maximum time for a cancel to take effect."""
 
 BUSIEST = b"busiest/1"
 FOLLOWERS = [f"e{number}".encode() for number in range(6)]
@@ -45,7 +44,7 @@
 
 
 def report(agent: bytes, beat: int, at: float) -> AgentReport:
-    """Return a report, which carries the end of a run of its own; the time is its reason."""
+    """Return a report with one ended run, whose reason carries the time."""
     end = RunEnded(beat, f"j.0.{beat}.1", 1, "done", "", f"{at}")
     name = agent.decode()
     return AgentReport(name, "b", beat, 1, 1, worker_info(f"w-{name}"), beat % 4 == 0, [], [end])
@@ -58,17 +57,14 @@
 
 
 def call_kind(count: int) -> CallKind:
-    """Return what a follower's caller wants: most ask for a state, few cancel."""
+    """Return the kind of a caller's request: mostly queries, few cancels."""
     if count % 50 == 0:
         return CallKind.CANCEL
     return CallKind.SUBMIT if count % 10 == 0 else CallKind.STATE
 
 
 def load(share: float = 1.0) -> deque[Arrival]:
-    """Return what arrives: 455 messages a second, times ``share``, 360 of which can be worked on.
-
-    A call carries its time as its job.
-    """
+    """Return the arriving messages, at a rate scaled by ``share``; calls carry their time as job."""
     found: list[Arrival] = []
     for number, agent in enumerate(AGENTS):
         for beat, at in times(share * REPORTS_PER_S, number / 1000):
@@ -86,7 +82,7 @@
 
 @dataclass
 class Waits:
-    """The longest time that each kind of message has waited, and what waited at most."""
+    """Longest waiting time and count by kind of message, and the largest queue length."""
 
     longest: dict[str, float] = field(default_factory=dict)
     worked: dict[str, int] = field(default_factory=dict)
@@ -97,7 +93,7 @@
         self.worked[kind] = self.worked.get(kind, 0) + 1
 
     def work(self, identity: bytes, message: AnyNodeMessage) -> None:
-        """Note how long a message has waited, and take the time to work on it."""
+        """Record how long a message has waited, and spend the time to handle it."""
         match message:
             case AgentReport():
                 who = "busiest" if identity == BUSIEST else "agent"
@@ -113,14 +109,14 @@
 
 
 async def run_planning_rounds(round_s: float) -> None:
-    """Hold the loop for a round, twice a second."""
+    """Block the event loop for ``round_s`` in each round interval."""
     while round_s:
         spend(round_s)
         await asyncio.sleep(ROUND_INTERVAL_S - round_s)
 
 
 def simulate(arrivals: deque[Arrival], round_s: float = 0.0) -> Waits:
-    """Let an intake work on what arrives, beside rounds of planning."""
+    """Run an intake on the arriving messages, beside rounds of planning."""
     waits = Waits()
 
     async def go() -> None:
@@ -144,48 +140,48 @@
 
 
 def test_cancel_does_not_wait_behind_queries(waits: Waits) -> None:
-    """A cancel takes effect 11 s after it was asked for, while its entry's questions wait."""
+    """Guards against cancels delayed by the queries of their entry."""
     assert waits.worked["cancel"] >= 6
     assert waits.longest["cancel"] < CANCEL_DEADLINE_S / 4
 
 
 def test_heartbeats_of_a_follower_do_not_wait_behind_its_calls(waits: Waits) -> None:
-    """A follower with many calls holds its leader for silent and refuses its callers."""
+    """Guards against a follower with many calls that times out its leader."""
     assert waits.longest["beat"] < LEADER_SILENCE_S - BEAT_S
 
 
 def test_renewals_of_the_busiest_agent_do_not_wait_behind_its_reports(waits: Waits) -> None:
-    """The agent with the most to report gets its lease late and refuses all orders as stale."""
+    """Guards against late lease renewals, which make an agent refuse orders as stale."""
     assert waits.longest["busiest_renewal"] < STALE_ORDER_S / 2
     assert waits.longest["agent_renewal"] < STALE_ORDER_S / 2
 
 
 def test_no_end_of_a_run_is_lost_or_late(waits: Waits) -> None:
-    """Room that is free stays empty for seconds, because the leader does not know of an end."""
+    """Guards against free capacity that stays unused because ended runs are reported late."""
     assert waits.longest["busiest_end"] < STALE_ORDER_S / 2
     assert waits.worked["busiest_end"] >= (DURATION_S - 2) * BUSY_REPORTS_PER_S
 
 
 def test_inbox_size_is_bounded(waits: Waits) -> None:
-    """What waits grows for as long as more arrives than is worked on."""
+    """Guards against an inbox that grows under sustained overload."""
     answerable = len(FOLLOWERS) * CALLS_PER_S * HOLD_TIMEOUT_S
     assert waits.max_queued <= len(AGENTS) + 1 + len(FOLLOWERS) * 2 + answerable + MAX_READ_BATCH
 
 
 def test_queries_are_answered_before_their_callers_time_out(waits: Waits) -> None:
-    """Answered oldest first, each question gets its answer after its caller has left."""
+    """Guards against replies to queries after their callers' timeout."""
     assert waits.longest["state"] <= HOLD_TIMEOUT_S + MAX_BATCH_S
     assert waits.worked["state"] >= DURATION_S * len(FOLLOWERS)
 
 
 def test_submissions_are_handled_within_the_hold_timeout(waits: Waits) -> None:
-    """A caller gets 504 for a job that is accepted seconds later."""
+    """Guards against accepting a job after its caller's request has timed out."""
     assert waits.longest["submit"] < HOLD_TIMEOUT_S
 
 
 @pytest.mark.parametrize(("share", "round_s"), [(2.0, 0.0), (3.0, 0.0), (1.0, 0.25)])
 def test_more_load_and_long_rounds_delay_only_queries(share: float, round_s: float) -> None:
-    """Twice the load of a leader that is behind already makes it lose its followers."""
+    """Guards against losing followers under higher overload or long planning rounds."""
     waits = simulate(load(share), round_s)
     assert waits.longest["cancel"] < CANCEL_DEADLINE_S / 4
     assert waits.longest["beat"] < LEADER_SILENCE_S - BEAT_S
@@ -196,12 +192,12 @@
 
 
 def test_message_backlog_does_not_block_the_event_loop() -> None:
-    """The store's answers and all timers of a leader with a backlog lie for seconds."""
+    """Guards against a backlog that delays timers and the store's replies."""
     gaps = []
 
     async def go() -> None:
-        word = WhoLeads("g")
-        arrivals: deque[Arrival] = deque((0.0, f"{n}".encode(), word) for n in range(3_000))
+        message = WhoLeads("g")
+        arrivals: deque[Arrival] = deque((0.0, f"{n}".encode(), message) for n in range(3_000))
         intake = Intake(
             Transport(arrivals, READ_S).receive, lambda *_: spend(WORK_S), HOLD_TIMEOUT_S, Metrics()
         )
--- a/tests/sched/test_links.py
+++ b/tests/sched/test_links.py
@@ -1,4 +1,4 @@
-"""Readers of links with a backlog: what else the process gets to do meanwhile."""
+"""Tests that reading a backlog of messages does not block the event loop."""
 
 import asyncio
 from itertools import pairwise
@@ -12,11 +12,11 @@
 BACKLOG = 500
 
 MAX_MESSAGES_PER_STEP = 25
-"""Messages that may be taken in one turn: 10 ms of processor time."""
+"""Messages that may be handled in one iteration of the event loop."""
 
 
 class Backlog:
-    """A socket on which messages have already arrived, so that taking one never waits."""
+    """A socket with already received messages, so that reading never waits."""
 
     def __init__(self) -> None:
         self.left = BACKLOG
@@ -26,16 +26,12 @@
         if not self.left:
             await asyncio.Event().wait()
         self.left -= 1
-        # Each of another sender: a later word of the same one would take the place of the earlier.
+        # Each has another sender: a later message of the same sender would replace it.
         return [str(self.left).encode(), self.frame]
 
 
 async def test_backlog_of_reports_does_not_block_the_event_loop() -> None:
-    """A leader accepts, cancels and starts nothing for 15 s, although its store is well.
-
-    After a burst its agents' reports arrive faster than it takes them.  The reader found the next
-    one there each time and never gave way, so the store's answers and all timers lay for as long.
-    """
+    """Guards against a reader that never yields while messages arrive faster than it reads."""
     taken = 0
 
     def handler(identity: bytes, message: AnyNodeMessage) -> None:
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -1,4 +1,4 @@
-"""What a leader makes of merged reports, against the same reports taken one after the other."""
+"""Tests that merged reports have the same effect as the reports one after the other."""
 
 import random
 
@@ -48,7 +48,7 @@
 
 
 def test_ends_beyond_those_of_a_full_report_are_kept() -> None:
-    """A full report lists 200 ends; the others would wait until these are stored."""
+    """A full report lists a bounded number of ended runs; a merge must not lose others."""
     first = [end(number) for number in range(ENDS_IN_REPORT)]
     later = end(ENDS_IN_REPORT)
     found = merged(report(1, ends=[later]), report(2, full=True, ends=first))
@@ -62,7 +62,7 @@
 
 
 def test_a_short_report_leaves_a_full_one_full() -> None:
-    """Orders to start are sent again although the agent has told of their runs."""
+    """Guards against repeated start orders for runs that the agent has reported."""
     found = merged(
         report(1, full=True, runs=[run(1, saved="s"), run(2)]),
         report(2, runs=[run(1, 20), run(3)], ends=[end(2)]),
@@ -78,7 +78,7 @@
 
 
 def test_progress_saved_before_an_end_is_kept() -> None:
-    """A task begins anew although its saved progress was reported."""
+    """Guards against restarting a task from scratch although its progress was reported."""
     lapsed = end(1, "lapsed")
     found = merged(report(1, full=True, runs=[run(1, saved="s")]), report(2, ends=[lapsed]))
     assert found.ends == [msgspec.structs.replace(lapsed, saved="s")]
@@ -100,9 +100,7 @@
         (report(1), report(2, epoch=2)),
     ],
 )
-def test_reports_of_two_lifetimes_are_not_merged(
-    older: AgentReport, newer: AgentReport
-) -> None:
+def test_reports_of_two_lifetimes_are_not_merged(older: AgentReport, newer: AgentReport) -> None:
     assert merge_reports(older, newer) is None
 
 
@@ -123,11 +121,11 @@
         self.names = [(run.ref.text(), run.attempt) for run in self.sched.fleet.runs.values()]
         assert len(self.names) == TASKS
 
-    def take(self, make_report: AgentReport) -> None:
-        assert take_report(self.sched, make_report, 1, 1.0)
+    def take(self, new: AgentReport) -> None:
+        assert take_report(self.sched, new, 1, 1.0)
 
     def seen(self) -> object:
-        """Return all that the leader has learnt from reports."""
+        """Return the leader's state that depends on reports."""
         instance = self.sched.fleet.instance("g1")
         runs = {
             (run.ref.text(), run.attempt): (run.phase, run.percent, run.figure, run.paced)
@@ -143,7 +141,7 @@
 
 
 def advance(book: RunnerBook, rng: random.Random, numbers: list[int]) -> None:
-    """Let the worker make progress, save some of it, and end some runs."""
+    """Make random progress: advance and save some runs, and end others."""
     running, ended = [], []
     for name, known in sorted(book.runs.items()):
         if rng.random() < 0.15:
@@ -159,7 +157,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_merged_reports_are_equivalent_to_single_reports(seed: int) -> None:
-    """A leader that is behind loses what was told only in the reports that it has not seen."""
+    """Guards against losing the contents of queued reports when they are merged."""
     rng = random.Random(seed)
     one_by_one, at_once = Fleet(), Fleet()
     assert one_by_one.names == at_once.names
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -1,8 +1,4 @@
-"""Calls with a leader that reads them late, on a paused clock.
-
-The load that these tests stand for: a leader that plans for a second or two at a time reads one
-message of each peer between two rounds, while callers of every entry come again after each answer.
-"""
+"""Tests of the call window with a leader that reads calls late, on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -36,7 +32,7 @@
 
 
 class Reader:
-    """A leader elsewhere that reads calls in order, one each ``interval_s``, while ``reads`` is set."""
+    """A remote leader that reads one call per ``interval_s`` in order while ``reads`` is set."""
 
     def __init__(self, view: FollowerView, desk: CallForwarder) -> None:
         self.view = view
@@ -60,7 +56,7 @@
 
 @asynccontextmanager
 async def congested_leader() -> AsyncIterator[tuple[CallForwarder, Reader]]:
-    """An entry whose leader reads nothing yet."""
+    """Yield an entry's forwarder, whose leader does not read until ``reads`` is set."""
     view = FollowerView()
     desk = CallForwarder(view)
     reader = Reader(view, desk)
@@ -74,15 +70,17 @@
     return asyncio.create_task(desk.call(kind, "q", job_id, b"", DEADLINE_S))
 
 
-async def make_queries(desk: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
-    """Ask for the state of another job each ``interval_s``."""
+async def make_queries(
+    desk: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]
+) -> None:
+    """Query the state of another job every ``interval_s``."""
     while True:
         asked.append(ask(desk, CallKind.STATE, f"b{len(asked)}"))
         await asyncio.sleep(interval_s)
 
 
 async def test_cancel_does_not_wait_behind_the_queries_of_its_entry() -> None:
-    """A cancel waited at the leader behind every question and repeat that its entry had sent."""
+    """Guards against a cancel queued at the leader behind the entry's queries and their retries."""
     async with congested_leader() as (desk, reader):
         asked: list[asyncio.Task[Reply]] = []
         asking = asyncio.create_task(make_queries(desk, 0.02, asked))
@@ -99,7 +97,7 @@
 
 
 async def test_held_call_is_not_sent_after_its_caller_disconnects() -> None:
-    """Calls whose callers had left were passed on and worked off all the same."""
+    """Guards against forwarding calls whose callers have disconnected."""
     async with congested_leader() as (desk, reader):
         first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
         await asyncio.sleep(0.01)
@@ -115,7 +113,7 @@
 
 
 async def test_query_is_sent_once_per_epoch() -> None:
-    """Each question to a leader that was behind was sent twice, and read twice."""
+    """Guards against duplicate queries to a congested leader."""
     async with congested_leader() as (desk, reader):
         reply = await ask(desk, CallKind.STATE)
         assert reply.kind is ReplyKind.NOT_RUN
@@ -123,7 +121,7 @@
 
 
 async def test_queries_are_refused_at_once_while_the_leader_is_congested() -> None:
-    """Each question was held for 0.9 s although the leader had read nothing for ten seconds."""
+    """Guards against holding queries while the leader does not read."""
     async with congested_leader() as (desk, _):
         asked: list[asyncio.Task[Reply]] = []
         asking = asyncio.create_task(make_queries(desk, 0.02, asked))
@@ -151,7 +149,7 @@
 
 
 async def test_a_leader_that_is_busy_for_a_second_loses_no_submission() -> None:
-    """The bound on unread calls must not refuse what a short round of the leader only delays."""
+    """Guards against refusing submissions that a short planning round only delays."""
     async with congested_leader() as (desk, reader):
         calls = []
         for number in range(100):
@@ -163,7 +161,7 @@
 
 
 async def test_lost_query_is_sent_again() -> None:
-    """A question lost with its connection was not asked again, though later ones were read."""
+    """Guards against never retrying a query that was lost with its connection."""
     async with congested_leader() as (desk, reader):
         reader.reads.set()
         lost = ask(desk, CallKind.STATE, "lost")
@@ -180,13 +178,13 @@
 
 
 async def test_submissions_waiting_for_a_slow_store_are_not_throttled() -> None:
-    """A leader that has read its submissions is not behind, however long its store takes."""
+    """A leader that has read its submissions is not congested, however slow its store is."""
     async with congested_leader() as (desk, reader):
         calls = []
         for number in range(10 * MAX_WINDOW):
             calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.005)
-            # Each is read 0.1 s after it was sent.
+            # The leader reads each call 0.1 s after it was sent.
             for call in reader.view.sent:
                 if call.job_id == f"c{number - 20}":
                     desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
@@ -272,7 +270,7 @@
 
 
 async def test_lost_calls_do_not_block_others_forever() -> None:
-    """All that had been sent on a broken connection would have counted as unread for ever."""
+    """Guards against counting calls lost with a broken connection as unread forever."""
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
