--- a/tests/process/test_node_links.py
+++ b/tests/process/test_node_links.py
@@ -20,22 +20,22 @@
 async def test_no_message_is_left_unread_when_both_ends_send() -> None:
     """Guards against unread messages when a send consumes the socket's edge-triggered signal."""
     ctx = make_context()
-    replies = 0
-    requests = 0
+    answered = 0
+    asked = 0
     # Submissions with different numbers, which the hub does not merge.
     submits: list[Call] = []
 
     def on_hub(identity: bytes, message: AnyNodeMessage) -> None:
-        nonlocal requests
-        requests += 1
+        nonlocal asked
+        asked += 1
         if isinstance(message, Call):
             submits.append(message)
-        assert hub.send(identity, Leads(requests, "e1"))
+        assert hub.send(identity, Leads(asked, "e1"))
 
     def on_link(name: str, message: AnyNodeMessage) -> None:
-        nonlocal replies
-        replies += 1
-        if replies % 3 == 0:
+        nonlocal answered
+        answered += 1
+        if answered % 3 == 0:
             links.send(name, WhoLeads("extra"))
 
     hub = Hub(ctx, "127.0.0.1", 0, on_hub)
@@ -49,7 +49,7 @@
             for number in range(round_number * BURST, (round_number + 1) * BURST):
                 links.send("e1", Call(number, CallKind.SUBMIT, "q", f"{number}", 1))
             await asyncio.sleep(0.002)
-        while replies < requests or len(submits) < ROUNDS * BURST:
+        while answered < asked or len(submits) < ROUNDS * BURST:
             await asyncio.sleep(0.01)
     await links.stop()
     await hub.stop()
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -46,10 +46,10 @@
         return self.epoch
 
 
-async def ask(desk: CallForwarder, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
+async def ask(forwarder: CallForwarder, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
     """Make a call; return its reply and how long it took."""
     began = now()
-    reply = await desk.call(kind, "q", "a1", b"", DEADLINE_S)
+    reply = await forwarder.call(kind, "q", "a1", b"", DEADLINE_S)
     return reply, now() - began
 
 
@@ -65,13 +65,13 @@
 async def test_held_calls_are_forwarded_to_a_new_leader_at_once() -> None:
     view = FollowerView()
     view.leader = ""
-    desk = CallForwarder(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(0.5)
     view.leader = "e2"
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.01)
-    desk.handle_reply(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    forwarder.handle_reply(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, took = await asking
     assert reply.kind is ReplyKind.OK
     assert took < 0.6
@@ -90,13 +90,13 @@
     assert len({call.number for call in view.sent}) == 1
 
 
-async def answer_each_try(desk: CallForwarder, view: FollowerView, kind: ReplyKind) -> None:
+async def answer_each_try(forwarder: CallForwarder, view: FollowerView, kind: ReplyKind) -> None:
     """Send the same reply to each try of a call, after a short round-trip time."""
     answered = 0
     while True:
         await asyncio.sleep(0.02)
         for call in view.sent[answered:]:
-            desk.handle_reply(Reply(call.number, kind, epoch=call.epoch))
+            forwarder.handle_reply(Reply(call.number, kind, epoch=call.epoch))
         answered = len(view.sent)
 
 
@@ -106,9 +106,9 @@
     The submission was not started, so its caller must not wait until its deadline.
     """
     view = FollowerView()
-    desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.NOT_LEADER))
-    reply, took = await ask(desk)
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.NOT_LEADER))
+    reply, took = await ask(forwarder)
     answering.cancel()
     assert reply.kind is ReplyKind.NOT_RUN
     assert took <= HOLD_TIMEOUT_S + 0.01
@@ -116,9 +116,9 @@
 
 async def test_submission_to_a_lost_leader_is_not_reported_as_not_run() -> None:
     view = FollowerView()
-    desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.LEAD_LOST))
-    reply, _ = await ask(desk)
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.LEAD_LOST))
+    reply, _ = await ask(forwarder)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
 
@@ -126,9 +126,9 @@
 async def test_cancellation_at_a_lost_leader_is_not_reported_as_not_run() -> None:
     """The leader may have stored the cancellation before it was lost."""
     view = FollowerView()
-    desk = CallForwarder(view)
-    answering = asyncio.create_task(answer_each_try(desk, view, ReplyKind.LEAD_LOST))
-    reply, took = await ask(desk, CallKind.CANCEL)
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.LEAD_LOST))
+    reply, took = await ask(forwarder, CallKind.CANCEL)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
     assert took <= HOLD_TIMEOUT_S + 0.01
@@ -176,10 +176,10 @@
 ) -> None:
     view = FollowerView()
     view.leader = leader
-    desk = CallForwarder(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(0.5)
-    desk.close_at(now() + 0.1)
+    forwarder.close_at(now() + 0.1)
     reply, took = await asking
     assert reply.kind is told
     assert took <= 0.6 + FORWARD_RETRY_DELAY_S + 0.01
@@ -187,15 +187,15 @@
 
 async def test_next_leader_answers_a_call_its_predecessor_left_open() -> None:
     view = FollowerView()
-    desk = CallForwarder(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader = ""
     await asyncio.sleep(1.2)
     view.leader = "e2"
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.2)
-    desk.handle_reply(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    forwarder.handle_reply(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
 
@@ -215,10 +215,10 @@
 
 
 async def test_each_retry_carries_the_epoch_of_its_leader() -> None:
-    """A leader re-elected under a later epoch must not run a call whose caller was told "not run"."""
+    """A re-elected leader must not run a call of its earlier epoch that was answered "not run"."""
     view = FollowerView()
-    desk = CallForwarder(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.epoch = 3
     await asking
@@ -229,14 +229,14 @@
 async def test_late_refusal_of_an_earlier_leader_is_ignored() -> None:
     """The late "not run" of a slow leader must not end a call that the next leader is storing."""
     view = FollowerView()
-    desk = CallForwarder(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader, view.epoch = "e2", view.epoch + 1
     await asyncio.sleep(FORWARD_RETRY_DELAY_S)
     first, second = view.sent
-    desk.handle_reply(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
+    forwarder.handle_reply(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
     await asyncio.sleep(0.01)
-    desk.handle_reply(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
+    forwarder.handle_reply(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.inbox = Inbox(HOLD_TIMEOUT_S)
-        self.desk = CallForwarder(self)
+        self.forwarder = CallForwarder(self)
         self.max_waiting = 0
         self.accepted: dict[str, float] = {}
 
@@ -43,7 +43,9 @@
             call = item.message
             if call.kind is CallKind.SUBMIT:
                 self.accepted.setdefault(call.job_id, now())
-            self.desk.handle_reply(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+            self.forwarder.handle_reply(
+                Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch)
+            )
 
 
 class Callers:
@@ -57,7 +59,7 @@
 
     async def call(self, kind: CallKind, job_id: str) -> None:
         began = now()
-        reply = await self.view.desk.call(kind, "q", job_id, b"", DEADLINE_S)
+        reply = await self.view.forwarder.call(kind, "q", job_id, b"", DEADLINE_S)
         self.ended[job_id] = (now(), reply)
         self.took[job_id] = now() - began
 
@@ -90,7 +92,7 @@
     yield view, callers
     leading.cancel()
     await callers.leave()
-    await view.desk.stop()
+    await view.forwarder.stop()
 
 
 LOAD_KINDS = pytest.mark.parametrize(
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -34,9 +34,9 @@
 class Reader:
     """A remote leader that reads one call per ``interval_s`` in order while ``reads`` is set."""
 
-    def __init__(self, view: FollowerView, desk: CallForwarder) -> None:
+    def __init__(self, view: FollowerView, forwarder: CallForwarder) -> None:
         self.view = view
-        self.desk = desk
+        self.forwarder = forwarder
         self.reads = asyncio.Event()
         self.interval_s = 0.001
         self.read = 0
@@ -51,41 +51,43 @@
             await asyncio.sleep(self.interval_s)
             for call in self.unread[:1]:
                 self.read += 1
-                self.desk.handle_reply(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+                self.forwarder.handle_reply(
+                    Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch)
+                )
 
 
 @asynccontextmanager
 async def congested_leader() -> AsyncIterator[tuple[CallForwarder, Reader]]:
     """Yield an entry's forwarder, whose leader does not read until ``reads`` is set."""
     view = FollowerView()
-    desk = CallForwarder(view)
-    reader = Reader(view, desk)
+    forwarder = CallForwarder(view)
+    reader = Reader(view, forwarder)
     task = asyncio.create_task(reader.run())
-    yield desk, reader
+    yield forwarder, reader
     task.cancel()
-    await desk.stop()
+    await forwarder.stop()
 
 
-def ask(desk: CallForwarder, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
-    return asyncio.create_task(desk.call(kind, "q", job_id, b"", DEADLINE_S))
+def ask(forwarder: CallForwarder, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
+    return asyncio.create_task(forwarder.call(kind, "q", job_id, b"", DEADLINE_S))
 
 
 async def make_queries(
-    desk: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]
+    forwarder: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]
 ) -> None:
     """Query the state of another job every ``interval_s``."""
     while True:
-        asked.append(ask(desk, CallKind.STATE, f"b{len(asked)}"))
+        asked.append(ask(forwarder, CallKind.STATE, f"b{len(asked)}"))
         await asyncio.sleep(interval_s)
 
 
 async def test_cancel_does_not_wait_behind_the_queries_of_its_entry() -> None:
     """Guards against a cancel queued at the leader behind the entry's queries and their retries."""
-    async with congested_leader() as (desk, reader):
+    async with congested_leader() as (forwarder, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
-        cancelling = ask(desk, CallKind.CANCEL)
+        cancelling = ask(forwarder, CallKind.CANCEL)
         await asyncio.sleep(0.01)
         kinds = [call.kind for call in reader.unread[-100:]]
         assert kinds.count(CallKind.CANCEL) == 1
@@ -98,10 +100,10 @@
 
 async def test_held_call_is_not_sent_after_its_caller_disconnects() -> None:
     """Guards against forwarding calls whose callers have disconnected."""
-    async with congested_leader() as (desk, reader):
-        first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
+    async with congested_leader() as (forwarder, reader):
+        first = [ask(forwarder, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
         await asyncio.sleep(0.01)
-        late = ask(desk, CallKind.SUBMIT, "late")
+        late = ask(forwarder, CallKind.SUBMIT, "late")
         await asyncio.sleep(0.1)
         late.cancel()
         await asyncio.sleep(0.01)
@@ -109,25 +111,25 @@
         await asyncio.gather(*first)
         await asyncio.sleep(1.0)
         assert "late" not in [call.job_id for call in reader.view.sent]
-        assert (await ask(desk, CallKind.STATE)).kind is ReplyKind.OK
+        assert (await ask(forwarder, CallKind.STATE)).kind is ReplyKind.OK
 
 
 async def test_query_is_sent_once_per_epoch() -> None:
     """Guards against duplicate queries to a congested leader."""
-    async with congested_leader() as (desk, reader):
-        reply = await ask(desk, CallKind.STATE)
+    async with congested_leader() as (forwarder, reader):
+        reply = await ask(forwarder, CallKind.STATE)
         assert reply.kind is ReplyKind.NOT_RUN
         assert len(reader.view.sent) == 1
 
 
 async def test_queries_are_refused_at_once_while_the_leader_is_congested() -> None:
     """Guards against holding queries while the leader does not read."""
-    async with congested_leader() as (desk, _):
+    async with congested_leader() as (forwarder, _):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
         began = now()
-        replies = [await ask(desk, CallKind.STATE) for _ in range(10)]
+        replies = [await ask(forwarder, CallKind.STATE) for _ in range(10)]
         asking.cancel()
         assert now() - began < 0.05
         assert {reply.kind for reply in replies} == {ReplyKind.NOT_RUN}
@@ -135,9 +137,9 @@
 
 
 async def test_entry_detects_that_its_leader_has_caught_up() -> None:
-    async with congested_leader() as (desk, reader):
+    async with congested_leader() as (forwarder, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(make_queries(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
         reader.reads.set()
         await asyncio.sleep(1.0)
@@ -150,10 +152,10 @@
 
 async def test_a_leader_that_is_busy_for_a_second_loses_no_submission() -> None:
     """Guards against refusing submissions that a short planning round only delays."""
-    async with congested_leader() as (desk, reader):
+    async with congested_leader() as (forwarder, reader):
         calls = []
         for number in range(100):
-            calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
+            calls.append(ask(forwarder, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.01)
         reader.reads.set()
         replies = await asyncio.gather(*calls)
@@ -162,15 +164,15 @@
 
 async def test_lost_query_is_sent_again() -> None:
     """Guards against never retrying a query that was lost with its connection."""
-    async with congested_leader() as (desk, reader):
+    async with congested_leader() as (forwarder, reader):
         reader.reads.set()
-        lost = ask(desk, CallKind.STATE, "lost")
+        lost = ask(forwarder, CallKind.STATE, "lost")
         while not reader.view.sent:
             await asyncio.sleep(0)
         reader.read += 1
         replies = []
         for number in range(300):
-            replies.append(await ask(desk, CallKind.STATE, f"b{number}"))
+            replies.append(await ask(forwarder, CallKind.STATE, f"b{number}"))
             await asyncio.sleep(0.01)
         assert (await lost).kind is ReplyKind.OK
         assert [call.job_id for call in reader.view.sent].count("lost") == 2
@@ -179,15 +181,15 @@
 
 async def test_submissions_waiting_for_a_slow_store_are_not_throttled() -> None:
     """A leader that has read its submissions is not congested, however slow its store is."""
-    async with congested_leader() as (desk, reader):
+    async with congested_leader() as (forwarder, reader):
         calls = []
         for number in range(10 * MAX_WINDOW):
-            calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
+            calls.append(ask(forwarder, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.005)
             # The leader reads each call 0.1 s after it was sent.
             for call in reader.view.sent:
                 if call.job_id == f"c{number - 20}":
-                    desk.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+                    forwarder.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
                     break
         assert len({call.job_id for call in reader.view.sent}) == 10 * MAX_WINDOW
         reader.reads.set()
