--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -64,7 +64,7 @@
 
 
 def load(share: float = 1.0) -> deque[Arrival]:
-    """Return the arriving messages, at a rate scaled by ``share``; the job of a call is its time."""
+    """Return the arriving messages at ``share`` times the base rate; a call's job is its time."""
     found: list[Arrival] = []
     for number, agent in enumerate(AGENTS):
         for beat, at in times(share * REPORTS_PER_S, number / 1000):
