--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -260,15 +260,15 @@
     window = CallWindow()
     for number in range(MAX_WINDOW):
         assert await acquire(window, number, 0.0)
-    question = asyncio.create_task(acquire(window, 100, 0.5))
+    query = asyncio.create_task(acquire(window, 100, 0.5))
     await asyncio.sleep(0.01)
     submission = asyncio.create_task(acquire(window, 101, 0.5, True))
     await asyncio.sleep(0.01)
     window.read(0, 1)
     await asyncio.sleep(0.01)
-    assert submission.done() and not question.done()
+    assert submission.done() and not query.done()
     assert await submission
-    assert not await question
+    assert not await query
 
 
 async def test_lost_calls_do_not_block_others_forever() -> None:
