--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -112,7 +112,7 @@
 class PlainQueue(Placer):
     """The baseline: first come first served, nothing given up before its deadline."""
 
-    def needed_s(self, state: ServiceState) -> float:
+    def service_time_s(self, state: ServiceState) -> float:
         return 0.0
 
     def wait_s(self, state: ServiceState, ahead: int) -> float:
--- a/sapphirelead/entry_attempts.py
+++ b/sapphirelead/entry_attempts.py
@@ -124,7 +124,7 @@
         self._placer.router.end(attempt.instance, req.service.name, end, latency_s, at)
         if answer is not None:
             self._placer.router.report(attempt.instance, answer.slots_used, answer.slots, at)
-        self._placer.pump(req.service)
+        self._placer.dispatch_queued(req.service)
 
     def _on_answer(self, answer: ServiceAnswer) -> None:
         attempt = self._open.get((answer.request_id, answer.attempt))
--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -18,7 +18,7 @@
 
 from result import Err, Ok, Result
 
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_ports import AuditRecord, Lane, Links, Members, MemberVersion, Stamp
 from sapphirelead.entry_table import Change, EntryTable, Unit, absent, commit_failure
 from sapphirelead.errors import Code, Failure
@@ -55,7 +55,7 @@
     _table: EntryTable
     _members: Members
     _links: Links
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _current: Config
     _raw: Any
     _listeners: list[Callable[[Config], None]]
@@ -70,7 +70,7 @@
         table: EntryTable,
         members: Members,
         links: Links,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
     ) -> None:
         self.ready = asyncio.Event()
         self._stamp = stamp
--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -6,7 +6,7 @@
 from sapphirelead.entry_job_board import JobBoard
 from sapphirelead.entry_job_rows import JobRows
 from sapphirelead.entry_jobs import Jobs
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import Links, Members, Stamp
 from sapphirelead.entry_reconcile import Reconciler
@@ -24,7 +24,7 @@
     """The parts, in the order in which they are started."""
 
     table: EntryTable
-    leases: LeaseKeeper
+    leases: LeaseManager
     config: ConfigKeeper
     jobs: Jobs
     moves: JobMoves
@@ -47,7 +47,7 @@
         :param control: ``host:port`` at which peers reach this entry's control lane.
         """
         store = EntryTable.from_settings(settings.platform, table)
-        leases = LeaseKeeper(settings, stamp, control, store, members, links)
+        leases = LeaseManager(settings, stamp, control, store, members, links)
         config = ConfigKeeper(stamp, settings.zone, store, members, links, leases)
         rows = JobRows(store, settings.shards)
         if metrics is not None:
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -17,7 +17,7 @@
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_ports import ConfigService, Links, Members
 from sapphirelead.entry_table import EntryTable
-from sapphirelead.entry_watch import WatchTails, mark_of
+from sapphirelead.entry_watch import WatchTails, event_position
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_job import Job, JobSpec
 from sapphirelead.policy_placement import could_ever_run
@@ -130,7 +130,7 @@
             tail = self._tails.tail(key)
             tail.changed.clear()
             for event in tail.after(mark):
-                mark = mark_of(event)
+                mark = event_position(event)
                 yield event
             try:
                 async with asyncio.timeout(POLL_MAX_S):
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -45,7 +45,7 @@
 PEER_ROUNDS: Final = 4
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Runs the rounds of one entry."""
 
     live_entries: dict[str, EntryRecord]
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -43,14 +43,14 @@
             return Ok(instance)
         at = now()
         then = req.decision.then
-        give_up_at = req.deadline - self.needed_s(state)
+        give_up_at = req.deadline - self.service_time_s(state)
         if then.max_queue_ms is not None:
             give_up_at = min(give_up_at, at + then.max_queue_ms / 1000)
         if at + self.wait_s(state, state.queue.ahead(req.priority, give_up_at)) > give_up_at:
             return Err(OVERLOADED)
         return await self._queue(req, give_up_at)
 
-    def needed_s(self, state: ServiceState) -> float:
+    def service_time_s(self, state: ServiceState) -> float:
         """Return the time that most attempts sent now would take."""
         at = now()
         measured = state.window.percentile_s(NEEDED_PERCENTILE, at)
@@ -107,7 +107,7 @@
         self.router.end(instance, state.name, AttemptEnd.ABANDONED, 0.0, at)
         state.limit.end(None, at)
 
-    def pump(self, state: ServiceState) -> None:
+    def dispatch_queued(self, state: ServiceState) -> None:
         """Give queued requests the room there is."""
         if not len(state.queue):
             return
@@ -124,12 +124,12 @@
         came, or when the targets became slower.
         """
         at = now()
-        needed_s = self.needed_s(state)
+        service_time_s = self.service_time_s(state)
         for late in state.queue.drop_late(at):
             _give(late, None)
         while (last := state.queue.last()) is not None:
             place, waiter = last
-            if at + self.wait_s(state, len(state.queue) - 1) + needed_s <= waiter.request.deadline:
+            if at + self.wait_s(state, len(state.queue) - 1) + service_time_s <= waiter.request.deadline:
                 break
             state.queue.withdraw(place)
             _give(waiter, None)
@@ -141,7 +141,7 @@
         behind it that may go elsewhere.
         """
         placed = False
-        soonest_end = now() + self.needed_s(state)
+        soonest_end = now() + self.service_time_s(state)
         for place, waiter in state.queue.first(PUMP_LOOKAHEAD):
             # A caller that left has its future cancelled before its coroutine gets to leave the
             # queue; room reserved for it in between would never be given back.
@@ -160,7 +160,7 @@
         return placed
 
 
-def give_up(waiter: Waiter) -> None:
+def reject_waiter(waiter: Waiter) -> None:
     """Tell a queued request that it gets no instance."""
     _give(waiter, None)
 
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -21,7 +21,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_job_rows import StoredJob
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_lease_rows import Registration
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import Lane, Links, Members
@@ -44,7 +44,7 @@
     _scheduler: Scheduler
     _starter: JobStarter
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _members: Members
     _links: Links
     _asked: dict[str, float]
@@ -56,7 +56,7 @@
         scheduler: Scheduler,
         starter: JobStarter,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         members: Members,
         links: Links,
     ) -> None:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -20,7 +20,7 @@
 from sapphirelead.entry_claim_runs import ClaimRuns
 from sapphirelead.entry_job_board import JobBoard
 from sapphirelead.entry_job_rows import JobRows, StoredJob, shard_of
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import ConfigService, InstanceView, Links, Members, Stamp
 from sapphirelead.entry_shards import ShardView, owner_of
@@ -69,7 +69,7 @@
     _rows: JobRows
     _board: JobBoard
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _starter: JobStarter
     _members: Members
     _links: Links
@@ -86,7 +86,7 @@
         rows: JobRows,
         board: JobBoard,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         starter: JobStarter,
         members: Members,
         links: Links,
@@ -171,7 +171,7 @@
         self.usage.publish(own)
         if not views or not self._table.up:
             return
-        self._starter.forget_counted(views)
+        self._starter.drop_reported_offers(views)
         at = now()
         decide = self._decider()
         queued = [
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -27,7 +27,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_attempts import AttemptBook, ServiceLinks, ServiceMembers
-from sapphirelead.entry_placing import Placer, give_up
+from sapphirelead.entry_placing import Placer, reject_waiter
 from sapphirelead.entry_ports import ConfigService, InstanceView, Stamp
 from sapphirelead.entry_service_state import (
     OpenAttempt,
@@ -384,7 +384,7 @@
             self.attempts.doubt(view, live)
         for service in view.services:
             if (state := self._services.get(service)) is not None:
-                self._placer.pump(state)
+                self._placer.dispatch_queued(state)
 
     def _on_config(self, config: Config) -> None:
         document = config.document
@@ -393,4 +393,4 @@
         for name, state in self._services.items():
             policy = document.services.get(name, ServicePolicy())
             for waiter in state.configure(policy, document.retries):
-                give_up(waiter)
+                reject_waiter(waiter)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -16,7 +16,7 @@
 from sapphirelead.clock import now
 from sapphirelead.entry_job_board import JobBoard
 from sapphirelead.entry_job_rows import JobRows, StoredJob
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import ConfigService, Head, InstanceView, Lane, Links, Stamp
 from sapphirelead.errors import Code
@@ -41,7 +41,7 @@
     _rows: JobRows
     _board: JobBoard
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _links: Links
     _config: ConfigService
     _offers: dict[str, "asyncio.Future[bool]"]
@@ -53,7 +53,7 @@
         rows: JobRows,
         board: JobBoard,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         links: Links,
         config: ConfigService,
     ) -> None:
@@ -96,7 +96,7 @@
             for task in late:
                 task.cancel()
 
-    def forget_counted(self, views: Iterable[InstanceView]) -> None:
+    def drop_reported_offers(self, views: Iterable[InstanceView]) -> None:
         """Drop offers that the instance's newest report already counts."""
         for view in views:
             record = self.records.setdefault(view.id, InstanceRecord())
--- a/sapphirelead/entry_table.py
+++ b/sapphirelead/entry_table.py
@@ -301,7 +301,7 @@
         while True:
             found = await self.rows(keys)
             if isinstance(found, Ok):
-                return judge_read_back(txn, found.ok_value)
+                return resolve_read_back(txn, found.ok_value)
             self._refuse_pending()
             await asyncio.sleep(pause)
             pause = min(pause * 2, SETTLE_PAUSE_MAX_S)
@@ -318,7 +318,7 @@
             log_event("WARNING", "table_up" if self.up else "table_down")
 
 
-def judge_read_back(txn: Txn, rows: list[Row]) -> Commit:
+def resolve_read_back(txn: Txn, rows: list[Row]) -> Commit:
     """Say how a transaction whose answer was lost ended, from its rows as they are now.
 
     A delete leaves no row to carry the operation id, so a unit that deletes always writes another
--- a/sapphirelead/entry_usage.py
+++ b/sapphirelead/entry_usage.py
@@ -4,7 +4,7 @@
 row; of the other entries it knows what they published last, at most some lease rounds ago.
 """
 
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_lease_rows import EntryRecord
 from sapphirelead.entry_ports import Stamp
 from sapphirelead.entry_shards import ShardView
@@ -19,10 +19,10 @@
     _stamp: Stamp
     _shards: ShardView
     _starter: JobStarter
-    _leases: LeaseKeeper
+    _leases: LeaseManager
 
     def __init__(
-        self, stamp: Stamp, shards: ShardView, starter: JobStarter, leases: LeaseKeeper
+        self, stamp: Stamp, shards: ShardView, starter: JobStarter, leases: LeaseManager
     ) -> None:
         self._stamp = stamp
         self._shards = shards
--- a/sapphirelead/entry_watch.py
+++ b/sapphirelead/entry_watch.py
@@ -27,14 +27,14 @@
 
     def add(self, event: WatchEvent) -> None:
         """Keep ``event`` if it is newer than all before it."""
-        if self.events and mark_of(event) <= mark_of(self.events[-1]):
+        if self.events and event_position(event) <= event_position(self.events[-1]):
             return
         self.events.append(event)
         self.changed.set()
 
     def after(self, mark: tuple[int, int]) -> list[WatchEvent]:
         """Return the events newer than ``mark``."""
-        return [event for event in self.events if mark_of(event) > mark]
+        return [event for event in self.events if event_position(event) > mark]
 
 
 class WatchTails:
@@ -58,6 +58,6 @@
         return tail
 
 
-def mark_of(event: WatchEvent) -> tuple[int, int]:
+def event_position(event: WatchEvent) -> tuple[int, int]:
     """Return the position of an event, which grows over a watch's whole life."""
     return (event.epoch, event.number)
--- a/tests/unit/test_entry_table.py
+++ b/tests/unit/test_entry_table.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sapphirelead.entry_table import Change, EntryTable, Unit, absent, judge_read_back
+from sapphirelead.entry_table import Change, EntryTable, Unit, absent, resolve_read_back
 from sapphirelead.ports import CommitStatus, Condition, Row, Txn, Write
 from sapphirelead.settings import PlatformSettings
 from tests.unit.fakes import MemoryTable
@@ -114,4 +114,4 @@
     ],
 )
 async def test_read_back_tells_the_end(row: Row, expected: CommitStatus) -> None:
-    assert judge_read_back(TXN, [row]).status is expected
+    assert resolve_read_back(TXN, [row]).status is expected
