--- a/sapphirelead/entry_claim_runs.py
+++ b/sapphirelead/entry_claim_runs.py
@@ -14,19 +14,19 @@
 
 
 @dataclass(slots=True)
-class _Confirmed:
-    """A run of an agent said that it runs the claim, since ``started``."""
+class _Confirmation:
+    """A run of an agent said that it runs the claim, since ``started_at``."""
 
     epoch: int
     incarnation: str
-    started: float
+    started_at: float
     at: float
 
 
 class ClaimRuns:
     """Confirmed claims by job key, and run times by job class."""
 
-    _confirmed: dict[str, _Confirmed]
+    _confirmed: dict[str, _Confirmation]
     _run_times: dict[str, float]
 
     def __init__(self) -> None:
@@ -36,8 +36,8 @@
     def confirm(self, key: str, epoch: int, incarnation: str) -> None:
         """Note that a run of an agent says it runs the claim."""
         held = self._confirmed.get(key)
-        started = held.started if held is not None and held.epoch == epoch else now()
-        self._confirmed[key] = _Confirmed(epoch, incarnation, started, now())
+        started_at = held.started_at if held is not None and held.epoch == epoch else now()
+        self._confirmed[key] = _Confirmation(epoch, incarnation, started_at, now())
 
     def confirmed_at(self, key: str, epoch: int, incarnation: str) -> float | None:
         """Return when the run last said that it runs the claim."""
@@ -53,7 +53,7 @@
         confirmed = self._confirmed.pop(job.spec.key, None)
         if job.state is not JobState.DONE or confirmed is None:
             return
-        took = now() - confirmed.started
+        took = now() - confirmed.started_at
         before = self._run_times.get(job.spec.job_class, took)
         self._run_times[job.spec.job_class] = before + RUN_TIME_WEIGHT * (took - before)
 
--- a/sapphirelead/entry_interference.py
+++ b/sapphirelead/entry_interference.py
@@ -28,12 +28,12 @@
 
     _model: InterferenceModel
     _interval_s: Callable[[], float]
-    _last: dict[str, tuple[ServiceSample, ...]]
+    _last_reports: dict[str, tuple[ServiceSample, ...]]
 
     def __init__(self, interval_s: Callable[[], float]) -> None:
         self._model = InterferenceModel()
         self._interval_s = interval_s
-        self._last = {}
+        self._last_reports = {}
 
     @classmethod
     def from_members(
@@ -49,9 +49,9 @@
 
     def observe(self, view: InstanceView) -> None:
         """Learn from an instance's report if it is a new one."""
-        if not view.latency or self._last.get(view.id) == view.latency:
+        if not view.latency or self._last_reports.get(view.id) == view.latency:
             return
-        self._last[view.id] = view.latency
+        self._last_reports[view.id] = view.latency
         size = max(1, view.capacity.cpu_millicores)
         intensities = {sample.job_class: sample.cpu_millicores / size for sample in view.classes}
         for sample in view.latency:
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -40,9 +40,9 @@
 from sapphirelead.ports import CommitStatus, Condition, Row
 from sapphirelead.settings import EntrySettings
 
-COMMIT_TRIES: Final = 4
-ORPHAN_ROUNDS: Final = 3
-PEER_ROUNDS: Final = 4
+MAX_COMMIT_ATTEMPTS: Final = 4
+ORPHANED_ZONE_ROUNDS: Final = 3
+PEER_TIMEOUT_ROUNDS: Final = 4
 
 
 class LeaseManager:
@@ -139,10 +139,10 @@
             self._count_unchanged(zone, row)
             if self._responsible(zone):
                 rows[zone] = await self._renew(zone, row)
-                self._note_written(zone, row, rows[zone])
+                self._record_write(zone, row, rows[zone])
         decoded = {zone: ZoneRow.decode(row) for zone, row in rows.items()}
         self._publish(decoded)
-        await self._fence_lapsed(rows, decoded)
+        await self._fence_expired(rows, decoded)
 
     def _count_unchanged(self, zone: str, row: Row) -> None:
         """Count the rounds for which the zone's own entries have left its row unchanged.
@@ -159,10 +159,10 @@
         Without this every entry of the region would try each fence, and all but one would lose.
         """
         return (
-            zone == self._settings.zone or self._zone_rounds.get(zone, (0, 0))[1] >= ORPHAN_ROUNDS
+            zone == self._settings.zone or self._zone_rounds.get(zone, (0, 0))[1] >= ORPHANED_ZONE_ROUNDS
         )
 
-    def _note_written(self, zone: str, before: Row, after: Row) -> None:
+    def _record_write(self, zone: str, before: Row, after: Row) -> None:
         if before.version != after.version:
             self._zone_rounds[zone] = (after.version, self._zone_rounds[zone][1])
 
@@ -171,18 +171,18 @@
 
     async def _renew(self, zone: str, row: Row) -> Row:
         """Commit the zone's row with what this entry knows; return the row as it then is."""
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             current = ZoneRow.decode(row)
             changes, guards = await self._registrations(zone, current)
             grew = merge_counters(current, self._views(zone))
-            self._enter_self(zone, current)
+            self._add_own_record(zone, current)
             if not (grew or changes or zone == self._settings.zone):
                 return row
             value = current.encode()
             unit = Unit((Change(row, value), *changes), tuple(guards))
             commit = await self._table.commit_first(unit)
             if commit.status is CommitStatus.COMMITTED:
-                self._note_registered(changes, commit.version)
+                self._record_registered(changes, commit.version)
                 return Row(row.key, commit.version, value)
             if commit.status is not CommitStatus.CONFLICT:
                 return row
@@ -192,7 +192,7 @@
             row = found.ok_value[0]
         return row
 
-    def _enter_self(self, zone: str, row: ZoneRow) -> None:
+    def _add_own_record(self, zone: str, row: ZoneRow) -> None:
         if zone != self._settings.zone:
             return
         if self._leaving:
@@ -207,10 +207,10 @@
                 incarnation,
                 counter,
             )
-            if unchanged and now() - since > self._lapse_s():
+            if unchanged and now() - since > self._expiry_s():
                 del row.entries[name]
 
-    def _lapse_s(self) -> float:
+    def _expiry_s(self) -> float:
         lease = self._settings.lease
         return lease.lease_seconds + lease.margin_seconds
 
@@ -245,7 +245,7 @@
                 changes.append(Change(instance_row, new_registration(view, known)))
         return changes, guards
 
-    def _note_registered(self, changes: list[Change], version: int) -> None:
+    def _record_registered(self, changes: list[Change], version: int) -> None:
         for change in changes:
             row = Row(change.row.key, version, change.value)
             found = Registration.decode(row)
@@ -278,9 +278,9 @@
         if seen is None or seen[:2] != mark:
             self._entry_seen[name] = (*mark, at)
             return True
-        return at - seen[2] <= PEER_ROUNDS * self._settings.lease.renew_interval_seconds
+        return at - seen[2] <= PEER_TIMEOUT_ROUNDS * self._settings.lease.renew_interval_seconds
 
-    async def _fence_lapsed(self, rows: dict[str, Row], decoded: dict[str, ZoneRow]) -> None:
+    async def _fence_expired(self, rows: dict[str, Row], decoded: dict[str, ZoneRow]) -> None:
         counters: dict[str, tuple[str, int]] = {}
         zone_of: dict[str, str] = {}
         for zone, row in decoded.items():
--- a/sapphirelead/entry_lease_rows.py
+++ b/sapphirelead/entry_lease_rows.py
@@ -17,7 +17,7 @@
 from sapphirelead.entry_ports import InstanceView
 from sapphirelead.ports import Row
 
-PAST_INCARNATIONS: Final = 8
+MAX_PAST_INCARNATIONS: Final = 8
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
     return {
         "incarnation": view.incarnation,
         "fenced": False,
-        "past": past[:PAST_INCARNATIONS],
+        "past": past[:MAX_PAST_INCARNATIONS],
         "zone": view.zone,
         "rack": view.rack,
     }
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -36,9 +36,9 @@
 from sapphirelead.wire_sockets import bind_router, connect_dealer, make_context, send_frame
 
 POLLIN: Final = int(zmq.POLLIN)
-CONTROL_PAUSE_S: Final = 0.02
-DRAIN_LIMIT: Final = 512
-KEPT_INCARNATIONS: Final = 3
+CONTROL_BATCH_INTERVAL_S: Final = 0.02
+MAX_DRAIN_FRAMES: Final = 512
+MAX_INCARNATIONS: Final = 3
 
 LaneListener = Callable[[str, str, Lane], None]
 
@@ -102,18 +102,18 @@
         self._readable.set()
 
     async def receive(self) -> list[list[bytes]]:
-        """Return what waits, at least one frame and at most ``DRAIN_LIMIT``."""
+        """Return what waits, at least one frame and at most ``MAX_DRAIN_FRAMES``."""
         loop = asyncio.get_running_loop()
         while True:
             if not self._readable.is_set():
-                loop.add_reader(self._raw.FD, self._signalled)
-                self._wake_if_waiting()
+                loop.add_reader(self._raw.FD, self._on_readable)
+                self._wake_if_readable()
                 await self._readable.wait()
             self._readable.clear()
             if frames := self._drain():
                 return frames
 
-    def _signalled(self) -> None:
+    def _on_readable(self) -> None:
         """Wake the reader, and listen no more until it has drained the socket.
 
         The descriptor stays readable until then: while the reader pauses between two batches, the
@@ -122,14 +122,14 @@
         asyncio.get_running_loop().remove_reader(self._raw.FD)
         self._readable.set()
 
-    def _wake_if_waiting(self) -> None:
+    def _wake_if_readable(self) -> None:
         if int(self._raw.getsockopt(zmq.EVENTS)) & POLLIN:
             self._readable.set()
 
     def _drain(self) -> list[list[bytes]]:
         frames: list[list[bytes]] = []
         try:
-            while len(frames) < DRAIN_LIMIT:
+            while len(frames) < MAX_DRAIN_FRAMES:
                 frames.append(self._raw.recv_multipart(zmq.NOBLOCK))
         except zmq.ZMQError:
             return frames
@@ -143,7 +143,7 @@
         except zmq.ZMQError:
             return False
         finally:
-            self._wake_if_waiting()
+            self._wake_if_readable()
         return True
 
     def close(self) -> None:
@@ -305,13 +305,13 @@
 
     async def _read(self, lane: Lane) -> None:
         router = self._routers[lane]
-        pause_s = CONTROL_PAUSE_S if lane is Lane.CONTROL else 0.0
+        pause_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
         while True:
             for frames in await router.receive():
-                self._take(lane, frames)
+                self._handle_frames(lane, frames)
             await asyncio.sleep(pause_s)
 
-    def _take(self, lane: Lane, frames: list[bytes]) -> None:
+    def _handle_frames(self, lane: Lane, frames: list[bytes]) -> None:
         if len(frames) != 2:
             self.counters.undecodable += 1
             return
@@ -323,11 +323,11 @@
                 self.counters.undecodable += 1
                 log_event("WARNING", "frame_undecodable", lane=lane, reason=failure.message)
             case ok:
-                self._learn(lane, frames[0])
+                self._learn_route(lane, frames[0])
                 self._dispatch(lane, frames[0], ok.unwrap())
 
-    def _learn(self, lane: Lane, raw: bytes) -> None:
-        known = self._identity_route(lane, raw)
+    def _learn_route(self, lane: Lane, raw: bytes) -> None:
+        known = self._find_route(lane, raw)
         if known is not None and known.identity == raw:
             return
         parsed = Identity.parse(raw)
@@ -340,12 +340,12 @@
             return
         lanes[lane] = _Route(parsed.number, raw)
         self._current.setdefault(parsed.instance, parsed.incarnation)
-        self._forget_oldest(parsed.instance)
+        self._evict_old_incarnations(parsed.instance)
         if old is not None:
             for listener in self._lane_listeners:
                 listener(parsed.instance, parsed.incarnation, lane)
 
-    def _identity_route(self, lane: Lane, raw: bytes) -> _Route | None:
+    def _find_route(self, lane: Lane, raw: bytes) -> _Route | None:
         instance, _, rest = raw.partition(b"|")
         incarnation = rest.partition(b"|")[0]
         try:
@@ -353,10 +353,10 @@
         except (KeyError, UnicodeDecodeError):
             return None
 
-    def _forget_oldest(self, instance: str) -> None:
+    def _evict_old_incarnations(self, instance: str) -> None:
         incarnations = self._routes[instance]
         for incarnation in list(incarnations):
-            if len(incarnations) <= KEPT_INCARNATIONS:
+            if len(incarnations) <= MAX_INCARNATIONS:
                 return
             if incarnation != self._current.get(instance):
                 del incarnations[incarnation]
@@ -365,7 +365,7 @@
         name = type(message).__name__
         self.counters.received[name] = self.counters.received.get(name, 0) + 1
         if isinstance(message, LaneHello):
-            self._answer_hello(lane, raw)
+            self._reply_hello(lane, raw)
         for handler in self._handlers.get(type(message), ()):
             # A handler that raises on one odd message must not end the lane for all instances.
             try:
@@ -374,7 +374,7 @@
                 self.counters.handler_errors += 1
                 log_event("ERROR", "handler_failed", message=name, error=repr(exc))
 
-    def _answer_hello(self, lane: Lane, raw: bytes) -> None:
+    def _reply_hello(self, lane: Lane, raw: bytes) -> None:
         hello = LaneHello(
             **self._stamp.head(self._config_version()),
             lane=lane.value,
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -41,7 +41,7 @@
 
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
-LAST_SENDS_S: Final = 0.05
+FLUSH_DELAY_S: Final = 0.05
 
 
 class Entry:
@@ -170,7 +170,7 @@
             await self.members.stop()
         # Closing a socket drops what has not left it yet; give the last answers and end
         # acknowledgements one moment to leave.
-        await asyncio.sleep(LAST_SENDS_S)
+        await asyncio.sleep(FLUSH_DELAY_S)
         await self.links.stop()
         log_event("INFO", "entry_stopped", entry=self.stamp.sender)
 
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -16,7 +16,7 @@
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck
 
-LOOKS_PER_SILENCE: Final = 10
+CHECKS_PER_TIMEOUT: Final = 10
 
 ViewListener = Callable[[InstanceView, bool], None]
 
@@ -44,7 +44,7 @@
     _config_version: Callable[[], int]
     _stamp: Stamp
     _listeners: list[ViewListener]
-    _shown_live: dict[str, bool]
+    _notified_live: dict[str, bool]
     _task: asyncio.Task[None] | None
 
     def __init__(self, table: MembershipTable, links: MemberLinks, stamp: Stamp) -> None:
@@ -53,10 +53,10 @@
         self._config_version = lambda: 0
         self._stamp = stamp
         self._listeners = []
-        self._shown_live = {}
+        self._notified_live = {}
         self._task = None
         links.on(Announce, self._on_announce)
-        links.on(Beat, self._on_beat)
+        links.on(Beat, self._on_heartbeat)
 
     @classmethod
     def from_settings(
@@ -71,7 +71,7 @@
 
     async def start(self) -> None:
         """Begin to judge silence."""
-        self._task = asyncio.create_task(self._watch(), name="members")
+        self._task = asyncio.create_task(self._watch_liveness(), name="members")
 
     async def stop(self) -> None:
         """Stop judging."""
@@ -100,7 +100,7 @@
         self._table.mark_fenced(instance, incarnation)
         view = self._table.get(instance)
         if view is not None and view.incarnation == incarnation:
-            self._show(view)
+            self._notify(view)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> None:
         """Record the committed counter and acknowledge it at once.
@@ -128,7 +128,7 @@
         self._links.set_current(message.sender, message.incarnation)
         self._after_message(message)
 
-    def _on_beat(self, message: Beat) -> None:
+    def _on_heartbeat(self, message: Beat) -> None:
         verdict = self._table.beat(message, now())
         if not verdict.known:
             return
@@ -145,7 +145,7 @@
     def _after_message(self, message: Announce | Beat) -> None:
         view = self._table.get(message.sender)
         if view is not None:
-            self._show(view)
+            self._notify(view)
 
     def _acknowledge(
         self, instance: str, incarnation: str, counter: int, committed: int, fenced: bool
@@ -158,27 +158,27 @@
         )
         self._links.send_now(instance, Lane.CONTROL, ack, incarnation)
 
-    def _show(self, view: InstanceView) -> None:
+    def _notify(self, view: InstanceView) -> None:
         live = self._table.is_live(view, now())
-        if self._shown_live.get(view.id) not in (None, live):
+        if self._notified_live.get(view.id) not in (None, live):
             log_event("INFO", "instance_live" if live else "instance_out", instance=view.id)
-        self._shown_live[view.id] = live
+        self._notified_live[view.id] = live
         for listener in self._listeners:
             listener(view, live)
 
-    async def _watch(self) -> None:
+    async def _watch_liveness(self) -> None:
         while True:
-            await asyncio.sleep(self._table.silence_s / LOOKS_PER_SILENCE)
-            self.judge(now())
+            await asyncio.sleep(self._table.silence_s / CHECKS_PER_TIMEOUT)
+            self.check_liveness(now())
 
-    def judge(self, at: float) -> None:
+    def check_liveness(self, at: float) -> None:
         """Look for instances that fell silent and forget those long gone."""
         if self._table.look(at):
             log_event("WARNING", "loop_was_paused", action="grant_fresh_silence_period")
             return
         for view in self._table.all():
-            if self._table.is_live(view, at) != self._shown_live.get(view.id):
-                self._show(view)
+            if self._table.is_live(view, at) != self._notified_live.get(view.id):
+                self._notify(view)
         for instance in self._table.forget_silent(at):
-            self._shown_live.pop(instance, None)
+            self._notified_live.pop(instance, None)
             log_event("INFO", "instance_forgotten", instance=instance)
