--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -22,9 +22,9 @@
 from sapphirelead.ports import Condition
 from sapphirelead.wire_messages import Checkpointed, Completed, EndAck
 
-TRIES: Final = 5
+MAX_COMMIT_ATTEMPTS: Final = 5
 
-Step = Callable[[Job], Result[Job, Failure]]
+Transition = Callable[[Job], Result[Job, Failure]]
 
 
 class JobMoves:
@@ -54,7 +54,7 @@
         policy = self._config.current.document.job_classes.get(job.spec.job_class)
         return (policy or JobClassPolicy()).max_attempts
 
-    def once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
+    def run_once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
         """Run ``work`` unless the same is already running; agents repeat what is not answered."""
         mark = (name, key, epoch)
         if mark in self._running:
@@ -73,13 +73,13 @@
                 task.cancel()
 
     async def apply(
-        self, key: str, epoch: int, step: Step, guards: tuple[Condition, ...] = ()
+        self, key: str, epoch: int, transition: Transition, guards: tuple[Condition, ...] = ()
     ) -> bool:
-        """Apply ``step`` to the claim at ``epoch``; return whether the matter is closed.
+        """Apply ``transition`` to the claim at ``epoch``; return whether the matter is closed.
 
         Closed means committed, or proven to be past: the row is at another epoch or ended.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             found = await self._rows.read(key)
             if isinstance(found, Err):
                 return False
@@ -88,16 +88,16 @@
                 return True
             if stored.job.state is not JobState.CLAIMED:
                 return True
-            moved = await self._move(stored, step, guards)
+            moved = await self._move(stored, transition, guards)
             if moved is not None:
                 return moved
         return False
 
     async def _move(
-        self, stored: StoredJob, step: Step, guards: tuple[Condition, ...]
+        self, stored: StoredJob, transition: Transition, guards: tuple[Condition, ...]
     ) -> bool | None:
         """Commit one step; ``None`` means that the row changed and is to be read again."""
-        stepped = step(stored.job)
+        stepped = transition(stored.job)
         if isinstance(stepped, Err):
             log_event("WARNING", "move_refused", reason=stepped.err_value.message)
             return True
@@ -107,35 +107,35 @@
         self._board.committed(moved.ok_value)
         return True
 
-    async def release_unstarted(self, key: str, epoch: int, said_by: Holder, reason: str) -> None:
+    async def release_unstarted(self, key: str, epoch: int, reporter: Holder, reason: str) -> None:
         """Queue a claim again on the word of the very run that holds it that it never started."""
 
-        def step(job: Job) -> Result[Job, Failure]:
-            if job.holder != said_by:
-                return Err(Failure(Code.ILLEGAL_MOVE, f"{said_by} does not hold {key!r}"))
+        def transition(job: Job) -> Result[Job, Failure]:
+            if job.holder != reporter:
+                return Err(Failure(Code.ILLEGAL_MOVE, f"{reporter} does not hold {key!r}"))
             return job.release_unstarted(epoch, reason)
 
-        await self.apply(key, epoch, step)
+        await self.apply(key, epoch, transition)
 
     def _on_completed(self, message: Completed) -> None:
-        self.once("end", message.key, message.epoch, self._completed(message))
+        self.run_once("end", message.key, message.epoch, self._completed(message))
 
     def _on_checkpointed(self, message: Checkpointed) -> None:
-        self.once("end", message.key, message.epoch, self._checkpointed(message))
+        self.run_once("end", message.key, message.epoch, self._checkpointed(message))
 
     async def _completed(self, message: Completed) -> None:
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != message.sender:
                 return Err(Failure(Code.ILLEGAL_MOVE, f"{message.sender} does not hold {job!r}"))
             if message.ok:
                 return job.complete(message.epoch, message.result)
             return job.fail(message.epoch, message.reason, self.max_attempts(job))
 
-        if await self.apply(message.key, message.epoch, step):
+        if await self.apply(message.key, message.epoch, transition):
             await self._acknowledge(message.sender, message.key, message.epoch)
 
     async def _checkpointed(self, message: Checkpointed) -> None:
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != message.sender:
                 return Err(Failure(Code.ILLEGAL_MOVE, f"{message.sender} does not hold {job!r}"))
             if message.checkpoint:
@@ -144,7 +144,7 @@
                 return job.stopped(message.epoch)
             return job.lose_holder(message.epoch, message.reason, self.max_attempts(job))
 
-        if await self.apply(message.key, message.epoch, step):
+        if await self.apply(message.key, message.epoch, transition):
             await self._acknowledge(message.sender, message.key, message.epoch)
 
     async def _acknowledge(self, instance: str, key: str, epoch: int) -> None:
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -162,18 +162,18 @@
                 lambda held: held.lose_holder(epoch, reason, self._moves.max_attempts(held)),
             )
 
-        self._moves.once("lose", job.spec.key, epoch, lose())
+        self._moves.run_once("lose", job.spec.key, epoch, lose())
 
     def _on_fate(self, answer: FateAnswer) -> None:
         """Act on a fate; the ends of tasks come as messages of their own."""
         if answer.fate == "running":
-            self._moves.once("adopt", answer.key, answer.epoch, self._running(answer))
+            self._moves.run_once("adopt", answer.key, answer.epoch, self._running(answer))
         elif answer.fate == "never_started":
-            said_by = Holder(answer.sender, answer.incarnation)
-            work = self._moves.release_unstarted(answer.key, answer.epoch, said_by, "never started")
-            self._moves.once("release", answer.key, answer.epoch, work)
+            reporter = Holder(answer.sender, answer.incarnation)
+            work = self._moves.release_unstarted(answer.key, answer.epoch, reporter, "never started")
+            self._moves.run_once("release", answer.key, answer.epoch, work)
         elif answer.fate == "lost":
-            self._moves.once("lose", answer.key, answer.epoch, self._lost(answer))
+            self._moves.run_once("lose", answer.key, answer.epoch, self._lost(answer))
 
     async def _running(self, answer: FateAnswer) -> None:
         """Confirm the claim, and move it to the run that answered if that is a newer one."""
@@ -196,7 +196,7 @@
     async def _lost(self, answer: FateAnswer) -> None:
         """Give the claim up: the present run of the instance does not know the task."""
 
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != answer.sender:
                 return Err(Failure(Code.ILLEGAL_MOVE, f"{answer.sender} holds no {job.spec.key}"))
             return job.lose_holder(
@@ -205,4 +205,4 @@
 
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is not None:
-            await self._moves.apply(answer.key, answer.epoch, step, (guard,))
+            await self._moves.apply(answer.key, answer.epoch, transition, (guard,))
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -239,7 +239,7 @@
         spec = stored.job.spec
         if at - since < IMPOSSIBLE_AFTER_S or could_ever_run(spec.resources, known):
             return
-        self._moves.once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
+        self._moves.run_once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
 
     async def _set_aside(self, stored: StoredJob) -> None:
         stepped = stored.job.set_aside("no instance is large enough")
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -145,8 +145,8 @@
         start = self.start_message(offer_id, claimed.job)
         if not await self._links.send(view.id, Lane.CONTROL, start):
             # The start was never handed to a connection, so the task cannot have been started.
-            said_by = Holder(view.id, view.incarnation)
-            await self._moves.release_unstarted(spec.key, epoch, said_by, "start not sent")
+            reporter = Holder(view.id, view.incarnation)
+            await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
 
     async def _offered(self, offer_id: str, job: Job, view: InstanceView, urgent: bool) -> bool:
         fut: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -201,9 +201,9 @@
         if message.epoch == 0 or message.offer_id == ADOPTION:
             # A refused confirmation of an adopted task says nothing of whether it ever ran.
             return
-        said_by = Holder(message.sender, message.incarnation)
-        work = self._moves.release_unstarted(message.key, message.epoch, said_by, message.reason)
-        self._moves.once("release", message.key, message.epoch, work)
+        reporter = Holder(message.sender, message.incarnation)
+        work = self._moves.release_unstarted(message.key, message.epoch, reporter, message.reason)
+        self._moves.run_once("release", message.key, message.epoch, work)
 
     def _answer_offer(self, offer_id: str, accepted: bool) -> None:
         fut = self._offers.get(offer_id)
