--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -18,9 +18,9 @@
 from sapphirelead.policy_limits import expected_wait_s
 from sapphirelead.policy_routing import AttemptEnd, Router
 
-NEEDED_PERCENTILE: Final = 90.0
-NEEDED_FACTOR: Final = 1.5
-PUMP_LOOKAHEAD: Final = 8
+SERVICE_TIME_PERCENTILE: Final = 90.0
+SERVICE_TIME_FACTOR: Final = 1.5
+DISPATCH_LOOKAHEAD: Final = 8
 
 OVERLOADED: Final = Failure(Code.OVERLOADED, "the deadline cannot be met with the work ahead")
 
@@ -43,18 +43,18 @@
             return Ok(instance)
         at = now()
         then = req.decision.then
-        give_up_at = req.deadline - self.service_time_s(state)
+        expires_at = req.deadline - self.service_time_s(state)
         if then.max_queue_ms is not None:
-            give_up_at = min(give_up_at, at + then.max_queue_ms / 1000)
-        if at + self.wait_s(state, state.queue.ahead(req.priority, give_up_at)) > give_up_at:
+            expires_at = min(expires_at, at + then.max_queue_ms / 1000)
+        if at + self.wait_s(state, state.queue.ahead(req.priority, expires_at)) > expires_at:
             return Err(OVERLOADED)
-        return await self._queue(req, give_up_at)
+        return await self._queue(req, expires_at)
 
     def service_time_s(self, state: ServiceState) -> float:
         """Return the time that most attempts sent now would take."""
         at = now()
-        measured = state.window.percentile_s(NEEDED_PERCENTILE, at)
-        return measured if measured is not None else NEEDED_FACTOR * self._latency_s(state)
+        measured = state.window.percentile_s(SERVICE_TIME_PERCENTILE, at)
+        return measured if measured is not None else SERVICE_TIME_FACTOR * self._latency_s(state)
 
     def wait_s(self, state: ServiceState, ahead: int) -> float:
         """Return the expected time in the queue behind ``ahead`` others."""
@@ -63,13 +63,13 @@
     def _latency_s(self, state: ServiceState) -> float:
         return self.router.latency_s(state.name)
 
-    async def _queue(self, req: OpenRequest, give_up_at: float) -> Result[str, Failure]:
+    async def _queue(self, req: OpenRequest, expires_at: float) -> Result[str, Failure]:
         loop = asyncio.get_running_loop()
         waiter = Waiter(req, loop.create_future())
-        place, lost = req.service.queue.put(waiter, req.priority, give_up_at)
+        place, lost = req.service.queue.put(waiter, req.priority, expires_at)
         if lost is not None:
-            _give(lost, None)
-        timer = loop.call_at(give_up_at, _give, waiter, None)
+            _resolve(lost, None)
+        timer = loop.call_at(expires_at, _resolve, waiter, None)
         try:
             instance = await waiter.future
         except asyncio.CancelledError:
@@ -111,7 +111,7 @@
         """Give queued requests the room there is."""
         if not len(state.queue):
             return
-        while len(state.queue) and self._pump_some(state):
+        while len(state.queue) and self._dispatch_some(state):
             pass
         # After placing: while a slot has just become free, fewer attempts are in flight than the
         # service can hold, and the wait would be overestimated.
@@ -126,15 +126,15 @@
         at = now()
         service_time_s = self.service_time_s(state)
         for late in state.queue.drop_late(at):
-            _give(late, None)
+            _resolve(late, None)
         while (last := state.queue.last()) is not None:
             place, waiter = last
             if at + self.wait_s(state, len(state.queue) - 1) + service_time_s <= waiter.request.deadline:
                 break
             state.queue.withdraw(place)
-            _give(waiter, None)
+            _resolve(waiter, None)
 
-    def _pump_some(self, state: ServiceState) -> bool:
+    def _dispatch_some(self, state: ServiceState) -> bool:
         """Try the next few requests; return whether one got room.
 
         More than one, because a request that a rule binds to a full zone must not hold up those
@@ -142,18 +142,18 @@
         """
         placed = False
         soonest_end = now() + self.service_time_s(state)
-        for place, waiter in state.queue.first(PUMP_LOOKAHEAD):
+        for place, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
             # A caller that left has its future cancelled before its coroutine gets to leave the
             # queue; room reserved for it in between would never be given back.
             if waiter.future.done() or waiter.request.deadline < soonest_end:
                 state.queue.withdraw(place)
-                _give(waiter, None)
+                _resolve(waiter, None)
                 placed = True
                 continue
             instance = self.reserve(waiter.request)
             if instance is not None:
                 state.queue.withdraw(place)
-                _give(waiter, instance)
+                _resolve(waiter, instance)
                 placed = True
             elif not waiter.request.decision.then.zones:
                 break
@@ -162,9 +162,9 @@
 
 def reject_waiter(waiter: Waiter) -> None:
     """Tell a queued request that it gets no instance."""
-    _give(waiter, None)
+    _resolve(waiter, None)
 
 
-def _give(waiter: Waiter, instance: str | None) -> None:
+def _resolve(waiter: Waiter, instance: str | None) -> None:
     if not waiter.future.done():
         waiter.future.set_result(instance)
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -26,16 +26,16 @@
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import Lane, Links, Members
 from sapphirelead.entry_scheduler import Scheduler
-from sapphirelead.entry_start import ADOPTION, JobStarter
+from sapphirelead.entry_start import ADOPTION_OFFER_ID, JobStarter
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job, JobState
 from sapphirelead.wire_messages import Fate, FateAnswer, Stop
 
-ROUND_S: Final = 0.5
-ASK_S: Final = 2.0
-CONFIRM_S: Final = 30.0
-REGISTRATION_S: Final = 1.0
+RECONCILE_INTERVAL_S: Final = 0.5
+QUERY_INTERVAL_S: Final = 2.0
+CONFIRMATION_TTL_S: Final = 30.0
+REGISTRATION_REFRESH_S: Final = 1.0
 
 
 class Reconciler:
@@ -47,8 +47,8 @@
     _leases: LeaseManager
     _members: Members
     _links: Links
-    _asked: dict[str, float]
-    _refreshed: dict[str, float]
+    _queried_at: dict[str, float]
+    _refreshed_at: dict[str, float]
     _task: "asyncio.Task[None] | None"
 
     def __init__(
@@ -66,10 +66,10 @@
         self._leases = leases
         self._members = members
         self._links = links
-        self._asked = {}
-        self._refreshed = {}
+        self._queried_at = {}
+        self._refreshed_at = {}
         self._task = None
-        links.on(FateAnswer, self._on_fate)
+        links.on(FateAnswer, self._on_fate_answer)
 
     def start(self) -> None:
         """Start the rounds."""
@@ -83,12 +83,12 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
             claims = self._scheduler.shards.in_state(JobState.CLAIMED)
             for stored in claims:
                 await self._check(stored)
             keys = {stored.job.spec.key for stored in claims}
-            self._asked = {key: at for key, at in self._asked.items() if key in keys}
+            self._queried_at = {key: at for key, at in self._queried_at.items() if key in keys}
 
     async def _check(self, stored: StoredJob) -> None:
         holder = stored.job.holder
@@ -96,23 +96,23 @@
             return
         view = self._members.get(holder.instance)
         if view is not None and not view.fenced and view.incarnation == holder.incarnation:
-            await self._ask(stored, holder.incarnation)
+            await self._query(stored, holder.incarnation)
             return
         registration = await self._registration(holder.instance)
         if registration is None:
             return
         if registration.fenced:
-            self._lose(stored.job, "the instance was fenced")
+            self._mark_lost(stored.job, "the instance was fenced")
         elif view is not None and view.incarnation == registration.incarnation:
-            await self._ask(stored, view.incarnation)
+            await self._query(stored, view.incarnation)
 
     async def _registration(self, instance: str) -> Registration | None:
-        if now() - self._refreshed.get(instance, -REGISTRATION_S) >= REGISTRATION_S:
-            self._refreshed[instance] = now()
+        if now() - self._refreshed_at.get(instance, -REGISTRATION_REFRESH_S) >= REGISTRATION_REFRESH_S:
+            self._refreshed_at[instance] = now()
             return await self._leases.refresh(instance)
         return self._leases.registration(instance)
 
-    async def _ask(self, stored: StoredJob, incarnation: str) -> None:
+    async def _query(self, stored: StoredJob, incarnation: str) -> None:
         """Ask the present run of the holder's agent to stop the task, or what became of it.
 
         The word of an earlier run counts for nothing here: it is the present one that has to say
@@ -121,25 +121,25 @@
         job = stored.job
         key, holder = job.spec.key, job.holder
         assert holder is not None
-        pause = ROUND_S if job.cancel_requested else ASK_S
-        if now() - self._asked.get(key, -pause) < pause:
+        pause = RECONCILE_INTERVAL_S if job.cancel_requested else QUERY_INTERVAL_S
+        if now() - self._queried_at.get(key, -pause) < pause:
             return
         if job.cancel_requested:
-            self._asked[key] = now()
+            self._queried_at[key] = now()
             await self._send_stop(job, holder.instance)
         if self._is_confirmed(job, incarnation) and not job.cancel_requested:
             return
-        if now() - self._scheduler.shards.since.get(key, 0.0) < ROUND_S:
+        if now() - self._scheduler.shards.since.get(key, 0.0) < RECONCILE_INTERVAL_S:
             # The start that follows a claim is still on its way; asking now would overtake it and
             # the tombstone that the question leaves would refuse it.
             return
-        self._asked[key] = now()
+        self._queried_at[key] = now()
         fate = Fate(**self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation)
         await self._links.send(holder.instance, Lane.CONTROL, fate)
 
     def _is_confirmed(self, job: Job, incarnation: str) -> bool:
         at = self._scheduler.runs.confirmed_at(job.spec.key, job.epoch, incarnation)
-        return at is not None and now() - at < CONFIRM_S
+        return at is not None and now() - at < CONFIRMATION_TTL_S
 
     async def _send_stop(self, job: Job, instance: str) -> None:
         stop = Stop(
@@ -151,7 +151,7 @@
         )
         await self._links.send(instance, Lane.CONTROL, stop)
 
-    def _lose(self, job: Job, reason: str) -> None:
+    def _mark_lost(self, job: Job, reason: str) -> None:
         epoch = job.epoch
 
         async def lose() -> None:
@@ -164,18 +164,18 @@
 
         self._moves.run_once("lose", job.spec.key, epoch, lose())
 
-    def _on_fate(self, answer: FateAnswer) -> None:
+    def _on_fate_answer(self, answer: FateAnswer) -> None:
         """Act on a fate; the ends of tasks come as messages of their own."""
         if answer.fate == "running":
-            self._moves.run_once("adopt", answer.key, answer.epoch, self._running(answer))
+            self._moves.run_once("adopt", answer.key, answer.epoch, self._handle_running(answer))
         elif answer.fate == "never_started":
             reporter = Holder(answer.sender, answer.incarnation)
             work = self._moves.release_unstarted(answer.key, answer.epoch, reporter, "never started")
             self._moves.run_once("release", answer.key, answer.epoch, work)
         elif answer.fate == "lost":
-            self._moves.run_once("lose", answer.key, answer.epoch, self._lost(answer))
+            self._moves.run_once("lose", answer.key, answer.epoch, self._handle_lost(answer))
 
-    async def _running(self, answer: FateAnswer) -> None:
+    async def _handle_running(self, answer: FateAnswer) -> None:
         """Confirm the claim, and move it to the run that answered if that is a newer one."""
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is None:
@@ -190,10 +190,10 @@
             held = self._scheduler.shards.jobs.get(answer.key)
         if held is not None and held.job.holder == holder and held.job.epoch == answer.epoch:
             # An adopted task is renewed by its new run only once the claim names that run.
-            confirmation = self._starter.start_message(ADOPTION, held.job)
+            confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
             await self._links.send(answer.sender, Lane.CONTROL, confirmation)
 
-    async def _lost(self, answer: FateAnswer) -> None:
+    async def _handle_lost(self, answer: FateAnswer) -> None:
         """Give the claim up: the present run of the instance does not know the task."""
 
         def transition(job: Job) -> Result[Job, Failure]:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -41,11 +41,11 @@
 from sapphirelead.policy_rules import Decision, RuleSet, Situation
 from sapphirelead.wire_messages import Nudge, Started
 
-TICK_S: Final = 0.25
-GATHER_S: Final = 0.005
-SCAN_S: Final = 5.0
-OFFERS_PER_TICK: Final = 200
-OFFERS_OPEN: Final = 400
+TICK_INTERVAL_S: Final = 0.25
+BATCH_DELAY_S: Final = 0.005
+SCAN_INTERVAL_S: Final = 5.0
+MAX_OFFERS_PER_TICK: Final = 200
+MAX_OPEN_OFFERS: Final = 400
 IMPOSSIBLE_AFTER_S: Final = 30.0
 
 
@@ -77,7 +77,7 @@
     _rules: RuleSet
     _wake: asyncio.Event
     _tasks: "list[asyncio.Task[None]]"
-    _side: "set[asyncio.Task[None]]"
+    _background_tasks: "set[asyncio.Task[None]]"
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         self.shards = ShardView(rows.shards)
         self.usage = TeamUsage(stamp, self.shards, starter, leases)
         self.runs = ClaimRuns()
-        self.situation = _bare_situation
+        self.situation = _default_situation
         self.slowdown = lambda _service, _job_class: 1.0
         self._stamp = stamp
         self._table = table
@@ -110,7 +110,7 @@
         self._rules = RuleSet.from_config(config.current.document)
         self._wake = asyncio.Event()
         self._tasks = []
-        self._side = set()
+        self._background_tasks = set()
         config.on_change(self._on_config)
         board.listen(self._on_move)
         links.on(Started, self._on_started)
@@ -125,9 +125,9 @@
 
     async def stop(self) -> None:
         """Offer nothing more; let claims in progress reach their start."""
-        for task in [*self._tasks, *self._side]:
+        for task in [*self._tasks, *self._background_tasks]:
             task.cancel()
-        await asyncio.gather(*self._tasks, *self._side, return_exceptions=True)
+        await asyncio.gather(*self._tasks, *self._background_tasks, return_exceptions=True)
         await self._starter.stop()
 
     async def _dispatch_loop(self) -> None:
@@ -135,10 +135,10 @@
             try:
                 # Not asyncio.wait_for: in this Python it can swallow a cancellation that arrives
                 # in the step in which the event is set, and the process would not stop.
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
                 # Jobs of one burst are ordered against each other rather than by arrival.
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(BATCH_DELAY_S)
             except TimeoutError:
                 pass
             self._wake.clear()
@@ -151,9 +151,9 @@
             for shard in gained:
                 scanned.pop(shard, None)
             for shard in sorted(self.shards.owned):
-                if now() - scanned.get(shard, -SCAN_S) >= SCAN_S and await self._scan(shard):
+                if now() - scanned.get(shard, -SCAN_INTERVAL_S) >= SCAN_INTERVAL_S and await self._scan(shard):
                     scanned[shard] = now()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _scan(self, shard: int) -> bool:
         started = now()
@@ -177,14 +177,14 @@
         queued = [
             self._queued_job(stored, decide(stored.job.spec), at)
             for key, stored in self.shards.jobs.items()
-            if stored.job.state is JobState.QUEUED and not self._starter.has(key)
+            if stored.job.state is JobState.QUEUED and not self._starter.is_placing(key)
         ]
         admitted = [item for item in queued if decide(item.job.spec).then.action == "admit"]
         if not admitted:
             return
-        room = min(OFFERS_PER_TICK, OFFERS_OPEN - self._starter.in_progress)
+        room = min(MAX_OFFERS_PER_TICK, MAX_OPEN_OFFERS - self._starter.in_progress)
         total = total_capacity(views)
-        used = self.usage.everywhere(own)
+        used = self.usage.across_entries(own)
         for item in order(admitted, used, self._team_shares(), total, at, room):
             self._offer(item, decide(item.job.spec), views, at)
 
@@ -269,8 +269,8 @@
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._side.add(task)
-        task.add_done_callback(self._side.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     async def _send_nudge(self, owner: str, nudge: Nudge) -> None:
         await self._links.send_peer(owner, nudge)
@@ -302,7 +302,7 @@
     return Wanted(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
-def _bare_situation(spec: JobSpec) -> Situation:
+def _default_situation(spec: JobSpec) -> Situation:
     return Situation(
         kind=spec.kind,
         job_class=spec.job_class,
--- a/sapphirelead/entry_situation.py
+++ b/sapphirelead/entry_situation.py
@@ -19,9 +19,9 @@
 from sapphirelead.wire_messages import ServiceSample
 
 REFRESH_S: Final = 0.25
-FLOOR_DRIFT: Final = 1.002
+BASELINE_DRIFT_FACTOR: Final = 1.002
 REPORT_WEIGHT: Final = 0.2
-FEW_REQUESTS: Final = 5
+MIN_REQUESTS: Final = 5
 
 
 class SituationMembers(Protocol):
@@ -40,35 +40,35 @@
 class SlowdownEstimate:
     """How much slower services are than without batch beside them."""
 
-    _floors: dict[tuple[str, str], float]
-    _ratios: dict[str, float]
-    _counters: dict[str, tuple[str, int]]
+    _baselines: dict[tuple[str, str], float]
+    _slowdowns: dict[str, float]
+    _last_heartbeats: dict[str, tuple[str, int]]
 
     def __init__(self) -> None:
-        self._floors = {}
-        self._ratios = {}
-        self._counters = {}
+        self._baselines = {}
+        self._slowdowns = {}
+        self._last_heartbeats = {}
 
     def observe(self, view: InstanceView) -> None:
         """Take an instance's report, once."""
         beat = (view.incarnation, view.counter)
-        if self._counters.get(view.id) == beat:
+        if self._last_heartbeats.get(view.id) == beat:
             return
-        self._counters[view.id] = beat
+        self._last_heartbeats[view.id] = beat
         for sample in view.latency:
-            if sample.count >= FEW_REQUESTS and sample.p50_ms > 0:
+            if sample.count >= MIN_REQUESTS and sample.p50_ms > 0:
                 self._add(view.id, sample)
 
     def of(self, service: str) -> float:
         """Return a service's slowdown; 1.0 where nothing is known."""
-        return self._ratios.get(service, 1.0)
+        return self._slowdowns.get(service, 1.0)
 
     def _add(self, instance: str, sample: ServiceSample) -> None:
         key = (instance, sample.service)
-        floor = min(sample.p50_ms, self._floors.get(key, sample.p50_ms) * FLOOR_DRIFT)
-        self._floors[key] = floor
-        held = self._ratios.get(sample.service, 1.0)
-        self._ratios[sample.service] = held + REPORT_WEIGHT * (sample.p50_ms / floor - held)
+        floor = min(sample.p50_ms, self._baselines.get(key, sample.p50_ms) * BASELINE_DRIFT_FACTOR)
+        self._baselines[key] = floor
+        held = self._slowdowns.get(sample.service, 1.0)
+        self._slowdowns[sample.service] = held + REPORT_WEIGHT * (sample.p50_ms / floor - held)
 
 
 @dataclass(frozen=True, slots=True)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -25,9 +25,9 @@
 from sapphirelead.policy_placement import InstanceRecord
 from sapphirelead.wire_messages import Accepted, Amount, Completed, Offer, Refused, Start
 
-ADOPTION: Final = "adoption"
+ADOPTION_OFFER_ID: Final = "adoption"
 OFFER_TIMEOUT_S: Final = 1.0
-URGENT_TIMEOUT_S: Final = 2.5
+URGENT_OFFER_TIMEOUT_S: Final = 2.5
 
 
 class JobStarter:
@@ -76,7 +76,7 @@
         """Number of jobs between offer and start."""
         return len(self._placing)
 
-    def has(self, key: str) -> bool:
+    def is_placing(self, key: str) -> bool:
         """Whether the job is between offer and start."""
         return key in self._placing
 
@@ -135,7 +135,7 @@
         offer_id = secrets.token_hex(6)
         record = self.records.setdefault(view.id, InstanceRecord())
         record.offered[offer_id] = spec.resources
-        accepted = await self._offered(offer_id, stored.job, view, urgent)
+        accepted = await self._send_offer(offer_id, stored.job, view, urgent)
         claimed = await self._claim(stored, view) if accepted else None
         if claimed is None:
             record.offered.pop(offer_id, None)
@@ -148,7 +148,7 @@
             reporter = Holder(view.id, view.incarnation)
             await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
 
-    async def _offered(self, offer_id: str, job: Job, view: InstanceView, urgent: bool) -> bool:
+    async def _send_offer(self, offer_id: str, job: Job, view: InstanceView, urgent: bool) -> bool:
         fut: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._offers[offer_id] = fut
         spec = job.spec
@@ -165,7 +165,7 @@
         try:
             if not await self._links.send(view.id, Lane.CONTROL, message):
                 return False
-            async with asyncio.timeout(URGENT_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
+            async with asyncio.timeout(URGENT_OFFER_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
                 return await fut
         except TimeoutError:
             return False
@@ -194,18 +194,18 @@
         return None
 
     def _on_accepted(self, message: Accepted) -> None:
-        self._answer_offer(message.offer_id, True)
+        self._resolve_offer(message.offer_id, True)
 
     def _on_refused(self, message: Refused) -> None:
-        self._answer_offer(message.offer_id, False)
-        if message.epoch == 0 or message.offer_id == ADOPTION:
+        self._resolve_offer(message.offer_id, False)
+        if message.epoch == 0 or message.offer_id == ADOPTION_OFFER_ID:
             # A refused confirmation of an adopted task says nothing of whether it ever ran.
             return
         reporter = Holder(message.sender, message.incarnation)
         work = self._moves.release_unstarted(message.key, message.epoch, reporter, message.reason)
         self._moves.run_once("release", message.key, message.epoch, work)
 
-    def _answer_offer(self, offer_id: str, accepted: bool) -> None:
+    def _resolve_offer(self, offer_id: str, accepted: bool) -> None:
         fut = self._offers.get(offer_id)
         if fut is not None and not fut.done():
             fut.set_result(accepted)
--- a/sapphirelead/entry_usage.py
+++ b/sapphirelead/entry_usage.py
@@ -39,7 +39,7 @@
         """Return what each team's claimed or offered jobs of the own shards hold."""
         used: dict[str, Resources] = {}
         for key, stored in self._shards.jobs.items():
-            if stored.job.state is JobState.CLAIMED or self._starter.has(key):
+            if stored.job.state is JobState.CLAIMED or self._starter.is_placing(key):
                 spec = stored.job.spec
                 used[spec.team] = used.get(spec.team, NOTHING) + spec.resources
         return used
@@ -53,7 +53,7 @@
             published[team] = [held.cpu_millicores, held.memory_mb, held.accelerators, queued]
         self._leases.usage = published
 
-    def everywhere(self, own: dict[str, Resources]) -> dict[str, Resources]:
+    def across_entries(self, own: dict[str, Resources]) -> dict[str, Resources]:
         """Return what each team holds everywhere: own shards now, others as last published."""
         used = dict(own)
         for record in self._others():
