--- a/sapphirelead/entry_table.py
+++ b/sapphirelead/entry_table.py
@@ -39,13 +39,13 @@
 )
 from sapphirelead.settings import PlatformSettings
 
-MAX_UNITS: Final = 128
-REMEMBERED_OPS: Final = 4
-SETTLE_PAUSE_S: Final = 0.2
-SETTLE_PAUSE_MAX_S: Final = 2.0
-READ_BATCH: Final = 100
+MAX_BATCH_UNITS: Final = 128
+MAX_OP_IDS: Final = 4
+SETTLE_RETRY_DELAY_S: Final = 0.2
+MAX_SETTLE_RETRY_DELAY_S: Final = 2.0
+MAX_READ_BATCH: Final = 100
 DOWN_AFTER_FAILURES: Final = 2
-PATIENCE: Final = 2.0
+TIMEOUT_FACTOR: Final = 2.0
 OPS_FIELD: Final = "_ops"
 
 
@@ -81,7 +81,7 @@
     if change.value is None:
         return Write(change.row.key, None)
     prior = (change.row.value or {}).get(OPS_FIELD, [])
-    return Write(change.row.key, {**change.value, OPS_FIELD: [op_id, *prior][:REMEMBERED_OPS]})
+    return Write(change.row.key, {**change.value, OPS_FIELD: [op_id, *prior][:MAX_OP_IDS]})
 
 
 def pick_batch(pending: list[_Pending]) -> tuple[list[_Pending], list[_Pending]]:
@@ -102,7 +102,7 @@
             or not written.isdisjoint(guards)
             or any(guarded.get(key, version) != version for key, version in guards.items())
         )
-        if clash or len(batch) >= MAX_UNITS:
+        if clash or len(batch) >= MAX_BATCH_UNITS:
             rest.append(item)
             continue
         batch.append(item)
@@ -124,7 +124,7 @@
     _write_bucket: TokenBucket
     _read_bucket: TokenBucket
     _failures: int
-    _wanted: dict[str, "asyncio.Future[Result[Row, Failure]]"]
+    _pending_reads: dict[str, "asyncio.Future[Result[Row, Failure]]"]
     _reader: "asyncio.Task[None] | None"
 
     def __init__(self, table: Table, settings: PlatformSettings) -> None:
@@ -138,7 +138,7 @@
         self._write_bucket = TokenBucket(settings.writes_per_second, now())
         self._read_bucket = TokenBucket(settings.reads_per_second, now())
         self._failures = 0
-        self._wanted = {}
+        self._pending_reads = {}
         self._reader = None
 
     @classmethod
@@ -167,7 +167,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         for item in self._pending:
-            _settle_future(item, _rejected("stopping"))
+            _resolve(item, _rejected("stopping"))
 
     async def commit(self, unit: Unit) -> Commit:
         """Commit ``unit`` with others; see :class:`Commit` for how it can end."""
@@ -175,7 +175,7 @@
             return _rejected("table is down")
         item = _Pending(unit)
         self._pending.append(item)
-        return await self._end_of(item)
+        return await self._await_commit(item)
 
     async def commit_first(self, unit: Unit) -> Commit:
         """Commit ``unit`` before others, and even while the table is believed down.
@@ -184,9 +184,9 @@
         """
         item = _Pending(unit)
         self._pending.insert(0, item)
-        return await self._end_of(item)
+        return await self._await_commit(item)
 
-    async def _end_of(self, item: _Pending) -> Commit:
+    async def _await_commit(self, item: _Pending) -> Commit:
         """Wait for the end of a unit, within bounds.
 
         A table that takes requests and never answers would otherwise hold every caller: the unit
@@ -194,7 +194,7 @@
         never sent is taken back and proven not applied.
         """
         self._wake.set()
-        limit_s = PATIENCE * self._settings.timeout_seconds
+        limit_s = TIMEOUT_FACTOR * self._settings.timeout_seconds
         done, _ = await asyncio.wait({item.fut}, timeout=limit_s)
         if done:
             return item.fut.result()
@@ -208,17 +208,17 @@
         await take(self._read_bucket)
         self.reads += 1
         found = await self._table.rows(keys)
-        self._note(found.is_ok())
+        self._record_reply(found.is_ok())
         return found
 
     async def row(self, key: str) -> Result[Row, Failure]:
         """Read one row; concurrent reads of a key are one, and reads of a moment go together."""
-        fut = self._wanted.get(key)
+        fut = self._pending_reads.get(key)
         if fut is None:
             fut = asyncio.get_running_loop().create_future()
-            self._wanted[key] = fut
+            self._pending_reads[key] = fut
             if self._reader is None or self._reader.done():
-                self._reader = asyncio.create_task(self._read_wanted(), name="table-read")
+                self._reader = asyncio.create_task(self._read_pending(), name="table-read")
         return await asyncio.shield(fut)
 
     async def scan_all(self, prefix: str) -> Result[list[Row], Failure]:
@@ -239,19 +239,19 @@
         await take(self._read_bucket)
         self.reads += 1
         page = await self._table.scan(prefix, after, limit)
-        self._note(page.is_ok())
+        self._record_reply(page.is_ok())
         return page
 
-    async def _read_wanted(self) -> None:
+    async def _read_pending(self) -> None:
         await asyncio.sleep(0)
-        while self._wanted:
-            batch = dict(list(self._wanted.items())[:READ_BATCH])
+        while self._pending_reads:
+            batch = dict(list(self._pending_reads.items())[:MAX_READ_BATCH])
             # Keys leave the map before the call: a reader that comes while it runs must not be
             # answered with a value from before it asked.
             for key in batch:
-                del self._wanted[key]
+                del self._pending_reads[key]
             found = await self.rows(list(batch))
-            _answer_readers(batch, found)
+            _resolve_reads(batch, found)
 
     async def _run(self) -> None:
         while True:
@@ -266,13 +266,13 @@
         while batch:
             commit = await self._commit_settled(batch)
             if commit.status is not CommitStatus.CONFLICT:
-                _settle_all(batch, commit)
+                _resolve_all(batch, commit)
                 return
             lost = [item for item in batch if _touches(item.unit, commit.conflicts)]
             if not lost:
-                _settle_all(batch, commit)
+                _resolve_all(batch, commit)
                 return
-            _settle_all(lost, commit)
+            _resolve_all(lost, commit)
             batch = [item for item in batch if item not in lost]
 
     async def _commit_settled(self, batch: list[_Pending]) -> Commit:
@@ -283,7 +283,7 @@
         while True:
             self.writes += 1
             commit = await self._table.commit(txn)
-            self._note(commit.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT))
+            self._record_reply(commit.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT))
             may_have_landed = may_have_landed or commit.status is CommitStatus.AMBIGUOUS
             # Once an answer was lost, a later conflict or refusal proves nothing: it may be our
             # own first submission that made the condition fail.
@@ -296,7 +296,7 @@
 
     async def _settle(self, txn: Txn) -> Commit:
         """Read back until the table answers; AMBIGUOUS means to submit again."""
-        pause = SETTLE_PAUSE_S
+        pause = SETTLE_RETRY_DELAY_S
         keys = [condition.key for condition in txn.conditions]
         while True:
             found = await self.rows(keys)
@@ -304,14 +304,14 @@
                 return resolve_read_back(txn, found.ok_value)
             self._refuse_pending()
             await asyncio.sleep(pause)
-            pause = min(pause * 2, SETTLE_PAUSE_MAX_S)
+            pause = min(pause * 2, MAX_SETTLE_RETRY_DELAY_S)
 
     def _refuse_pending(self) -> None:
         """Refuse what waits behind a transaction that cannot be settled: it was never sent."""
         waiting, self._pending = self._pending, []
-        _settle_all(waiting, _rejected("table is down"))
+        _resolve_all(waiting, _rejected("table is down"))
 
-    def _note(self, answered: bool) -> None:
+    def _record_reply(self, answered: bool) -> None:
         before = self.up
         self._failures = 0 if answered else self._failures + 1
         if before != self.up:
@@ -356,17 +356,17 @@
     return Commit(CommitStatus.REJECTED, detail=detail)
 
 
-def _settle_future(item: _Pending, commit: Commit) -> None:
+def _resolve(item: _Pending, commit: Commit) -> None:
     if not item.fut.done():
         item.fut.set_result(commit)
 
 
-def _settle_all(batch: list[_Pending], commit: Commit) -> None:
+def _resolve_all(batch: list[_Pending], commit: Commit) -> None:
     for item in batch:
-        _settle_future(item, commit)
+        _resolve(item, commit)
 
 
-def _answer_readers(
+def _resolve_reads(
     batch: "dict[str, asyncio.Future[Result[Row, Failure]]]", found: Result[list[Row], Failure]
 ) -> None:
     if isinstance(found, Err):
--- a/sapphirelead/entry_watch.py
+++ b/sapphirelead/entry_watch.py
@@ -11,8 +11,8 @@
 
 from sapphirelead.wire_messages import WatchEvent
 
-TAIL_EVENTS: Final = 256
-TAILS: Final = 4096
+MAX_TAIL_EVENTS: Final = 256
+MAX_TAILS: Final = 4096
 
 
 class WatchTail:
@@ -22,7 +22,7 @@
     changed: asyncio.Event
 
     def __init__(self) -> None:
-        self.events = deque(maxlen=TAIL_EVENTS)
+        self.events = deque(maxlen=MAX_TAIL_EVENTS)
         self.changed = asyncio.Event()
 
     def add(self, event: WatchEvent) -> None:
@@ -53,7 +53,7 @@
         """Return the tail of a watch, empty if nothing has arrived yet."""
         tail = self._tails.setdefault(key, WatchTail())
         self._tails.move_to_end(key)
-        if len(self._tails) > TAILS:
+        if len(self._tails) > MAX_TAILS:
             self._tails.popitem(last=False)
         return tail
 
--- a/tests/unit/fakes.py
+++ b/tests/unit/fakes.py
@@ -83,7 +83,7 @@
         self.handlers: dict[type, list[Callable[[Any], None]]] = defaultdict(list)
         self.sent: dict[str, list[AnyMessage]] = defaultdict(list)
         self.views: dict[str, InstanceView] = {}
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.committed: dict[tuple[str, str], int] = {}
         self.answer: Callable[[str, AnyMessage], list[AnyMessage]] = lambda _i, _m: []
 
@@ -95,7 +95,7 @@
             handler(message)
 
     async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
-        if instance in self.silent:
+        if instance in self.unresponsive:
             return False
         self.sent[instance].append(message)
         for reply in self.answer(instance, message):
@@ -115,7 +115,7 @@
         return list(self.views.values())
 
     def live(self) -> list[InstanceView]:
-        return [v for v in self.views.values() if v.id not in self.silent and not v.fenced]
+        return [v for v in self.views.values() if v.id not in self.unresponsive and not v.fenced]
 
     def mark_fenced(self, instance: str, incarnation: str) -> None:
         view = self.views.get(instance)
@@ -126,7 +126,7 @@
         """Take a committed counter, and beat again with the next one unless silent."""
         self.committed[instance, incarnation] = counter
         view = self.views.get(instance)
-        if view is not None and view.incarnation == incarnation and instance not in self.silent:
+        if view is not None and view.incarnation == incarnation and instance not in self.unresponsive:
             self.views[instance] = replace(view, counter=max(view.counter, counter + 1))
 
     def beat(self, instance: str, incarnation: str, counter: int) -> None:
--- a/tests/unit/test_entry_core.py
+++ b/tests/unit/test_entry_core.py
@@ -243,7 +243,7 @@
     core = world.core
     net = world.net
     await started(core, net, "j", idempotent)
-    net.silent.add("a")
+    net.unresponsive.add("a")
     await asyncio.sleep(4.0)
     assert await state_of(core, "j") is JobState.CLAIMED
     await asyncio.sleep(4.0)
@@ -256,9 +256,9 @@
     """An agent is frozen past its lease, is fenced, wakes and beats on.  Taking its old run back
     would give it claims while its earlier ones have moved."""
     net = world.net
-    net.silent.add("a")
+    net.unresponsive.add("a")
     await until(lambda: net.views["a"].fenced)
-    net.silent.clear()
+    net.unresponsive.clear()
     net.committed.clear()
     net.beat("a", "i1", 50)
     await asyncio.sleep(2.0)
@@ -317,8 +317,8 @@
 
     def vanishing(instance: str, message: AnyMessage) -> list[AnyMessage]:
         if isinstance(message, Offer) and len(sent(net, "a", Offer)) == 1:
-            net.silent.add("a")
-            asyncio.get_running_loop().call_later(2.0, net.silent.clear)
+            net.unresponsive.add("a")
+            asyncio.get_running_loop().call_later(2.0, net.unresponsive.clear)
         return accepting(instance, message)
 
     net.answer = vanishing
