--- a/sapphirelead/entry_claim_runs.py
+++ b/sapphirelead/entry_claim_runs.py
@@ -1,7 +1,8 @@
-"""What agents said of the claims they run, and the run times learnt from it.
+"""Tracks which claims agents report as running, and estimates run times by job class.
 
-A claim is *confirmed* while a run of an agent has said that it runs the claim's epoch.  From the
-first confirmation to the job's end is the job's run time; the class's estimate follows these.
+A claim is *confirmed* once an incarnation of an agent reports that it runs the claim's epoch.  A
+job's run time is the time from its first confirmation to its end; the estimate for its class is an
+exponential moving average of these.
 """
 
 from dataclasses import dataclass
@@ -15,7 +16,11 @@
 
 @dataclass(slots=True)
 class _Confirmation:
-    """A run of an agent said that it runs the claim, since ``started_at``."""
+    """The latest report of an agent's incarnation that it runs a claim.
+
+    :ivar started_at: when the epoch was first confirmed.
+    :ivar at: when it was last confirmed.
+    """
 
     epoch: int
     incarnation: str
@@ -34,29 +39,29 @@
         self._run_times = {}
 
     def confirm(self, key: str, epoch: int, incarnation: str) -> None:
-        """Note that a run of an agent says it runs the claim."""
+        """Record that an agent's incarnation reports the claim as running."""
         held = self._confirmed.get(key)
         started_at = held.started_at if held is not None and held.epoch == epoch else now()
         self._confirmed[key] = _Confirmation(epoch, incarnation, started_at, now())
 
     def confirmed_at(self, key: str, epoch: int, incarnation: str) -> float | None:
-        """Return when the run last said that it runs the claim."""
+        """Return when the incarnation last confirmed the claim, or ``None``."""
         held = self._confirmed.get(key)
         if held is None or (held.epoch, held.incarnation) != (epoch, incarnation):
             return None
         return held.at
 
     def moved(self, job: Job) -> None:
-        """Forget a claim that ended, and learn from it where the job is done."""
+        """Drop the confirmation of a claim that ended; update the estimate if the job is done."""
         if job.state is JobState.CLAIMED:
             return
         confirmed = self._confirmed.pop(job.spec.key, None)
         if job.state is not JobState.DONE or confirmed is None:
             return
-        took = now() - confirmed.started_at
-        before = self._run_times.get(job.spec.job_class, took)
-        self._run_times[job.spec.job_class] = before + RUN_TIME_WEIGHT * (took - before)
+        run_time = now() - confirmed.started_at
+        estimate = self._run_times.get(job.spec.job_class, run_time)
+        self._run_times[job.spec.job_class] = estimate + RUN_TIME_WEIGHT * (run_time - estimate)
 
     def run_time_s(self, spec: JobSpec) -> float:
-        """Return the class's learnt run time, or the declared one, which is often far off."""
+        """Return the class's estimated run time in seconds, or the declared one if there is none."""
         return self._run_times.get(spec.job_class, spec.expected_ms / 1000.0)
--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -1,4 +1,4 @@
-"""The durable side of an entry, put together: table, leases, configuration, jobs, scheduling."""
+"""Builds the durable part of an entry: table, leases, configuration, jobs and scheduling."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryCore:
-    """The parts, in the order in which they are started."""
+    """The durable components of an entry."""
 
     table: EntryTable
     leases: LeaseManager
@@ -42,9 +42,9 @@
         links: Links,
         metrics: Metrics | None = None,
     ) -> "EntryCore":
-        """Put the parts together inside the running loop.
+        """Build the components inside the running event loop.
 
-        :param control: ``host:port`` at which peers reach this entry's control lane.
+        :param control: ``host:port`` at which peers reach this entry's control channel.
         """
         store = EntryTable.from_settings(settings.platform, table)
         leases = LeaseManager(settings, stamp, control, store, members, links)
@@ -63,7 +63,7 @@
         return cls(store, leases, config, jobs, moves, scheduler, reconciler)
 
     def start(self) -> None:
-        """Start every part."""
+        """Start every component."""
         self.table.start()
         self.leases.start()
         self.config.start()
@@ -71,7 +71,7 @@
         self.reconciler.start()
 
     async def stop(self) -> None:
-        """Stop in reverse: no new claims, moves in progress committed, then leave the region."""
+        """Stop in reverse order: no new claims, finish transitions in progress, leave the lease row."""
         await self.reconciler.stop()
         await self.scheduler.stop()
         await self.moves.stop()
--- a/sapphirelead/entry_interference.py
+++ b/sapphirelead/entry_interference.py
@@ -1,11 +1,10 @@
-"""What the whole region learns of interference, for placing batch.
+"""Estimates interference of batch job classes with services over a whole region, for placement.
 
-Each agent learns the slowdown of its own services to throttle and evict.  An entry sees the reports
-of all instances of its region in their beats and learns the same estimate from all of them, so a
-class that was noisy beside a service on one instance is kept away from that service on the others
-before it has run there.
+Agents estimate the slowdown of their own services in order to throttle and evict.  An entry updates
+one model from the reports in the heartbeats of all instances of its region, so interference
+observed on one instance affects placement on the others.
 
-Invariant: a report is learnt once.  Agents repeat the last one in each beat until the next is made.
+Invariant: each report is applied once, although agents repeat it in heartbeats until the next one.
 """
 
 from collections.abc import Callable
@@ -17,14 +16,14 @@
 
 
 class ViewSource(Protocol):
-    """What is asked of membership."""
+    """The part of membership that the estimate uses."""
 
     def on_view(self, listener: Callable[[InstanceView, bool], None]) -> None:
-        """Call ``listener(view, live)`` with every new view."""
+        """Call ``listener(view, live)`` on every new view."""
 
 
 class FleetInterference:
-    """Learns from beats; answers for placement."""
+    """Interference model of a region, updated from heartbeats."""
 
     _model: InterferenceModel
     _interval_s: Callable[[], float]
@@ -39,21 +38,23 @@
     def from_members(
         cls, members: ViewSource, interval_s: Callable[[], float]
     ) -> "FleetInterference":
-        """Learn from the reports that ``members`` takes in.
+        """Return a model that is updated from the reports that ``members`` receives.
 
         :param interval_s: length of an agent's report interval, in seconds.
         """
-        made = cls(interval_s)
-        members.on_view(lambda view, _live: made.observe(view))
-        return made
+        model = cls(interval_s)
+        members.on_view(lambda view, _live: model.observe(view))
+        return model
 
     def observe(self, view: InstanceView) -> None:
-        """Learn from an instance's report if it is a new one."""
+        """Update the model from an instance's report if it is a new one."""
         if not view.latency or self._last_reports.get(view.id) == view.latency:
             return
         self._last_reports[view.id] = view.latency
-        size = max(1, view.capacity.cpu_millicores)
-        intensities = {sample.job_class: sample.cpu_millicores / size for sample in view.classes}
+        capacity = max(1, view.capacity.cpu_millicores)
+        intensities = {
+            sample.job_class: sample.cpu_millicores / capacity for sample in view.classes
+        }
         for sample in view.latency:
             if sample.count:
                 rate = sample.count / self._interval_s()
@@ -61,5 +62,5 @@
                 self._model.learn(report, intensities)
 
     def slowdown(self, service: str, job_class: str) -> float:
-        """Return the slowdown of ``service`` if ``job_class`` filled its instance, from 1.0."""
+        """Return the slowdown factor of ``service`` if ``job_class`` used all CPU of its instance."""
         return 1.0 + self._model.weight(service, job_class)
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -1,20 +1,19 @@
-"""Leases, registration and fencing of instances, and which entries are live.
+"""Manages leases, registration and fencing of instances, and tracks which entries are live.
 
-Every round an entry reads the lease rows of its region, ``leases/<zone>``: one counter for each
-live instance and each live entry of the zone.  It merges the counters it has received by beats and
-commits the row if anything grew, one write for all renewals of the round.  Whatever counter the row
-holds, written by this entry or another, is what agents are told is committed.
+Every round an entry reads the lease rows of its region, ``leases/<zone>``, which hold one counter
+for each live instance and each live entry of the zone.  It merges the counters received in
+heartbeats and commits the row if any advanced, with one write for all renewals of the round.
+Agents are told the counter that the row holds, whichever entry wrote it.
 
 Invariants:
 
-- An incarnation is in a lease row only if ``instances/<id>`` names it and has not fenced it; both
-  rows change in the same transaction when it registers and when it is fenced.
-- An incarnation that was fenced or followed by another never registers again.
-- Fencing needs the counter to have been seen unchanged by this entry itself for the lease plus a
-  margin (:class:`~sapphirelead.model_lease.LeaseObserver`); a failed read starts that anew.
+- An incarnation is in a lease row only if ``instances/<id>`` names it and does not mark it fenced;
+  registration and fencing change both rows in one transaction.
+- An incarnation that was fenced or replaced never registers again.
+- An entry fences an instance only after it has itself observed the counter unchanged for the lease
+  plus a margin (:class:`~sapphirelead.model_lease.LeaseObserver`); a failed read restarts this.
 
-A zone whose entries are all gone is renewed by the other entries of the region: its row has not
-changed for several rounds although they receive beats from its instances.
+A zone whose row has not changed for several rounds is renewed by the other entries of the region.
 """
 
 import asyncio
@@ -46,7 +45,11 @@
 
 
 class LeaseManager:
-    """Runs the rounds of one entry."""
+    """Runs the lease rounds of one entry.
+
+    :ivar live_entries: live entries of the region by name.
+    :ivar usage: amounts by team that this entry publishes in its lease row.
+    """
 
     live_entries: dict[str, EntryRecord]
     usage: dict[str, list[int]]
@@ -96,22 +99,22 @@
         return [self._settings.zone, *others]
 
     def registration(self, instance: str) -> Registration | None:
-        """Return the last registration read of an instance."""
+        """Return an instance's registration as last read or written."""
         return self._registry.get(instance)
 
     def guard(self, instance: str, incarnation: str) -> Condition | None:
-        """Return the condition that the run is registered and not fenced, for a claim."""
+        """Return a condition that the incarnation is registered and not fenced, or ``None``."""
         found = self._registry.get(instance)
         if found is None or found.incarnation != incarnation or found.fenced:
             return None
         return Condition(instance_key(instance), found.row.version)
 
     def start(self) -> None:
-        """Start the rounds."""
+        """Start the lease rounds."""
         self._task = asyncio.create_task(self._run(), name="lease-rounds")
 
     async def stop(self) -> None:
-        """Leave the lease row, so that peers take the shards over at once, and stop."""
+        """Stop the rounds and leave the lease row, so that peers take over the shards at once."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -147,7 +150,7 @@
     def _count_unchanged(self, zone: str, row: Row) -> None:
         """Count the rounds for which the zone's own entries have left its row unchanged.
 
-        Once this entry renews the row in their place, its own writes do not count as theirs.
+        Writes by this entry on their behalf are not counted (see :meth:`_record_write`).
         """
         version, rounds = self._zone_rounds.get(zone, (row.version, 0))
         rounds = rounds + 1 if version == row.version else 0
@@ -156,10 +159,11 @@
     def _responsible(self, zone: str) -> bool:
         """Whether this entry renews and fences in ``zone``.
 
-        Without this every entry of the region would try each fence, and all but one would lose.
+        Avoids conflicting fence writes by all entries of the region.
         """
         return (
-            zone == self._settings.zone or self._zone_rounds.get(zone, (0, 0))[1] >= ORPHANED_ZONE_ROUNDS
+            zone == self._settings.zone
+            or self._zone_rounds.get(zone, (0, 0))[1] >= ORPHANED_ZONE_ROUNDS
         )
 
     def _record_write(self, zone: str, before: Row, after: Row) -> None:
@@ -170,13 +174,13 @@
         return [view for view in self._members.all() if view.zone == zone]
 
     async def _renew(self, zone: str, row: Row) -> Row:
-        """Commit the zone's row with what this entry knows; return the row as it then is."""
+        """Commit the zone's row with the counters that this entry received; return the new row."""
         for _ in range(MAX_COMMIT_ATTEMPTS):
             current = ZoneRow.decode(row)
             changes, guards = await self._registrations(zone, current)
-            grew = merge_counters(current, self._views(zone))
+            advanced = merge_counters(current, self._views(zone))
             self._add_own_record(zone, current)
-            if not (grew or changes or zone == self._settings.zone):
+            if not (advanced or changes or zone == self._settings.zone):
                 return row
             value = current.encode()
             unit = Unit((Change(row, value), *changes), tuple(guards))
@@ -215,7 +219,7 @@
         return lease.lease_seconds + lease.margin_seconds
 
     async def _registrations(self, zone: str, row: ZoneRow) -> tuple[list[Change], list[Condition]]:
-        """Return the writes that register new runs of agents, and enter them into ``row``."""
+        """Return the writes and guards that register new incarnations; add these to ``row``."""
         unknown = [
             view
             for view in self._views(zone)
@@ -234,8 +238,8 @@
             known = Registration.decode(instance_row)
             self._registry[view.id] = known
             if known.ended(view.incarnation):
-                # A run that was replaced or fenced and goes on beating (it was paused, say) must
-                # never come back: its claims may have moved.
+                # A replaced or fenced incarnation may still send heartbeats, for example after a
+                # pause. It must not register again: its claims may have been reassigned.
                 self._members.mark_fenced(view.id, view.incarnation)
                 continue
             row.instances[view.id] = (view.incarnation, view.counter)
@@ -256,7 +260,7 @@
             )
 
     def _publish(self, rows: Mapping[str, ZoneRow]) -> None:
-        """Tell the other parts what is committed and who is live."""
+        """Publish committed counters and live entries to the other components."""
         at = now()
         live: dict[str, EntryRecord] = {}
         for row in rows.values():
@@ -293,7 +297,7 @@
             rows[zone] = await self._fence(rows[zone], instance, incarnation)
 
     async def _fence(self, lease_row: Row, instance: str, incarnation: str) -> Row:
-        """Commit the fence of one run under the lease row's version."""
+        """Fence one incarnation if the lease row is unchanged; return the row's latest known state."""
         found = await self._table.rows([instance_key(instance)])
         if isinstance(found, Err):
             return lease_row
@@ -306,7 +310,7 @@
             changes.append(Change(known.row, fenced))
         commit = await self._table.commit_first(Unit(tuple(changes)))
         if commit.status is not CommitStatus.COMMITTED:
-            # Most often a renewal won the race; the next round looks again.
+            # Usually caused by a concurrent renewal; the next round checks again.
             return lease_row
         if known.incarnation == incarnation:
             row_now = Row(known.row.key, commit.version, fenced)
@@ -316,7 +320,7 @@
         return Row(lease_row.key, commit.version, changes[0].value)
 
     async def refresh(self, instance: str) -> Registration | None:
-        """Read an instance's registration anew."""
+        """Read an instance's registration from the table."""
         found = await self._table.row(instance_key(instance))
         if isinstance(found, Err):
             return None
--- a/sapphirelead/entry_lease_rows.py
+++ b/sapphirelead/entry_lease_rows.py
@@ -1,14 +1,13 @@
-"""The rows of leases and registrations, as an entry reads and writes them.
+"""Encodes and decodes lease and registration rows.
 
-``leases/<zone>`` holds a counter for each live instance and what each live entry of the zone
-publishes of itself; ``instances/<id>`` holds which run of an agent may hold claims.  Who writes
-them, and under which conditions, is decided in :mod:`sapphirelead.entry_lease`.
+``leases/<zone>`` holds a counter for each live instance and a record of each live entry of the
+zone; ``instances/<id>`` holds the incarnation of an agent that may hold claims.
+:mod:`sapphirelead.entry_lease` decides when they are written, and under which conditions.
 
 Invariants:
 
-- Merging never lowers a counter and never enters an incarnation that is not registered.
-- A registration keeps the runs before it, newest first, so that a run that was replaced is known
-  as ended.
+- Merging never lowers a counter and never adds an incarnation that is not registered.
+- A registration keeps the latest earlier incarnations, newest first, to recognise replaced ones.
 """
 
 from dataclasses import dataclass, field
@@ -29,7 +28,7 @@
 
     @classmethod
     def decode(cls, row: Row) -> "ZoneRow":
-        """Read a row as the table gave it."""
+        """Decode a row of the table."""
         value = row.value or {}
         return cls(
             {name: (pair[0], pair[1]) for name, pair in value.get("instances", {}).items()},
@@ -37,7 +36,7 @@
         )
 
     def encode(self) -> dict[str, Any]:
-        """Return the row's value."""
+        """Return the value to store in the row."""
         return {
             "instances": {name: list(pair) for name, pair in self.instances.items()},
             "entries": {name: record.encode() for name, record in self.entries.items()},
@@ -46,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """What a live entry publishes of itself.
+    """The record of a live entry in its zone's lease row.
 
-    :ivar control: ``host:port`` of its control lane.
+    :ivar control: ``host:port`` of its control channel.
     :ivar usage: amounts in use by team of the jobs it schedules, for quotas.
     """
 
@@ -58,17 +57,17 @@
     usage: dict[str, list[int]] = field(default_factory=dict)
 
     def encode(self) -> list[Any]:
-        """Return the record as it stands in the row."""
+        """Return the record as stored in the row."""
         return [self.incarnation, self.counter, self.control, self.usage]
 
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """What ``instances/<id>`` says.
+    """The decoded value of ``instances/<id>``.
 
-    :ivar incarnation: the run of the agent that may hold claims, or the last one that could.
-    :ivar fenced: whether that run may hold none any more.
-    :ivar past: earlier runs, newest first.
+    :ivar incarnation: the agent's incarnation that may hold claims, or the last one that could.
+    :ivar fenced: whether that incarnation may no longer hold claims.
+    :ivar past: earlier incarnations, newest first.
     """
 
     row: Row
@@ -78,7 +77,7 @@
 
     @classmethod
     def decode(cls, row: Row) -> "Registration":
-        """Read a row as the table gave it."""
+        """Decode a row of the table."""
         value = row.value or {}
         return cls(
             row,
@@ -88,7 +87,7 @@
         )
 
     def ended(self, incarnation: str) -> bool:
-        """Whether that run may never hold a claim again."""
+        """Whether ``incarnation`` was replaced or fenced and may never hold a claim again."""
         return incarnation in self.past or (self.fenced and incarnation == self.incarnation)
 
 
@@ -103,18 +102,18 @@
 
 
 def merge_counters(row: ZoneRow, views: list[InstanceView]) -> bool:
-    """Take the larger counter of each registered incarnation into ``row``; say if any grew."""
-    grew = False
+    """Raise counters of registered incarnations in ``row``; return whether any advanced."""
+    advanced = False
     for view in views:
         held = row.instances.get(view.id)
         if held is not None and held[0] == view.incarnation and view.counter > held[1]:
             row.instances[view.id] = (view.incarnation, view.counter)
-            grew = True
-    return grew
+            advanced = True
+    return advanced
 
 
 def new_registration(view: InstanceView, known: Registration) -> dict[str, Any]:
-    """Return the value that registers a run of an agent after those ``known``."""
+    """Return the value that registers the view's incarnation as successor of ``known``."""
     past = [known.incarnation, *known.past] if known.incarnation else []
     return {
         "incarnation": view.incarnation,
