--- a/sapphirelead/entry_claim_runs.py
+++ b/sapphirelead/entry_claim_runs.py
@@ -63,5 +63,5 @@
         self._run_times[job.spec.job_class] = estimate + RUN_TIME_WEIGHT * (run_time - estimate)
 
     def run_time_s(self, spec: JobSpec) -> float:
-        """Return the class's estimated run time in seconds, or the declared one if there is none."""
+        """Return the estimated run time of the job's class, or the declared one."""
         return self._run_times.get(spec.job_class, spec.expected_ms / 1000.0)
--- a/sapphirelead/entry_interference.py
+++ b/sapphirelead/entry_interference.py
@@ -62,5 +62,5 @@
                 self._model.learn(report, intensities)
 
     def slowdown(self, service: str, job_class: str) -> float:
-        """Return the slowdown factor of ``service`` if ``job_class`` used all CPU of its instance."""
+        """Return the slowdown factor of ``service`` if ``job_class`` filled its instance."""
         return 1.0 + self._model.weight(service, job_class)
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -297,7 +297,7 @@
             rows[zone] = await self._fence(rows[zone], instance, incarnation)
 
     async def _fence(self, lease_row: Row, instance: str, incarnation: str) -> Row:
-        """Fence one incarnation if the lease row is unchanged; return the row's latest known state."""
+        """Fence one incarnation, conditioned on the lease row's version; return the new row."""
         found = await self._table.rows([instance_key(instance)])
         if isinstance(found, Err):
             return lease_row
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -1,19 +1,17 @@
-"""The entry's sockets: three routers towards agents and one dealer for each peer entry.
+"""ZeroMQ sockets of an entry: three ROUTERs for agents and one DEALER for each peer entry.
 
-One task owns each router.  The control lane is drained in batches: everything that waits is taken,
-then the task pauses for 20 milliseconds, so that a thousand beats a second cost at most fifty
-wake-ups; sending does not wait for the pause.  The data and bulk lanes are read without one.
+One task reads each router.  The control channel is read in batches with a delay between them, which
+bounds the number of wake-ups; sending is not delayed.  Data and bulk are read without delay.
 
-Routing identities are learnt from what arrives: an agent names each of its connections
-``instance|incarnation|lane|n`` and counts ``n`` up whenever it replaces one.
+Routes are taken from received messages: an agent identifies each of its connections as
+``instance|incarnation|lane|n`` and increments ``n`` when it replaces one.
 
 Invariants:
 
-- A message to an incarnation goes to its connection with the highest ``n``, never to an older one.
-- The incarnation that is current is the one that :meth:`EntryLinks.set_current` named last, or the
-  only one known.
-- A frame that does not decode, and a handler that fails, is counted and logged; neither stops the
-  lane.
+- A message to an incarnation goes to its connection with the highest ``n``.
+- The current incarnation is the one last passed to :meth:`EntryLinks.set_current`, or the first
+  one seen.
+- Undecodable frames and failing handlers are counted and logged; neither stops the reader.
 """
 
 import asyncio
@@ -60,7 +58,7 @@
 
     @classmethod
     def parse(cls, raw: bytes) -> "Identity | None":
-        """Return the parts, or ``None`` where ``raw`` is not an agent's."""
+        """Parse a routing identity; ``None`` if ``raw`` is not one of an agent."""
         try:
             instance, incarnation, lane, number = raw.decode().split("|")
             return cls(instance, incarnation, Lane(lane), int(number))
@@ -70,7 +68,7 @@
 
 @dataclass(slots=True)
 class LinkCounters:
-    """What happened on the sockets since start."""
+    """Counters of the sockets since start."""
 
     received: dict[str, int] = field(default_factory=dict)
     sent: int = 0
@@ -84,11 +82,10 @@
 
 
 class _Router:
-    """One bound router; read in batches when its descriptor signals.
+    """One bound ROUTER socket, read in batches when its descriptor becomes readable.
 
-    The descriptor signals an edge, and any call on the socket consumes it.  A send that consumed
-    the edge of an arriving message would leave that message unread until the next one; so each
-    send looks at the socket's state afterwards and wakes the reader itself.
+    The descriptor is edge-triggered, and any call on the socket clears the edge.  A send could thus
+    hide an arrived message from the reader, so each send checks for input and wakes the reader.
     """
 
     _sock: zmq.asyncio.Socket
@@ -102,7 +99,7 @@
         self._readable.set()
 
     async def receive(self) -> list[list[bytes]]:
-        """Return what waits, at least one frame and at most ``MAX_DRAIN_FRAMES``."""
+        """Wait for input; return 1 to ``MAX_DRAIN_FRAMES`` messages."""
         loop = asyncio.get_running_loop()
         while True:
             if not self._readable.is_set():
@@ -114,10 +111,10 @@
                 return frames
 
     def _on_readable(self) -> None:
-        """Wake the reader, and listen no more until it has drained the socket.
+        """Wake the reader and stop watching the descriptor until the socket is drained.
 
-        The descriptor stays readable until then: while the reader pauses between two batches, the
-        loop would otherwise turn without end (measured: 55% of a core at 400 beats a second).
+        The descriptor stays readable until then, and the event loop would spin during the delay
+        between two batches.
         """
         asyncio.get_running_loop().remove_reader(self._raw.FD)
         self._readable.set()
@@ -137,7 +134,7 @@
         return frames
 
     def send(self, identity: bytes, frame: bytes) -> bool:
-        """Send without waiting; ``False`` means proven not sent."""
+        """Send without blocking; ``False`` guarantees that nothing was sent."""
         try:
             self._raw.send_multipart([identity, frame], zmq.NOBLOCK, copy=True)
         except zmq.ZMQError:
@@ -160,7 +157,7 @@
 class EntryLinks:
     """Implements :class:`~sapphirelead.entry_ports.Links` on ZeroMQ.
 
-    :ivar ports: bound port of each lane, once started.
+    :ivar ports: bound port of each channel, once started.
     """
 
     ports: dict[Lane, int]
@@ -204,22 +201,22 @@
     def from_settings(
         cls, settings: EntrySettings, stamp: Stamp, keys: Keys | None = None
     ) -> "EntryLinks":
-        """Return links that :meth:`start` will bind, protected where there are keys."""
+        """Return links that :meth:`start` binds, encrypted if there are keys."""
         return cls(settings, stamp, make_context(), keys)
 
     def use_config_version(self, version: Callable[[], int]) -> None:
-        """Take the configuration version of lane greetings from ``version``."""
+        """Set the source of the configuration version that greetings carry."""
         self._config_version = version
 
     async def start(self) -> None:
-        """Bind the three routers and begin to read them."""
+        """Bind the three routers and start reading them."""
         self._authenticator = start_authenticator(self._ctx, self._keys)
-        wanted = {
+        configured = {
             Lane.CONTROL: self._settings.control_port,
             Lane.DATA: self._settings.data_port,
             Lane.BULK: self._settings.bulk_port,
         }
-        for lane, port in wanted.items():
+        for lane, port in configured.items():
             host = self._settings.bind_host
             sock, bound = bind_router(self._ctx, host, port, self._keys)
             self._routers[lane] = _Router(sock)
@@ -244,21 +241,21 @@
         self._handlers.setdefault(kind, []).append(handler)
 
     def on_lane_change(self, listener: LaneListener) -> None:
-        """Call ``listener(instance, incarnation, lane)`` when an agent replaced a connection."""
+        """Call ``listener(instance, incarnation, lane)`` when an agent replaces a connection."""
         self._lane_listeners.append(listener)
 
     def set_current(self, instance: str, incarnation: str) -> None:
-        """Name the incarnation that :meth:`send` reaches."""
+        """Set the incarnation that :meth:`send` reaches."""
         self._current[instance] = incarnation
 
     async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
-        """Send to the current incarnation; ``False`` means proven not sent."""
+        """Send to the current incarnation; ``False`` guarantees that nothing was sent."""
         return self.send_now(instance, lane, message)
 
     def send_now(
         self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        """Send at once, to ``incarnation`` or the current one; ``False``: proven not sent."""
+        """Send to ``incarnation`` or the current one; ``False`` guarantees nothing was sent."""
         known = self._routes.get(instance, {})
         lanes = known.get(incarnation or self._current.get(instance, ""), {})
         route = lanes.get(lane)
@@ -269,7 +266,7 @@
         return sent
 
     async def send_peer(self, entry: str, message: AnyMessage) -> bool:
-        """Send to another entry's control lane; ``False`` means proven not sent."""
+        """Send to a peer's control channel; ``False`` guarantees that nothing was sent."""
         peer = self._peers.get(entry)
         frame = encode(message)
         sent = peer is not None and await send_frame(peer[1], frame)
@@ -277,7 +274,7 @@
         return sent
 
     def set_peers(self, peers: dict[str, str]) -> None:
-        """Connect to new or moved peers and drop those that are gone."""
+        """Connect to new peers and changed addresses; close connections to removed peers."""
         for entry, (address, sock) in list(self._peers.items()):
             if peers.get(entry) != address:
                 sock.close()
@@ -290,8 +287,8 @@
         host, _, port = address.rpartition(":")
         self._peer_number += 1
         identity = f"{self._stamp.sender}|{self._stamp.incarnation}|peer|{self._peer_number}"
-        silence_s = self._settings.lease.silence_seconds
-        return connect_dealer(self._ctx, identity, host, int(port), silence_s, self._keys)
+        timeout_s = self._settings.lease.silence_seconds
+        return connect_dealer(self._ctx, identity, host, int(port), timeout_s, self._keys)
 
     def _count_sent(self, sent: bool, size: int, lane: Lane) -> None:
         counters = self.counters
@@ -305,11 +302,11 @@
 
     async def _read(self, lane: Lane) -> None:
         router = self._routers[lane]
-        pause_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
+        delay_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
         while True:
             for frames in await router.receive():
                 self._handle_frames(lane, frames)
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(delay_s)
 
     def _handle_frames(self, lane: Lane, frames: list[bytes]) -> None:
         if len(frames) != 2:
@@ -367,7 +364,7 @@
         if isinstance(message, LaneHello):
             self._reply_hello(lane, raw)
         for handler in self._handlers.get(type(message), ()):
-            # A handler that raises on one odd message must not end the lane for all instances.
+            # A handler that raises on one message must not stop the channel for all instances.
             try:
                 handler(message)
             except Exception as exc:
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -1,11 +1,10 @@
-"""The entry: one process that takes callers' requests and schedules durable work.
+"""The entry process: accepts requests of callers and schedules durable jobs.
 
-Start: bind the lanes for agents, bring up the durable side (table, leases, configuration, jobs),
-then serve callers.  The balancer is told "ready" once a configuration and an instance are known.
+Start: bind the sockets for agents, start the durable part (table, leases, configuration, jobs),
+then serve callers.  The entry reports ready once it knows a configuration and a live instance.
 
-Leave (SIGTERM): not ready, new work refused as not run, requests in progress finished, claims in
-progress committed, then the sockets closed.  Watches and waits are handed over: their callers are
-told to go on through another entry.
+Shutdown (SIGTERM): report not ready, refuse new work as not run, finish requests and claims in
+progress, then close the sockets.  Callers of watches and waits are redirected to another entry.
 """
 
 import asyncio
@@ -45,7 +44,7 @@
 
 
 class Entry:
-    """One entry.
+    """One entry process.
 
     :ivar links: sockets; their ports are known once started.
     :ivar api: HTTP server; its port is known once started.
@@ -88,7 +87,7 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings, table: Table) -> "Result[Entry, Failure]":
-        """Return an entry that :meth:`start` brings up, or what is wrong with keys or token."""
+        """Return an entry to be started, or the failure to read its keys or token."""
         keys = read_keys(settings.security.keys_file)
         if isinstance(keys, Err):
             return keys
@@ -100,7 +99,7 @@
         return Ok(cls(settings, table, links, stamp, token.ok_value, keys.ok_value))
 
     async def start(self) -> None:
-        """Bind everything and serve."""
+        """Bind the sockets, start all components and serve callers."""
         self._started_at = now()
         await self.links.start()
         control = f"{self._settings.bind_host}:{self.links.ports[Lane.CONTROL]}"
@@ -118,8 +117,8 @@
         await self.members.start()
         self.core.start()
         await self._start_fleet()
-        more = self.fleet.app_routes() if self.fleet else []
-        await self.api.start([*admin_app_routes(self._admin_ports()), *more], (QUEUES,))
+        fleet_routes = self.fleet.app_routes() if self.fleet else []
+        await self.api.start([*admin_app_routes(self._admin_ports()), *fleet_routes], (QUEUES,))
         log_event(
             "INFO",
             "entry_started",
@@ -144,11 +143,11 @@
         self.fleet = fleet
 
     async def drain(self) -> None:
-        """Refuse new work and finish what is in progress, within the time set."""
-        leaving = [self._drain()]
+        """Refuse new work and finish requests in progress within ``drain_seconds``."""
+        drains = [self._drain()]
         if self.fleet is not None:
-            leaving.append(self.fleet.leave())
-        await asyncio.gather(*leaving)
+            drains.append(self.fleet.leave())
+        await asyncio.gather(*drains)
 
     async def _drain(self) -> None:
         limit_s = self._settings.drain_seconds
@@ -161,15 +160,15 @@
             log_event("ERROR", "drain_cut_short", open_requests=self.dispatcher.open_requests)
 
     async def stop(self) -> None:
-        """Stop the parts in the reverse order of their start."""
+        """Stop the components in reverse order."""
         if self._connected:
             await self.api.stop()
             if self.fleet is not None:
                 await self.fleet.stop()
             await self.core.stop()
             await self.members.stop()
-        # Closing a socket drops what has not left it yet; give the last answers and end
-        # acknowledgements one moment to leave.
+        # Closing a socket drops unsent messages: allow the last responses and acknowledgements to
+        # be sent.
         await asyncio.sleep(FLUSH_DELAY_S)
         await self.links.stop()
         log_event("INFO", "entry_stopped", entry=self.stamp.sender)
@@ -206,14 +205,13 @@
         self._register_gauges()
 
     def _ready(self) -> bool:
-        """Whether the balancer may send requests here.
+        """Whether the load balancer may send requests here.
 
-        A new entry knows nobody until the agents have found it. Requests sent to it in that moment
-        would wait, while the other entries could serve them at once; where nobody comes at all, it
-        says so itself after a silence period.
+        Requests to a new entry would wait until agents have connected, while other entries could
+        serve them.  If none connects within ``silence_seconds``, the entry reports ready anyway.
         """
-        settled = now() - self._started_at > self._settings.lease.silence_seconds
-        return self.core.config.ready.is_set() and (settled or bool(self.members.live()))
+        warmed_up = now() - self._started_at > self._settings.lease.silence_seconds
+        return self.core.config.ready.is_set() and (warmed_up or bool(self.members.live()))
 
     def _admin_ports(self) -> AdminPorts:
         return AdminPorts(
@@ -262,26 +260,26 @@
 async def run_entry(settings: EntrySettings) -> int:
     """Run an entry until SIGTERM or SIGINT and return the exit code."""
     table = HttpTable.from_settings(settings.platform)
-    made = Entry.from_settings(settings, table)
-    if isinstance(made, Err):
-        log_event("ERROR", "entry_refused", reason=str(made.err_value))
+    created = Entry.from_settings(settings, table)
+    if isinstance(created, Err):
+        log_event("ERROR", "entry_refused", reason=str(created.err_value))
         await table.close()
         return EXIT_FAILED
-    entry = made.ok_value
-    leave = asyncio.Event()
+    entry = created.ok_value
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, leave.set)
+        loop.add_signal_handler(signum, stop_requested.set)
     try:
         await entry.start()
     except (OSError, zmq.ZMQError) as exc:
-        # A port is taken. What had been started has to be stopped: the sockets' context waits at
-        # exit for every socket that is still open, and the process would hang instead of ending.
+        # For example, a port is in use. Stop what was started: the ZeroMQ context waits at exit
+        # for open sockets, and the process would hang.
         log_event("ERROR", "entry_not_started", reason=str(exc))
         await entry.stop()
         await table.close()
         return EXIT_FAILED
-    await leave.wait()
+    await stop_requested.wait()
     with contextlib.suppress(asyncio.CancelledError):
         await entry.drain()
     await entry.stop()
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -1,8 +1,8 @@
-"""Membership at an entry: the shell around :class:`~sapphirelead.model_membership.MembershipTable`.
+"""Tracks the instances known to an entry, on top of ``model_membership.MembershipTable``.
 
-Takes announcements and beats from the control lane, acknowledges beats, and tells listeners which
-instances may be used.  Agents that decide by another configuration version are the business of
-:class:`~sapphirelead.entry_config.ConfigKeeper`, which reads the versions from the views here.
+Receives announcements and heartbeats on the control channel, acknowledges heartbeats, and notifies
+listeners of changes in views and liveness.  Configuration versions of agents are handled by
+:mod:`sapphirelead.entry_config`.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class MemberLinks(Protocol):
-    """What membership needs of the sockets."""
+    """The part of the links that membership uses."""
 
     def on(self, kind: type[AnyMessage], handler: Callable[[Any], None]) -> None:
         """Call ``handler`` with each received message of ``kind``."""
@@ -30,10 +30,10 @@
     def send_now(
         self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        """Send at once; ``False`` means proven not sent."""
+        """Send a message; ``False`` guarantees that nothing was sent."""
 
     def set_current(self, instance: str, incarnation: str) -> None:
-        """Name the incarnation that plain sends reach."""
+        """Set the incarnation that sends without an incarnation reach."""
 
 
 class EntryMembers:
@@ -62,54 +62,51 @@
     def from_settings(
         cls, settings: EntrySettings, links: MemberLinks, stamp: Stamp
     ) -> "EntryMembers":
-        """Return membership that has seen nobody yet."""
+        """Return an empty membership."""
         return cls(MembershipTable.from_settings(settings.lease, now()), links, stamp)
 
     def use_config_version(self, version: Callable[[], int]) -> None:
-        """Take the configuration version of acknowledgements from ``version``."""
+        """Set the source of the configuration version that acknowledgements carry."""
         self._config_version = version
 
     async def start(self) -> None:
-        """Begin to judge silence."""
+        """Start checking liveness."""
         self._task = asyncio.create_task(self._watch_liveness(), name="members")
 
     async def stop(self) -> None:
-        """Stop judging."""
+        """Stop checking liveness."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def on_view(self, listener: ViewListener) -> None:
-        """Call ``listener(view, live)`` with every new view and when liveness changes."""
+        """Call ``listener(view, live)`` on every new view and change of liveness."""
         self._listeners.append(listener)
 
     def get(self, instance: str) -> InstanceView | None:
-        """Return one instance, silent or not."""
+        """Return one instance, whether responsive or not."""
         return self._table.get(instance)
 
     def all(self) -> list[InstanceView]:
-        """Return every known instance that is not forgotten."""
+        """Return every known instance."""
         return self._table.all()
 
     def live(self) -> list[InstanceView]:
-        """Return instances that are neither silent, fenced nor draining."""
+        """Return instances that are responsive and neither fenced nor draining."""
         return self._table.live(now())
 
     def mark_fenced(self, instance: str, incarnation: str) -> None:
-        """Record that an incarnation was fenced in the table, and tell its agent."""
+        """Record that an incarnation was fenced in the table, and notify listeners."""
         self._table.mark_fenced(instance, incarnation)
         view = self._table.get(instance)
         if view is not None and view.incarnation == incarnation:
             self._notify(view)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> None:
-        """Record the committed counter and acknowledge it at once.
-
-        Waiting for the next beat would age the lease by a whole beat interval for nothing.
-        """
-        grew = self._table.set_committed(instance, incarnation, counter)
+        """Record the committed counter and, if it advanced, acknowledge it at once."""
+        advanced = self._table.set_committed(instance, incarnation, counter)
         view = self._table.get(instance)
-        if grew and view is not None:
+        if advanced and view is not None:
             self._acknowledge(instance, incarnation, view.counter, counter, False)
 
     def _on_announce(self, message: Announce) -> None:
@@ -172,7 +169,7 @@
             self.check_liveness(now())
 
     def check_liveness(self, at: float) -> None:
-        """Look for instances that fell silent and forget those long gone."""
+        """Notify listeners of changed liveness and drop instances that timed out long ago."""
         if self._table.look(at):
             log_event("WARNING", "loop_was_paused", action="grant_fresh_silence_period")
             return
--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -1,9 +1,9 @@
-"""Moves of jobs that follow from what agents report.
+"""Applies the state transitions of jobs that agents report.
 
-A report may reach any entry, more than once, late, or after the job has moved on.  Each is applied
-by reading the row, computing the next value and committing it under the row's version; a conflict
-reads again.  The report is acknowledged only once its move is committed or the row shows that it
-can no longer apply, so an agent that repeats unacknowledged reports loses none.
+A report may reach any entry, late, repeated, or after the job changed state.  It is applied by
+reading the row, computing the next state and committing it under the row's version; a conflict is
+retried.  A report is acknowledged only once its transition is committed or the row shows that it no
+longer applies.  Agents repeat unacknowledged reports, so none is lost.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class JobMoves:
-    """Applies moves and acknowledges reports."""
+    """Applies state transitions and acknowledges reports."""
 
     _rows: JobRows
     _board: JobBoard
@@ -50,22 +50,22 @@
         links.on(Checkpointed, self._on_checkpointed)
 
     def max_attempts(self, job: Job) -> int:
-        """Return how many attempts a job of this class gets."""
+        """Return the maximum number of attempts for a job of this class."""
         policy = self._config.current.document.job_classes.get(job.spec.job_class)
         return (policy or JobClassPolicy()).max_attempts
 
     def run_once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` unless the same is already running; agents repeat what is not answered."""
-        mark = (name, key, epoch)
-        if mark in self._running:
+        """Run ``work`` in the background unless the same work is already running."""
+        work_id = (name, key, epoch)
+        if work_id in self._running:
             work.close()
             return
         task = asyncio.create_task(work, name=f"{name}:{key}")
-        self._running[mark] = task
-        task.add_done_callback(lambda _: self._running.pop(mark, None))
+        self._running[work_id] = task
+        task.add_done_callback(lambda _: self._running.pop(work_id, None))
 
     async def stop(self) -> None:
-        """Let the moves in progress end for a moment, then drop them; agents repeat theirs."""
+        """Wait up to 1 s for transitions in progress, then cancel them; agents repeat reports."""
         tasks = list(self._running.values())
         if tasks:
             _, late = await asyncio.wait(tasks, timeout=1.0)
@@ -75,9 +75,9 @@
     async def apply(
         self, key: str, epoch: int, transition: Transition, guards: tuple[Condition, ...] = ()
     ) -> bool:
-        """Apply ``transition`` to the claim at ``epoch``; return whether the matter is closed.
+        """Apply ``transition`` to the claim at ``epoch``; return whether it is settled.
 
-        Closed means committed, or proven to be past: the row is at another epoch or ended.
+        Settled means committed, or no longer applicable: the row is at another epoch or ended.
         """
         for _ in range(MAX_COMMIT_ATTEMPTS):
             found = await self._rows.read(key)
@@ -96,19 +96,19 @@
     async def _move(
         self, stored: StoredJob, transition: Transition, guards: tuple[Condition, ...]
     ) -> bool | None:
-        """Commit one step; ``None`` means that the row changed and is to be read again."""
-        stepped = transition(stored.job)
-        if isinstance(stepped, Err):
-            log_event("WARNING", "move_refused", reason=stepped.err_value.message)
+        """Commit one transition; ``None`` means that the row changed and must be read again."""
+        updated = transition(stored.job)
+        if isinstance(updated, Err):
+            log_event("WARNING", "move_refused", reason=updated.err_value.message)
             return True
-        moved = await self._rows.move(stored, stepped.ok_value, guards)
+        moved = await self._rows.move(stored, updated.ok_value, guards)
         if isinstance(moved, Err):
             return None if moved.err_value.code is Code.STORE_CONFLICT else False
         self._board.committed(moved.ok_value)
         return True
 
     async def release_unstarted(self, key: str, epoch: int, reporter: Holder, reason: str) -> None:
-        """Queue a claim again on the word of the very run that holds it that it never started."""
+        """Requeue a claim whose holder, ``reporter``, reports that it never started."""
 
         def transition(job: Job) -> Result[Job, Failure]:
             if job.holder != reporter:
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -1,10 +1,10 @@
-"""Finding an instance for an attempt: at once, or from the service's queue when room appears.
+"""Assigns instances to service attempts, at once or from the service's queue.
 
-What is placed is reserved: it counts in the router's and the limit's estimates from that moment, so
-that the next choice sees it.  Whoever does not send the attempt gives it back.
+An assignment is a reservation: the router and the concurrency limit count it at once.  The caller
+must release it if the attempt is not sent.
 
-A queued request leaves the queue by one of four ways: it gets room, it can no longer be met by the
-present estimates, it loses its place to one with better chances, or its caller leaves.
+A queued request leaves the queue when it gets an instance, when by the current estimates it cannot
+meet its deadline, when another request displaces it, or when its caller disconnects.
 """
 
 import asyncio
@@ -26,9 +26,9 @@
 
 
 class Placer:
-    """Places attempts.
+    """Assigns instances to attempts.
 
-    :ivar router: estimates of the instances.
+    :ivar router: chooses instances by their estimated load and latency.
     """
 
     router: Router
@@ -37,7 +37,7 @@
         self.router = router
 
     async def place(self, req: OpenRequest) -> Result[str, Failure]:
-        """Return an instance, reserved in the estimates, at once or from the queue."""
+        """Reserve an instance, waiting in the queue if necessary; the caller must release it."""
         state = req.service
         if not len(state.queue) and (instance := self.reserve(req)) is not None:
             return Ok(instance)
@@ -51,13 +51,13 @@
         return await self._queue(req, expires_at)
 
     def service_time_s(self, state: ServiceState) -> float:
-        """Return the time that most attempts sent now would take."""
+        """Return the estimated service time of an attempt sent now, as a high percentile."""
         at = now()
         measured = state.window.percentile_s(SERVICE_TIME_PERCENTILE, at)
         return measured if measured is not None else SERVICE_TIME_FACTOR * self._latency_s(state)
 
     def wait_s(self, state: ServiceState, ahead: int) -> float:
-        """Return the expected time in the queue behind ``ahead`` others."""
+        """Return the expected queueing time behind ``ahead`` requests."""
         return expected_wait_s(ahead, state.limit.in_flight, self._latency_s(state))
 
     def _latency_s(self, state: ServiceState) -> float:
@@ -66,9 +66,9 @@
     async def _queue(self, req: OpenRequest, expires_at: float) -> Result[str, Failure]:
         loop = asyncio.get_running_loop()
         waiter = Waiter(req, loop.create_future())
-        place, lost = req.service.queue.put(waiter, req.priority, expires_at)
-        if lost is not None:
-            _resolve(lost, None)
+        place, displaced = req.service.queue.put(waiter, req.priority, expires_at)
+        if displaced is not None:
+            _resolve(displaced, None)
         timer = loop.call_at(expires_at, _resolve, waiter, None)
         try:
             instance = await waiter.future
@@ -81,13 +81,13 @@
         return Err(OVERLOADED) if instance is None else Ok(instance)
 
     def _unreserve(self, waiter: Waiter) -> None:
-        """Give back what a caller was just given when it left."""
+        """Release an instance that was assigned to a caller that then disconnected."""
         future = waiter.future
         if future.done() and not future.cancelled() and (instance := future.result()):
             self.release(waiter.request.service, instance)
 
     def reserve(self, req: OpenRequest) -> str | None:
-        """Return an instance with room now and count the attempt, or ``None``."""
+        """Reserve an instance that has capacity now; ``None`` if there is none."""
         state = req.service
         if not state.limit.has_room:
             return None
@@ -102,66 +102,64 @@
         return instance
 
     def release(self, state: ServiceState, instance: str) -> None:
-        """Give back what was reserved for an attempt that is not made."""
+        """Release the reservation of an attempt that is not sent."""
         at = now()
         self.router.end(instance, state.name, AttemptEnd.ABANDONED, 0.0, at)
         state.limit.end(None, at)
 
     def dispatch_queued(self, state: ServiceState) -> None:
-        """Give queued requests the room there is."""
+        """Assign free capacity to queued requests, then reject those that cannot be met."""
         if not len(state.queue):
             return
         while len(state.queue) and self._dispatch_some(state):
             pass
-        # After placing: while a slot has just become free, fewer attempts are in flight than the
-        # service can hold, and the wait would be overestimated.
+        # Only after dispatch: a slot that was just freed lowers the number in flight, and the
+        # wait would be overestimated.
         self._shed(state)
 
     def _shed(self, state: ServiceState) -> None:
-        """Give up at once what cannot be met any more by the present estimates.
-
-        The estimates may have changed since the requests were queued: before the first answers
-        came, or when the targets became slower.
-        """
+        """Reject queued requests that by the current estimates cannot meet their deadline."""
         at = now()
         service_time_s = self.service_time_s(state)
         for late in state.queue.drop_late(at):
             _resolve(late, None)
         while (last := state.queue.last()) is not None:
             place, waiter = last
-            if at + self.wait_s(state, len(state.queue) - 1) + service_time_s <= waiter.request.deadline:
+            if (
+                at + self.wait_s(state, len(state.queue) - 1) + service_time_s
+                <= waiter.request.deadline
+            ):
                 break
             state.queue.withdraw(place)
             _resolve(waiter, None)
 
     def _dispatch_some(self, state: ServiceState) -> bool:
-        """Try the next few requests; return whether one got room.
+        """Try the next few requests; return whether any left the queue.
 
-        More than one, because a request that a rule binds to a full zone must not hold up those
-        behind it that may go elsewhere.
+        Looking ahead avoids head-of-line blocking by a request that a rule binds to a full zone.
         """
-        placed = False
+        removed = False
         soonest_end = now() + self.service_time_s(state)
         for place, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
-            # A caller that left has its future cancelled before its coroutine gets to leave the
-            # queue; room reserved for it in between would never be given back.
+            # The future of a disconnected caller is cancelled before its coroutine leaves the
+            # queue; an instance reserved for it in between would never be released.
             if waiter.future.done() or waiter.request.deadline < soonest_end:
                 state.queue.withdraw(place)
                 _resolve(waiter, None)
-                placed = True
+                removed = True
                 continue
             instance = self.reserve(waiter.request)
             if instance is not None:
                 state.queue.withdraw(place)
                 _resolve(waiter, instance)
-                placed = True
+                removed = True
             elif not waiter.request.decision.then.zones:
                 break
-        return placed
+        return removed
 
 
 def reject_waiter(waiter: Waiter) -> None:
-    """Tell a queued request that it gets no instance."""
+    """Reject a queued request."""
     _resolve(waiter, None)
 
 
--- a/sapphirelead/entry_ports.py
+++ b/sapphirelead/entry_ports.py
@@ -1,7 +1,6 @@
-"""What the parts of an entry ask of each other.
+"""Interfaces between the components of an entry.
 
-Each part is a task (or a plain object) with its own state; the Protocols below are the only way one
-reaches another, so that each can be tested with a small fake in the others' place.
+Components use each other only through these protocols, so each can be tested with fakes.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -19,7 +18,7 @@
 
 
 class Lane(StrEnum):
-    """The three connections between an entry and an agent."""
+    """The channels between an entry and an agent, one connection each."""
 
     CONTROL = "control"
     DATA = "data"
@@ -28,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceView:
-    """What an entry knows of an instance now; an estimate, never the ledger.
+    """An entry's latest view of an instance, from its messages; the agent's ledger may differ.
 
-    :ivar counter: highest beat counter received of this incarnation.
-    :ivar heard_at: loop time at which the last message of it was drained.
-    :ivar services: services that the target beside it offers.
+    :ivar counter: highest heartbeat counter received from this incarnation.
+    :ivar heard_at: loop time at which its last message was received.
+    :ivar services: services offered by the target on the instance.
     """
 
     id: str
@@ -57,42 +56,42 @@
 
 
 class Members(Protocol):
-    """The instances that announced themselves to this entry."""
+    """Instances that announced themselves to this entry."""
 
     def get(self, instance: str) -> InstanceView | None:
-        """Return one instance, silent or not."""
+        """Return one instance, whether responsive or not."""
 
     def all(self) -> list[InstanceView]:
-        """Return every known instance that is not forgotten."""
+        """Return every known instance."""
 
     def live(self) -> list[InstanceView]:
-        """Return instances that are neither silent, fenced nor draining."""
+        """Return instances that are responsive and neither fenced nor draining."""
 
     def mark_fenced(self, instance: str, incarnation: str) -> None:
         """Record that an incarnation was fenced in the table."""
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> None:
-        """Record the counter that is committed in the table, to be acknowledged to the agent."""
+        """Record the counter committed in the table, to be acknowledged to the agent."""
 
 
 class Links(Protocol):
     """The entry's sockets."""
 
     def on(self, kind: type[AnyMessage], handler: Callable[[Any], None]) -> None:
-        """Call ``handler`` with each received message of ``kind``; handlers never block."""
+        """Call ``handler`` with each received message of ``kind``; handlers must not block."""
 
     async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
-        """Send to an instance; ``False`` means proven not sent."""
+        """Send to an instance; ``False`` guarantees that nothing was sent."""
 
     async def send_peer(self, entry: str, message: AnyMessage) -> bool:
-        """Send to another entry's control lane; ``False`` means proven not sent."""
+        """Send to a peer's control channel; ``False`` guarantees that nothing was sent."""
 
     def set_peers(self, peers: dict[str, str]) -> None:
-        """Set the live peers, as entry id to ``host:port`` of its control lane."""
+        """Set the live peers, as entry id to ``host:port`` of its control channel."""
 
 
 class Head(TypedDict):
-    """Fields that every message carries."""
+    """Header fields of every message."""
 
     sender: str
     incarnation: str
@@ -101,13 +100,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Stamp:
-    """Who this process is, as every message it sends says."""
+    """Identity of this process as the sender of messages."""
 
     sender: str
     incarnation: str
 
     def head(self, config_version: int) -> Head:
-        """Return the head of a message from a process that decides by this configuration."""
+        """Return message header fields for a process that uses this configuration version."""
         return {
             "sender": self.sender,
             "incarnation": self.incarnation,
@@ -116,33 +115,33 @@
 
 
 class JobService(Protocol):
-    """Durable jobs, as the caller API and the operator API see them."""
+    """Durable jobs, as used by the caller API and the operator API."""
 
     async def submit(self, spec: JobSpec, rule: str) -> Result[Job, Failure]:
-        """Commit a new row; a repeat of the same key and content joins the existing job.
+        """Commit a new job; a repeat of the same key and content returns the existing job.
 
-        ``KEY_REUSED`` where the content differs, ``IMPOSSIBLE`` where no instance could ever hold
-        it, ``STORE_UNAVAILABLE`` (proven not accepted), ``STORE_AMBIGUOUS`` (may be accepted).
+        Fails with ``KEY_REUSED`` if the content differs, ``IMPOSSIBLE`` if no instance is large
+        enough, ``STORE_UNAVAILABLE`` (not accepted) or ``STORE_AMBIGUOUS`` (may be accepted).
         """
 
     async def get(self, key: str, wait_s: float) -> Result[Job | None, Failure]:
         """Read a job, waiting up to ``wait_s`` seconds for its end."""
 
     async def cancel(self, key: str) -> Result[Job, Failure]:
-        """Ask for a job's cancellation and return it as it then is."""
+        """Request a job's cancellation and return the job after the request."""
 
     async def list_jobs(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
         """List open or ended jobs by key."""
 
     def events(self, key: str) -> AsyncIterator[WatchEvent]:
-        """Yield events of a watch until it ends; ends with the job."""
+        """Yield events of a watch until its job ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class AuditRecord:
-    """One accepted change.
+    """Audit record of one accepted configuration change.
 
-    :ivar changes: what it changed, one line each.
+    :ivar changes: descriptions of the changes, one line each.
     """
 
     version: int
@@ -155,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberVersion:
-    """Which configuration version a live process decides by."""
+    """The configuration version that a live process uses."""
 
     process: str
     role: str
@@ -164,25 +163,25 @@
 
 
 class ConfigService(Protocol):
-    """The configuration in force at this entry."""
+    """The current configuration of this entry."""
 
     @property
     def current(self) -> Config:
         """The highest version seen."""
 
     def observe(self, version: int, document: Any) -> None:
-        """Take a version received from a peer or agent if it is higher."""
+        """Adopt a version received from a peer or agent if it is higher."""
 
     def on_change(self, listener: Callable[[Config], None]) -> None:
-        """Call ``listener`` with each higher version."""
+        """Call ``listener`` with each newly adopted version."""
 
     async def apply(
         self, raw: Any, base_version: int, author: str, reason: str
     ) -> Result[Config, Failure]:
-        """Commit a change together with its audit record; ``CONFIG_CONFLICT`` names the winner."""
+        """Commit a change and its audit record; ``CONFIG_CONFLICT`` names the current version."""
 
     async def history(self, after: int, limit: int) -> Result[list[AuditRecord], Failure]:
         """Read audit records, newest first."""
 
     def status(self) -> list[MemberVersion]:
-        """List live processes and the version each decides by."""
+        """List live processes and the version that each uses."""
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -1,17 +1,18 @@
-"""Brings claims and what really runs back together.
+"""Reconciles claims with what agents actually run.
 
-For each claim of this entry's shards, once a second:
+Periodically, for each claim in this entry's shards:
 
-- the holder's run is live: ask it for the claim's fate until it says that it runs, and again from
-  time to time; ask it to stop where cancellation was requested.
-- the instance is live under another run (the agent restarted): ask that run.  It took the worker
-  over, so the earlier run can start nothing any more; it answers ``running`` (the claim is moved to
-  it under the same epoch), with the task's end, or ``lost``.
-- the instance's present run is fenced in the table: the holder is lost.  Until then a silent
-  instance keeps its claims, because its tasks may well be running.
+- If the holder's incarnation is live, it is asked for the task's state until it confirms that the
+  task runs, and again when that confirmation expires.  If cancellation was requested, it is told to
+  stop the task.
+- If the instance is live under another incarnation (the agent restarted), that one is asked.  It
+  replies ``running`` (the claim is moved to it under the same epoch) or ``lost``, or reports the
+  task's end.
+- If the registered incarnation is fenced, the holder is lost.  Until then an unresponsive instance
+  keeps its claims, because its tasks may be running.
 
-A claim of an earlier run is never given up on the ground that the run was replaced: the run that
-replaced it may have adopted the task.
+A claim is never released merely because its incarnation was replaced: the new incarnation may have
+adopted the task.
 """
 
 import asyncio
@@ -39,7 +40,7 @@
 
 
 class Reconciler:
-    """Runs the rounds over the claims of one scheduler."""
+    """Periodically checks the claims of one scheduler."""
 
     _scheduler: Scheduler
     _starter: JobStarter
@@ -72,11 +73,11 @@
         links.on(FateAnswer, self._on_fate_answer)
 
     def start(self) -> None:
-        """Start the rounds."""
+        """Start the periodic checks."""
         self._task = asyncio.create_task(self._run(), name="reconcile")
 
     async def stop(self) -> None:
-        """Stop the rounds."""
+        """Stop the periodic checks."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -107,22 +108,24 @@
             await self._query(stored, view.incarnation)
 
     async def _registration(self, instance: str) -> Registration | None:
-        if now() - self._refreshed_at.get(instance, -REGISTRATION_REFRESH_S) >= REGISTRATION_REFRESH_S:
+        if (
+            now() - self._refreshed_at.get(instance, -REGISTRATION_REFRESH_S)
+            >= REGISTRATION_REFRESH_S
+        ):
             self._refreshed_at[instance] = now()
             return await self._leases.refresh(instance)
         return self._leases.registration(instance)
 
     async def _query(self, stored: StoredJob, incarnation: str) -> None:
-        """Ask the present run of the holder's agent to stop the task, or what became of it.
+        """Ask the agent's current incarnation to stop the task or to report its state.
 
-        The word of an earlier run counts for nothing here: it is the present one that has to say
-        that it has the task.
+        Confirmations by earlier incarnations do not count.
         """
         job = stored.job
         key, holder = job.spec.key, job.holder
         assert holder is not None
-        pause = RECONCILE_INTERVAL_S if job.cancel_requested else QUERY_INTERVAL_S
-        if now() - self._queried_at.get(key, -pause) < pause:
+        interval_s = RECONCILE_INTERVAL_S if job.cancel_requested else QUERY_INTERVAL_S
+        if now() - self._queried_at.get(key, -interval_s) < interval_s:
             return
         if job.cancel_requested:
             self._queried_at[key] = now()
@@ -130,8 +133,8 @@
         if self._is_confirmed(job, incarnation) and not job.cancel_requested:
             return
         if now() - self._scheduler.shards.since.get(key, 0.0) < RECONCILE_INTERVAL_S:
-            # The start that follows a claim is still on its way; asking now would overtake it and
-            # the tombstone that the question leaves would refuse it.
+            # The start may still be in transit. A query that overtakes it leaves a tombstone at
+            # the agent, which would then refuse the start.
             return
         self._queried_at[key] = now()
         fate = Fate(**self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation)
@@ -165,18 +168,20 @@
         self._moves.run_once("lose", job.spec.key, epoch, lose())
 
     def _on_fate_answer(self, answer: FateAnswer) -> None:
-        """Act on a fate; the ends of tasks come as messages of their own."""
+        """Handle a task's reported state; task ends arrive as separate messages."""
         if answer.fate == "running":
             self._moves.run_once("adopt", answer.key, answer.epoch, self._handle_running(answer))
         elif answer.fate == "never_started":
             reporter = Holder(answer.sender, answer.incarnation)
-            work = self._moves.release_unstarted(answer.key, answer.epoch, reporter, "never started")
+            work = self._moves.release_unstarted(
+                answer.key, answer.epoch, reporter, "never started"
+            )
             self._moves.run_once("release", answer.key, answer.epoch, work)
         elif answer.fate == "lost":
             self._moves.run_once("lose", answer.key, answer.epoch, self._handle_lost(answer))
 
     async def _handle_running(self, answer: FateAnswer) -> None:
-        """Confirm the claim, and move it to the run that answered if that is a newer one."""
+        """Confirm the claim, and move it to the replying incarnation if it has another holder."""
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is None:
             return
@@ -189,12 +194,12 @@
             )
             held = self._scheduler.shards.jobs.get(answer.key)
         if held is not None and held.job.holder == holder and held.job.epoch == answer.epoch:
-            # An adopted task is renewed by its new run only once the claim names that run.
+            # An agent renews an adopted task only after this confirmation of the claim.
             confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
             await self._links.send(answer.sender, Lane.CONTROL, confirmation)
 
     async def _handle_lost(self, answer: FateAnswer) -> None:
-        """Give the claim up: the present run of the instance does not know the task."""
+        """Release the claim: the instance's current incarnation does not know the task."""
 
         def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != answer.sender:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -1,13 +1,12 @@
 """Schedules the durable jobs of the shards that one entry owns.
 
-Each tick, and whenever a job is queued, the queued jobs are put in order
-(:mod:`sapphirelead.policy_order`), each is given an instance
-(:mod:`sapphirelead.policy_placement`) and handed to
-:class:`~sapphirelead.entry_start.JobStarter`.  Rules are asked anew each time, so that a change of
-configuration reaches jobs that already wait.
-
-What can go wrong after a claim is left to :class:`~sapphirelead.entry_reconcile.Reconciler`: a
-claim whose start was lost, a holder that is gone, a restarted agent.
+On each tick, and whenever a job is queued, the queued jobs are ordered
+(:mod:`sapphirelead.policy_order`), assigned to instances (:mod:`sapphirelead.policy_placement`) and
+passed to :class:`~sapphirelead.entry_start.JobStarter`.  Rules are evaluated each time, so
+configuration changes also apply to queued jobs.
+
+:class:`~sapphirelead.entry_reconcile.Reconciler` handles failures after a claim: lost starts, lost
+holders and restarted agents.
 """
 
 import asyncio
@@ -53,10 +52,10 @@
     """Orders and places the jobs of this entry's shards.
 
     :ivar shards: open jobs of the shards scheduled here.
-    :ivar usage: what teams use and have queued.
-    :ivar runs: which claims agents said they run.
-    :ivar situation: fills in what rules may look at for a job.
-    :ivar slowdown: learnt slowdown of a service by a job class on the same instance.
+    :ivar usage: resources in use and queued jobs by team.
+    :ivar runs: claims confirmed as running, and estimated run times.
+    :ivar situation: returns the inputs of rules for a job.
+    :ivar slowdown: estimated slowdown of a service by a job class on the same instance.
     """
 
     shards: ShardView
@@ -124,7 +123,7 @@
         ]
 
     async def stop(self) -> None:
-        """Offer nothing more; let claims in progress reach their start."""
+        """Stop offering jobs; claims in progress may finish their start."""
         for task in [*self._tasks, *self._background_tasks]:
             task.cancel()
         await asyncio.gather(*self._tasks, *self._background_tasks, return_exceptions=True)
@@ -133,11 +132,11 @@
     async def _dispatch_loop(self) -> None:
         while True:
             try:
-                # Not asyncio.wait_for: in this Python it can swallow a cancellation that arrives
-                # in the step in which the event is set, and the process would not stop.
+                # Not asyncio.wait_for: in Python 3.11 it can swallow a cancellation that arrives
+                # while the event is set, and the process would not stop.
                 async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
-                # Jobs of one burst are ordered against each other rather than by arrival.
+                # Collect the jobs of a burst so that they are ordered together.
                 await asyncio.sleep(BATCH_DELAY_S)
             except TimeoutError:
                 pass
@@ -151,7 +150,9 @@
             for shard in gained:
                 scanned.pop(shard, None)
             for shard in sorted(self.shards.owned):
-                if now() - scanned.get(shard, -SCAN_INTERVAL_S) >= SCAN_INTERVAL_S and await self._scan(shard):
+                if now() - scanned.get(
+                    shard, -SCAN_INTERVAL_S
+                ) >= SCAN_INTERVAL_S and await self._scan(shard):
                     scanned[shard] = now()
             await asyncio.sleep(TICK_INTERVAL_S)
 
@@ -165,7 +166,7 @@
         return True
 
     def _dispatch(self) -> None:
-        """Offer what can be offered now."""
+        """Offer queued jobs that can be placed now."""
         views = self._members.live()
         own = self.usage.own()
         self.usage.publish(own)
@@ -182,18 +183,18 @@
         admitted = [item for item in queued if decide(item.job.spec).then.action == "admit"]
         if not admitted:
             return
-        room = min(MAX_OFFERS_PER_TICK, MAX_OPEN_OFFERS - self._starter.in_progress)
+        limit = min(MAX_OFFERS_PER_TICK, MAX_OPEN_OFFERS - self._starter.in_progress)
         total = total_capacity(views)
         used = self.usage.across_entries(own)
-        for item in order(admitted, used, self._team_shares(), total, at, room):
+        for item in order(admitted, used, self._team_shares(), total, at, limit):
             self._offer(item, decide(item.job.spec), views, at)
 
     def _decider(self) -> Callable[[JobSpec], Decision]:
-        """Return the rules' decision for a job, made once a tick for jobs alike to rules."""
-        made: dict[tuple[str, str, str, bool, bool, int], Decision] = {}
+        """Return a function that decides by the rules and caches decisions for one tick."""
+        cache: dict[tuple[str, str, str, bool, bool, int], Decision] = {}
 
         def decide(spec: JobSpec) -> Decision:
-            alike = (
+            cache_key = (
                 spec.kind.value,
                 spec.job_class,
                 spec.team,
@@ -201,9 +202,9 @@
                 spec.idempotent,
                 spec.deadline_ms,
             )
-            decision = made.get(alike)
+            decision = cache.get(cache_key)
             if decision is None:
-                decision = made[alike] = self._rules.decide(self.situation(spec))
+                decision = cache[cache_key] = self._rules.decide(self.situation(spec))
             return decision
 
         return decide
@@ -234,7 +235,7 @@
         self._starter.begin(stored, view, item.urgent, decision.rule)
 
     def _set_aside_if_impossible(self, stored: StoredJob, since: float, at: float) -> None:
-        """Give up on a job that no known instance, even empty, would hold for some time."""
+        """Set a job aside if it has waited long and no known instance is large enough for it."""
         known = self._members.all()
         spec = stored.job.spec
         if at - since < IMPOSSIBLE_AFTER_S or could_ever_run(spec.resources, known):
@@ -242,10 +243,10 @@
         self._moves.run_once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
 
     async def _set_aside(self, stored: StoredJob) -> None:
-        stepped = stored.job.set_aside("no instance is large enough")
-        if isinstance(stepped, Err):
+        updated = stored.job.set_aside("no instance is large enough")
+        if isinstance(updated, Err):
             return
-        moved = await self._rows.move(stored, stepped.ok_value)
+        moved = await self._rows.move(stored, updated.ok_value)
         if isinstance(moved, Ok):
             self._board.committed(moved.ok_value)
 
@@ -254,7 +255,7 @@
         self._wake.set()
 
     def _on_move(self, stored: StoredJob) -> None:
-        """Take a move committed by this entry, or tell the entry that schedules the shard."""
+        """Apply a committed transition, or notify the entry that schedules the shard."""
         key = stored.job.spec.key
         if self.shards.owns(key):
             self.shards.put(stored, now())
--- a/sapphirelead/entry_shards.py
+++ b/sapphirelead/entry_shards.py
@@ -1,8 +1,8 @@
-"""Which shards an entry schedules, and what it knows of their jobs.
+"""Tracks which shards an entry schedules, and their open jobs.
 
-Rendezvous hashing over the region's live entries says who schedules a shard.  That ownership is a
-hint that saves conflicts: two entries that both believe they own a shard, while one of them has not
-heard of the other yet, are kept apart by the conditions on every row they write.
+Shards are assigned by rendezvous hashing over the region's live entries.  Ownership only reduces
+conflicts: two entries may both consider themselves owner until they know of each other, and the
+conditions on every row write keep that safe.
 """
 
 from collections import Counter
@@ -15,9 +15,9 @@
 
 
 def owner_of(shard: int, entries: Iterable[str]) -> str:
-    """Return the entry that schedules ``shard``: the highest hash of the pair wins.
+    """Return the entry that schedules ``shard``, the one with the highest hash of the pair.
 
-    A change of one entry moves only the shards it had or takes.
+    Adding or removing an entry reassigns only that entry's shards.
 
     >>> owner_of(3, ["a", "b"]) == owner_of(3, ["b", "a"])
     True
@@ -28,11 +28,11 @@
 
 
 class ShardView:
-    """Open jobs of the shards that this entry schedules, as last read or published.
+    """Open jobs of the shards that this entry schedules, as last read or committed.
 
     :ivar owned: shards scheduled here.
     :ivar jobs: open jobs by key.
-    :ivar since: loop time at which each job was first seen in its present state.
+    :ivar since: loop time at which each job was first seen in its current state.
     """
 
     owned: frozenset[int]
@@ -57,7 +57,7 @@
         return {team for team, count in self._queued.items() if count}
 
     def set_live(self, own: str, live: Iterable[str]) -> frozenset[int]:
-        """Recompute ownership; forget jobs of shards that moved away; return new shards."""
+        """Recompute ownership; drop jobs of shards no longer owned; return the shards gained."""
         entries = {own, *live}
         owned = frozenset(shard for shard in range(self._shards) if owner_of(shard, entries) == own)
         gained = owned - self.owned
@@ -72,7 +72,7 @@
         return shard_of(key, self._shards) in self.owned
 
     def put(self, stored: StoredJob, at: float) -> None:
-        """Take a job as read or published, unless a newer version is known."""
+        """Store a job unless a newer version is known; remove it if it ended."""
         key = stored.job.spec.key
         if not self.owns(key):
             return
@@ -89,9 +89,9 @@
         self.jobs[key] = stored
 
     def replace_shard(self, shard: int, found: list[StoredJob], started_at: float) -> None:
-        """Take a whole scan of a shard; jobs that it no longer shows are forgotten.
+        """Apply a full scan of a shard; jobs missing from it are dropped.
 
-        Jobs first seen after the scan started may have been created behind its cursor and stay.
+        Jobs first seen after the scan started are kept: the scan may have passed their position.
         """
         seen = {stored.job.spec.key for stored in found}
         for key in list(self.jobs):
--- a/sapphirelead/entry_situation.py
+++ b/sapphirelead/entry_situation.py
@@ -1,11 +1,11 @@
-"""What rules may look at beyond the request itself: load, health, slowdown, state of the store.
+"""Provides the inputs of rules other than the request: load, health, slowdown, state of the store.
 
-The sums over instances are made at most a few times a second, so that a decision costs the same
-however many instances there are.
+Sums over instances are cached for a short time, so the cost of a decision does not depend on the
+number of instances.
 
-Slowdown of a service on an instance is its reported median latency over the lowest that was seen
-there; that floor rises slowly, so that a service which became slower for good is not called
-disturbed for ever.  The service's slowdown is the mean over recent reports, weighed by requests.
+The slowdown of a service on an instance is its reported median latency divided by a baseline, the
+lowest median seen there.  The baseline drifts upwards, so it adapts to a service that became
+permanently slower.  A service's slowdown is an exponential moving average over reports.
 """
 
 from collections.abc import Callable
@@ -25,20 +25,20 @@
 
 
 class SituationMembers(Protocol):
-    """What is asked of membership."""
+    """The part of membership that the situation uses."""
 
     def all(self) -> list[InstanceView]:
         """Return every known instance."""
 
     def live(self) -> list[InstanceView]:
-        """Return the instances that may be used."""
+        """Return the instances available for placement."""
 
     def on_view(self, listener: Callable[[InstanceView, bool], None]) -> None:
-        """Call ``listener(view, live)`` with every new view."""
+        """Call ``listener(view, live)`` on every new view."""
 
 
 class SlowdownEstimate:
-    """How much slower services are than without batch beside them."""
+    """Estimated slowdown of each service relative to its baseline latency."""
 
     _baselines: dict[tuple[str, str], float]
     _slowdowns: dict[str, float]
@@ -50,32 +50,35 @@
         self._last_heartbeats = {}
 
     def observe(self, view: InstanceView) -> None:
-        """Take an instance's report, once."""
-        beat = (view.incarnation, view.counter)
-        if self._last_heartbeats.get(view.id) == beat:
+        """Apply an instance's report, once for each heartbeat."""
+        heartbeat = (view.incarnation, view.counter)
+        if self._last_heartbeats.get(view.id) == heartbeat:
             return
-        self._last_heartbeats[view.id] = beat
+        self._last_heartbeats[view.id] = heartbeat
         for sample in view.latency:
             if sample.count >= MIN_REQUESTS and sample.p50_ms > 0:
                 self._add(view.id, sample)
 
     def of(self, service: str) -> float:
-        """Return a service's slowdown; 1.0 where nothing is known."""
+        """Return a service's slowdown factor; 1.0 if unknown."""
         return self._slowdowns.get(service, 1.0)
 
     def _add(self, instance: str, sample: ServiceSample) -> None:
         key = (instance, sample.service)
-        floor = min(sample.p50_ms, self._baselines.get(key, sample.p50_ms) * BASELINE_DRIFT_FACTOR)
-        self._baselines[key] = floor
+        baseline = min(
+            sample.p50_ms, self._baselines.get(key, sample.p50_ms) * BASELINE_DRIFT_FACTOR
+        )
+        self._baselines[key] = baseline
         held = self._slowdowns.get(sample.service, 1.0)
-        self._slowdowns[sample.service] = held + REPORT_WEIGHT * (sample.p50_ms / floor - held)
+        self._slowdowns[sample.service] = held + REPORT_WEIGHT * (sample.p50_ms / baseline - held)
 
 
 @dataclass(frozen=True, slots=True)
 class BatchState:
-    """The instances together, as far as batch is concerned.
+    """Aggregate state of the instances for batch.
 
-    :ivar load: used share of the capacity for batch, of the scarcest resource.
+    :ivar load: used share of the scarcest resource, from 0 to 1.
+    :ivar healthy_share: live instances as a share of the known ones.
     """
 
     load: float
@@ -83,9 +86,9 @@
 
 
 class EntrySituation:
-    """Fills in the situation of jobs.
+    """Provides the inputs of rules for jobs.
 
-    :ivar slowdown: estimate for each service.
+    :ivar slowdown: slowdown estimate by service.
     """
 
     slowdown: SlowdownEstimate
@@ -113,7 +116,7 @@
         members.on_view(lambda view, _live: self.slowdown.observe(view))
 
     def of_job(self, spec: JobSpec) -> Situation:
-        """Return the situation in which a job is submitted."""
+        """Return the inputs of rules for a job."""
         state = self._batch_state(now())
         return Situation(
             kind=spec.kind.value,
@@ -137,13 +140,13 @@
 
 
 def sum_batch(live: list[InstanceView], known: int) -> BatchState:
-    """Sum the live instances."""
+    """Aggregate the live instances, out of ``known`` instances."""
     healthy = len(live) / known if known else 0.0
     pairs = [
         (sum(view.free.cpu_millicores for view in live), _sum_cpu(live)),
         (sum(view.free.memory_mb for view in live), _sum_memory(live)),
     ]
-    loads = [1.0 - free / whole for free, whole in pairs if whole > 0]
+    loads = [1.0 - free / capacity for free, capacity in pairs if capacity > 0]
     return BatchState(min(1.0, max(0.0, *loads)) if loads else 1.0, healthy)
 
 
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -1,9 +1,9 @@
-"""Gives one job to one instance: offer, claim, start.
+"""Starts a job on an instance: offer, claim, start.
 
-The offer makes the agent reserve room, so that a claim is rarely refused after its write.  The
-claim is committed under the conditions that the job's row is as it was read and that the agent's
-run is registered and not fenced; only then is the agent told to start.  A start that could not be
-handed to a connection is taken back under that proof.
+An offer makes the agent reserve capacity, so that a claim is rarely refused after its commit.  The
+claim is committed on condition that the job's row is unchanged and that the agent's incarnation is
+registered and not fenced; only then is the agent told to start.  If the start message was
+definitely not sent, the claim is released.
 """
 
 import asyncio
@@ -31,9 +31,9 @@
 
 
 class JobStarter:
-    """Offers, claims and starts; keeps what this entry has offered to each instance.
+    """Offers, claims and starts jobs, and tracks this entry's offers to each instance.
 
-    :ivar records: what is remembered of each instance between its reports.
+    :ivar records: offers and failures of each instance since its last report.
     """
 
     records: dict[str, InstanceRecord]
@@ -81,7 +81,7 @@
         return key in self._placing
 
     def begin(self, stored: StoredJob, view: InstanceView, urgent: bool, rule: str) -> None:
-        """Offer, claim and start a job beside the caller."""
+        """Offer, claim and start a job in a background task."""
         key = stored.job.spec.key
         work = self._place(stored, view, urgent, rule)
         task = asyncio.create_task(work, name=f"place:{key}")
@@ -89,7 +89,7 @@
         task.add_done_callback(lambda _: self._placing.pop(key, None))
 
     async def stop(self) -> None:
-        """Let claims in progress reach their start."""
+        """Wait a limited time for claims in progress, then cancel them."""
         placing = list(self._placing.values())
         if placing:
             _, late = await asyncio.wait(placing, timeout=2 * OFFER_TIMEOUT_S)
@@ -97,18 +97,18 @@
                 task.cancel()
 
     def drop_reported_offers(self, views: Iterable[InstanceView]) -> None:
-        """Drop offers that the instance's newest report already counts."""
+        """Drop closed offers of each instance with a new report, which already includes them."""
         for view in views:
             record = self.records.setdefault(view.id, InstanceRecord())
             if view.counter == record.beat:
                 continue
             record.beat = view.counter
             if record.offered:
-                still = self._offers.keys()
-                record.offered = {k: v for k, v in record.offered.items() if k in still}
+                open_ids = self._offers.keys()
+                record.offered = {k: v for k, v in record.offered.items() if k in open_ids}
 
     def head(self) -> Head:
-        """Return the head of a message from this entry."""
+        """Return the header fields of a message from this entry."""
         return self._stamp.head(self._config.current.version)
 
     def start_message(self, offer_id: str, job: Job) -> Start:
@@ -144,7 +144,7 @@
         log_event("INFO", "job_placed", job=spec.key, epoch=epoch, instance=view.id, rule=rule)
         start = self.start_message(offer_id, claimed.job)
         if not await self._links.send(view.id, Lane.CONTROL, start):
-            # The start was never handed to a connection, so the task cannot have been started.
+            # The start message was not sent, so the task cannot have started.
             reporter = Holder(view.id, view.incarnation)
             await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
 
@@ -173,15 +173,15 @@
             del self._offers[offer_id]
 
     async def _claim(self, stored: StoredJob, view: InstanceView) -> StoredJob | None:
-        """Commit the claim; ``None`` where someone else moved the job or fenced the instance."""
+        """Commit the claim; ``None`` if the job changed or the instance is not registered."""
         guard = self._leases.guard(view.id, view.incarnation)
         if guard is None:
             await self._leases.refresh(view.id)
             guard = self._leases.guard(view.id, view.incarnation)
-        stepped = stored.job.claim(Holder(view.id, view.incarnation))
-        if guard is None or isinstance(stepped, Err):
+        updated = stored.job.claim(Holder(view.id, view.incarnation))
+        if guard is None or isinstance(updated, Err):
             return None
-        moved = await self._rows.move(stored, stepped.ok_value, (guard,))
+        moved = await self._rows.move(stored, updated.ok_value, (guard,))
         if isinstance(moved, Ok):
             self._board.committed(moved.ok_value)
             return moved.ok_value
@@ -199,7 +199,7 @@
     def _on_refused(self, message: Refused) -> None:
         self._resolve_offer(message.offer_id, False)
         if message.epoch == 0 or message.offer_id == ADOPTION_OFFER_ID:
-            # A refused confirmation of an adopted task says nothing of whether it ever ran.
+            # A refused confirmation of an adopted task does not show that the task never ran.
             return
         reporter = Holder(message.sender, message.incarnation)
         work = self._moves.release_unstarted(message.key, message.epoch, reporter, message.reason)
@@ -211,7 +211,7 @@
             fut.set_result(accepted)
 
     def _on_completed(self, message: Completed) -> None:
-        """Remember which instances fail what they start."""
+        """Count consecutive failures of each instance."""
         record = self.records.setdefault(message.sender, InstanceRecord())
         if message.ok:
             record.failures = 0
--- a/sapphirelead/entry_table.py
+++ b/sapphirelead/entry_table.py
@@ -1,19 +1,19 @@
-"""An entry's one way to the platform's table: group commit, settling and budget.
+"""An entry's access to the platform's table: group commit, settling and rate limits.
 
-Writers hand in *units*: a few row changes that belong together, each conditioned on the version at
-which its row was read, plus guards on rows that are not written.  Units that arrive while a
-transaction is in flight, or while the write budget is used up, go together in the next one.  A
-transaction that meets a conflict drops the units in conflict and tries the rest again at once.
+Writers submit *units*: related row changes, each conditioned on the version at which its row was
+read, plus guards on rows that are not written.  Units that arrive while a transaction is in flight,
+or while the write budget is exhausted, are combined in the next transaction.  After a conflict the
+conflicting units are dropped and the others are retried at once.
 
 Invariants:
 
 - Every write is conditioned on the version of the row it replaces.
-- A transaction whose answer was lost is settled before the next one goes.  Each written row carries
-  the ids of its last operations.  Reading back either shows ours (it took effect), or shows the
-  rows unchanged (it is submitted again under the same conditions: if the lost one lands in between,
-  the conditions of the second fail, and the next read shows ours), or shows rows changed by others
-  (it can no longer take effect).
-- While the table is believed down, units are refused at once and proven not applied.
+- A transaction whose response was lost is settled before the next is sent.  Each written row holds
+  the ids of its last operations, and reading back shows one of: our id (the transaction was
+  applied); unchanged rows (it is submitted again under the same conditions; if the first submission
+  is applied meanwhile, the second fails and the next read shows our id); or rows changed by others
+  (it can no longer be applied).
+- While the table is considered down, units are rejected at once, guaranteed not applied.
 """
 
 import asyncio
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Replace ``row`` (as it was read) with ``value``, or delete it where that is ``None``."""
+    """Replaces ``row`` (as it was read) with ``value``, or deletes it if that is ``None``."""
 
     row: Row
     value: dict[str, Any] | None
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unit:
-    """Changes that take effect together, if every guard still holds."""
+    """Changes that are applied atomically if every guard holds."""
 
     changes: tuple[Change, ...]
     guards: tuple[Condition, ...] = ()
@@ -77,7 +77,7 @@
 
 
 def stamp_op(change: Change, op_id: str) -> Write:
-    """Return the write of ``change``, with ``op_id`` before the ids the row already carries."""
+    """Return the write of ``change``, with ``op_id`` prepended to the row's operation ids."""
     if change.value is None:
         return Write(change.row.key, None)
     prior = (change.row.value or {}).get(OPS_FIELD, [])
@@ -87,8 +87,8 @@
 def pick_batch(pending: list[_Pending]) -> tuple[list[_Pending], list[_Pending]]:
     """Split ``pending`` into a batch that writes no row twice, and the rest in order.
 
-    A guard on a row that the same batch writes would still hold, because conditions are checked
-    before any write; but the unit that guards means the row to stay as it is, so it waits.
+    A unit that guards a row is not batched with one that writes it: conditions are checked before
+    any write, so the guard would not detect that change.
     """
     batch: list[_Pending] = []
     rest: list[_Pending] = []
@@ -97,12 +97,12 @@
     for item in pending:
         writes = {change.row.key for change in item.unit.changes}
         guards = {guard.key: guard.version for guard in item.unit.guards}
-        clash = (
+        conflict = (
             not writes.isdisjoint(written | guarded.keys())
             or not written.isdisjoint(guards)
             or any(guarded.get(key, version) != version for key, version in guards.items())
         )
-        if clash or len(batch) >= MAX_BATCH_UNITS:
+        if conflict or len(batch) >= MAX_BATCH_UNITS:
             rest.append(item)
             continue
         batch.append(item)
@@ -112,7 +112,11 @@
 
 
 class EntryTable:
-    """Group commit and batched reads under one budget."""
+    """Group commit and batched reads under a rate limit.
+
+    :ivar writes: transactions sent.
+    :ivar reads: read requests sent.
+    """
 
     writes: int
     reads: int
@@ -143,26 +147,26 @@
 
     @classmethod
     def from_settings(cls, settings: PlatformSettings, table: Table) -> "EntryTable":
-        """Make the table of one entry; call :meth:`start` inside the running loop."""
+        """Return the table of one entry; call :meth:`start` inside the running loop."""
         return cls(table, settings)
 
     @property
     def up(self) -> bool:
-        """Whether the last calls were answered."""
+        """Whether the table is considered reachable."""
         return self._failures < DOWN_AFTER_FAILURES
 
     def share_budget(self, live_entries: int) -> None:
-        """Take this entry's part of the deployment's budget."""
+        """Set the rate limits to this entry's share of the deployment's budget."""
         parts = max(1, live_entries)
         self._write_bucket.set_rate(self._settings.writes_per_second / parts)
         self._read_bucket.set_rate(self._settings.reads_per_second / parts)
 
     def start(self) -> None:
-        """Start committing."""
+        """Start the commit task."""
         self._task = asyncio.create_task(self._run(), name="table-commit")
 
     async def stop(self) -> None:
-        """Commit what is pending for a moment, then refuse the rest."""
+        """Stop the commit task and reject pending units."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -170,7 +174,7 @@
             _resolve(item, _rejected("stopping"))
 
     async def commit(self, unit: Unit) -> Commit:
-        """Commit ``unit`` with others; see :class:`Commit` for how it can end."""
+        """Commit ``unit`` in a batch; see :class:`Commit` for the outcomes."""
         if not self.up:
             return _rejected("table is down")
         item = _Pending(unit)
@@ -178,20 +182,19 @@
         return await self._await_commit(item)
 
     async def commit_first(self, unit: Unit) -> Commit:
-        """Commit ``unit`` before others, and even while the table is believed down.
+        """Commit ``unit`` ahead of others, and even while the table is considered down.
 
-        Lease rounds use this; their success ends that belief.
+        Used by lease rounds, whose success marks the table as up again.
         """
         item = _Pending(unit)
         self._pending.insert(0, item)
         return await self._await_commit(item)
 
     async def _await_commit(self, item: _Pending) -> Commit:
-        """Wait for the end of a unit, within bounds.
+        """Wait for a unit's commit, with a timeout in case the table does not respond.
 
-        A table that takes requests and never answers would otherwise hold every caller: the unit
-        in flight is then ambiguous for its writer while settling goes on behind, and one that was
-        never sent is taken back and proven not applied.
+        On timeout a unit in flight is reported as ambiguous, while settling continues in the
+        background; one that was not sent is withdrawn and reported as rejected.
         """
         self._wake.set()
         limit_s = TIMEOUT_FACTOR * self._settings.timeout_seconds
@@ -204,7 +207,7 @@
         return Commit(CommitStatus.AMBIGUOUS, detail="the table does not answer")
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
-        """Read rows now, under the read budget."""
+        """Read rows, subject to the read rate limit."""
         await take(self._read_bucket)
         self.reads += 1
         found = await self._table.rows(keys)
@@ -212,7 +215,7 @@
         return found
 
     async def row(self, key: str) -> Result[Row, Failure]:
-        """Read one row; concurrent reads of a key are one, and reads of a moment go together."""
+        """Read one row; concurrent reads are batched, and those of one key are merged."""
         fut = self._pending_reads.get(key)
         if fut is None:
             fut = asyncio.get_running_loop().create_future()
@@ -246,8 +249,8 @@
         await asyncio.sleep(0)
         while self._pending_reads:
             batch = dict(list(self._pending_reads.items())[:MAX_READ_BATCH])
-            # Keys leave the map before the call: a reader that comes while it runs must not be
-            # answered with a value from before it asked.
+            # Remove the keys before the call: a later reader must not get a value that was read
+            # before its request.
             for key in batch:
                 del self._pending_reads[key]
             found = await self.rows(list(batch))
@@ -258,7 +261,7 @@
             await self._wake.wait()
             self._wake.clear()
             while self._pending:
-                await take(self._write_bucket)  # what arrives while this waits joins the batch
+                await take(self._write_bucket)  # units that arrive meanwhile join the batch
                 batch, self._pending = pick_batch(self._pending)
                 await self._commit_batch(batch)
 
@@ -268,26 +271,26 @@
             if commit.status is not CommitStatus.CONFLICT:
                 _resolve_all(batch, commit)
                 return
-            lost = [item for item in batch if _touches(item.unit, commit.conflicts)]
-            if not lost:
+            conflicting = [item for item in batch if _touches(item.unit, commit.conflicts)]
+            if not conflicting:
                 _resolve_all(batch, commit)
                 return
-            _resolve_all(lost, commit)
-            batch = [item for item in batch if item not in lost]
+            _resolve_all(conflicting, commit)
+            batch = [item for item in batch if item not in conflicting]
 
     async def _commit_settled(self, batch: list[_Pending]) -> Commit:
-        """Commit one transaction; an ambiguous end is resolved by reading back."""
+        """Commit one transaction; an ambiguous outcome is resolved by reading back."""
         op_id = secrets.token_hex(8)
         txn = _make_txn(batch, op_id)
-        may_have_landed = False
+        may_be_applied = False
         while True:
             self.writes += 1
             commit = await self._table.commit(txn)
             self._record_reply(commit.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT))
-            may_have_landed = may_have_landed or commit.status is CommitStatus.AMBIGUOUS
-            # Once an answer was lost, a later conflict or refusal proves nothing: it may be our
-            # own first submission that made the condition fail.
-            if commit.status is CommitStatus.COMMITTED or not may_have_landed:
+            may_be_applied = may_be_applied or commit.status is CommitStatus.AMBIGUOUS
+            # Once a response was lost, a later conflict or rejection is inconclusive: the first
+            # submission may have been applied and caused it.
+            if commit.status is CommitStatus.COMMITTED or not may_be_applied:
                 return commit
             settled = await self._settle(txn)
             if settled.status is not CommitStatus.AMBIGUOUS:
@@ -295,19 +298,19 @@
                 return settled
 
     async def _settle(self, txn: Txn) -> Commit:
-        """Read back until the table answers; AMBIGUOUS means to submit again."""
-        pause = SETTLE_RETRY_DELAY_S
+        """Read back until the table responds; AMBIGUOUS means to submit again."""
+        delay_s = SETTLE_RETRY_DELAY_S
         keys = [condition.key for condition in txn.conditions]
         while True:
             found = await self.rows(keys)
             if isinstance(found, Ok):
                 return resolve_read_back(txn, found.ok_value)
             self._refuse_pending()
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, MAX_SETTLE_RETRY_DELAY_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(delay_s * 2, MAX_SETTLE_RETRY_DELAY_S)
 
     def _refuse_pending(self) -> None:
-        """Refuse what waits behind a transaction that cannot be settled: it was never sent."""
+        """Reject unsent units that wait behind a transaction that cannot be settled yet."""
         waiting, self._pending = self._pending, []
         _resolve_all(waiting, _rejected("table is down"))
 
@@ -319,10 +322,9 @@
 
 
 def resolve_read_back(txn: Txn, rows: list[Row]) -> Commit:
-    """Say how a transaction whose answer was lost ended, from its rows as they are now.
+    """Return the outcome of a transaction whose response was lost, from its current rows.
 
-    A delete leaves no row to carry the operation id, so a unit that deletes always writes another
-    row as well.
+    A deleted row holds no operation id, so a unit that deletes must also write another row.
     """
     by_key = {row.key: row for row in rows}
     for write in txn.writes:
@@ -379,7 +381,7 @@
 
 
 def commit_failure(commit: Commit) -> Failure:
-    """Return the failure that a caller is told for a commit that did not succeed."""
+    """Return the failure reported to a caller for an unsuccessful commit."""
     if commit.status is CommitStatus.CONFLICT:
         return Failure(Code.STORE_CONFLICT, f"changed by another: {', '.join(commit.conflicts)}")
     if commit.status is CommitStatus.REJECTED:
--- a/sapphirelead/entry_usage.py
+++ b/sapphirelead/entry_usage.py
@@ -1,7 +1,7 @@
-"""What each team uses and has queued, over all entries of the region.
+"""Resource usage and queued jobs by team, over all entries of the region.
 
-An entry counts the jobs of its own shards itself and publishes the sums in its record of the lease
-row; of the other entries it knows what they published last, at most some lease rounds ago.
+An entry counts the jobs of its own shards and publishes the sums in its record of the lease row.
+For other entries it uses what they last published, which may be some lease rounds old.
 """
 
 from sapphirelead.entry_lease import LeaseManager
@@ -14,7 +14,7 @@
 
 
 class TeamUsage:
-    """Use and queued jobs by team."""
+    """Resource usage and queued jobs by team."""
 
     _stamp: Stamp
     _shards: ShardView
@@ -30,13 +30,13 @@
         self._leases = leases
 
     def queued_of(self, team: str) -> int:
-        """Return a team's queued jobs: own shards now, others as last published."""
+        """Return a team's queued jobs: own shards as known now, others as last published."""
         others = (rec.usage.get(team) for rec in self._others())
         published = sum(amounts[3] for amounts in others if amounts is not None)
         return self._shards.queued_of(team) + published
 
     def own(self) -> dict[str, Resources]:
-        """Return what each team's claimed or offered jobs of the own shards hold."""
+        """Return resources held by claimed or offered jobs of the own shards, by team."""
         used: dict[str, Resources] = {}
         for key, stored in self._shards.jobs.items():
             if stored.job.state is JobState.CLAIMED or self._starter.is_placing(key):
@@ -45,7 +45,7 @@
         return used
 
     def publish(self, own: dict[str, Resources]) -> None:
-        """Hand on what other entries need of this one's jobs: use and queued jobs by team."""
+        """Publish resource usage and queued jobs of the own shards to other entries."""
         published: dict[str, list[int]] = {}
         for team in own.keys() | self._shards.teams_queued():
             held = own.get(team, NOTHING)
@@ -54,7 +54,7 @@
         self._leases.usage = published
 
     def across_entries(self, own: dict[str, Resources]) -> dict[str, Resources]:
-        """Return what each team holds everywhere: own shards now, others as last published."""
+        """Return resources held by team: own shards from ``own``, others as last published."""
         used = dict(own)
         for record in self._others():
             for team, amounts in record.usage.items():
--- a/sapphirelead/entry_watch.py
+++ b/sapphirelead/entry_watch.py
@@ -1,8 +1,8 @@
-"""Events of running watches, on their way from agents to callers.
+"""Buffers events of running watches between agents and callers.
 
-Events are numbered within an epoch.  An entry keeps a bounded tail for each watch; a reader that
-comes late gets the tail, a reader that is slow misses the oldest, and neither holds the watch up.
-An event that arrives twice (an agent resends after a reconnect) is handed on once.
+Events are numbered within an epoch.  An entry keeps a bounded tail for each watch: late readers get
+the tail, and slow readers miss the oldest events without delaying the watch.  Duplicates, which
+agents send after a reconnect, are dropped.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class WatchTail:
-    """The last events of one watch."""
+    """The latest events of one watch."""
 
     events: deque[WatchEvent]
     changed: asyncio.Event
@@ -26,19 +26,19 @@
         self.changed = asyncio.Event()
 
     def add(self, event: WatchEvent) -> None:
-        """Keep ``event`` if it is newer than all before it."""
+        """Append ``event`` if it is newer than the last one."""
         if self.events and event_position(event) <= event_position(self.events[-1]):
             return
         self.events.append(event)
         self.changed.set()
 
-    def after(self, mark: tuple[int, int]) -> list[WatchEvent]:
-        """Return the events newer than ``mark``."""
-        return [event for event in self.events if event_position(event) > mark]
+    def after(self, position: tuple[int, int]) -> list[WatchEvent]:
+        """Return the events after ``position``."""
+        return [event for event in self.events if event_position(event) > position]
 
 
 class WatchTails:
-    """Tails of the watches whose events reach this entry, the longest unused dropped first."""
+    """Tails of the watches whose events reach this entry, evicted least recently used first."""
 
     _tails: "OrderedDict[str, WatchTail]"
 
@@ -46,11 +46,11 @@
         self._tails = OrderedDict()
 
     def add(self, event: WatchEvent) -> None:
-        """Keep an event."""
+        """Append an event to the tail of its watch."""
         self.tail(event.key).add(event)
 
     def tail(self, key: str) -> WatchTail:
-        """Return the tail of a watch, empty if nothing has arrived yet."""
+        """Return the tail of a watch, which is empty if no event has arrived."""
         tail = self._tails.setdefault(key, WatchTail())
         self._tails.move_to_end(key)
         if len(self._tails) > MAX_TAILS:
@@ -59,5 +59,5 @@
 
 
 def event_position(event: WatchEvent) -> tuple[int, int]:
-    """Return the position of an event, which grows over a watch's whole life."""
+    """Return the position of an event, which increases over the lifetime of its watch."""
     return (event.epoch, event.number)
