--- a/sapphirelead/entry_claim_runs.py
+++ b/sapphirelead/entry_claim_runs.py
@@ -40,18 +40,18 @@
 
     def confirm(self, key: str, epoch: int, incarnation: str) -> None:
         """Record that an agent's incarnation reports the claim as running."""
-        held = self._confirmed.get(key)
-        started_at = held.started_at if held is not None and held.epoch == epoch else now()
+        known = self._confirmed.get(key)
+        started_at = known.started_at if known is not None and known.epoch == epoch else now()
         self._confirmed[key] = _Confirmation(epoch, incarnation, started_at, now())
 
     def confirmed_at(self, key: str, epoch: int, incarnation: str) -> float | None:
         """Return when the incarnation last confirmed the claim, or ``None``."""
-        held = self._confirmed.get(key)
-        if held is None or (held.epoch, held.incarnation) != (epoch, incarnation):
+        known = self._confirmed.get(key)
+        if known is None or (known.epoch, known.incarnation) != (epoch, incarnation):
             return None
-        return held.at
+        return known.at
 
-    def moved(self, job: Job) -> None:
+    def on_transition(self, job: Job) -> None:
         """Drop the confirmation of a claim that ended; update the estimate if the job is done."""
         if job.state is JobState.CLAIMED:
             return
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -206,8 +206,8 @@
             self._stamp.incarnation, self._counter, self._control, self.usage
         )
         for name, (incarnation, counter, since) in self._entry_seen.items():
-            held = row.entries.get(name)
-            unchanged = held is not None and (held.incarnation, held.counter) == (
+            record = row.entries.get(name)
+            unchanged = record is not None and (record.incarnation, record.counter) == (
                 incarnation,
                 counter,
             )
--- a/sapphirelead/entry_lease_rows.py
+++ b/sapphirelead/entry_lease_rows.py
@@ -105,8 +105,8 @@
     """Raise counters of registered incarnations in ``row``; return whether any advanced."""
     advanced = False
     for view in views:
-        held = row.instances.get(view.id)
-        if held is not None and held[0] == view.incarnation and view.counter > held[1]:
+        current = row.instances.get(view.id)
+        if current is not None and current[0] == view.incarnation and view.counter > current[1]:
             row.instances[view.id] = (view.incarnation, view.counter)
             advanced = True
     return advanced
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -22,7 +22,7 @@
 SERVICE_TIME_FACTOR: Final = 1.5
 DISPATCH_LOOKAHEAD: Final = 8
 
-OVERLOADED: Final = Failure(Code.OVERLOADED, "the deadline cannot be met with the work ahead")
+OVERLOADED: Final = Failure(Code.OVERLOADED, "deadline cannot be met with the current queue")
 
 
 class Placer:
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -203,7 +203,9 @@
 
         def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != answer.sender:
-                return Err(Failure(Code.ILLEGAL_MOVE, f"{answer.sender} holds no {job.spec.key}"))
+                return Err(
+                    Failure(Code.ILLEGAL_MOVE, f"{answer.sender} does not hold {job.spec.key}")
+                )
             return job.lose_holder(
                 answer.epoch, "the restarted agent has no such task", self._moves.max_attempts(job)
             )
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -259,7 +259,7 @@
         key = stored.job.spec.key
         if self.shards.owns(key):
             self.shards.put(stored, now())
-            self.runs.moved(stored.job)
+            self.runs.on_transition(stored.job)
             if stored.job.state is JobState.QUEUED:
                 self._wake.set()
             return
--- a/sapphirelead/entry_shards.py
+++ b/sapphirelead/entry_shards.py
@@ -76,15 +76,15 @@
         key = stored.job.spec.key
         if not self.owns(key):
             return
-        held = self.jobs.get(key)
-        if held is not None and held.row.version > stored.row.version:
+        known = self.jobs.get(key)
+        if known is not None and known.row.version > stored.row.version:
             return
         if stored.job.ended:
             self._forget(key)
             return
-        if held is None or held.job.state is not stored.job.state:
+        if known is None or known.job.state is not stored.job.state:
             self.since[key] = at
-        self._count(held, -1)
+        self._count(known, -1)
         self._count(stored, 1)
         self.jobs[key] = stored
 
--- a/sapphirelead/entry_situation.py
+++ b/sapphirelead/entry_situation.py
@@ -69,8 +69,10 @@
             sample.p50_ms, self._baselines.get(key, sample.p50_ms) * BASELINE_DRIFT_FACTOR
         )
         self._baselines[key] = baseline
-        held = self._slowdowns.get(sample.service, 1.0)
-        self._slowdowns[sample.service] = held + REPORT_WEIGHT * (sample.p50_ms / baseline - held)
+        previous = self._slowdowns.get(sample.service, 1.0)
+        self._slowdowns[sample.service] = previous + REPORT_WEIGHT * (
+            sample.p50_ms / baseline - previous
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/sapphirelead/entry_table.py
+++ b/sapphirelead/entry_table.py
@@ -203,8 +203,8 @@
             return item.fut.result()
         if item in self._pending:
             self._pending.remove(item)
-            return _rejected("the table does not answer")
-        return Commit(CommitStatus.AMBIGUOUS, detail="the table does not answer")
+            return _rejected("table request timed out before it was sent")
+        return Commit(CommitStatus.AMBIGUOUS, detail="table request timed out")
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
         """Read rows, subject to the read rate limit."""
@@ -383,7 +383,9 @@
 def commit_failure(commit: Commit) -> Failure:
     """Return the failure reported to a caller for an unsuccessful commit."""
     if commit.status is CommitStatus.CONFLICT:
-        return Failure(Code.STORE_CONFLICT, f"changed by another: {', '.join(commit.conflicts)}")
+        return Failure(
+            Code.STORE_CONFLICT, f"rows changed concurrently: {', '.join(commit.conflicts)}"
+        )
     if commit.status is CommitStatus.REJECTED:
         return Failure(Code.STORE_UNAVAILABLE, f"not committed: {commit.detail}", "try again later")
-    return Failure(Code.STORE_AMBIGUOUS, "the answer was lost", "ask for the job by its key")
+    return Failure(Code.STORE_AMBIGUOUS, "commit outcome unknown", "query the job by its key")
