--- a/tests/unit/fakes.py
+++ b/tests/unit/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of an entry's durable side."""
+"""Fakes for the interfaces of an entry's durable part."""
 
 import asyncio
 from collections import defaultdict
@@ -21,10 +21,11 @@
 
 
 class MemoryTable:
-    """The platform's table in memory.
+    """In-memory table of the platform.
 
-    :ivar faults: what becomes of the next commits: ``lost_after`` (takes effect, answer lost),
-        ``lost_before`` (no effect, answer lost) or ``rejected``.
+    :ivar faults: faults of the next commits: ``lost_after`` (applied, response lost),
+        ``lost_before`` (not applied, response lost) or ``rejected``.
+    :ivar hang: if set, commits wait for this event.
     """
 
     def __init__(self) -> None:
@@ -73,10 +74,11 @@
 
 
 class FakeNet:
-    """Links and members of one entry, with agents that answer as told.
+    """Links and members of one entry, with simulated agents.
 
     :ivar sent: messages sent to agents, by instance.
-    :ivar refuse: instances whose agent refuses offers.
+    :ivar unresponsive: instances that receive and send nothing.
+    :ivar answer: returns an agent's replies to a message.
     """
 
     def __init__(self) -> None:
@@ -123,13 +125,17 @@
             self.views[instance] = replace(view, fenced=True)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> None:
-        """Take a committed counter, and beat again with the next one unless silent."""
+        """Record a committed counter; a responsive instance then sends its next heartbeat."""
         self.committed[instance, incarnation] = counter
         view = self.views.get(instance)
-        if view is not None and view.incarnation == incarnation and instance not in self.unresponsive:
+        if (
+            view is not None
+            and view.incarnation == incarnation
+            and instance not in self.unresponsive
+        ):
             self.views[instance] = replace(view, counter=max(view.counter, counter + 1))
 
-    def beat(self, instance: str, incarnation: str, counter: int) -> None:
+    def heartbeat(self, instance: str, incarnation: str, counter: int) -> None:
         self.views[instance] = make_view(instance, incarnation, counter)
 
 
--- a/tests/unit/test_entry_core.py
+++ b/tests/unit/test_entry_core.py
@@ -1,4 +1,4 @@
-"""The durable side of an entry against a table in memory and agents that answer as told."""
+"""Tests the durable part of an entry with an in-memory table and simulated agents."""
 
 import asyncio
 import inspect
@@ -31,7 +31,7 @@
 
 
 def accepting(instance: str, message: AnyMessage) -> list[AnyMessage]:
-    """An agent that takes every offer and runs what it is started with."""
+    """Replies of an agent that accepts every offer and starts every task."""
     if isinstance(message, Offer):
         return [Accepted(**head(instance), offer_id=message.offer_id)]
     if isinstance(message, Start):
@@ -41,7 +41,7 @@
 
 @dataclass
 class World:
-    """One entry's durable side, a table in memory and one registered instance ``a``."""
+    """The durable part of one entry, an in-memory table and one registered instance ``a``."""
 
     core: EntryCore
     net: FakeNet
@@ -54,12 +54,12 @@
 def in_world(
     test: Callable[Concatenate[World, P], Awaitable[None]],
 ) -> Callable[P, Awaitable[None]]:
-    """Build the world inside the test: fixtures run before the loop's clock is paused."""
+    """Set up the world inside the test, because fixtures run before the loop's clock is paused."""
 
     async def run(*args: P.args, **kwargs: P.kwargs) -> None:
         net = FakeNet()
         net.answer = accepting
-        net.beat("a", "i1", 1)
+        net.heartbeat("a", "i1", 1)
         memory = MemoryTable()
         core = make_core(memory, net)
         core.start()
@@ -100,7 +100,7 @@
 
 
 @in_world
-async def test_job_runs_to_done_and_leaves_the_open_rows(world: World) -> None:
+async def test_completed_job_moves_from_open_to_done_rows(world: World) -> None:
     core = world.core
     net = world.net
     memory = world.memory
@@ -115,7 +115,7 @@
 
 
 @in_world
-async def test_repeat_of_a_key_joins_and_other_content_is_refused(world: World) -> None:
+async def test_repeated_key_returns_the_job_and_other_content_is_rejected(world: World) -> None:
     core = world.core
     net = world.net
     await started(core, net, "j")
@@ -126,7 +126,7 @@
 
 
 @in_world
-async def test_rule_makes_a_waiting_job_urgent_and_quota_bounds_the_queue(world: World) -> None:
+async def test_rule_makes_a_queued_job_urgent_and_quota_limits_the_queue(world: World) -> None:
     core, net = world.core, world.net
     net.answer = lambda _instance, _message: []
     document = {
@@ -148,16 +148,16 @@
 
 
 @in_world
-async def test_entry_stops_while_it_is_woken(world: World) -> None:
-    """An entry is told to stop in the very step in which a job wakes its scheduler.  If the
-    cancellation were swallowed there, the process would never end."""
+async def test_stop_during_scheduler_wakeup_is_not_swallowed(world: World) -> None:
+    """Guards against a cancellation that is swallowed when the scheduler is woken at the same time,
+    after which the process would never stop."""
     world.core.scheduler._wake.set()
     async with asyncio.timeout(5):
         await world.core.stop()
 
 
 @in_world
-async def test_impossible_job_is_refused_at_once(world: World) -> None:
+async def test_impossible_job_is_rejected_on_submit(world: World) -> None:
     core = world.core
     refused = await core.jobs.submit(make_spec("big", cpu=1_000_000), "")
     assert refused.unwrap_err().code is Code.IMPOSSIBLE
@@ -205,7 +205,7 @@
     ],
 )
 @in_world
-async def test_report_moves_the_claim(
+async def test_report_applies_transition_to_claim(
     world: World, report: AnyMessage, idempotent: bool, expected: JobState, epoch: int
 ) -> None:
     core = world.core
@@ -237,9 +237,8 @@
 async def test_fenced_holder_loses_its_claims(
     world: World, idempotent: bool, expected: JobState
 ) -> None:
-    """The instance dies in the middle of an estimate.  Its counter stands still; after lease and
-    margin it is fenced.  The idempotent job is queued again; the other one is reported unknown,
-    because a second run could send the family a second sum."""
+    """An instance that fails is fenced after lease and margin.  An idempotent job is queued again;
+    any other is reported unknown, because a second run could repeat its effects."""
     core = world.core
     net = world.net
     await started(core, net, "j", idempotent)
@@ -252,26 +251,26 @@
 
 
 @in_world
-async def test_fenced_run_never_registers_again(world: World) -> None:
-    """An agent is frozen past its lease, is fenced, wakes and beats on.  Taking its old run back
-    would give it claims while its earlier ones have moved."""
+async def test_fenced_incarnation_never_registers_again(world: World) -> None:
+    """An agent that was paused past its lease and sends heartbeats again must not be registered
+    under its old incarnation, because its claims may have been reassigned."""
     net = world.net
     net.unresponsive.add("a")
     await until(lambda: net.views["a"].fenced)
     net.unresponsive.clear()
     net.committed.clear()
-    net.beat("a", "i1", 50)
+    net.heartbeat("a", "i1", 50)
     await asyncio.sleep(2.0)
     assert net.views["a"].fenced
     assert net.committed == {}
-    net.beat("a", "i2", 1)
+    net.heartbeat("a", "i2", 1)
     await until(lambda: ("a", "i2") in net.committed)
 
 
 @in_world
 async def test_restarted_agent_adopts_its_task_under_the_same_epoch(world: World) -> None:
-    """The agent process is killed and restarted; the worker kept the task running.  The claim
-    moves to the new run without a second start, and the task's end is accepted."""
+    """After a restart of the agent, a task that its worker kept running must not be started again:
+    the claim moves to the new incarnation and the task's end is accepted."""
     core = world.core
     net = world.net
 
@@ -285,7 +284,7 @@
 
     await started(core, net, "j")
     net.answer = restarted
-    net.beat("a", "i2", 1)
+    net.heartbeat("a", "i2", 1)
 
     def adopted() -> bool:
         starts = [start for start in sent(net, "a", Start) if isinstance(start, Start)]
@@ -309,19 +308,19 @@
 
 
 @in_world
-async def test_start_that_could_not_be_sent_is_given_out_again(world: World) -> None:
-    """The connection goes between claim and start.  The start was never handed to it, so the job
-    is queued again under proof that nothing ran."""
+async def test_claim_is_released_when_its_start_was_not_sent(world: World) -> None:
+    """If the connection fails between claim and start, the start was not sent and the job can be
+    queued again safely."""
     core = world.core
     net = world.net
 
-    def vanishing(instance: str, message: AnyMessage) -> list[AnyMessage]:
+    def disconnecting(instance: str, message: AnyMessage) -> list[AnyMessage]:
         if isinstance(message, Offer) and len(sent(net, "a", Offer)) == 1:
             net.unresponsive.add("a")
             asyncio.get_running_loop().call_later(2.0, net.unresponsive.clear)
         return accepting(instance, message)
 
-    net.answer = vanishing
+    net.answer = disconnecting
     await core.jobs.submit(make_spec("j"), "")
     await until(lambda: bool(sent(net, "a", Start)))
     start = sent(net, "a", Start)[0]
@@ -330,41 +329,43 @@
 
 
 @in_world
-async def test_of_two_racing_operators_one_wins_and_the_other_learns_the_version(
+async def test_concurrent_config_changes_yield_one_conflict(
     world: World,
 ) -> None:
-    """Two operators edit version 0 at the same moment.  Accepting both would silently drop one of
-    the changes."""
+    """Two concurrent changes of the same version must not both be accepted, because one of them
+    would be rejected silently."""
     core = world.core
-    ends = await asyncio.gather(
+    outcomes = await asyncio.gather(
         core.config.apply({"rules": [{"name": "one"}]}, 0, "asha", "first"),
         core.config.apply({"rules": [{"name": "two"}]}, 0, "binu", "second"),
     )
-    assert sorted(end.is_ok() for end in ends) == [False, True]
-    lost = next(end for end in ends if end.is_err())
-    assert lost.unwrap_err().code is Code.CONFIG_CONFLICT
-    assert "version 1 is in force" in lost.unwrap_err().message
+    assert sorted(outcome.is_ok() for outcome in outcomes) == [False, True]
+    rejected = next(outcome for outcome in outcomes if outcome.is_err())
+    assert rejected.unwrap_err().code is Code.CONFIG_CONFLICT
+    assert "version 1 is in force" in rejected.unwrap_err().message
     records = (await core.config.history(0, 10)).unwrap()
     assert [record.version for record in records] == [1]
-    won = next(end for end in ends if end.is_ok()).unwrap().document.rules[0].name
-    assert any(won in change for change in records[0].changes)
+    accepted = (
+        next(outcome for outcome in outcomes if outcome.is_ok()).unwrap().document.rules[0].name
+    )
+    assert any(accepted in change for change in records[0].changes)
 
 
 @in_world
-async def test_conflict_names_a_winner_that_was_not_polled_yet(world: World) -> None:
-    """Another entry's change is a moment old.  The operator who is told the version before it
-    would merge into a document that is no longer in force."""
+async def test_conflict_reports_a_version_that_was_not_polled_yet(world: World) -> None:
+    """A conflict with another entry's recent change must report that version, not the older one
+    that this entry polled last."""
     other = make_core(world.memory, FakeNet(), "e2")
     other.start()
     assert (await other.config.apply({"rules": [{"name": "one"}]}, 0, "asha", "")).is_ok()
-    lost = await world.core.config.apply({"rules": [{"name": "two"}]}, 0, "binu", "")
-    assert "version 1 is in force" in lost.unwrap_err().message
+    rejected = await world.core.config.apply({"rules": [{"name": "two"}]}, 0, "binu", "")
+    assert "version 1 is in force" in rejected.unwrap_err().message
     assert world.core.config.current.version == 1
     await other.stop()
 
 
 @in_world
-async def test_lower_configuration_version_is_never_taken(world: World) -> None:
+async def test_lower_configuration_version_is_ignored(world: World) -> None:
     core = world.core
     core.config.observe(5, {"rules": [{"name": "five"}]})
     core.config.observe(4, {"rules": [{"name": "four"}]})
@@ -373,8 +374,8 @@
 
 @in_world
 async def test_two_entries_never_both_claim_a_job(world: World) -> None:
-    """Both entries believe they own every shard, as just after a start.  The row's version lets
-    one claim through; the other must not start the job."""
+    """Two entries that both consider themselves owner of every shard, as just after a start, must
+    not both start a job."""
     net = world.net
     second = make_core(world.memory, net, "e2")
     second.start()
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -1,4 +1,4 @@
-"""The entry's sockets over real ZeroMQ on loopback."""
+"""Tests the entry's sockets with ZeroMQ on loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -61,12 +61,9 @@
     return decode(await asyncio.wait_for(sock.recv(), 5)).unwrap()
 
 
-async def test_answers_follow_an_agent_to_its_newest_connection() -> None:
-    """An agent replaces a connection that went silent; a late message still comes over the old one.
-
-    Answers sent to the old connection would be lost without an error, so the higher number wins and
-    whoever has something in flight there is told.
-    """
+async def test_messages_go_to_the_newest_connection_of_an_agent() -> None:
+    """A late message on a replaced connection must not redirect messages to it, where they would be
+    lost without an error; listeners are notified of the replacement."""
     changed: list[tuple[str, str, Lane]] = []
     async with running() as links:
         links.on_lane_change(lambda *what: changed.append(what))
@@ -79,7 +76,7 @@
             assert decode(await asyncio.wait_for(new.recv(), 5)).unwrap() == CANCEL
 
 
-async def test_other_run_is_reached_only_when_it_is_named_or_current() -> None:
+async def test_other_incarnation_is_reached_only_if_named_or_current() -> None:
     async with (
         running() as links,
         agent(links, "i1|a|data|1") as first,
@@ -94,17 +91,17 @@
         assert decode(await asyncio.wait_for(second.recv(), 5)).unwrap() == CANCEL
 
 
-async def test_what_cannot_be_sent_is_known_at_once() -> None:
+async def test_failed_send_is_reported_at_once() -> None:
     async with running() as links:
         assert not await links.send("nobody", Lane.DATA, CANCEL)
         async with agent(links, "i1|a|data|1") as sock:
             await greet(sock)
-            assert not await links.send("i1", Lane.BULK, CANCEL), "that lane was never heard"
+            assert not await links.send("i1", Lane.BULK, CANCEL), "no connection on that channel"
         await until(lambda: not links.send_now("i1", Lane.DATA, CANCEL))
         assert not await links.send_peer("e2", CANCEL)
 
 
-async def test_garbage_and_failing_handlers_do_not_end_a_lane() -> None:
+async def test_invalid_frames_and_failing_handlers_do_not_stop_the_reader() -> None:
     got: list[LaneHello] = []
 
     def broken(_message: LaneHello) -> None:
@@ -121,7 +118,7 @@
     assert got == [HELLO]
 
 
-async def test_entries_reach_their_peers() -> None:
+async def test_entry_sends_to_peer() -> None:
     nudge = Nudge(sender="e1", incarnation="r", config_version=0, shard=3, key="k")
     got: list[Nudge] = []
     async with running() as one, running() as two:
--- a/tests/unit/test_entry_members.py
+++ b/tests/unit/test_entry_members.py
@@ -1,4 +1,4 @@
-"""Membership's shell and what rules see of the instances, on a paused clock."""
+"""Tests an entry's membership and the inputs of rules derived from it, on a paused clock."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class FakeLinks:
-    """Records acknowledgements with the incarnation that they went to."""
+    """Records acknowledgements and the incarnations they were sent to."""
 
     def __init__(self) -> None:
         self.handlers: dict[Any, Callable[[Any], None]] = {}
@@ -50,7 +50,7 @@
         self.handlers[type(message)](msgspec.structs.replace(message, **changes))
 
 
-async def test_acknowledgements_tell_what_is_committed() -> None:
+async def test_acknowledgements_carry_the_committed_counter() -> None:
     links = FakeLinks()
     members = EntryMembers.from_settings(SETTINGS, links, Stamp("e1", "r"))
     links.receive(BEAT)
@@ -70,24 +70,24 @@
         ("a", 1, 1, False),
         ("a", 2, 1, False),
         ("a", 3, 0, True),
-        # None for the run that was replaced: told that it is fenced, it would announce itself anew
+        # None for the replaced incarnation: told that it is fenced, it would announce itself again
         # and displace its successor.
         ("b", 1, 0, False),
     ]
     assert links.acks == expected and links.current == {"i1": "b"}
 
 
-async def test_listeners_hear_of_silence_and_return() -> None:
+async def test_listeners_are_notified_of_timeout_and_recovery() -> None:
     links = FakeLinks()
     members = EntryMembers.from_settings(SETTINGS, links, Stamp("e1", "r"))
-    heard: list[bool] = []
-    members.on_view(lambda _view, live: heard.append(live))
+    notified: list[bool] = []
+    members.on_view(lambda _view, live: notified.append(live))
     await members.start()
     links.receive(ANNOUNCE)
     await asyncio.sleep(SETTINGS.lease.silence_seconds + 1)
-    assert heard == [True, False] and members.live() == []
+    assert notified == [True, False] and members.live() == []
     links.receive(BEAT)
-    assert heard[-1] and [view.id for view in members.live()] == ["i1"]
+    assert notified[-1] and [view.id for view in members.live()] == ["i1"]
     await asyncio.sleep(SETTINGS.lease.silence_seconds * 25)
     assert members.all() == []
     await members.stop()
@@ -98,7 +98,7 @@
     return replace(make_view(0, 0), counter=counter, latency=(sample,))
 
 
-def test_slowdown_is_measured_against_the_calm_floor() -> None:
+def test_slowdown_is_relative_to_the_baseline() -> None:
     estimate = SlowdownEstimate()
     assert estimate.of("checks") == 1.0
     for counter in range(1, 21):
@@ -109,22 +109,22 @@
         estimate.observe(report(counter, 20.0))
     assert estimate.of("checks") == pytest.approx(2.0, abs=0.2)
     estimate.observe(report(99, 900.0, count=1))
-    assert estimate.of("checks") < 2.2, "a single slow request is no report"
+    assert estimate.of("checks") < 2.2, "reports with few requests are ignored"
 
 
-WHOLE = Resources(1000, 100)
+CAPACITY = Resources(1000, 100)
 BATCH: dict[str, tuple[list[Resources], int, tuple[float, float]]] = {
     "nobody": ([], 0, (1.0, 0.0)),
     "half used": ([Resources(500, 100)], 1, (0.5, 1.0)),
-    "the scarcest counts": ([Resources(900, 20)], 1, (0.8, 1.0)),
-    "one of two silent": ([Resources(1000, 100)], 2, (0.0, 0.5)),
+    "the scarcest resource counts": ([Resources(900, 20)], 1, (0.8, 1.0)),
+    "one of two unresponsive": ([Resources(1000, 100)], 2, (0.0, 0.5)),
 }
 
 
 @pytest.mark.parametrize("name", BATCH)
 def test_batch_state_sums_the_live_instances(name: str) -> None:
     free, known, expected = BATCH[name]
-    views = [replace(make_view(0, 0), capacity=WHOLE, free=room) for room in free]
+    views = [replace(make_view(0, 0), capacity=CAPACITY, free=free_amount) for free_amount in free]
     state = sum_batch(views, known)
     assert (state.load, state.healthy_share) == pytest.approx(expected)
 
@@ -135,5 +135,5 @@
     links.receive(ANNOUNCE)
     links.receive(BEAT)
     situation = EntrySituation("z1", members, lambda: False, lambda: 7)
-    seen = situation.of_job(JobSpec("k", Kind.BATCH, "rollover", "team", WHOLE, urgent=True))
+    seen = situation.of_job(JobSpec("k", Kind.BATCH, "rollover", "team", CAPACITY, urgent=True))
     assert (seen.store_up, seen.queue_length, seen.load, seen.urgent) == (False, 7, 0.5, True)
--- a/tests/unit/test_entry_table.py
+++ b/tests/unit/test_entry_table.py
@@ -1,4 +1,4 @@
-"""Group commit and the settling of writes whose answer was lost."""
+"""Tests group commit and the settling of writes whose response was lost."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -38,11 +38,11 @@
     ],
 )
 @pytest.mark.looptime
-async def test_lost_answer_is_settled_by_reading_back(
+async def test_lost_response_is_settled_by_reading_back(
     faults: list[str], expected: CommitStatus, commits: int
 ) -> None:
-    """A claim's answer is lost after it took effect; a blind repeat would see its own write as a
-    competitor's and drop a claim that it holds, and the job would stand still."""
+    """Guards against a blind retry that takes its own applied write for a conflict; the entry would
+    drop a claim that it holds, and the job would stall."""
     memory = MemoryTable()
     async with running(memory) as table:
         memory.faults = faults
@@ -57,8 +57,12 @@
     async with running(memory) as table:
         memory.data["b"] = Row("b", 7, {})
         memory.version = 7
-        ends = await asyncio.gather(*(table.commit(unit(key)) for key in "abc"))
-        assert [end.status.value for end in ends] == ["committed", "conflict", "committed"]
+        outcomes = await asyncio.gather(*(table.commit(unit(key)) for key in "abc"))
+        assert [outcome.status.value for outcome in outcomes] == [
+            "committed",
+            "conflict",
+            "committed",
+        ]
         assert memory.commits == 2
 
 
@@ -66,14 +70,14 @@
 async def test_two_units_of_one_row_never_share_a_transaction() -> None:
     memory = MemoryTable()
     async with running(memory) as table:
-        ends = await asyncio.gather(table.commit(unit("a")), table.commit(unit("a")))
-        assert [end.status.value for end in ends] == ["committed", "conflict"]
+        outcomes = await asyncio.gather(table.commit(unit("a")), table.commit(unit("a")))
+        assert [outcome.status.value for outcome in outcomes] == ["committed", "conflict"]
 
 
 @pytest.mark.looptime
-async def test_units_wait_for_nobody_while_the_table_is_down() -> None:
-    """The table goes down.  A caller's submit must be refused at once as not run, not held until
-    its deadline behind a write that cannot be settled."""
+async def test_units_are_rejected_at_once_while_the_table_is_down() -> None:
+    """While the table is down, a unit must be rejected at once as not applied, not wait behind a
+    write that cannot be settled."""
     memory = MemoryTable()
     async with running(memory) as table:
         memory.down = True
@@ -89,14 +93,17 @@
 
 
 @pytest.mark.looptime
-async def test_silent_table_holds_no_writer() -> None:
-    """The table accepts connections and answers nothing.  A caller's submit must still be
-    answered: unknown for what was sent, not run for what waits behind it."""
+async def test_unresponsive_table_does_not_block_writers() -> None:
+    """If the table accepts requests but does not respond, writers must time out: ambiguous for the
+    unit sent, rejected for the units queued behind it."""
     memory = MemoryTable()
     memory.hang = asyncio.Event()
     async with running(memory) as table:
-        ends = await asyncio.gather(table.commit(unit("a")), table.commit(unit("a")))
-        assert [end.status for end in ends] == [CommitStatus.AMBIGUOUS, CommitStatus.REJECTED]
+        outcomes = await asyncio.gather(table.commit(unit("a")), table.commit(unit("a")))
+        assert [outcome.status for outcome in outcomes] == [
+            CommitStatus.AMBIGUOUS,
+            CommitStatus.REJECTED,
+        ]
         memory.hang.set()
 
 
@@ -113,5 +120,5 @@
         (absent("a"), CommitStatus.CONFLICT),
     ],
 )
-async def test_read_back_tells_the_end(row: Row, expected: CommitStatus) -> None:
+async def test_read_back_determines_the_outcome(row: Row, expected: CommitStatus) -> None:
     assert resolve_read_back(TXN, [row]).status is expected
