--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -278,9 +278,9 @@
         if name == self._stamp.sender:
             return not self._leaving
         seen = self._entry_seen.get(name)
-        mark = (record.incarnation, record.counter)
-        if seen is None or seen[:2] != mark:
-            self._entry_seen[name] = (*mark, at)
+        observed = (record.incarnation, record.counter)
+        if seen is None or seen[:2] != observed:
+            self._entry_seen[name] = (*observed, at)
             return True
         return at - seen[2] <= PEER_TIMEOUT_ROUNDS * self._settings.lease.renew_interval_seconds
 
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -35,7 +35,7 @@
 
 POLLIN: Final = int(zmq.POLLIN)
 CONTROL_BATCH_INTERVAL_S: Final = 0.02
-MAX_DRAIN_FRAMES: Final = 512
+MAX_BATCH_MESSAGES: Final = 512
 MAX_INCARNATIONS: Final = 3
 
 LaneListener = Callable[[str, str, Lane], None]
@@ -99,7 +99,7 @@
         self._readable.set()
 
     async def receive(self) -> list[list[bytes]]:
-        """Wait for input; return 1 to ``MAX_DRAIN_FRAMES`` messages."""
+        """Wait for input; return 1 to ``MAX_BATCH_MESSAGES`` messages."""
         loop = asyncio.get_running_loop()
         while True:
             if not self._readable.is_set():
@@ -126,7 +126,7 @@
     def _drain(self) -> list[list[bytes]]:
         frames: list[list[bytes]] = []
         try:
-            while len(frames) < MAX_DRAIN_FRAMES:
+            while len(frames) < MAX_BATCH_MESSAGES:
                 frames.append(self._raw.recv_multipart(zmq.NOBLOCK))
         except zmq.ZMQError:
             return frames
@@ -305,10 +305,10 @@
         delay_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
         while True:
             for frames in await router.receive():
-                self._handle_frames(lane, frames)
+                self._handle_message(lane, frames)
             await asyncio.sleep(delay_s)
 
-    def _handle_frames(self, lane: Lane, frames: list[bytes]) -> None:
+    def _handle_message(self, lane: Lane, frames: list[bytes]) -> None:
         if len(frames) != 2:
             self.counters.undecodable += 1
             return
@@ -320,10 +320,10 @@
                 self.counters.undecodable += 1
                 log_event("WARNING", "frame_undecodable", lane=lane, reason=failure.message)
             case ok:
-                self._learn_route(lane, frames[0])
+                self._update_route(lane, frames[0])
                 self._dispatch(lane, frames[0], ok.unwrap())
 
-    def _learn_route(self, lane: Lane, raw: bytes) -> None:
+    def _update_route(self, lane: Lane, raw: bytes) -> None:
         known = self._find_route(lane, raw)
         if known is not None and known.identity == raw:
             return
