--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -55,7 +55,7 @@
         return (policy or JobClassPolicy()).max_attempts
 
     def run_once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` in the background unless the same work is already running."""
+        """Run ``work`` in the background unless work of the same name, key and epoch is running."""
         work_id = (name, key, epoch)
         if work_id in self._running:
             work.close()
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -3,8 +3,8 @@
 Periodically, for each claim in this entry's shards:
 
 - If the holder's incarnation is live, it is asked for the task's state until it confirms that the
-  task runs, and again when that confirmation expires.  If cancellation was requested, it is told to
-  stop the task.
+  task runs, and again when that confirmation expires.  If cancellation was requested, it is sent a
+  stop.
 - If the instance is live under another incarnation (the agent restarted), that one is asked.  It
   replies ``running`` (the claim is moved to it under the same epoch) or ``lost``, or reports the
   task's end.
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -33,7 +33,7 @@
 class JobStarter:
     """Offers, claims and starts jobs, and tracks this entry's offers to each instance.
 
-    :ivar records: offers and failures of each instance since its last report.
+    :ivar records: unreported offers and consecutive failures by instance.
     """
 
     records: dict[str, InstanceRecord]
