--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -55,13 +55,13 @@
 
 OUTCOME_HEADER: Final = "X-Request-Outcome"
 RULE_HEADER: Final = "X-Request-Rule"
-KEEPALIVE_S: Final = 75.0
-STOP_S: Final = 1.0
-LAST_CALL_S: Final = 1.0
-SPREAD_S: Final = 1.0
+KEEPALIVE_TIMEOUT_S: Final = 75.0
+SHUTDOWN_TIMEOUT_S: Final = 1.0
+WAIT_CUTOFF_S: Final = 1.0
+RETRY_AFTER_S: Final = 1.0
 # After a body that came too slowly the rest is awaited for this long, so that its caller can read
 # the answer.  A frozen caller held its connection for the library's 10 s instead.
-LINGER_S: Final = 0.5
+LINGERING_TIMEOUT_S: Final = 0.5
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
+class _ParsedCall:
     """A service request as its headers describe it."""
 
     call: ServiceCall
@@ -105,7 +105,7 @@
     _closing: asyncio.Event
     _open: int
     _idle: asyncio.Event
-    _own_leaving: tuple[str, ...]
+    _drain_exempt: tuple[str, ...]
 
     def __init__(self, settings: EntrySettings, ports: CallerPorts) -> None:
         self.port = 0
@@ -125,7 +125,7 @@
         self._open = 0
         self._idle = asyncio.Event()
         self._idle.set()
-        self._own_leaving = ()
+        self._drain_exempt = ()
 
     @classmethod
     def from_settings(cls, settings: EntrySettings, ports: CallerPorts) -> "CallerApi":
@@ -133,14 +133,14 @@
         return cls(settings, ports)
 
     async def start(
-        self, more: Iterable[web.AbstractRouteDef] = (), own_leaving: tuple[str, ...] = ()
+        self, more: Iterable[web.AbstractRouteDef] = (), drain_exempt: tuple[str, ...] = ()
     ) -> None:
         """Bind and serve.
 
         :param more: routes of other APIs on the same port.
-        :param own_leaving: prefixes of paths whose API itself says when it takes nothing new.
+        :param drain_exempt: prefixes of paths whose API itself says when it takes nothing new.
         """
-        self._own_leaving = own_leaving
+        self._drain_exempt = drain_exempt
         limits = self._settings.limits
         app = web.Application(middlewares=[self._guard], client_max_size=limits.body_bytes)
         app.add_routes([*self._own_routes(), *self._routes.routes(), *more])
@@ -148,11 +148,11 @@
             app,
             access_log=None,
             handler_cancellation=True,
-            keepalive_timeout=KEEPALIVE_S,
-            lingering_time=LINGER_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+            lingering_time=LINGERING_TIMEOUT_S,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            shutdown_timeout=STOP_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
         await self._runner.setup()
         site = web.TCPSite(self._runner, self._settings.bind_host, self._settings.http_port)
@@ -166,7 +166,7 @@
         """
         self._draining.set()
         last_call = asyncio.get_running_loop().call_later(
-            max(0.0, limit_s - LAST_CALL_S), self._closing.set
+            max(0.0, limit_s - WAIT_CUTOFF_S), self._closing.set
         )
         await self._idle.wait()
         last_call.cancel()
@@ -207,15 +207,15 @@
             return rejected(checked.err_value)
         if request.method not in ("POST", "PUT"):
             return None
-        if self._draining.is_set() and not request.path.startswith(self._own_leaving):
+        if self._draining.is_set() and not request.path.startswith(self._drain_exempt):
             hint = "ask again; the balancer will pick another entry"
             failure = Failure(Code.DRAINING, "this entry is leaving", hint)
-            response = problem(failure, retry_after_s=SPREAD_S)
+            response = problem(failure, retry_after_s=RETRY_AFTER_S)
             response.force_close()
             return response
         if self._open >= self._settings.limits.open_requests:
             failure = Failure(Code.OVERLOADED, "too many requests are open at this entry")
-            return problem(failure, retry_after_s=SPREAD_S)
+            return problem(failure, retry_after_s=RETRY_AFTER_S)
         return None
 
     async def _healthz(self, _request: web.Request) -> web.Response:
@@ -235,16 +235,16 @@
         parsed = self._parse(request, raw.ok_value, started_at)
         if isinstance(parsed, Err):
             return rejected(parsed.err_value)
-        asked = parsed.ok_value
-        if not asked.call.idempotent:
-            return await self._serve_durably(request, asked)
-        reply = await self._ports.dispatcher.call(asked.call)
-        self._measure(asked.call.service, reply, now() - started_at)
+        parsed_call = parsed.ok_value
+        if not parsed_call.call.idempotent:
+            return await self._serve_durably(request, parsed_call)
+        reply = await self._ports.dispatcher.call(parsed_call.call)
+        self._record_reply(parsed_call.call.service, reply, now() - started_at)
         return _response(reply)
 
     def _parse(
         self, request: web.Request, body: bytes, started_at: float
-    ) -> Result[_Asked, Rejected]:
+    ) -> Result[_ParsedCall, Rejected]:
         headers = request.headers
         limits = self._settings.limits
         service = parse_name("service", request.match_info["service"])
@@ -280,9 +280,9 @@
             urgent.ok_value,
             team.ok_value,
         )
-        return Ok(_Asked(call, at))
+        return Ok(_ParsedCall(call, at))
 
-    def _measure(self, service: str, reply: ServiceReply, elapsed_s: float) -> None:
+    def _record_reply(self, service: str, reply: ServiceReply, elapsed_s: float) -> None:
         metrics = self._ports.metrics
         outcome = reply.outcome.value
         metrics.count("service_requests_total", service=service, outcome=outcome, rule=reply.rule)
@@ -303,22 +303,22 @@
 
     # Requests that are not idempotent.
 
-    async def _serve_durably(self, request: web.Request, asked: _Asked) -> web.StreamResponse:
+    async def _serve_durably(self, request: web.Request, parsed_call: _ParsedCall) -> web.StreamResponse:
         key = parse_key(request.headers.get(KEY_HEADER) or uuid.uuid4().hex)
         if isinstance(key, Err):
             return rejected(key.err_value)
-        decision = self._ports.dispatcher.decide(asked.call)
+        decision = self._ports.dispatcher.decide(parsed_call.call)
         if (refused := decision.refusal("request")) is not None:
             return problem(refused, retry_after_s=decision.then.retry_after_ms / 1000)
-        spec = self._durable_spec(key.ok_value, asked.call, request.headers.get("Content-Type"))
+        spec = self._durable_spec(key.ok_value, parsed_call.call, request.headers.get("Content-Type"))
         # The caller may leave while the row is being committed.  The commit goes on then, so that
         # it ends in one known way; a repeat with the same key finds the row.
         submitting = asyncio.ensure_future(self._ports.jobs.submit(spec, decision.rule))
         submitted = await asyncio.shield(submitting)
         if isinstance(submitted, Err):
             return self._routes.refused(spec.key, submitted.err_value)
-        waited = await self._routes.wait(spec.key, asked.deadline - now(), self._closing)
-        response = _durable_answer(spec.key, submitted.ok_value, waited)
+        waited = await self._routes.wait(spec.key, parsed_call.deadline - now(), self._closing)
+        response = _durable_response(spec.key, submitted.ok_value, waited)
         response.headers[KEY_HEADER] = spec.key
         response.headers[RULE_HEADER] = decision.rule
         return response
@@ -347,7 +347,7 @@
         return {**fields, "body": base64.b64encode(body).decode(), "encoding": "base64"}
 
 
-def _durable_answer(key: str, submitted: Job, waited: Result[Job | None, Failure]) -> web.Response:
+def _durable_response(key: str, submitted: Job, waited: Result[Job | None, Failure]) -> web.Response:
     job = waited.ok_value if isinstance(waited, Ok) and waited.ok_value else submitted
     outcome = outcome_of(job)
     if outcome is Outcome.DONE:
@@ -368,11 +368,11 @@
         response = problem(reply.failure, reply.outcome, reply.retry_after_s, rule=reply.rule)
         response.headers.update(common)
         return response
-    headers = {name: value for name, value in reply.headers.items() if _handed_on(name)}
+    headers = {name: value for name, value in reply.headers.items() if _is_forwarded(name)}
     return web.Response(status=reply.status, headers={**headers, **common}, body=reply.body)
 
 
-def _handed_on(name: str) -> bool:
+def _is_forwarded(name: str) -> bool:
     return name.lower() not in ("content-length", "transfer-encoding", "connection")
 
 
--- a/sapphirelead/entry_http_jobs.py
+++ b/sapphirelead/entry_http_jobs.py
@@ -40,12 +40,12 @@
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import WatchEvent
 
-KEEPALIVE_S: Final = 2.0
-BUFFERED_EVENTS: Final = 256
+KEEPALIVE_INTERVAL_S: Final = 2.0
+MAX_BUFFERED_EVENTS: Final = 256
 LAST_EVENT_HEADER: Final = "Last-Event-ID"
 STORE_RETRY_S: Final = 2.0
 
-Mark = tuple[int, int]
+EventPosition = tuple[int, int]
 
 
 class JobRoutes:
@@ -55,7 +55,7 @@
     _jobs: JobService
     _config: ConfigService
     _metrics: Metrics
-    _leaving: asyncio.Event
+    _draining: asyncio.Event
     _situation: Callable[[JobSpec], Situation]
     _rules: RuleSet
 
@@ -65,14 +65,14 @@
         jobs: JobService,
         config: ConfigService,
         metrics: Metrics,
-        leaving: asyncio.Event,
+        draining: asyncio.Event,
         situation: Callable[[JobSpec], Situation],
     ) -> None:
         self._settings = settings
         self._jobs = jobs
         self._config = config
         self._metrics = metrics
-        self._leaving = leaving
+        self._draining = draining
         self._situation = situation
         self._rules = RuleSet.from_config(config.current.document)
         config.on_change(self._on_config)
@@ -87,18 +87,18 @@
         ]
 
     async def wait(
-        self, key: str, wait_s: float, cut_short: asyncio.Event
+        self, key: str, wait_s: float, interrupt: asyncio.Event
     ) -> Result[Job | None, Failure]:
-        """Read a job, waiting for its end; once ``cut_short`` is set, return it as it is."""
+        """Read a job, waiting for its end; once ``interrupt`` is set, return it as it is."""
         reading = asyncio.ensure_future(self._jobs.get(key, max(0.0, wait_s)))
-        leaving = asyncio.ensure_future(cut_short.wait())
+        draining = asyncio.ensure_future(interrupt.wait())
         try:
-            await asyncio.wait({reading, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({reading, draining}, return_when=asyncio.FIRST_COMPLETED)
             if reading.done():
                 return reading.result()
         finally:
             reading.cancel()
-            leaving.cancel()
+            draining.cancel()
         return await self._jobs.get(key, 0.0)
 
     def refused(self, key: str, failure: Failure) -> web.Response:
@@ -141,7 +141,7 @@
         if isinstance(wait_ms, Err):
             return rejected(wait_ms.err_value)
         wait_s = wait_ms.ok_value / 1000
-        return _job_response(key.ok_value, await self.wait(key.ok_value, wait_s, self._leaving))
+        return _job_response(key.ok_value, await self.wait(key.ok_value, wait_s, self._draining))
 
     async def _cancel(self, request: web.Request) -> web.StreamResponse:
         key = parse_key(request.match_info["key"])
@@ -161,7 +161,7 @@
         found = await self._jobs.get(key.ok_value, 0.0)
         if isinstance(found, Err) or found.ok_value is None:
             return _job_response(key.ok_value, found)
-        after = _parse_mark(request.headers.get(LAST_EVENT_HEADER, ""))
+        after = _parse_position(request.headers.get(LAST_EVENT_HEADER, ""))
         stream = EventStream(request, "text/event-stream" in request.headers.get("Accept", ""))
         await stream.open()
         ended = await self._follow(key.ok_value, after, stream)
@@ -172,31 +172,31 @@
         await stream.close()
         return stream.response
 
-    async def _follow(self, key: str, after: Mark, stream: "EventStream") -> bool:
+    async def _follow(self, key: str, after: EventPosition, stream: "EventStream") -> bool:
         """Hand events on until the job ends; return ``False`` where the entry leaves first."""
-        queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(BUFFERED_EVENTS)
-        pumping = asyncio.create_task(_pump(self._jobs.events(key), queue))
-        leaving = asyncio.create_task(self._leaving.wait())
+        queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
+        pumping = asyncio.create_task(_enqueue_events(self._jobs.events(key), queue))
+        draining = asyncio.create_task(self._draining.wait())
         getting = asyncio.create_task(queue.get())
         try:
             while True:
                 await asyncio.wait(
-                    {getting, leaving},
-                    timeout=KEEPALIVE_S,
+                    {getting, draining},
+                    timeout=KEEPALIVE_INTERVAL_S,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if getting.done():
                     event = getting.result()
                     if event is None:
                         return True
-                    await _hand_on(event, after, stream)
+                    await _forward_event(event, after, stream)
                     getting = asyncio.create_task(queue.get())
-                elif leaving.done():
+                elif draining.done():
                     return False
                 else:
                     await stream.keep_alive()
         finally:
-            for task in (pumping, leaving, getting):
+            for task in (pumping, draining, getting):
                 task.cancel()
 
     def _on_config(self, config: Config) -> None:
@@ -221,13 +221,13 @@
         """Send the headers."""
         await self.response.prepare(self._request)
 
-    async def send(self, event: str, mark: str, data: Any) -> None:
+    async def send(self, event: str, event_id: str, data: Any) -> None:
         """Send one event."""
         if self._sse:
-            head = f"id: {mark}\n" if mark else ""
+            head = f"id: {event_id}\n" if event_id else ""
             text = f"{head}event: {event}\ndata: {json.dumps(data)}\n\n"
         else:
-            text = json.dumps({"event": event, "id": mark, "data": data}) + "\n"
+            text = json.dumps({"event": event, "id": event_id, "data": data}) + "\n"
         await self.response.write(text.encode())
 
     async def keep_alive(self) -> None:
@@ -239,7 +239,7 @@
         await self.response.write_eof()
 
 
-async def _pump(
+async def _enqueue_events(
     events: AsyncIterator[WatchEvent], queue: "asyncio.Queue[WatchEvent | None]"
 ) -> None:
     async for event in events:
@@ -247,17 +247,17 @@
     await queue.put(None)
 
 
-async def _hand_on(event: WatchEvent, after: Mark, stream: EventStream) -> None:
+async def _forward_event(event: WatchEvent, after: EventPosition, stream: EventStream) -> None:
     if (event.epoch, event.number) > after:
         await stream.send("event", f"{event.epoch}.{event.number}", event.event)
 
 
-def _parse_mark(text: str) -> Mark:
+def _parse_position(text: str) -> EventPosition:
     """Return the event to resume after; anything else starts from the oldest kept.
 
-    >>> _parse_mark("3.12")
+    >>> _parse_position("3.12")
     (3, 12)
-    >>> _parse_mark("x")
+    >>> _parse_position("x")
     (0, 0)
     """
     epoch, _, number = text.partition(".")
--- a/sapphirelead/entry_http_requests.py
+++ b/sapphirelead/entry_http_requests.py
@@ -71,7 +71,7 @@
     accelerators: Annotated[int, Field(ge=0, le=1_000)] | None = None
 
 
-def _check_carried(value: Any) -> Any:
+def _check_serializable(value: Any) -> Any:
     """Check that an input reaches its task unchanged.
 
     An integer beyond 64 bits was accepted, stored, and could then be sent to no agent; ``NaN`` came
@@ -95,7 +95,7 @@
     job_class: Annotated[str, Field(pattern=f"^{NAME_PATTERN}$")] = "default"
     team: Annotated[str, Field(pattern=f"^{NAME_PATTERN}$")] = "default"
     resources: JobResources = JobResources()
-    input: Annotated[Any, AfterValidator(_check_carried)] = None
+    input: Annotated[Any, AfterValidator(_check_serializable)] = None
     idempotent: bool | None = None
     urgent: bool = False
     deadline_ms: Annotated[int, Field(ge=0, le=MAX_JOB_DEADLINE_MS)] = 0
@@ -118,14 +118,14 @@
         )
 
 
-def _resources(asked: JobResources, policy: JobClassPolicy) -> Resources:
+def _resources(requested: JobResources, policy: JobClassPolicy) -> Resources:
     def pick(value: int | None, default: int) -> int:
         return default if value is None else value
 
     return Resources(
-        pick(asked.cpu_millicores, policy.cpu_millicores),
-        pick(asked.memory_mb, policy.memory_mb),
-        pick(asked.accelerators, policy.accelerators),
+        pick(requested.cpu_millicores, policy.cpu_millicores),
+        pick(requested.memory_mb, policy.memory_mb),
+        pick(requested.accelerators, policy.accelerators),
     )
 
 
