--- a/sapphirelead/entry_attempts.py
+++ b/sapphirelead/entry_attempts.py
@@ -51,7 +51,7 @@
         """Call ``listener(view, live)`` with every new view."""
 
 
-class AttemptBook:
+class AttemptRegistry:
     """The open attempts of one entry."""
 
     _stamp: Stamp
@@ -166,7 +166,7 @@
                 attempt.suspect = True
                 attempt.request.changed.set()
 
-    def doubt(self, view: InstanceView, live: bool) -> None:
+    def mark_suspect(self, view: InstanceView, live: bool) -> None:
         """Doubt what is open at an instance that restarted or fell silent, so that it is asked for.
 
         A new incarnation is not always a new process: an agent that was fenced goes on under one
@@ -181,9 +181,9 @@
                 attempt.suspect = True
                 attempt.request.changed.set()
 
-    def ask_fate(self, attempt: OpenAttempt) -> None:
+    def query_outcome(self, attempt: OpenAttempt) -> None:
         """Ask the agent for the end of an attempt."""
-        attempt.asked += 1
+        attempt.outcome_queries += 1
         self._counters.fates_asked += 1
         message = AttemptFate(
             **self._stamp.head(self._config_version()),
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -26,7 +26,7 @@
 from result import Err
 
 from sapphirelead.clock import now
-from sapphirelead.entry_attempts import AttemptBook, ServiceLinks, ServiceMembers
+from sapphirelead.entry_attempts import AttemptRegistry, ServiceLinks, ServiceMembers
 from sapphirelead.entry_placing import Placer, give_up
 from sapphirelead.entry_ports import ConfigService, InstanceView, Stamp
 from sapphirelead.entry_service_state import (
@@ -47,9 +47,9 @@
 from sapphirelead.wire_messages import ServiceAnswer
 
 TIMER_SLACK_S: Final = 0.001
-FATE_FACTOR: Final = 4.0
-FATE_MIN_S: Final = 0.25
-FATE_LIMIT: Final = 5
+OUTCOME_QUERY_LATENCY_FACTOR: Final = 4.0
+MIN_OUTCOME_QUERY_DELAY_S: Final = 0.25
+MAX_OUTCOME_QUERIES: Final = 5
 
 NO_INSTANCE: Final = Failure(Code.NO_INSTANCE, "no live instance offers this service")
 DEADLINE_PASSED: Final = Failure(Code.DEADLINE, "the deadline passed before an answer came")
@@ -68,7 +68,7 @@
 
     counters: ServiceCounters
     router: Router
-    attempts: AttemptBook
+    attempts: AttemptRegistry
     slowdown: Callable[[str], float]
     store_up: Callable[[], bool]
     _zone: str
@@ -97,7 +97,7 @@
         self.counters = ServiceCounters()
         self.router = Router.from_config(settings.zone, config.current.document.ejection, rng)
         self._placer = make_placer(self.router)
-        self.attempts = AttemptBook(
+        self.attempts = AttemptRegistry(
             stamp, links, members, self._placer, self.counters, lambda: config.current.version
         )
         self.slowdown = lambda _service: 1.0
@@ -147,7 +147,7 @@
         req = self._admit(call)
         refusal = self._refusal(req)
         if refusal is not None:
-            return self._give_up(req, refusal)
+            return self._fail(req, refusal)
         req.service.budget.request()
         self._requests.add(req)
         self._idle.clear()
@@ -211,20 +211,20 @@
     async def _serve(self, req: OpenRequest) -> ServiceReply:
         while True:
             if not req.open and (failure := await self._start_attempt(req)):
-                return self._give_up(req, failure)
+                return self._fail(req, failure)
             await self._wait(req)
-            if (reply := self._settle(req)) is not None:
+            if (reply := self._take_ended(req)) is not None:
                 return reply
             # A timer may fire a clock tick before its time.  Without the slack nothing would be
             # due yet, the same timer would be set again, and the loop would spin on it.
             at = now() + TIMER_SLACK_S
             if at >= req.deadline:
-                return self._give_up(req, DEADLINE_PASSED)
+                return self._fail(req, DEADLINE_PASSED)
             if not req.open:
                 if (failure := self._retry_refusal(req)) is not None:
-                    return self._give_up(req, failure)
+                    return self._fail(req, failure)
                 continue
-            self._ask_fates(req, at)
+            self._query_outcomes(req, at)
             self._hedge(req, at)
 
     async def _start_attempt(self, req: OpenRequest) -> Failure | None:
@@ -249,23 +249,23 @@
         due = req.deadline
         at = now() + TIMER_SLACK_S
         for attempt in req.open.values():
-            due = min(due, self._fate_due(req, attempt))
+            due = min(due, self._outcome_query_due(req, attempt))
         hedge_due = self._hedge_due(req)
         # A hedge that was due but could not be paid is not waited for again.
         return min(due, hedge_due) if hedge_due is not None and hedge_due > at else due
 
-    def _settle(self, req: OpenRequest) -> ServiceReply | None:
+    def _take_ended(self, req: OpenRequest) -> ServiceReply | None:
         """Take the attempts that ended; return the reply if one of them has it."""
         while req.ended:
             attempt, answer = req.ended.pop(0)
-            ran = self._proven(attempt, answer)
+            ran = self._proven_outcome(attempt, answer)
             if ran is Outcome.DONE and answer is not None:
                 return self._done(req, answer)
             req.maybe_ran = req.maybe_ran or ran is Outcome.UNKNOWN
             req.last_reason = answer.reason if answer is not None else "lost"
         return None
 
-    def _proven(self, attempt: OpenAttempt, answer: ServiceAnswer | None) -> Outcome:
+    def _proven_outcome(self, attempt: OpenAttempt, answer: ServiceAnswer | None) -> Outcome:
         if answer is None:
             return Outcome.UNKNOWN
         if answer.ran == Outcome.DONE:
@@ -297,7 +297,7 @@
             answer.body,
         )
 
-    def _give_up(self, req: OpenRequest, failure: Failure) -> ServiceReply:
+    def _fail(self, req: OpenRequest, failure: Failure) -> ServiceReply:
         unknown = req.maybe_ran or bool(req.open)
         outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_RUN
         if unknown:
@@ -317,8 +317,8 @@
         service = req.service
         backlog_s = self._placer.wait_s(service, len(service.queue))
         if failure.code is Code.REFUSED_BY_RULE:
-            least_s = req.decision.then.retry_after_ms / 1000
-            return service.pressure.retry_after_s(0.0, least_s)
+            min_s = req.decision.then.retry_after_ms / 1000
+            return service.pressure.retry_after_s(0.0, min_s)
         return service.pressure.retry_after_s(backlog_s)
 
     def _close(self, req: OpenRequest) -> None:
@@ -361,18 +361,18 @@
         self.counters.hedges += 1
         self.attempts.send(req, instance)
 
-    def _fate_due(self, req: OpenRequest, attempt: OpenAttempt) -> float:
-        if attempt.asked >= FATE_LIMIT:
+    def _outcome_query_due(self, req: OpenRequest, attempt: OpenAttempt) -> float:
+        if attempt.outcome_queries >= MAX_OUTCOME_QUERIES:
             return req.deadline
-        usual_s = max(FATE_MIN_S, FATE_FACTOR * self.router.latency_s(req.service.name))
-        first_s = 0.0 if attempt.suspect else usual_s
-        return attempt.sent_at + first_s + usual_s * float(2**attempt.asked - 1)
+        base_delay_s = max(MIN_OUTCOME_QUERY_DELAY_S, OUTCOME_QUERY_LATENCY_FACTOR * self.router.latency_s(req.service.name))
+        initial_delay_s = 0.0 if attempt.suspect else base_delay_s
+        return attempt.sent_at + initial_delay_s + base_delay_s * float(2**attempt.outcome_queries - 1)
 
-    def _ask_fates(self, req: OpenRequest, at: float) -> None:
+    def _query_outcomes(self, req: OpenRequest, at: float) -> None:
         for attempt in req.open.values():
-            if self._fate_due(req, attempt) > at:
+            if self._outcome_query_due(req, attempt) > at:
                 continue
-            self.attempts.ask_fate(attempt)
+            self.attempts.query_outcome(attempt)
 
     # Changes of instances and of the configuration.
 
@@ -381,7 +381,7 @@
         self.router.update(view, live, at)
         if self._seen.get(view.id) != (view.incarnation, live):
             self._seen[view.id] = (view.incarnation, live)
-            self.attempts.doubt(view, live)
+            self.attempts.mark_suspect(view, live)
         for service in view.services:
             if (state := self._services.get(service)) is not None:
                 self._placer.pump(state)
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -55,7 +55,7 @@
     """One attempt that has no end yet.
 
     :ivar incarnation: run of the agent that it was sent to.
-    :ivar asked: how often its fate was asked for.
+    :ivar outcome_queries: how often its fate was outcome_queries for.
     :ivar suspect: its instance fell silent or replaced the connection it was sent on.
     """
 
@@ -64,7 +64,7 @@
     instance: str
     incarnation: str
     sent_at: float
-    asked: int = 0
+    outcome_queries: int = 0
     suspect: bool = False
 
 
