--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from sapphirelead.entry_config import ConfigKeeper
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows
 from sapphirelead.entry_jobs import Jobs
 from sapphirelead.entry_lease import LeaseKeeper
@@ -52,7 +52,7 @@
         rows = JobRows(store, settings.shards)
         if metrics is not None:
             rows.on_move = JobMeter(metrics).moved
-        board = JobBoard()
+        board = JobNotifier()
         moves = JobMoves(rows, board, links, config, stamp)
         starter = JobStarter(stamp, rows, board, moves, leases, links, config)
         scheduler = Scheduler(
--- a/sapphirelead/entry_job_board.py
+++ b/sapphirelead/entry_job_notifier.py
@@ -15,7 +15,7 @@
 Listener = Callable[[StoredJob], None]
 
 
-class JobBoard:
+class JobNotifier:
     """Publishes moves to listeners, and the end of jobs to waiters."""
 
     _listeners: list[Listener]
@@ -39,7 +39,7 @@
             if not fut.done():
                 fut.set_result(stored)
 
-    def committed(self, stored: StoredJob) -> None:
+    def publish_committed(self, stored: StoredJob) -> None:
         """Log a move that this entry committed, and tell everyone of it."""
         self.publish(stored)
         _log_move(stored.job)
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from sapphirelead.clock import now
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_ports import ConfigService, Links, Members
 from sapphirelead.entry_table import EntryTable
@@ -25,7 +25,7 @@
 
 POLL_MIN_S: Final = 0.2
 POLL_MAX_S: Final = 2.0
-CANCEL_TRIES: Final = 5
+MAX_CANCEL_ATTEMPTS: Final = 5
 
 
 class Jobs:
@@ -33,7 +33,7 @@
 
     _table: EntryTable
     _rows: JobRows
-    _board: JobBoard
+    _notifier: JobNotifier
     _members: Members
     _tails: WatchTails
     _config: ConfigService
@@ -43,7 +43,7 @@
         self,
         table: EntryTable,
         rows: JobRows,
-        board: JobBoard,
+        notifier: JobNotifier,
         members: Members,
         links: Links,
         config: ConfigService,
@@ -51,7 +51,7 @@
     ) -> None:
         self._table = table
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._members = members
         self._tails = WatchTails()
         self._config = config
@@ -73,13 +73,13 @@
             if created.err_value.code is Code.STORE_CONFLICT:
                 return await self._join(spec)
             return created
-        self._board.committed(created.ok_value)
+        self._notifier.publish_committed(created.ok_value)
         return Ok(job)
 
     async def get(self, key: str, wait_s: float) -> Result[Job | None, Failure]:
         """Read a job, waiting up to ``wait_s`` seconds for its end."""
         deadline = now() + wait_s
-        pause = POLL_MIN_S
+        poll_delay_s = POLL_MIN_S
         while True:
             found = await self._rows.read(key)
             if isinstance(found, Err):
@@ -88,14 +88,14 @@
             left = deadline - now()
             if stored is None or stored.job.ended or left <= 0:
                 return Ok(stored.job if stored is not None else None)
-            ended = await self._board.wait_end(key, min(pause, left))
+            ended = await self._notifier.wait_end(key, min(poll_delay_s, left))
             if ended is not None:
                 return Ok(ended.job)
-            pause = min(pause * 1.5, POLL_MAX_S)
+            poll_delay_s = min(poll_delay_s * 1.5, POLL_MAX_S)
 
     async def cancel(self, key: str) -> Result[Job, Failure]:
         """Ask for a job's cancellation; one that has ended stays as it is."""
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             found = await self._rows.read(key)
             if isinstance(found, Err):
                 return found
@@ -116,7 +116,7 @@
         moved = await self._rows.move(stored, stepped.ok_value)
         if isinstance(moved, Err):
             return moved
-        self._board.committed(moved.ok_value)
+        self._notifier.publish_committed(moved.ok_value)
         return Ok(moved.ok_value.job)
 
     async def list_jobs(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
@@ -186,12 +186,12 @@
         return Ok(stored.job)
 
 
-def same_request(held: JobSpec, asked: JobSpec) -> bool:
-    """Return whether ``asked`` repeats ``held``.
+def same_request(existing: JobSpec, requested: JobSpec) -> bool:
+    """Return whether ``requested`` repeats ``existing``.
 
     A repeat may carry a shorter deadline, because the caller's time has gone on.
     """
-    return replace(asked, deadline_ms=held.deadline_ms) == held
+    return replace(requested, deadline_ms=existing.deadline_ms) == existing
 
 
 def _impossible(spec: JobSpec) -> Failure:
--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -12,7 +12,7 @@
 
 from result import Err, Result
 
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_ports import ConfigService, Lane, Links, Stamp
 from sapphirelead.errors import Code, Failure
@@ -31,14 +31,14 @@
     """Applies moves and acknowledges reports."""
 
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _links: Links
     _config: ConfigService
     _stamp: Stamp
     _running: dict[tuple[str, str, int], "asyncio.Task[None]"]
 
     def __init__(
-        self, rows: JobRows, board: JobBoard, links: Links, config: ConfigService, stamp: Stamp
+        self, rows: JobRows, board: JobNotifier, links: Links, config: ConfigService, stamp: Stamp
     ) -> None:
         self._rows = rows
         self._board = board
@@ -104,7 +104,7 @@
         moved = await self._rows.move(stored, stepped.ok_value, guards)
         if isinstance(moved, Err):
             return None if moved.err_value.code is Code.STORE_CONFLICT else False
-        self._board.committed(moved.ok_value)
+        self._board.publish_committed(moved.ok_value)
         return True
 
     async def release_unstarted(self, key: str, epoch: int, said_by: Holder, reason: str) -> None:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -18,7 +18,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_claim_runs import ClaimRuns
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob, shard_of
 from sapphirelead.entry_lease import LeaseKeeper
 from sapphirelead.entry_moves import JobMoves
@@ -67,7 +67,7 @@
     _stamp: Stamp
     _table: EntryTable
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _moves: JobMoves
     _leases: LeaseKeeper
     _starter: JobStarter
@@ -84,7 +84,7 @@
         stamp: Stamp,
         table: EntryTable,
         rows: JobRows,
-        board: JobBoard,
+        board: JobNotifier,
         moves: JobMoves,
         leases: LeaseKeeper,
         starter: JobStarter,
@@ -247,7 +247,7 @@
             return
         moved = await self._rows.move(stored, stepped.ok_value)
         if isinstance(moved, Ok):
-            self._board.committed(moved.ok_value)
+            self._board.publish_committed(moved.ok_value)
 
     def _on_config(self, config: Config) -> None:
         self._rules = RuleSet.from_config(config.document)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -14,7 +14,7 @@
 from result import Err, Ok
 
 from sapphirelead.clock import now
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_lease import LeaseKeeper
 from sapphirelead.entry_moves import JobMoves
@@ -39,7 +39,7 @@
     records: dict[str, InstanceRecord]
     _stamp: Stamp
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _moves: JobMoves
     _leases: LeaseKeeper
     _links: Links
@@ -51,7 +51,7 @@
         self,
         stamp: Stamp,
         rows: JobRows,
-        board: JobBoard,
+        board: JobNotifier,
         moves: JobMoves,
         leases: LeaseKeeper,
         links: Links,
@@ -183,7 +183,7 @@
             return None
         moved = await self._rows.move(stored, stepped.ok_value, (guard,))
         if isinstance(moved, Ok):
-            self._board.committed(moved.ok_value)
+            self._board.publish_committed(moved.ok_value)
             return moved.ok_value
         log_event("INFO", "claim_failed", job=stored.job.spec.key, reason=moved.err_value)
         if moved.err_value.code is Code.STORE_CONFLICT:
