--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -7,7 +7,7 @@
 one is never taken, so the version never goes back at any process.
 
 A new entry decides nothing before it has read the row once, or, while the table is down, has heard
-a version from a peer or an agent (:attr:`ConfigKeeper.ready`); with the table down and nobody to
+a version from a peer or an agent (:attr:`ConfigManager.ready`); with the table down and nobody to
 ask, it goes on with an empty configuration after a grace period, because services must answer.
 """
 
@@ -28,8 +28,8 @@
 from sapphirelead.ports import CommitStatus, Row
 from sapphirelead.wire_messages import ConfigPush
 
-POLL_S: Final = 1.0
-START_GRACE_S: Final = 5.0
+POLL_INTERVAL_S: Final = 1.0
+STARTUP_GRACE_S: Final = 5.0
 AUDIT_PREFIX: Final = "audit/"
 AUDIT_DIGITS: Final = 10
 
@@ -43,7 +43,7 @@
     return f"{AUDIT_PREFIX}{10**AUDIT_DIGITS - version:0{AUDIT_DIGITS}d}"
 
 
-class ConfigKeeper:
+class ConfigManager:
     """Keeps the highest version seen; implements :class:`~sapphirelead.entry_ports.ConfigService`.
 
     :ivar ready: set once a version is known or the grace period has passed.
@@ -130,10 +130,10 @@
             return Err(Failure(Code.STORE_UNAVAILABLE, found.err_value.message, "apply again"))
         row = found.ok_value[0]
         self._observe_row(row)  # a conflict must name the version that won, not the last one polled
-        held = _version_of(row)
-        if held != base_version:
-            return Err(_conflict(base_version, held))
-        version = held + 1
+        current_version = _version_of(row)
+        if current_version != base_version:
+            return Err(_conflict(base_version, current_version))
+        version = current_version + 1
         # The version that is replaced is the one in force here: the row was just observed.
         changes = describe_changes(self._current.document, parsed.ok_value)
         record = _audit_value(version, author, reason, changes)
@@ -181,10 +181,10 @@
         started = asyncio.get_running_loop().time()
         while True:
             await self._poll()
-            if asyncio.get_running_loop().time() - started > START_GRACE_S:
+            if asyncio.get_running_loop().time() - started > STARTUP_GRACE_S:
                 self.ready.set()
-            self._push_behind()
-            await asyncio.sleep(POLL_S)
+            self._push_outdated()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll(self) -> None:
         found = await self._table.row(CONFIG_KEY)
@@ -206,13 +206,13 @@
         log_event("INFO", "config_in_force", version=config.version)
         for listener in self._listeners:
             listener(config)
-        self._push_behind()
+        self._push_outdated()
 
     def _on_push(self, message: ConfigPush) -> None:
         self.observe(message.version, message.document)
         self._peers[message.sender] = max(message.version, self._peers.get(message.sender, 0))
 
-    def _push_behind(self) -> None:
+    def _push_outdated(self) -> None:
         """Hand the current version to agents that decide by a lower one, and to peers."""
         if self._current.version == 0:
             return
--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from sapphirelead.entry_config import ConfigKeeper
+from sapphirelead.entry_config import ConfigManager
 from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows
 from sapphirelead.entry_jobs import Jobs
@@ -25,7 +25,7 @@
 
     table: EntryTable
     leases: LeaseKeeper
-    config: ConfigKeeper
+    config: ConfigManager
     jobs: Jobs
     moves: JobMoves
     scheduler: Scheduler
@@ -48,7 +48,7 @@
         """
         store = EntryTable.from_settings(settings.platform, table)
         leases = LeaseKeeper(settings, stamp, control, store, members, links)
-        config = ConfigKeeper(stamp, settings.zone, store, members, links, leases)
+        config = ConfigManager(stamp, settings.zone, store, members, links, leases)
         rows = JobRows(store, settings.shards)
         if metrics is not None:
             rows.on_move = JobMeter(metrics).moved
--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -303,14 +303,18 @@
 
     # Requests that are not idempotent.
 
-    async def _serve_durably(self, request: web.Request, parsed_call: _ParsedCall) -> web.StreamResponse:
+    async def _serve_durably(
+        self, request: web.Request, parsed_call: _ParsedCall
+    ) -> web.StreamResponse:
         key = parse_key(request.headers.get(KEY_HEADER) or uuid.uuid4().hex)
         if isinstance(key, Err):
             return rejected(key.err_value)
         decision = self._ports.dispatcher.decide(parsed_call.call)
         if (refused := decision.refusal("request")) is not None:
             return problem(refused, retry_after_s=decision.then.retry_after_ms / 1000)
-        spec = self._durable_spec(key.ok_value, parsed_call.call, request.headers.get("Content-Type"))
+        spec = self._durable_spec(
+            key.ok_value, parsed_call.call, request.headers.get("Content-Type")
+        )
         # The caller may leave while the row is being committed.  The commit goes on then, so that
         # it ends in one known way; a repeat with the same key finds the row.
         submitting = asyncio.ensure_future(self._ports.jobs.submit(spec, decision.rule))
@@ -347,7 +351,9 @@
         return {**fields, "body": base64.b64encode(body).decode(), "encoding": "base64"}
 
 
-def _durable_response(key: str, submitted: Job, waited: Result[Job | None, Failure]) -> web.Response:
+def _durable_response(
+    key: str, submitted: Job, waited: Result[Job | None, Failure]
+) -> web.Response:
     job = waited.ok_value if isinstance(waited, Ok) and waited.ok_value else submitted
     outcome = outcome_of(job)
     if outcome is Outcome.DONE:
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -2,7 +2,7 @@
 
 Takes announcements and beats from the control lane, acknowledges beats, and tells listeners which
 instances may be used.  Agents that decide by another configuration version are the business of
-:class:`~sapphirelead.entry_config.ConfigKeeper`, which reads the versions from the views here.
+:class:`~sapphirelead.entry_config.ConfigManager`, which reads the versions from the views here.
 """
 
 import asyncio
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -364,9 +364,14 @@
     def _outcome_query_due(self, req: OpenRequest, attempt: OpenAttempt) -> float:
         if attempt.outcome_queries >= MAX_OUTCOME_QUERIES:
             return req.deadline
-        base_delay_s = max(MIN_OUTCOME_QUERY_DELAY_S, OUTCOME_QUERY_LATENCY_FACTOR * self.router.latency_s(req.service.name))
+        base_delay_s = max(
+            MIN_OUTCOME_QUERY_DELAY_S,
+            OUTCOME_QUERY_LATENCY_FACTOR * self.router.latency_s(req.service.name),
+        )
         initial_delay_s = 0.0 if attempt.suspect else base_delay_s
-        return attempt.sent_at + initial_delay_s + base_delay_s * float(2**attempt.outcome_queries - 1)
+        return (
+            attempt.sent_at + initial_delay_s + base_delay_s * float(2**attempt.outcome_queries - 1)
+        )
 
     def _query_outcomes(self, req: OpenRequest, at: float) -> None:
         for attempt in req.open.values():
