--- a/sapphirelead/entry_attempts.py
+++ b/sapphirelead/entry_attempts.py
@@ -1,10 +1,8 @@
-"""Attempts that have no end yet: sent, matched with their answers, doubted and closed.
+"""Registry of open attempts: sending, matching of answers, outcome queries and cancellation.
 
-Invariants:
-
-- An answer ends an attempt only if the attempt is open, the answer came from the instance that it
-  was sent to and its body is as long as it says.  Anything else is counted and dropped.
-- An attempt ends once; its room in the estimates is given back then.
+An attempt ends once, which releases its slot in the router's estimates.  An answer to an attempt
+that is not open, or from another instance, is counted and dropped; an answer whose body does not
+have the declared length ends the attempt as failed.
 """
 
 from collections.abc import Callable
@@ -30,7 +28,7 @@
 
 
 class ServiceLinks(Protocol):
-    """What the service path needs of the sockets."""
+    """Messaging interface used by the dispatcher."""
 
     def on(self, kind: type[AnyMessage], handler: Callable[[Any], None]) -> None:
         """Call ``handler`` with each received message of ``kind``."""
@@ -38,17 +36,17 @@
     def send_now(
         self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        """Send at once; ``False`` means proven not sent."""
+        """Send without waiting; ``False`` means that the message was certainly not sent."""
 
 
 class ServiceMembers(Protocol):
-    """What the service path needs of membership."""
+    """Membership interface used by the dispatcher."""
 
     def get(self, instance: str) -> InstanceView | None:
-        """Return one instance."""
+        """Return the current view of an instance."""
 
     def on_view(self, listener: Callable[[InstanceView, bool], None]) -> None:
-        """Call ``listener(view, live)`` with every new view."""
+        """Call ``listener(view, live)`` with each updated view."""
 
 
 class AttemptRegistry:
@@ -81,7 +79,7 @@
         links.on(ServiceAnswer, self._on_answer)
 
     def send(self, req: OpenRequest, instance: str) -> bool:
-        """Send the next attempt of ``req``; ``False`` means proven not sent, and it is closed."""
+        """Send the next attempt of ``req``; ``False`` means that it was certainly not sent."""
         at = now()
         view = self._members.get(instance)
         incarnation = view.incarnation if view else ""
@@ -103,14 +101,14 @@
             req.attempts = number
             return True
         self._counters.unsent += 1
-        # REFUSED marks the instance as full until it reports again: its connection is gone.
+        # There is no connection: REFUSED marks the instance as full until its next report.
         self.end(attempt, AttemptEnd.REFUSED)
         return False
 
     def end(
         self, attempt: OpenAttempt, end: AttemptEnd, answer: ServiceAnswer | None = None
     ) -> None:
-        """Close an attempt: forget it, give its room back and let the queue have it."""
+        """Close an attempt, release its slot and serve the queue."""
         req = attempt.request
         if self._open.pop((req.id, attempt.number), None) is None:
             return
@@ -149,7 +147,7 @@
         attempt.request.changed.set()
 
     def cancel(self, attempt: OpenAttempt) -> None:
-        """Tell the agent that the answer is no longer wanted."""
+        """Notify the agent that the answer is no longer needed."""
         message = CancelAttempt(
             **self._stamp.head(self._config_version()),
             request_id=attempt.request.id,
@@ -158,7 +156,7 @@
         self._links.send_now(attempt.instance, Lane.DATA, message, attempt.incarnation)
 
     def on_lane_change(self, instance: str, incarnation: str, lane: Lane) -> None:
-        """Doubt the attempts sent on a connection that its agent replaced."""
+        """Mark the attempts sent on a connection that the agent has replaced as suspect."""
         if lane is Lane.CONTROL:
             return
         for attempt in self._open.values():
@@ -167,11 +165,10 @@
                 attempt.request.changed.set()
 
     def mark_suspect(self, view: InstanceView, live: bool) -> None:
-        """Doubt what is open at an instance that restarted or fell silent, so that it is asked for.
+        """Mark the open attempts at an instance that restarted or timed out as suspect.
 
-        A new incarnation is not always a new process: an agent that was fenced goes on under one
-        and still answers what it has in progress.  A new process answers at once that it does not
-        know the attempt.
+        They are queried rather than closed: a fenced agent continues under a new incarnation and
+        still answers its open attempts, while a new process replies that it does not know them.
         """
         for attempt in self._open.values():
             if attempt.instance != view.id:
@@ -182,7 +179,7 @@
                 attempt.request.changed.set()
 
     def query_outcome(self, attempt: OpenAttempt) -> None:
-        """Ask the agent for the end of an attempt."""
+        """Query the agent for the outcome of an attempt."""
         attempt.outcome_queries += 1
         self._counters.fates_asked += 1
         message = AttemptFate(
@@ -191,7 +188,7 @@
             attempt=attempt.number,
             sent_to=attempt.incarnation,
         )
-        # Not on the data lane: that is the connection under suspicion.
+        # The data lane may be the failed connection, so the query uses the control lane.
         self._links.send_now(attempt.instance, Lane.CONTROL, message)
 
 
--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -1,15 +1,11 @@
-"""The caller API of an entry.
-
-``POST /v1/services/{service}`` carries a request to a target and its answer back.  A request that
-is not idempotent takes the durable path instead: a job row named by its ``Idempotency-Key``, so
-that a repeat through any entry joins the same job.  Jobs have their own routes
-(:mod:`sapphirelead.entry_http_jobs`).
-
-Invariants:
-
-- Every answer that is not a target's is a problem with an ``outcome``.
-- While the entry leaves, new work is refused as ``not_run`` and requests in progress are finished.
-- A caller that goes away cancels its handler, so its attempts are closed and cost nothing more.
+"""HTTP API for callers.
+
+``POST /v1/services/{service}`` forwards a request to a target and returns the target's response.
+A request that is not idempotent becomes a durable job keyed by its ``Idempotency-Key``, so a retry
+through any entry joins the same job (see :mod:`sapphirelead.entry_http_jobs` for the job routes).
+Every response not produced by a target is a problem document with an ``outcome``.  A draining
+entry rejects new requests as ``not_run`` and completes open ones.  A client disconnect cancels the
+handler, which closes its attempts.
 """
 
 import asyncio
@@ -59,8 +55,7 @@
 SHUTDOWN_TIMEOUT_S: Final = 1.0
 WAIT_CUTOFF_S: Final = 1.0
 RETRY_AFTER_S: Final = 1.0
-# After a body that came too slowly the rest is awaited for this long, so that its caller can read
-# the answer.  A frozen caller held its connection for the library's 10 s instead.
+# Time to keep reading an unread body before closing, so that the caller receives the response.
 LINGERING_TIMEOUT_S: Final = 0.5
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -68,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerPorts:
-    """What the caller API reaches.
+    """Dependencies of the caller API.
 
-    :ivar ready: whether this entry may be given requests by the balancer.
-    :ivar job_situation: what rules may look at when a job is submitted.
+    :ivar ready: whether the load balancer may route requests to this entry.
+    :ivar job_situation: builds the rule input for a submitted job.
     """
 
     dispatcher: ServiceDispatcher
@@ -84,16 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _ParsedCall:
-    """A service request as its headers describe it."""
+    """A parsed service request and its deadline on the monotonic clock, in seconds."""
 
     call: ServiceCall
     deadline: float
 
 
 class CallerApi:
-    """The HTTP server for callers.
+    """HTTP server for callers.
 
-    :ivar port: bound port, once started.
+    :ivar port: bound port; 0 before :meth:`start`.
     """
 
     port: int
@@ -129,7 +124,7 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings, ports: CallerPorts) -> "CallerApi":
-        """Return a server that :meth:`start` binds."""
+        """Return a server that is not yet bound."""
         return cls(settings, ports)
 
     async def start(
@@ -138,7 +133,7 @@
         """Bind and serve.
 
         :param more: routes of other APIs on the same port.
-        :param drain_exempt: prefixes of paths whose API itself says when it takes nothing new.
+        :param drain_exempt: path prefixes whose handlers reject requests themselves while draining.
         """
         self._drain_exempt = drain_exempt
         limits = self._settings.limits
@@ -160,9 +155,10 @@
         self.port = self._runner.addresses[0][1]
 
     async def drain(self, limit_s: float) -> None:
-        """Refuse new work and return when each request in progress has its whole answer.
+        """Reject new requests and return when all open ones have completed.
 
-        Whoever only waits for a job that goes on elsewhere is told so shortly before the limit.
+        Non-idempotent requests that still wait for their job receive its current state
+        ``WAIT_CUTOFF_S`` before the limit.
         """
         self._draining.set()
         last_call = asyncio.get_running_loop().call_later(
@@ -183,7 +179,7 @@
             web.get("/readyz", self._readyz),
         ]
 
-    # Every request.
+    # Request admission.
 
     @web.middleware
     async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
@@ -208,13 +204,13 @@
         if request.method not in ("POST", "PUT"):
             return None
         if self._draining.is_set() and not request.path.startswith(self._drain_exempt):
-            hint = "ask again; the balancer will pick another entry"
-            failure = Failure(Code.DRAINING, "this entry is leaving", hint)
+            hint = "retry; the load balancer will select another entry"
+            failure = Failure(Code.DRAINING, "this entry is draining", hint)
             response = problem(failure, retry_after_s=RETRY_AFTER_S)
             response.force_close()
             return response
         if self._open >= self._settings.limits.open_requests:
-            failure = Failure(Code.OVERLOADED, "too many requests are open at this entry")
+            failure = Failure(Code.OVERLOADED, "this entry has too many open requests")
             return problem(failure, retry_after_s=RETRY_AFTER_S)
         return None
 
@@ -274,7 +270,7 @@
             service.ok_value,
             forwarded_headers(headers),
             body,
-            # Time spent on a slow body counts, so the caller's own timeout is not overrun.
+            # Time spent reading the body counts against the deadline.
             max(0.0, at - now()),
             idempotent.ok_value,
             urgent.ok_value,
@@ -301,7 +297,7 @@
             elapsed_ms=round(elapsed_s * 1000, 1),
         )
 
-    # Requests that are not idempotent.
+    # Non-idempotent requests.
 
     async def _serve_durably(
         self, request: web.Request, parsed_call: _ParsedCall
@@ -315,8 +311,8 @@
         spec = self._durable_spec(
             key.ok_value, parsed_call.call, request.headers.get("Content-Type")
         )
-        # The caller may leave while the row is being committed.  The commit goes on then, so that
-        # it ends in one known way; a repeat with the same key finds the row.
+        # Shielded so that a client disconnect does not interrupt the commit; a retry with the same
+        # key finds the row.
         submitting = asyncio.ensure_future(self._ports.jobs.submit(spec, decision.rule))
         submitted = await asyncio.shield(submitting)
         if isinstance(submitted, Err):
@@ -343,7 +339,7 @@
 
 
 def _encode_input(service: str, body: bytes, content_type: str) -> dict[str, Any]:
-    """Return a request as the input of a job; a repeat of it must come out equal."""
+    """Encode a request as job input; equal requests must encode to equal inputs."""
     fields = {"service": service, "content_type": content_type}
     try:
         return {**fields, "body": body.decode(), "encoding": "text"}
@@ -361,8 +357,8 @@
         return web.json_response(job_view(job), headers=headers)
     where = f"/v1/jobs/{key}"
     if outcome is None:
-        text = "accepted, but not finished before the deadline; it goes on"
-        failure = Failure(Code.DEADLINE, text, f"read {where}, or repeat with the same key")
+        text = "accepted, but not finished before the deadline; the job continues"
+        failure = Failure(Code.DEADLINE, text, f"read {where}, or retry with the same key")
         return problem(failure, Outcome.UNKNOWN, key=key, job=where, state=job.state.value)
     failure = Failure(Code.LOST, f"the job ended as {job.state.value}: {job.reason}")
     return problem(failure, outcome, key=key, job=where, state=job.state.value)
@@ -383,7 +379,7 @@
 
 
 def _http_problem(exc: web.HTTPException) -> web.StreamResponse:
-    """Return what the router found (no such path, method not allowed) as a problem."""
+    """Convert a routing error, such as 404 or 405, to a problem document."""
     if exc.status < 400:
         return exc
     failure = Failure(Code.BAD_REQUEST, exc.reason)
--- a/sapphirelead/entry_http_jobs.py
+++ b/sapphirelead/entry_http_jobs.py
@@ -1,17 +1,10 @@
-"""Durable jobs in the caller API: submit, read, cancel, follow.
+"""Caller API routes for durable jobs: submit, read, cancel and stream events.
 
-A submission is answered once its row is committed; a repeat of the same key and content joins the
-job that is there.  A watch is followed as a stream of events, as server-sent events or as JSON
-lines, each numbered ``epoch.number``; ``Last-Event-ID`` resumes after one of them, through any
-entry.
-
-Invariants:
-
-- 202 is given only for a row that is committed; where that is not known, the answer is ``unknown``
-  and names the key, by which a repeat settles it.
-- A stream never goes silent: between events it carries keepalives, so a caller can tell a quiet
-  watch from a dead connection.
-- When the entry leaves, a stream ends with a ``moved`` event, and waits end with the job as it is.
+A submission returns 202 only once the job's row is committed; if the commit result is not known,
+the outcome is ``unknown`` and a retry with the same key resolves it.  Events are streamed as
+server-sent events or JSON lines with ids of the form ``epoch.number``; ``Last-Event-ID`` resumes a
+stream through any entry, and keepalives are sent while there are no events.  When the entry drains,
+streams end with a ``moved`` event and waits return the current state of the job.
 """
 
 import asyncio
@@ -49,7 +42,7 @@
 
 
 class JobRoutes:
-    """Handlers of ``/v1/jobs``."""
+    """Handlers for ``/v1/jobs``."""
 
     _settings: EntrySettings
     _jobs: JobService
@@ -78,7 +71,7 @@
         config.on_change(self._on_config)
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the routes."""
+        """Return the route definitions."""
         return [
             web.post("/v1/jobs", self._submit),
             web.get("/v1/jobs/{key}", self._read),
@@ -89,7 +82,7 @@
     async def wait(
         self, key: str, wait_s: float, interrupt: asyncio.Event
     ) -> Result[Job | None, Failure]:
-        """Read a job, waiting for its end; once ``interrupt`` is set, return it as it is."""
+        """Read a job, waiting for its end up to ``wait_s`` or until ``interrupt`` is set."""
         reading = asyncio.ensure_future(self._jobs.get(key, max(0.0, wait_s)))
         draining = asyncio.ensure_future(interrupt.wait())
         try:
@@ -102,8 +95,8 @@
         return await self._jobs.get(key, 0.0)
 
     def refused(self, key: str, failure: Failure) -> web.Response:
-        """Return why a submission was not accepted, or may not have been."""
-        # A conflict means that a job of this key exists and is changing: it may well run.
+        """Return the response to a submission that failed or whose result is not known."""
+        # A conflict means that a job with this key exists and is changing, so it may run.
         may_run = failure.code in (Code.STORE_AMBIGUOUS, Code.STORE_CONFLICT)
         outcome = Outcome.UNKNOWN if may_run else Outcome.NOT_RUN
         self._metrics.count("jobs_refused_total", code=failure.code.value)
@@ -121,7 +114,7 @@
         if (refused := decision.refusal("job")) is not None:
             retry_s = decision.then.retry_after_ms / 1000
             return problem(refused, retry_after_s=retry_s, rule=decision.rule)
-        # A caller that leaves must not cut the commit in half: it ends in one known way.
+        # Shielded so that a client disconnect does not interrupt the commit.
         submitting = asyncio.ensure_future(self._jobs.submit(spec, decision.rule))
         submitted = await asyncio.shield(submitting)
         if isinstance(submitted, Err):
@@ -173,7 +166,7 @@
         return stream.response
 
     async def _follow(self, key: str, after: EventPosition, stream: "EventStream") -> bool:
-        """Hand events on until the job ends; return ``False`` where the entry leaves first."""
+        """Forward events until the job ends; return ``False`` if the entry drains first."""
         queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
         pumping = asyncio.create_task(_enqueue_events(self._jobs.events(key), queue))
         draining = asyncio.create_task(self._draining.wait())
@@ -204,7 +197,7 @@
 
 
 class EventStream:
-    """One caller's stream, as server-sent events or as JSON lines."""
+    """An event stream to one caller, as server-sent events or JSON lines."""
 
     response: web.StreamResponse
     _request: web.Request
@@ -218,7 +211,7 @@
         self._sse = sse
 
     async def open(self) -> None:
-        """Send the headers."""
+        """Send the response headers."""
         await self.response.prepare(self._request)
 
     async def send(self, event: str, event_id: str, data: Any) -> None:
@@ -231,11 +224,11 @@
         await self.response.write(text.encode())
 
     async def keep_alive(self) -> None:
-        """Send what a reader skips."""
+        """Send a keepalive, which clients ignore."""
         await self.response.write(b": keepalive\n\n" if self._sse else b"\n")
 
     async def close(self) -> None:
-        """End the stream whole."""
+        """Terminate the stream."""
         await self.response.write_eof()
 
 
@@ -253,7 +246,7 @@
 
 
 def _parse_position(text: str) -> EventPosition:
-    """Return the event to resume after; anything else starts from the oldest kept.
+    """Parse a ``Last-Event-ID``; return ``(0, 0)`` if it is missing or malformed.
 
     >>> _parse_position("3.12")
     (3, 12)
@@ -269,7 +262,7 @@
 def _parse_wait(text: str, max_ms: int) -> Result[int, Rejected]:
     if text.isdecimal() and len(text) < 10 and int(text) <= max_ms:
         return Ok(int(text))
-    wrong = "must be a whole number within its limits"
+    wrong = "must be an integer within the limits"
     return Err(reject(Code.BAD_REQUEST, "wait_ms", wrong, f"0 to {max_ms}", "milliseconds"))
 
 
@@ -282,9 +275,9 @@
 
 
 def _failed(key: str, failure: Failure) -> web.Response:
-    """Return why a job could not be read or cancelled.
+    """Return the response to a read or cancellation that failed.
 
-    The outcome of the job is not known by that, not even where there is no row: a submission whose
-    answer was lost may yet take effect.
+    The outcome is ``unknown`` even if there is no row: a submission whose response was lost may
+    still be committed.
     """
     return problem(failure, Outcome.UNKNOWN, STORE_RETRY_S, key=key)
--- a/sapphirelead/entry_http_problem.py
+++ b/sapphirelead/entry_http_problem.py
@@ -1,7 +1,7 @@
-"""Answers that are not a target's: problem details (RFC 9457) with what the caller may do next.
+"""Problem documents (RFC 9457) for responses that no target produced.
 
-Every problem carries an ``outcome``: ``not_run`` is proven, ``unknown`` is everything else.  Where
-asking again can help, ``Retry-After`` says when, in whole seconds, and ``retry_after_ms`` exactly.
+Every problem has an ``outcome``: ``not_run`` only if proven, otherwise ``unknown``.  If a retry may
+succeed, ``Retry-After`` gives the delay in whole seconds and ``retry_after_ms`` in milliseconds.
 """
 
 import math
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BadField:
-    """The field of a request that is wrong.
+    """An invalid field of a request.
 
-    :ivar limit: bound that was passed, or what is allowed.
+    :ivar limit: exceeded bound, or the allowed values.
     :ivar unit: unit of ``limit``, or empty.
     """
 
@@ -65,7 +65,7 @@
     status: int = 0,
     **extra: Any,
 ) -> web.Response:
-    """Return a failure as problem details, with the status of its code where none is given."""
+    """Return a failure as a problem document; ``status`` 0 selects the status of its code."""
     status = status or STATUS_OF.get(failure.code, 503)
     body: dict[str, Any] = {
         "type": "about:blank",
@@ -91,9 +91,10 @@
 
 
 def outcome_of(job: Job) -> Outcome | None:
-    """Return what is known about the effect of an ended job, or ``None`` while it is open.
+    """Return the outcome of an ended job, or ``None`` while it is open.
 
-    ``not_run`` needs proof: no claim was ever committed, or the holder said that it never started.
+    ``not_run`` requires proof: no claim was committed, or the holder reported that it never
+    started.
     """
     if not job.ended:
         return None
@@ -105,7 +106,7 @@
 
 
 def job_view(job: Job) -> dict[str, Any]:
-    """Return a job as its caller sees it."""
+    """Return the representation of a job for callers."""
     outcome = outcome_of(job)
     return {
         "key": job.spec.key,
--- a/sapphirelead/entry_http_requests.py
+++ b/sapphirelead/entry_http_requests.py
@@ -1,7 +1,7 @@
-"""What callers send, checked at the border.
+"""Validation of requests from callers.
 
-Each check yields a typed value or a :class:`Rejected` that names the field, its limit and its unit.
-Nothing of a request that is rejected here has been accepted anywhere.
+Each check returns a typed value or a :class:`Rejected` that names the field, its limit and its
+unit.  A request rejected here has had no effect.
 """
 
 import asyncio
@@ -35,14 +35,14 @@
 
 _KEY: Final = re.compile(KEY_PATTERN)
 _NAME: Final = re.compile(NAME_PATTERN)
-# The server has answered ``Expect: 100-continue`` before the body came.  Passed on, it would make
-# the agent wait for the same answer from the target.
+# The server has already answered ``Expect: 100-continue``; forwarded, it would make the agent wait
+# for another 100 response from the target.
 _NOT_FORWARDED: Final = HOP_BY_HOP | {"expect"}
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Why a request is refused at the border."""
+    """Reason why a request failed validation."""
 
     failure: Failure
     bad: BadField | None = None
@@ -57,12 +57,12 @@
 
 
 def rejected(why: Rejected) -> web.Response:
-    """Return the answer to a request that was refused at the border."""
+    """Return the response to a request that failed validation."""
     return problem(why.failure, bad=why.bad)
 
 
 class JobResources(BaseModel):
-    """Declared size of a job; what is left out is that of its class."""
+    """Resources requested by a job; omitted fields default to those of its class."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -72,10 +72,9 @@
 
 
 def _check_serializable(value: Any) -> Any:
-    """Check that an input reaches its task unchanged.
+    """Reject inputs that MessagePack or JSON cannot represent exactly.
 
-    An integer beyond 64 bits was accepted, stored, and could then be sent to no agent; ``NaN`` came
-    back from the table as ``null``.
+    MessagePack has no integers beyond 64 bits, and JSON has no ``NaN`` or infinity.
     """
     try:
         msgspec.msgpack.encode(value)
@@ -102,7 +101,7 @@
     expected_ms: Annotated[int, Field(ge=0, le=MAX_JOB_DEADLINE_MS)] = 0
 
     def to_spec(self, document: ConfigDocument) -> JobSpec:
-        """Fill in what the configuration says of the job's class."""
+        """Return the job specification, with defaults from the configuration of its class."""
         policy = document.job_classes.get(self.job_class, JobClassPolicy())
         return JobSpec(
             key=self.key,
@@ -130,26 +129,34 @@
 
 
 def class_resources(document: ConfigDocument, job_class: str) -> Resources:
-    """Return the size that the configuration gives a class."""
+    """Return the resources configured for a job class."""
     return _resources(JobResources(), document.job_classes.get(job_class, JobClassPolicy()))
 
 
 async def read_body(request: web.Request, limits: CallerLimits) -> Checked:
-    """Read a whole body within its limits of size and time."""
+    """Read a request body within the size and time limits."""
     try:
         async with asyncio.timeout(limits.read_timeout_seconds):
             return Ok(await request.read())
     except TimeoutError:
         seconds = limits.read_timeout_seconds
-        return Err(reject(Code.BAD_REQUEST, "body", "came too slowly", seconds, "seconds"))
+        return Err(
+            reject(
+                Code.BAD_REQUEST,
+                "body",
+                "was not received within the read timeout",
+                seconds,
+                "seconds",
+            )
+        )
     except web.HTTPRequestEntityTooLarge:
         return Err(reject(Code.TOO_LARGE, "body", "is too large", limits.body_bytes, "bytes"))
     except (web.RequestPayloadError, ValueError) as exc:
-        return Err(reject(Code.BAD_REQUEST, "body", f"is not a whole HTTP body: {exc}"))
+        return Err(reject(Code.BAD_REQUEST, "body", f"is malformed or incomplete: {exc}"))
 
 
 def check_headers(headers: Mapping[str, str], limits: CallerLimits) -> Result[None, Rejected]:
-    """Check the size of all headers together."""
+    """Check the total size of the headers."""
     size = sum(len(name) + len(value) + 4 for name, value in headers.items())
     if size > limits.header_bytes:
         limit = limits.header_bytes
@@ -158,7 +165,7 @@
 
 
 def parse_job(raw: bytes) -> Result[JobBody, Rejected]:
-    """Check the body of a submission."""
+    """Parse the body of a job submission."""
     try:
         return Ok(JobBody.model_validate_json(raw))
     except ValidationError as exc:
@@ -178,7 +185,7 @@
 
 
 def parse_deadline_ms(text: str | None, default_ms: int, max_ms: int) -> Result[int, Rejected]:
-    """Read the deadline header.
+    """Parse the deadline header.
 
     >>> parse_deadline_ms(None, 5000, 60000)
     Ok(5000)
@@ -191,7 +198,7 @@
         rejected = reject(
             Code.BAD_REQUEST,
             DEADLINE_HEADER,
-            "must be a whole number within its limits",
+            "must be an integer within the limits",
             f"1 to {max_ms}",
             "milliseconds",
         )
@@ -200,28 +207,28 @@
 
 
 def parse_flag(name: str, text: str | None, default: bool) -> Result[bool, Rejected]:
-    """Read a header that is ``true`` or ``false``."""
+    """Parse a header whose value is ``true`` or ``false``."""
     if text is None:
         return Ok(default)
     if text.lower() in ("true", "false"):
         return Ok(text.lower() == "true")
-    return Err(reject(Code.BAD_REQUEST, name, "is wrong", "true or false"))
+    return Err(reject(Code.BAD_REQUEST, name, "is invalid", "true or false"))
 
 
 def parse_name(field: str, text: str) -> Result[str, Rejected]:
-    """Check the name of a service or team."""
+    """Validate the name of a service or team."""
     if _NAME.fullmatch(text):
         return Ok(text)
-    return Err(reject(Code.BAD_REQUEST, field, "is wrong", NAME_PATTERN))
+    return Err(reject(Code.BAD_REQUEST, field, "is invalid", NAME_PATTERN))
 
 
 def parse_key(text: str) -> Result[str, Rejected]:
-    """Check an idempotency key."""
+    """Validate an idempotency key."""
     if _KEY.fullmatch(text):
         return Ok(text)
-    return Err(reject(Code.BAD_REQUEST, KEY_HEADER, "is wrong", KEY_PATTERN))
+    return Err(reject(Code.BAD_REQUEST, KEY_HEADER, "is invalid", KEY_PATTERN))
 
 
 def forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that the target is to see."""
+    """Return the headers to forward to the target."""
     return end_to_end(headers, _NOT_FORWARDED)
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -1,21 +1,10 @@
-"""Service requests at the entry: decide, place, attempt, answer.
+"""Dispatch of service requests to instances: admission, placement, retries and hedging.
 
-A request is one coroutine.  The first rule that matches its situation admits or refuses it.  An
-admitted one gets an instance at once or waits in its service's queue; then it is sent as an
-attempt.  While an attempt is open the coroutine wakes when the attempt ends, when a hedge or a
-question about the attempt's fate is due, or at the caller's deadline, whichever is first.
-
-Invariants:
-
-- A request that is given up gets its final answer at that moment; no answer is held back.
-- ``not_run`` is said only if each attempt is proven not to have reached the target: it was never
-  sent, or the incarnation it was sent to refused it.  A refusal by another incarnation proves
-  nothing, because it cannot know what its predecessor ran.
-- An answer is handed on only where :mod:`sapphirelead.entry_attempts` matched it with an attempt.
-
-Connections that went silent: an attempt that is open for much longer than usual, or whose agent
-replaced the connection, is asked for by an ``AttemptFate`` message.  The agent repeats a lost
-answer or proves that the attempt never arrived.
+One coroutine per request applies the rules, places an attempt or queues, and then waits for an
+attempt to end, a hedge or outcome query to fall due, or the deadline.  ``not_run`` is returned only
+if every attempt was unsent or rejected by the incarnation that it was sent to.  An attempt that is
+open much longer than the estimated latency, or whose connection was replaced, is resolved by an
+``AttemptFate`` query: the agent resends a lost answer or proves that the attempt never arrived.
 """
 
 import asyncio
@@ -52,18 +41,17 @@
 MAX_OUTCOME_QUERIES: Final = 5
 
 NO_INSTANCE: Final = Failure(Code.NO_INSTANCE, "no live instance offers this service")
-DEADLINE_PASSED: Final = Failure(Code.DEADLINE, "the deadline passed before an answer came")
-IS_DRAINING: Final = Failure(Code.DRAINING, "this entry is leaving; another one will serve you")
+DEADLINE_PASSED: Final = Failure(Code.DEADLINE, "the deadline passed before a response was received")
+IS_DRAINING: Final = Failure(Code.DRAINING, "this entry is draining; retry through another entry")
 
 
 class ServiceDispatcher:
-    """Carries service requests to instances and their answers back.
+    """Dispatches service requests to instances and returns the responses.
 
-    :ivar counters: what happened since start.
-    :ivar router: estimates of the instances.
-    :ivar attempts: attempts without an end.
-    :ivar slowdown: measured slowdown of a service, for rules.
-    :ivar store_up: whether the table answers, for rules.
+    :ivar router: load and latency estimates of the instances.
+    :ivar attempts: open attempts.
+    :ivar slowdown: returns the measured slowdown of a service, for rules.
+    :ivar store_up: returns whether the table responds, for rules.
     """
 
     counters: ServiceCounters
@@ -128,21 +116,21 @@
         rng: random.Random | None = None,
         make_placer: Callable[[Router], Placer] = Placer,
     ) -> "ServiceDispatcher":
-        """Return a dispatcher that serves at once."""
+        """Return a dispatcher that accepts requests immediately."""
         return cls(settings, stamp, links, members, config, rng or random.Random(), make_placer)
 
     @property
     def open_requests(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a reply."""
         return len(self._requests)
 
     async def drain(self) -> None:
-        """Refuse new requests from now on and return when the open ones have their answers."""
+        """Reject new requests and return when all open ones have a reply."""
         self._draining = True
         await self._idle.wait()
 
     async def call(self, call: ServiceCall) -> ServiceReply:
-        """Serve one request to its final answer."""
+        """Serve one request and return its reply."""
         self.counters.requests += 1
         req = self._admit(call)
         refusal = self._refusal(req)
@@ -157,7 +145,7 @@
             self._close(req)
 
     def decide(self, call: ServiceCall) -> Decision:
-        """Return the rules' decision on a request in the present situation."""
+        """Evaluate the rules for a request in the current situation."""
         health = self.router.health(call.service)
         return self._rules.decide(
             Situation(
@@ -206,7 +194,7 @@
             self._services[service] = state
         return state
 
-    # From the first attempt to the reply.
+    # Attempts, retries and replies.
 
     async def _serve(self, req: OpenRequest) -> ServiceReply:
         while True:
@@ -215,8 +203,8 @@
             await self._wait(req)
             if (reply := self._take_ended(req)) is not None:
                 return reply
-            # A timer may fire a clock tick before its time.  Without the slack nothing would be
-            # due yet, the same timer would be set again, and the loop would spin on it.
+            # A timer may fire one clock tick early; without the slack the loop would busy-wait
+            # until the timer is due.
             at = now() + TIMER_SLACK_S
             if at >= req.deadline:
                 return self._fail(req, DEADLINE_PASSED)
@@ -228,7 +216,7 @@
             self._hedge(req, at)
 
     async def _start_attempt(self, req: OpenRequest) -> Failure | None:
-        """Place and send an attempt; what was not sent costs nothing and is placed anew."""
+        """Place and send an attempt; an unsent one is placed again and is not counted."""
         while True:
             placed = await self._placer.place(req)
             if isinstance(placed, Err):
@@ -251,11 +239,11 @@
         for attempt in req.open.values():
             due = min(due, self._outcome_query_due(req, attempt))
         hedge_due = self._hedge_due(req)
-        # A hedge that was due but could not be paid is not waited for again.
+        # A hedge that was due but could not be sent is not scheduled again.
         return min(due, hedge_due) if hedge_due is not None and hedge_due > at else due
 
     def _take_ended(self, req: OpenRequest) -> ServiceReply | None:
-        """Take the attempts that ended; return the reply if one of them has it."""
+        """Process ended attempts; return the reply if one of them succeeded."""
         while req.ended:
             attempt, answer = req.ended.pop(0)
             ran = self._proven_outcome(attempt, answer)
@@ -270,20 +258,20 @@
             return Outcome.UNKNOWN
         if answer.ran == Outcome.DONE:
             return Outcome.DONE
-        # A restarted agent has not seen the attempt, although the run before it may have.
+        # A restarted agent cannot know whether its previous incarnation ran the attempt.
         same_run = answer.incarnation == attempt.incarnation
         return Outcome.NOT_RUN if answer.ran == Outcome.NOT_RUN and same_run else Outcome.UNKNOWN
 
     def _retry_refusal(self, req: OpenRequest) -> Failure | None:
-        """Return why no further attempt is made, or pay for one."""
+        """Return why no retry is made, or ``None`` after charging one to the retry budget."""
         state = AttemptState(req.call.idempotent, not req.maybe_ran, req.attempts)
         allowed = may_retry(state, self._config.current.document.retries)
         if allowed and req.service.budget.take():
             self.counters.retries += 1
             return None
         code = Code.TARGET_FAILED if req.maybe_ran else Code.OVERLOADED
-        reason = req.last_reason or "no answer"
-        return Failure(code, f"attempt {req.attempts} ended without an answer: {reason}")
+        reason = req.last_reason or "no response"
+        return Failure(code, f"attempt {req.attempts} ended without a response: {reason}")
 
     def _done(self, req: OpenRequest, answer: ServiceAnswer) -> ServiceReply:
         self.counters.done += 1
@@ -322,7 +310,7 @@
         return service.pressure.retry_after_s(backlog_s)
 
     def _close(self, req: OpenRequest) -> None:
-        """End what is still open: another attempt won, the deadline passed or the caller left."""
+        """Cancel the attempts that are still open and release the request."""
         won = not req.open or now() + TIMER_SLACK_S < req.deadline
         for attempt in list(req.open.values()):
             end = AttemptEnd.ABANDONED if won else AttemptEnd.TIMEOUT
@@ -332,7 +320,7 @@
         if not self._requests:
             self._idle.set()
 
-    # Hedges and silent connections.
+    # Hedges and outcome queries.
 
     def _hedge_due(self, req: OpenRequest) -> float | None:
         policy = self._config.current.document.retries
@@ -347,11 +335,11 @@
         return None if delay is None else last.sent_at + delay
 
     def _hedge(self, req: OpenRequest, at: float) -> None:
-        """Send one more attempt beside the open one, if it costs nobody else a place."""
+        """Send a second concurrent attempt if a hedge is due, nothing is queued and a slot is free."""
         due = self._hedge_due(req)
         if due is None or due > at or len(req.service.queue) or len(req.open) > 1:
             return
-        # The budget is asked last: a hedge without room must not use up what a retry may need.
+        # The budget is charged last, so that a hedge that cannot be placed leaves it to retries.
         instance = self._placer.reserve(req)
         if instance is None:
             return
@@ -379,7 +367,7 @@
                 continue
             self.attempts.query_outcome(attempt)
 
-    # Changes of instances and of the configuration.
+    # Instance and configuration updates.
 
     def _on_view(self, view: InstanceView, live: bool) -> None:
         at = now()
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -1,4 +1,4 @@
-"""What the service path keeps of each request, attempt and service while they are open."""
+"""State of service requests, their attempts and the services at one entry."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A caller's request for a service, checked at the border.
+    """A validated service request.
 
     :ivar budget_s: seconds until the caller's deadline.
     """
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """The final answer to a request.
+    """The reply to a service request.
 
-    :ivar failure: why there is no answer of the target, or ``None`` where there is one.
-    :ivar retry_after_s: seconds after which the caller may ask again; 0 for no advice.
+    :ivar failure: why there is no response from the target, or ``None`` if there is one.
+    :ivar retry_after_s: seconds after which the caller may retry; 0 if not specified.
     """
 
     outcome: Outcome
@@ -70,10 +70,11 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """One request that has no final answer yet.
+    """A request without a reply.
 
-    :ivar changed: set when an attempt ended or something is due.
-    :ivar maybe_ran: an attempt ended, or was left open, without proof that it did not run.
+    :ivar changed: set when an attempt ended, became suspect, or a timer is due.
+    :ivar tried: instances of all attempts, in order.
+    :ivar maybe_ran: whether an attempt ended without proof that it did not run.
     """
 
     id: str
@@ -92,7 +93,7 @@
 
     @property
     def priority(self) -> int:
-        """Rank in the queue: the rule's word on urgency goes before the caller's."""
+        """Queue priority; the rule's ``urgent`` setting overrides the caller's flag."""
         then = self.decision.then
         urgent = self.call.urgent if then.urgent is None else then.urgent
         return URGENT_PRIORITY if urgent else then.priority
@@ -100,7 +101,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request in the queue; the future yields an instance, or ``None`` when it is given up."""
+    """A queued request; ``future`` yields its instance, or ``None`` if the request is dropped."""
 
     request: OpenRequest
     future: "asyncio.Future[str | None]"
@@ -108,7 +109,7 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """Queue, limits and measurements of one service at this entry."""
+    """Queue, concurrency limit, retry budget and latencies of one service at this entry."""
 
     name: str
     policy: ServicePolicy
@@ -122,7 +123,7 @@
     def from_config(
         cls, name: str, document: ConfigDocument, rng: random.Random, at: float
     ) -> "ServiceState":
-        """Return the state of a service that has seen no request yet."""
+        """Return the initial state of a service."""
         policy = document.services.get(name, ServicePolicy())
         return cls(
             name,
@@ -135,7 +136,7 @@
         )
 
     def configure(self, policy: ServicePolicy, retries: RetryPolicy) -> list[Waiter]:
-        """Take a changed configuration and return the waiters that lost their places."""
+        """Apply a changed configuration and return the waiters dropped from the queue."""
         self.policy = policy
         self.budget.share = retries.budget_share
         return self.queue.resize(policy.queue_length)
@@ -143,11 +144,13 @@
 
 @dataclass(slots=True)
 class ServiceCounters:
-    """What the service path counted since start.
+    """Counters since start.
 
-    :ivar late: answers of attempts that were closed or never made.
-    :ivar short: answers whose body was not as long as they said.
-    :ivar foreign: answers from another instance than the attempt was sent to.
+    :ivar unsent: attempts that could not be sent.
+    :ivar fates_asked: outcome queries sent.
+    :ivar late: answers to unknown or closed attempts.
+    :ivar short: answers whose body does not have the declared length.
+    :ivar foreign: answers from a different instance than the attempt was sent to.
     """
 
     requests: int = 0
@@ -165,16 +168,16 @@
 
 @dataclass(slots=True)
 class RequestIds:
-    """Numbers requests within one run of this entry.
+    """Generates request ids.
 
-    The run's incarnation is part of the id, so an answer to a request of an earlier run of the
-    entry never matches a request of this one.
+    Ids include the incarnation of the entry, so an answer to a request of an earlier incarnation
+    never matches a current request.
     """
 
     stamp: Stamp
     last: int = 0
 
     def next(self) -> str:
-        """Return an id that was never used."""
+        """Return a new unique id."""
         self.last += 1
         return f"{self.stamp.sender}:{self.stamp.incarnation}:{self.last}"
