--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -1,8 +1,8 @@
-"""The operator API of an entry, under ``/v1/admin``, and ``/metrics``.
+"""Operator API of an entry under ``/v1/admin``, and ``/metrics``.
 
-Every request carries the operators' token as a bearer token, where one is set.  Each handler is a
-thin shell around a port of :mod:`sapphirelead.entry_ports`; errors are problem details (RFC 9457)
-with the stable code of the failure.
+``/v1/admin`` requires the operators' bearer token, if one is configured.  Handlers delegate to the
+ports of :mod:`sapphirelead.entry_ports`; errors are problem documents (RFC 9457) with the stable
+code of the failure.
 """
 
 import asyncio
@@ -58,11 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminPorts:
-    """What the operator API reaches.
+    """Dependencies of the operator API.
 
-    :ivar token: bearer token that operators present; empty where none is wanted.
-    :ivar zones: the deployment's availability zones; empty leaves zone names in rules unchecked.
-    :ivar details: further fields of ``/v1/admin/status``, read at each request.
+    :ivar token: required bearer token; empty disables the check.
+    :ivar zones: availability zones of the deployment; if empty, zone names in rules are not
+        checked.
+    :ivar details: returns additional fields of ``/v1/admin/status``.
     """
 
     stamp: Stamp
@@ -98,7 +99,7 @@
 
 
 def admin_app_routes(ports: AdminPorts) -> list[web.AbstractRouteDef]:
-    """Return the routes of the operator API and the metrics."""
+    """Return the routes of the operator API and of ``/metrics``."""
     api = AdminApi(ports)
     guarded: list[tuple[str, str, Handler]] = [
         ("GET", "/config", api.show_config),
@@ -119,7 +120,7 @@
 
 
 class AdminApi:
-    """Handlers of the operator API."""
+    """Handlers for the operator API."""
 
     _ports: AdminPorts
 
@@ -127,11 +128,11 @@
         self._ports = ports
 
     def guard(self, handler: Handler) -> Handler:
-        """Return ``handler`` behind the check of the operators' token."""
+        """Wrap ``handler`` with the check of the operators' token."""
 
         async def guarded(request: web.Request) -> web.Response:
             if not self._authorized(request):
-                # The token is not logged: a mistyped one is close to the right one.
+                # The token is not logged: it may differ from the valid one by a typo only.
                 log_event("WARNING", "operator_refused", path=request.path, peer=request.remote)
                 hint = "send the operators' token as `Authorization: Bearer ...`"
                 return problem(Failure(Code.UNAUTHORIZED, "no valid operator token", hint))
@@ -140,33 +141,33 @@
         return guarded
 
     async def show_config(self, request: web.Request) -> web.Response:
-        """Return the version in force at this entry."""
+        """Return the configuration in force at this entry."""
         config = self._ports.config.current
         return web.json_response(
             {"version": config.version, "document": dump_document(config.document)}
         )
 
     async def apply_config(self, request: web.Request) -> web.Response:
-        """Check and commit a change."""
+        """Check and commit a configuration change."""
         body = await read_body(request, ApplyRequest)
         if isinstance(body, Err):
             return problem(body.err_value)
-        wanted = body.ok_value
-        checked = await _check(wanted.document, self._ports.zones)
+        change = body.ok_value
+        checked = await _check(change.document, self._ports.zones)
         if isinstance(checked, Err):
             return problem(
-                Failure(Code.CONFIG_INVALID, "the document is refused", "mend each problem"),
+                Failure(Code.CONFIG_INVALID, "the document is invalid", "fix the listed problems"),
                 problems=[asdict(found) for found in checked.err_value],
             )
         applied = await self._ports.config.apply(
-            wanted.document, wanted.base_version, wanted.author, wanted.reason
+            change.document, change.base_version, change.author, change.reason
         )
         if isinstance(applied, Err):
             return problem(applied.err_value, version=self._ports.config.current.version)
         return web.json_response({"version": applied.ok_value.version})
 
     async def config_status(self, request: web.Request) -> web.Response:
-        """Say which live process decides by which version."""
+        """Return the configuration version of each live process."""
         members = [asdict(member) for member in self._ports.config.status()]
         return web.json_response(
             {"version": self._ports.config.current.version, "processes": members}
@@ -186,7 +187,7 @@
         return web.json_response({"records": [asdict(record) for record in found.ok_value]})
 
     async def explain_rules(self, request: web.Request) -> web.Response:
-        """Say which rule decides a situation, and why those before it do not."""
+        """Explain which rule matches a situation, and why earlier ones do not."""
         body = await read_body(request, ExplainRequest)
         if isinstance(body, Err):
             return problem(body.err_value)
@@ -198,7 +199,7 @@
             checked = await _check(body.ok_value.document, self._ports.zones)
             if isinstance(checked, Err):
                 problems = [asdict(found) for found in checked.err_value]
-                return problem(Failure(Code.CONFIG_INVALID, "refused"), problems=problems)
+                return problem(Failure(Code.CONFIG_INVALID, "invalid document"), problems=problems)
             document = checked.ok_value
         explained = explain(RuleSet.from_config(document), situation.ok_value)
         return web.json_response(explained.as_dict())
@@ -216,13 +217,13 @@
         return web.json_response({"jobs": [dump_job(job) for job in found.ok_value]})
 
     async def list_instances(self, request: web.Request) -> web.Response:
-        """List the instances that this entry knows."""
+        """List the instances known to this entry."""
         live = {view.id for view in self._ports.members.live()}
         views = [dump_instance(view, view.id in live) for view in self._ports.members.all()]
         return web.json_response({"instances": sorted(views, key=lambda view: str(view["id"]))})
 
     async def drain(self, request: web.Request) -> web.Response:
-        """Ask an instance's agent to take no new work, finish what runs and leave."""
+        """Request an instance's agent to drain."""
         ports = self._ports
         name = request.match_info["id"]
         if ports.members.get(name) is None:
@@ -234,13 +235,13 @@
             reason=reason,
         )
         if not await ports.links.send(name, Lane.CONTROL, message):
-            hint = "its agent is not connected here; ask again or through another entry"
-            return problem(Failure(Code.NO_INSTANCE, f"{name!r} could not be told", hint))
+            hint = "its agent is not connected to this entry; retry, or use another entry"
+            return problem(Failure(Code.NO_INSTANCE, f"{name!r} could not be notified", hint))
         log_event("INFO", "drain_requested", instance=name, reason=reason)
         return web.json_response({"instance": name, "draining": True}, status=202)
 
     async def status(self, request: web.Request) -> web.Response:
-        """Return a summary of what this entry sees."""
+        """Return a summary of this entry's state."""
         ports = self._ports
         instances = ports.members.all()
         live = ports.members.live()
@@ -260,7 +261,7 @@
         )
 
     async def metrics(self, request: web.Request) -> web.Response:
-        """Return the metrics as text."""
+        """Return the metrics in the Prometheus text format."""
         return web.Response(
             body=self._ports.metrics.render(),
             headers={"Content-Type": "text/plain; version=0.0.4; charset=utf-8"},
@@ -270,14 +271,14 @@
         if not self._ports.token:
             return True
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
-        # Bytes, because compare_digest refuses text beyond ASCII with an exception.
+        # compare_digest raises TypeError for non-ASCII strings, so bytes are compared.
         given = token.strip().encode("utf-8", "replace")
-        wanted = self._ports.token.encode()
-        return scheme.lower() == "bearer" and hmac.compare_digest(given, wanted)
+        expected = self._ports.token.encode()
+        return scheme.lower() == "bearer" and hmac.compare_digest(given, expected)
 
 
 async def read_body(request: web.Request, model: type[M]) -> Result[M, Failure]:
-    """Read and check a JSON body."""
+    """Parse and validate a JSON body."""
     try:
         return Ok(model.model_validate_json(await request.read()))
     except ValidationError as exc:
@@ -289,13 +290,12 @@
 async def _check(
     document: dict[str, Any], zones: tuple[str, ...]
 ) -> Result[ConfigDocument, tuple[Problem, ...]]:
-    # In a thread: hundreds of rules take tens of milliseconds to check, during which no request
-    # of a service would be answered.
+    # In a thread: checking a large document would block the event loop.
     return await asyncio.to_thread(check_document, document, zones)
 
 
 def read_page(request: web.Request) -> Result[tuple[int, str], Failure]:
-    """Read ``limit`` and ``after`` of a listing."""
+    """Parse the ``limit`` and ``after`` parameters of a list request."""
     text = request.query.get("limit", str(DEFAULT_LIST))
     if not text.isdecimal() or not 1 <= int(text) <= MAX_LIST:
         return Err(Failure(Code.BAD_REQUEST, f"limit: must be from 1 to {MAX_LIST}"))
@@ -303,7 +303,7 @@
 
 
 def problem(failure: Failure, **extra: Any) -> web.Response:
-    """Return a failure as problem details."""
+    """Return a failure as a problem document."""
     status = STATUS_OF.get(failure.code, 503)
     body = {
         "type": "about:blank",
@@ -323,12 +323,12 @@
 
 
 def dump_document(document: ConfigDocument) -> dict[str, Any]:
-    """Return a document as operators write it, without what has its default."""
+    """Serialize a configuration document without fields that have their default."""
     return document.model_dump(mode="json", by_alias=True, exclude_defaults=True)
 
 
 def dump_job(job: Job) -> dict[str, Any]:
-    """Return a job for operators, without its input and result, which belong to the caller."""
+    """Serialize a job for operators, without the caller's input and result."""
     value: dict[str, Any] = msgspec.to_builtins(job)
     value["spec"].pop("input", None)
     value.pop("result", None)
@@ -336,7 +336,7 @@
 
 
 def dump_instance(view: InstanceView, live: bool) -> dict[str, Any]:
-    """Return an instance for operators."""
+    """Serialize an instance for operators."""
     value: dict[str, Any] = msgspec.to_builtins(view)
     value.pop("heard_at", None)
     value["live"] = live
--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -1,14 +1,10 @@
 """The configuration in force at one entry.
 
-The row ``config/current`` holds the document and a version that only grows.  A change is applied by
-compare-and-set on that row, together with its audit record, so that an accepted change always has a
-record and of two racing operators exactly one wins.  Entries poll the row every second; whoever
-meets a higher version, by poll or by message, keeps it and hands it to agents and peers.  A lower
-one is never taken, so the version never goes back at any process.
-
-A new entry decides nothing before it has read the row once, or, while the table is down, has heard
-a version from a peer or an agent (:attr:`ConfigManager.ready`); with the table down and nobody to
-ask, it goes on with an empty configuration after a grace period, because services must answer.
+The row ``config/current`` holds the document and a monotonically increasing version.  A change is
+committed by compare-and-set on that row, together with its audit record.  Entries poll the row,
+adopt any higher version from a poll or a message, and push it to agents and peers.  An entry is
+ready (:attr:`ConfigManager.ready`) once it has read the row or received a version, or, if the table
+is unavailable, with an empty configuration after a grace period.
 """
 
 import asyncio
@@ -35,7 +31,7 @@
 
 
 def audit_key(version: int) -> str:
-    """Return the audit row of a version; newer versions sort first, so that a scan starts there.
+    """Return the key of a version's audit row; newer versions sort first.
 
     >>> audit_key(2) < audit_key(1)
     True
@@ -44,9 +40,9 @@
 
 
 class ConfigManager:
-    """Keeps the highest version seen; implements :class:`~sapphirelead.entry_ports.ConfigService`.
+    """Tracks the highest version seen; implements :class:`~sapphirelead.entry_ports.ConfigService`.
 
-    :ivar ready: set once a version is known or the grace period has passed.
+    :ivar ready: set once the configuration is known or the grace period has passed.
     """
 
     ready: asyncio.Event
@@ -89,39 +85,38 @@
 
     @property
     def current(self) -> Config:
-        """The highest version seen."""
+        """The configuration with the highest version seen."""
         return self._current
 
     def on_change(self, listener: Callable[[Config], None]) -> None:
-        """Call ``listener`` with each higher version."""
+        """Call ``listener`` with each newly adopted configuration."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Start polling."""
+        """Start polling the table."""
         self._task = asyncio.create_task(self._run(), name="config-poll")
 
     async def stop(self) -> None:
-        """Stop polling."""
+        """Stop polling the table."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def observe(self, version: int, document: Any) -> None:
-        """Take a version received from a peer or agent if it is higher."""
+        """Adopt a received configuration if its version is higher than the current one."""
         if version <= self._current.version:
             return
         parsed = parse_document(document)
         if isinstance(parsed, Err):
-            # A peer of a newer release may know keys that this one does not; deciding by the older
-            # version is then the best this process can do, and status shows it.
+            # A newer release may use keys unknown here; the older configuration stays in force.
             log_event("ERROR", "config_rejected", version=version, reason=parsed.err_value.message)
             return
-        self._take(Config(version, parsed.ok_value), document)
+        self._adopt(Config(version, parsed.ok_value), document)
 
     async def apply(
         self, raw: Any, base_version: int, author: str, reason: str
     ) -> Result[Config, Failure]:
-        """Commit a change together with its audit record; ``CONFIG_CONFLICT`` names the winner."""
+        """Commit a change and its audit record; ``CONFIG_CONFLICT`` if the version changed."""
         parsed = parse_document(raw)
         if isinstance(parsed, Err):
             return parsed
@@ -129,12 +124,12 @@
         if isinstance(found, Err):
             return Err(Failure(Code.STORE_UNAVAILABLE, found.err_value.message, "apply again"))
         row = found.ok_value[0]
-        self._observe_row(row)  # a conflict must name the version that won, not the last one polled
+        self._observe_row(row)  # so that a conflict reports the committed version
         current_version = _version_of(row)
         if current_version != base_version:
             return Err(_conflict(base_version, current_version))
         version = current_version + 1
-        # The version that is replaced is the one in force here: the row was just observed.
+        # The row was just observed, so the current document is the one that is replaced.
         changes = describe_changes(self._current.document, parsed.ok_value)
         record = _audit_value(version, author, reason, changes)
         unit = Unit(
@@ -150,12 +145,12 @@
         if commit.status is not CommitStatus.COMMITTED:
             return Err(commit_failure(commit))
         config = Config(version, parsed.ok_value)
-        self._take(config, raw)
+        self._adopt(config, raw)
         log_event("INFO", "config_applied", version=version, author=author, reason=reason)
         return Ok(config)
 
     async def history(self, after: int, limit: int) -> Result[list[AuditRecord], Failure]:
-        """Read audit records, newest first, older than version ``after`` where that is given."""
+        """Read audit records, newest first; those older than version ``after`` unless it is 0."""
         start = audit_key(after) if after else ""
         found = await self._table.scan(AUDIT_PREFIX, start, limit)
         if isinstance(found, Err):
@@ -164,7 +159,7 @@
         return Ok([_audit_record(value) for value in values])
 
     def status(self) -> list[MemberVersion]:
-        """List live processes and the version each decides by."""
+        """Return the configuration version of each live process."""
         own = MemberVersion(self._stamp.sender, "entry", self._zone, self._current.version)
         peers = [
             MemberVersion(name, "entry", "", self._peers.get(name, 0))
@@ -197,7 +192,7 @@
         if row.value is not None:
             self.observe(row.value["version"], row.value["document"])
 
-    def _take(self, config: Config, raw: Any) -> None:
+    def _adopt(self, config: Config, raw: Any) -> None:
         if config.version <= self._current.version:
             return
         self._current = config
@@ -213,7 +208,7 @@
         self._peers[message.sender] = max(message.version, self._peers.get(message.sender, 0))
 
     def _push_outdated(self) -> None:
-        """Hand the current version to agents that decide by a lower one, and to peers."""
+        """Push the current configuration to agents with a lower version and to all peers."""
         if self._current.version == 0:
             return
         task = asyncio.create_task(self._push())
@@ -242,7 +237,7 @@
     return Failure(
         Code.CONFIG_CONFLICT,
         f"the change was made against version {base}, but version {winner} is in force",
-        "read it, merge your change into it and apply again",
+        "read the current version, merge your change into it and apply again",
     )
 
 
--- a/sapphirelead/entry_job_notifier.py
+++ b/sapphirelead/entry_job_notifier.py
@@ -1,8 +1,8 @@
-"""What one part of an entry learns of a job, told to the others in the same process.
+"""In-process notification of job state changes.
 
-Whoever commits a move says so here; callers that wait for its end wake, and the scheduler
-updates its view of the shard.  Nothing here is kept: a missed publication is found again by polling
-the row or scanning the shard.
+Committed changes are published to listeners, such as the scheduler, and to callers that wait for
+the end of a job.  Nothing is stored: a change committed by another entry is found by polling the
+row or scanning the shard.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class JobNotifier:
-    """Publishes moves to listeners, and the end of jobs to waiters."""
+    """Publishes job state changes to listeners and the end of jobs to waiters."""
 
     _listeners: list[Listener]
     _waiters: dict[str, set["asyncio.Future[StoredJob]"]]
@@ -26,11 +26,11 @@
         self._waiters = {}
 
     def listen(self, listener: Listener) -> None:
-        """Call ``listener`` with every published move."""
+        """Call ``listener`` with every published change."""
         self._listeners.append(listener)
 
     def publish(self, stored: StoredJob) -> None:
-        """Tell everyone of a job's new value."""
+        """Notify listeners of a job's new value, and waiters if it ended."""
         for listener in self._listeners:
             listener(stored)
         if not stored.job.ended:
@@ -40,7 +40,7 @@
                 fut.set_result(stored)
 
     def publish_committed(self, stored: StoredJob) -> None:
-        """Log a move that this entry committed, and tell everyone of it."""
+        """Publish and log a change that this entry committed."""
         self.publish(stored)
         _log_move(stored.job)
 
@@ -62,7 +62,7 @@
 
 
 def _log_move(job: Job) -> None:
-    """Log where a job is now."""
+    """Log the current state of a job."""
     log_event(
         "INFO",
         "job_moved",
--- a/sapphirelead/entry_job_rows.py
+++ b/sapphirelead/entry_job_rows.py
@@ -1,8 +1,8 @@
-"""Jobs as rows of the table.
+"""Storage of jobs as rows of the table.
 
-An open job is the row ``jobs/<shard>/<key>``; an ended one is ``done/<shard>/<key>``.  The move
-from one to the other is one transaction, so a scan of open jobs stays as short as the work in hand
-however many jobs have ended.
+An open job is the row ``jobs/<shard>/<key>`` and an ended one ``done/<shard>/<key>``.  One
+transaction moves a job from the first to the second, so a scan of open jobs does not read ended
+ones.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job and the row it was read from."""
+    """A job and the row that it was read from."""
 
     job: Job
     row: Row
@@ -64,16 +64,16 @@
 
 
 def decode_job(row: Row) -> Job | None:
-    """Return the job in ``row``, or ``None`` where the row is absent."""
+    """Return the job in ``row``, or ``None`` if the row is absent."""
     if row.value is None:
         return None
     return msgspec.convert(row.value, Job)
 
 
 class JobRows:
-    """Reads and conditional moves of job rows.
+    """Reads and conditionally updates job rows.
 
-    :ivar on_move: called with a job before and after each move that this entry committed.
+    :ivar on_move: called with the old and the new job after each committed update.
     """
 
     shards: int
@@ -86,10 +86,9 @@
         self.on_move = lambda _before, _after: None
 
     async def read(self, key: str) -> Result[StoredJob | None, Failure]:
-        """Read a job, open or ended.
+        """Read an open or ended job.
 
-        The open row is read first: a job that ends between the two reads then shows in the second,
-        while in the other order it would show in neither.
+        The open row is read first, so a job that ends between the two reads is found by the second.
         """
         shard = shard_of(key, self.shards)
         for row_key in (open_key(shard, key), done_key(shard, key)):
@@ -109,7 +108,7 @@
         return Ok(_decoded(found.ok_value))
 
     async def scan_any(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
-        """Read jobs of all shards in row order, after the job whose key is ``after``."""
+        """Read up to ``limit`` jobs of all shards in row order, after the job ``after``."""
         prefix = DONE_PREFIX if ended else OPEN_PREFIX
         make_key = done_key if ended else open_key
         start = make_key(shard_of(after, self.shards), after) if after else ""
@@ -119,7 +118,7 @@
         return Ok([stored.job for stored in _decoded(found.ok_value)])
 
     async def create(self, job: Job) -> Result[StoredJob, Failure]:
-        """Commit a new job, if its key was never used."""
+        """Commit a new job, unless its key is in use by an open or ended job."""
         shard = shard_of(job.spec.key, self.shards)
         change = Change(absent(open_key(shard, job.spec.key)), encode_job(job))
         guard = Condition(done_key(shard, job.spec.key), 0)
@@ -131,14 +130,14 @@
     async def move(
         self, stored: StoredJob, job: Job, guards: tuple[Condition, ...] = ()
     ) -> Result[StoredJob, Failure]:
-        """Commit the next value of a job, if its row is still as it was read."""
+        """Commit the next value of a job, if its row is unchanged since it was read."""
         unit = self._unit(stored, job, guards)
         commit = await self._table.commit(unit)
         if commit.status is not CommitStatus.COMMITTED:
             return Err(commit_failure(commit))
         self.on_move(stored.job, job)
         last = unit.changes[-1]
-        # The ids of earlier operations stay with the row: another entry may still be settling one.
+        # Ids of earlier operations are kept: another entry may still be resolving one.
         ops = (stored.row.value or {}).get(OPS_FIELD, [])
         value = {**(last.value or {}), OPS_FIELD: ops}
         return Ok(StoredJob(job, replace(last.row, version=commit.version, value=value)))
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -1,7 +1,7 @@
-"""Durable jobs as callers and operators see them: submit, read, cancel, list, follow.
+"""Service for durable jobs: submit, read, cancel, list and stream events.
 
-Any entry serves any job.  What a caller is told is what the row says; an entry that did not commit
-the job's end itself learns of it by polling the row, with pauses that grow while nothing changes.
+Any entry serves any job, from its row in the table.  An entry that did not commit a job's end
+itself detects it by polling the row, with a delay that grows between reads.
 """
 
 import asyncio
@@ -59,7 +59,7 @@
         links.on(WatchEvent, self._tails.add)
 
     async def submit(self, spec: JobSpec, rule: str) -> Result[Job, Failure]:
-        """Commit a new row, or join the job that already has this key."""
+        """Commit a new job, or return the existing one if ``spec`` repeats its submission."""
         views = self._members.live()
         if views and not could_ever_run(spec.resources, views):
             return Err(_impossible(spec))
@@ -94,7 +94,7 @@
             poll_delay_s = min(poll_delay_s * 1.5, POLL_MAX_S)
 
     async def cancel(self, key: str) -> Result[Job, Failure]:
-        """Ask for a job's cancellation; one that has ended stays as it is."""
+        """Request a job's cancellation; an ended job is returned unchanged."""
         for _ in range(MAX_CANCEL_ATTEMPTS):
             found = await self._rows.read(key)
             if isinstance(found, Err):
@@ -107,7 +107,9 @@
             moved = await self._cancel_once(stored)
             if isinstance(moved, Ok) or moved.err_value.code is not Code.STORE_CONFLICT:
                 return moved
-        return Err(Failure(Code.STORE_CONFLICT, f"job {key!r} keeps changing", "cancel again"))
+        return Err(
+            Failure(Code.STORE_CONFLICT, f"job {key!r} changed concurrently", "cancel again")
+        )
 
     async def _cancel_once(self, stored: StoredJob) -> Result[Job, Failure]:
         stepped = stored.job.request_cancel()
@@ -124,7 +126,7 @@
         return await self._rows.scan_any(ended, after, limit)
 
     async def events(self, key: str) -> AsyncIterator[WatchEvent]:
-        """Yield events of a watch, from the oldest kept, until the job has ended."""
+        """Yield events of a watch, from the oldest buffered, until the job has ended."""
         mark = (0, 0)
         while True:
             tail = self._tails.tail(key)
@@ -144,17 +146,17 @@
                 return
 
     def _over_quota(self, team: str) -> bool:
-        """Whether the team's queued jobs are at their bound.
+        """Return whether the team's queued jobs have reached its quota.
 
-        The count over other entries is as of their last lease round, so a burst through several
-        entries can overshoot by what they accept in one round.
+        Counts of other entries are as of their last lease round, so concurrent submissions through
+        several entries can exceed the quota.
         """
         policy = self._config.current.document.teams.get(team)
         bound = policy.queued_jobs if policy is not None else 0
         return bound > 0 and self._queued_of(team) >= bound
 
     async def _join_or_refuse(self, spec: JobSpec) -> Result[Job, Failure]:
-        """Join the job of a repeated key; a new one is over the team's quota."""
+        """Return the existing job of a repeated key; reject a new job with ``QUOTA``."""
         found = await self._rows.read(spec.key)
         if isinstance(found, Err):
             return found
@@ -163,8 +165,8 @@
         return Err(
             Failure(
                 Code.QUOTA,
-                f"team {spec.team!r} has as many queued jobs as its queued_jobs allows",
-                "submit again when some have started, or ask for a higher quota",
+                f"team {spec.team!r} has reached its queued_jobs quota",
+                "submit again when some jobs have started, or request a higher quota",
             )
         )
 
@@ -187,10 +189,7 @@
 
 
 def same_request(existing: JobSpec, requested: JobSpec) -> bool:
-    """Return whether ``requested`` repeats ``existing``.
-
-    A repeat may carry a shorter deadline, because the caller's time has gone on.
-    """
+    """Return whether ``requested`` repeats ``existing``; the deadlines may differ."""
     return replace(requested, deadline_ms=existing.deadline_ms) == existing
 
 
@@ -200,7 +199,7 @@
         Code.IMPOSSIBLE,
         f"no instance is large enough for cpu_millicores={want.cpu_millicores} "
         f"memory_mb={want.memory_mb} accelerators={want.accelerators}",
-        "ask for less, or split the job",
+        "request fewer resources, or split the job",
     )
 
 
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -41,7 +41,9 @@
 MAX_OUTCOME_QUERIES: Final = 5
 
 NO_INSTANCE: Final = Failure(Code.NO_INSTANCE, "no live instance offers this service")
-DEADLINE_PASSED: Final = Failure(Code.DEADLINE, "the deadline passed before a response was received")
+DEADLINE_PASSED: Final = Failure(
+    Code.DEADLINE, "the deadline passed before a response was received"
+)
 IS_DRAINING: Final = Failure(Code.DRAINING, "this entry is draining; retry through another entry")
 
 
@@ -335,7 +337,7 @@
         return None if delay is None else last.sent_at + delay
 
     def _hedge(self, req: OpenRequest, at: float) -> None:
-        """Send a second concurrent attempt if a hedge is due, nothing is queued and a slot is free."""
+        """Send a second concurrent attempt if one is due and no queued request needs the slot."""
         due = self._hedge_due(req)
         if due is None or due > at or len(req.service.queue) or len(req.open) > 1:
             return
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -52,11 +52,11 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """One attempt that has no end yet.
+    """An attempt that has not ended.
 
-    :ivar incarnation: run of the agent that it was sent to.
-    :ivar outcome_queries: how often its fate was outcome_queries for.
-    :ivar suspect: its instance fell silent or replaced the connection it was sent on.
+    :ivar incarnation: incarnation of the agent that it was sent to.
+    :ivar outcome_queries: number of outcome queries sent.
+    :ivar suspect: whether its instance restarted, timed out or replaced the connection.
     """
 
     request: "OpenRequest"
