--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -199,7 +199,9 @@
             checked = await _check(body.ok_value.document, self._ports.zones)
             if isinstance(checked, Err):
                 problems = [asdict(found) for found in checked.err_value]
-                return problem(Failure(Code.CONFIG_INVALID, "invalid document"), problems=problems)
+                return problem(
+                    Failure(Code.CONFIG_INVALID, "the document is invalid"), problems=problems
+                )
             document = checked.ok_value
         explained = explain(RuleSet.from_config(document), situation.ok_value)
         return web.json_response(explained.as_dict())
--- a/sapphirelead/entry_http_jobs.py
+++ b/sapphirelead/entry_http_jobs.py
@@ -84,14 +84,14 @@
     ) -> Result[Job | None, Failure]:
         """Read a job, waiting for its end up to ``wait_s`` or until ``interrupt`` is set."""
         reading = asyncio.ensure_future(self._jobs.get(key, max(0.0, wait_s)))
-        draining = asyncio.ensure_future(interrupt.wait())
+        interrupted = asyncio.ensure_future(interrupt.wait())
         try:
-            await asyncio.wait({reading, draining}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({reading, interrupted}, return_when=asyncio.FIRST_COMPLETED)
             if reading.done():
                 return reading.result()
         finally:
             reading.cancel()
-            draining.cancel()
+            interrupted.cancel()
         return await self._jobs.get(key, 0.0)
 
     def refused(self, key: str, failure: Failure) -> web.Response:
