--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -31,7 +31,7 @@
 Answer = tuple[int, Any, Any]
 
 
-class Back:
+class FakeBackend:
     """Dispatcher, jobs and configuration in one small fake."""
 
     def __init__(self, **document: Any) -> None:
@@ -40,14 +40,14 @@
         self.jobs: dict[str, Job] = {}
         self.refusal: Failure | None = None
         self.ended = asyncio.Event()
-        self.hold_s = 0.0
+        self.reply_delay_s = 0.0
 
     def on_change(self, _listener: Any) -> None:
         pass
 
     async def call(self, call: ServiceCall) -> ServiceReply:
         self.calls.append(call)
-        await asyncio.sleep(self.hold_s)
+        await asyncio.sleep(self.reply_delay_s)
         if self.refusal:
             return ServiceReply(
                 Outcome.NOT_RUN, "(default)", 0, failure=self.refusal, retry_after_s=2.3
@@ -89,7 +89,7 @@
 
 
 @asynccontextmanager
-async def serving(back: Back) -> AsyncIterator[tuple[CallerApi, aiohttp.ClientSession]]:
+async def serving(back: FakeBackend) -> AsyncIterator[tuple[CallerApi, aiohttp.ClientSession]]:
     settings = EntrySettings.model_validate(
         {
             "id": "e1",
@@ -112,7 +112,7 @@
         await api.stop()
 
 
-async def ask(
+async def send_request(
     http: aiohttp.ClientSession, method: str, path: str, **options: Any
 ) -> tuple[int, Any, Any]:
     async with http.request(method, path, **options) as response:
@@ -123,7 +123,7 @@
 
 SERVICE = "/v1/services/checks"
 # What is sent and the status, code and field that come back.
-BAD: dict[str, tuple[str, str, dict[str, Any], tuple[int, str, str]]] = {
+INVALID_REQUESTS: dict[str, tuple[str, str, dict[str, Any], tuple[int, str, str]]] = {
     "deadline no number": (
         "POST", SERVICE, {"headers": {"X-Request-Deadline-Ms": "soon"}},
         (400, "SL-100", "X-Request-Deadline-Ms"),
@@ -163,12 +163,12 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
-async def test_bad_input_is_named_and_nothing_is_accepted(name: str) -> None:
-    method, path, options, expected = BAD[name]
-    back = Back()
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+async def test_invalid_input_is_rejected_with_the_field_named(name: str) -> None:
+    method, path, options, expected = INVALID_REQUESTS[name]
+    back = FakeBackend()
     async with serving(back) as (_, http):
-        status, body, _ = await ask(http, method, path, **options)
+        status, body, _ = await send_request(http, method, path, **options)
         assert (status, body["code"], body.get("field", "")) == expected
         assert body["status"] == status and body["outcome"] in ("not_run", "unknown")
         assert body.get("limit") or not expected[2] or expected[1] == "SL-102"
@@ -176,32 +176,32 @@
 
 
 RAW_HEAD = b"POST /v1/services/checks HTTP/1.1\r\nHost: x\r\n"
-BROKEN: dict[str, tuple[bytes, bytes]] = {
+MALFORMED: dict[str, tuple[bytes, bytes]] = {
     "slow body": (RAW_HEAD + b"Content-Length: 10\r\n\r\nabc", b"400"),
     "bad chunk": (RAW_HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", b"400"),
     "not HTTP": (b"\x00\x01\x02\r\n\r\n", b"400"),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-async def test_broken_request_is_ended_and_holds_nothing_up(name: str) -> None:
-    sent, expected = BROKEN[name]
-    back = Back()
+@pytest.mark.parametrize("name", MALFORMED)
+async def test_malformed_request_is_closed_without_blocking_others(name: str) -> None:
+    sent, expected = MALFORMED[name]
+    back = FakeBackend()
     async with serving(back) as (api, http):
         reader, writer = await asyncio.open_connection("127.0.0.1", api.port)
         writer.write(sent)
-        assert (await ask(http, "POST", SERVICE, data=b"quick"))[0] == 201
+        assert (await send_request(http, "POST", SERVICE, data=b"quick"))[0] == 201
         line = await asyncio.wait_for(reader.readline(), 3)
         assert expected in line
         writer.close()
         assert [call.body for call in back.calls] == [b"quick"]
 
 
-async def test_answer_of_the_target_comes_back_whole() -> None:
-    back = Back(services={"checks": {"deadline_ms": 700}})
+async def test_target_response_is_returned_unchanged() -> None:
+    back = FakeBackend(services={"checks": {"deadline_ms": 700}})
     async with serving(back) as (_, http):
         headers = {"X-Request-Team": "roofs", "X-Other": "1", "Connection": "keep-alive"}
-        status, body, got = await ask(http, "POST", SERVICE, data=b"photo", headers=headers)
+        status, body, got = await send_request(http, "POST", SERVICE, data=b"photo", headers=headers)
     assert (status, body, got["X-Own"], got["X-Request-Outcome"]) == (201, b"photo", "yes", "done")
     call = back.calls[0]
     assert (call.team, call.headers["X-Other"], "Host" in call.headers) == ("roofs", "1", False)
@@ -217,12 +217,12 @@
 
 
 @pytest.mark.parametrize("name", REFUSALS)
-async def test_refusal_says_when_to_come_back(name: str) -> None:
+async def test_rejection_has_retry_after(name: str) -> None:
     code, status, retry_after = REFUSALS[name]
-    back = Back()
+    back = FakeBackend()
     back.refusal = Failure(code, "no")
     async with serving(back) as (_, http):
-        got, body, headers = await ask(http, "POST", SERVICE)
+        got, body, headers = await send_request(http, "POST", SERVICE)
     assert (got, body["outcome"], headers.get("Retry-After", "")) == (
         status,
         "not_run",
@@ -230,46 +230,46 @@
     )
 
 
-STORE: dict[str, tuple[Code, int, str]] = {
+STORE_FAILURES: dict[str, tuple[Code, int, str]] = {
     "down": (Code.STORE_UNAVAILABLE, 503, "not_run"),
     "answer lost": (Code.STORE_AMBIGUOUS, 504, "unknown"),
     "impossible": (Code.IMPOSSIBLE, 422, "not_run"),
 }
 
 
-@pytest.mark.parametrize("name", STORE)
-async def test_submission_tells_what_is_known(name: str) -> None:
-    code, status, outcome = STORE[name]
-    back = Back()
+@pytest.mark.parametrize("name", STORE_FAILURES)
+async def test_failed_submission_reports_its_outcome(name: str) -> None:
+    code, status, outcome = STORE_FAILURES[name]
+    back = FakeBackend()
     back.refusal = Failure(code, "no")
     async with serving(back) as (_, http):
-        got, body, _ = await ask(http, "POST", "/v1/jobs", json=JOB)
+        got, body, _ = await send_request(http, "POST", "/v1/jobs", json=JOB)
     assert (got, body["outcome"], body["key"]) == (status, outcome, "k1")
 
 
 async def test_job_is_submitted_joined_read_and_cancelled() -> None:
-    back = Back(job_classes={"rollover": {"cpu_millicores": 250}})
+    back = FakeBackend(job_classes={"rollover": {"cpu_millicores": 250}})
     async with serving(back) as (_, http):
-        assert (await ask(http, "POST", "/v1/jobs", json=JOB))[0] == 202
-        status, body, headers = await ask(http, "POST", "/v1/jobs", json=JOB)
+        assert (await send_request(http, "POST", "/v1/jobs", json=JOB))[0] == 202
+        status, body, headers = await send_request(http, "POST", "/v1/jobs", json=JOB)
         assert (status, body["state"], headers["Location"]) == (202, "queued", "/v1/jobs/k1")
-        assert (await ask(http, "POST", "/v1/jobs", json={**JOB, "input": 2}))[0] == 422
+        assert (await send_request(http, "POST", "/v1/jobs", json={**JOB, "input": 2}))[0] == 422
         assert back.jobs["k1"].spec.resources.cpu_millicores == 250
-        status, body, _ = await ask(http, "DELETE", "/v1/jobs/k1")
+        status, body, _ = await send_request(http, "DELETE", "/v1/jobs/k1")
         assert (status, body["state"], body["outcome"]) == (200, "cancelled", "not_run")
 
 
-async def test_request_that_is_not_idempotent_becomes_a_job_and_waits_for_it() -> None:
-    back = Back()
+async def test_non_idempotent_request_waits_for_a_durable_job() -> None:
+    back = FakeBackend()
     once = {"X-Request-Idempotent": "false", "Idempotency-Key": "r-1"}
     async with serving(back) as (_, http):
         late = {**once, "X-Request-Deadline-Ms": "100"}
-        status, body, headers = await ask(http, "POST", SERVICE, data=b"roll", headers=late)
+        status, body, headers = await send_request(http, "POST", SERVICE, data=b"roll", headers=late)
         assert (status, body["outcome"], headers["Idempotency-Key"]) == (504, "unknown", "r-1")
         back.ended.set()
-        status, body, _ = await ask(http, "POST", SERVICE, data=b"roll", headers=once)
+        status, body, _ = await send_request(http, "POST", SERVICE, data=b"roll", headers=once)
         assert (status, body["outcome"], body["result"]) == (200, "done", {"sum": 7})
-        status, _, headers = await ask(
+        status, _, headers = await send_request(
             http, "POST", SERVICE, headers={"X-Request-Idempotent": "false"}
         )
         assert status == 200 and len(headers["Idempotency-Key"]) == 32
@@ -277,11 +277,11 @@
 
 
 @pytest.mark.parametrize("sse", [True, False])
-async def test_watch_streams_resumes_and_is_handed_over_when_the_entry_leaves(sse: bool) -> None:
-    back = Back()
+async def test_event_stream_resumes_and_moves_when_the_entry_drains(sse: bool) -> None:
+    back = FakeBackend()
     headers = {"Last-Event-ID": "1.1", "Accept": "text/event-stream" if sse else "*/*"}
     async with serving(back) as (api, http):
-        await ask(http, "POST", "/v1/jobs", json={**JOB, "kind": "watch"})
+        await send_request(http, "POST", "/v1/jobs", json={**JOB, "kind": "watch"})
         async with http.get("/v1/jobs/k1/events", headers=headers) as response:
             first = await response.content.readline()
             assert b"1.2" in first, "what the caller has seen is not sent again"
@@ -290,17 +290,17 @@
     assert "1.3" in rest and "moved" in rest.splitlines()[-3 if sse else -1]
 
 
-async def test_leaving_entry_finishes_what_it_has_and_refuses_what_comes() -> None:
-    back = Back()
-    back.hold_s = 0.3
+async def test_draining_entry_finishes_open_requests_and_rejects_new_ones() -> None:
+    back = FakeBackend()
+    back.reply_delay_s = 0.3
     async with serving(back) as (api, http):
-        running = asyncio.create_task(ask(http, "POST", SERVICE, data=b"x"))
+        running = asyncio.create_task(send_request(http, "POST", SERVICE, data=b"x"))
         while not back.calls:
             await asyncio.sleep(0.01)
         draining = asyncio.create_task(api.drain(5.0))
         await asyncio.sleep(0)
-        assert (await ask(http, "GET", "/readyz"))[0] == 503
-        status, body, headers = await ask(http, "POST", SERVICE)
+        assert (await send_request(http, "GET", "/readyz"))[0] == 503
+        status, body, headers = await send_request(http, "POST", SERVICE)
         assert (status, body["code"], body["outcome"]) == (503, "SL-306", "not_run")
         assert "Retry-After" in headers and not running.done()
         await draining
@@ -308,11 +308,11 @@
 
 
 async def test_too_many_open_requests_are_refused_and_probes_are_not() -> None:
-    back = Back()
-    back.hold_s = 0.3
+    back = FakeBackend()
+    back.reply_delay_s = 0.3
     async with serving(back) as (_, http):
-        posts = [ask(http, "POST", SERVICE, data=b"x") for _ in range(30)]
-        probe = asyncio.create_task(ask(http, "GET", "/healthz"))
+        posts = [send_request(http, "POST", SERVICE, data=b"x") for _ in range(30)]
+        probe = asyncio.create_task(send_request(http, "GET", "/healthz"))
         statuses = [status for status, _, _ in await asyncio.gather(*posts)]
         assert (await probe)[0] == 200
     assert (statuses.count(201), statuses.count(429)) == (20, 10)
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -20,7 +20,7 @@
 from sapphirelead.sched_spec import MAX_PAYLOAD_BYTES, MAX_TASKS, StepSpec
 from sapphirelead.settings import EntrySettings
 from tests.unit.test_docs import page
-from tests.unit.test_entry_http import Back, ask
+from tests.unit.test_entry_http import FakeBackend, send_request
 
 NIGHTLY = "/v1/queues/nightly"
 JOB = f"{NIGHTLY}/jobs/a1"
@@ -59,7 +59,7 @@
 
     def __init__(self, version: int = 1) -> None:
         self.fleet = FakeFleet()
-        self.back = Back(queues=QUEUES if version else {})
+        self.back = FakeBackend(queues=QUEUES if version else {})
         self.back.current = Config(version, self.back.current.document)
         self.settings = EntrySettings.model_validate(
             {
@@ -136,7 +136,7 @@
     path, options, expected = BAD[name]
     served = Served()
     async with served.running() as http:
-        status, body, headers = await ask(http, "POST", path, **options)
+        status, body, headers = await send_request(http, "POST", path, **options)
     assert (status, body["code"], body.get("field", "")) == expected
     assert body["outcome"] == "not_run" and body["detail"]
     assert "Retry-After" not in headers
@@ -155,7 +155,7 @@
     }
     async with served.running() as http:
         headers = {"X-Request-Deadline-Ms": "2500"}
-        status, told, got = await ask(http, "POST", JOB, json=body, headers=headers)
+        status, told, got = await send_request(http, "POST", JOB, json=body, headers=headers)
     assert (status, told) == (202, {"queue": "nightly", "id": "a1", "state": "queued"})
     assert got["Location"] == JOB
     ((kind, queue, job_id, stored, deadline_s),) = served.fleet.calls
@@ -204,7 +204,7 @@
     served.fleet.reply = reply
     async with served.running() as http:
         options = steps(STEP) if method == "POST" else {}
-        status, body, headers = await ask(http, method, path, **options)
+        status, body, headers = await send_request(http, method, path, **options)
     assert (status, body["code"], body["outcome"]) == expected
     assert body["id"] == "a1"
     if reply.retry_after_s:
@@ -218,10 +218,10 @@
     served = Served()
     async with served.running() as http:
         served.fleet.reply = Reply(1, ReplyKind.OK, "running", waiting=7)
-        shown = await ask(http, "GET", JOB)
-        cancelled = await ask(http, "DELETE", JOB)
-        waiting = await ask(http, "GET", NIGHTLY)
-        missing = await ask(http, "GET", "/v1/queues/other")
+        shown = await send_request(http, "GET", JOB)
+        cancelled = await send_request(http, "DELETE", JOB)
+        waiting = await send_request(http, "GET", NIGHTLY)
+        missing = await send_request(http, "GET", "/v1/queues/other")
     assert shown[:2] == (200, {"queue": "nightly", "id": "a1", "state": "running"})
     assert cancelled[0] == 200
     assert waiting[:2] == (200, {"queue": "nightly", "waiting": 7})
@@ -232,7 +232,7 @@
 async def test_an_entry_without_a_configuration_says_so_and_when_to_come_back() -> None:
     served = Served(version=0)
     async with served.running() as http:
-        status, body, headers = await ask(http, "POST", JOB, **steps(STEP))
+        status, body, headers = await send_request(http, "POST", JOB, **steps(STEP))
     assert (status, body["code"], body["outcome"]) == (503, "SL-307", "not_run")
     assert headers["Retry-After"] == "1"
 
@@ -246,18 +246,18 @@
     served = Served()
     async with served.running() as http:
         served.fleet.go_on.clear()
-        held = asyncio.create_task(ask(http, "POST", JOB, **steps(STEP)))
+        held = asyncio.create_task(send_request(http, "POST", JOB, **steps(STEP)))
         while not served.fleet.calls:
             await asyncio.sleep(0.01)
         served.routes.turn_away()
         draining = asyncio.create_task(served.api.drain(5.0))
         closing = asyncio.create_task(_close_later(served.routes))
         assert served.routes.in_progress == 1
-        meanwhile = asyncio.create_task(ask(http, "POST", f"{NIGHTLY}/jobs/a2", **steps(STEP)))
+        meanwhile = asyncio.create_task(send_request(http, "POST", f"{NIGHTLY}/jobs/a2", **steps(STEP)))
         await asyncio.sleep(0.1)
         assert len(served.fleet.calls) == 2 and not closing.done()
         await asyncio.sleep(0.2)
-        late = await ask(http, "GET", JOB)
+        late = await send_request(http, "GET", JOB)
         served.fleet.go_on.set()
         assert [(await held)[0], (await meanwhile)[0]] == [202, 202]
         assert (await held)[2]["Connection"] == "close"
