--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -32,7 +32,7 @@
 Script = Callable[["World", str, ServiceRequest], None]
 
 
-class World:
+class FakeCluster:
     """Links, membership and configuration of a dispatcher; ``script`` plays the instances."""
 
     def __init__(self, script: Script, count: int = 2, **document: Any) -> None:
@@ -40,7 +40,7 @@
         self.script = script
         self.sent: list[tuple[str, Lane, AnyMessage]] = []
         self.unreachable: set[str] = set()
-        self.fate: dict[str, Any] | None = None
+        self.outcome_reply: dict[str, Any] | None = None
         self.views = {f"i{n}": replace(make_view(n, 0), zone="z0") for n in range(count)}
         self.handlers: dict[Any, Callable[[Any], None]] = {}
         self.listeners: list[Callable[[InstanceView, bool], None]] = []
@@ -48,7 +48,7 @@
             SETTINGS, Stamp("e1", "r1"), self, self, self, random.Random(1)  # type: ignore[arg-type]
         )
         for view in self.views.values():
-            self.show(view)
+            self.publish_view(view)
 
     def on(self, kind: type[AnyMessage], handler: Callable[[Any], None]) -> None:
         self.handlers[kind] = handler
@@ -62,7 +62,7 @@
     def get(self, instance: str) -> InstanceView | None:
         return self.views.get(instance)
 
-    def show(self, view: InstanceView, live: bool = True) -> None:
+    def publish_view(self, view: InstanceView, live: bool = True) -> None:
         self.views[view.id] = view
         for listener in self.listeners:
             listener(view, live)
@@ -75,8 +75,8 @@
         self.sent.append((instance, lane, message))
         if isinstance(message, ServiceRequest):
             self.script(self, instance, message)
-        if isinstance(message, AttemptFate) and self.fate is not None:
-            self.answer(instance, message, **self.fate)
+        if isinstance(message, AttemptFate) and self.outcome_reply is not None:
+            self.answer(instance, message, **self.outcome_reply)
         return True
 
     def answer(
@@ -111,11 +111,11 @@
         return await self.dispatcher.call(replace(call, **fields))
 
 
-def answers(*ends: dict[str, Any] | None) -> Script:
+def scripted(*ends: dict[str, Any] | None) -> Script:
     """Play the given ends in order of the attempts, the last one for ever; ``None`` is silence."""
     left = list(ends)
 
-    def script(world: World, instance: str, req: ServiceRequest) -> None:
+    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
         end = left.pop(0) if len(left) > 1 else left[0]
         if end is not None:
             world.answer(instance, req, **end)
@@ -123,12 +123,12 @@
     return script
 
 
-async def no_slot_is_lost(world: World) -> None:
+async def check_no_slot_leaked(world: FakeCluster) -> None:
     """Fill every slot at once; one that was never given back would make somebody wait."""
     assert world.dispatcher.open_requests == 0
     for view in world.views.values():
-        world.show(view)
-    world.script = answers(DONE)
+        world.publish_view(view)
+    world.script = scripted(DONE)
     loop = asyncio.get_running_loop()
     begun = loop.time()
     replies = await asyncio.gather(*(world.call() for _ in range(8 * len(world.views))))
@@ -141,7 +141,7 @@
 BROKEN = {"ran": "unknown", "reason": "no whole answer"}
 # The attempts' ends, whether the request is idempotent, and what its caller is told: outcome, code
 # and number of attempts.
-ENDS: dict[str, tuple[list[dict[str, Any] | None], bool, tuple[Outcome, Code | None, int]]] = {
+SCRIPTED_CASES: dict[str, tuple[list[dict[str, Any] | None], bool, tuple[Outcome, Code | None, int]]] = {
     "answered": ([DONE], True, (Outcome.DONE, None, 1)),
     "refused, then answered": ([FULL, DONE], False, (Outcome.DONE, None, 2)),
     "broken, then answered": ([BROKEN, DONE], True, (Outcome.DONE, None, 2)),
@@ -158,21 +158,21 @@
 }
 
 
-@pytest.mark.parametrize("name", ENDS)
-async def test_caller_is_told_what_is_proven(name: str) -> None:
-    ends, idempotent, expected = ENDS[name]
-    world = World(answers(*ends), count=4)
+@pytest.mark.parametrize("name", SCRIPTED_CASES)
+async def test_reply_reports_the_proven_outcome(name: str) -> None:
+    ends, idempotent, expected = SCRIPTED_CASES[name]
+    world = FakeCluster(scripted(*ends), count=4)
     reply = await world.call(idempotent=idempotent)
     code = reply.failure.code if reply.failure else None
     assert (reply.outcome, code, reply.attempts) == expected
     assert (reply.outcome is Outcome.DONE) == (reply.body == b"body")
     assert (reply.retry_after_s > 0) == (reply.outcome is not Outcome.DONE)
-    await no_slot_is_lost(world)
+    await check_no_slot_leaked(world)
 
 
-async def test_given_up_is_answered_at_once_and_not_at_the_deadline() -> None:
+async def test_request_that_cannot_meet_its_deadline_fails_immediately() -> None:
     """All slots are taken for seconds; a caller with half a second left is told so now."""
-    world = World(answers({**DONE, "delay_s": 2.0}), count=1)
+    world = FakeCluster(scripted({**DONE, "delay_s": 2.0}), count=1)
     busy = [asyncio.create_task(world.call(10.0)) for _ in range(8)]
     await asyncio.gather(*busy)
     busy = [asyncio.create_task(world.call(10.0)) for _ in range(8)]
@@ -184,9 +184,9 @@
     assert {(await task).outcome for task in busy} == {Outcome.DONE}
 
 
-async def test_requests_behind_too_many_others_are_refused_when_they_come() -> None:
+async def test_requests_that_would_time_out_in_the_queue_are_rejected_on_arrival() -> None:
     """Sixty callers with half a second come at once to eight slots of a tenth of a second each."""
-    world = World(answers({**DONE, "delay_s": 0.1}), count=1)
+    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
     await asyncio.gather(*(world.call() for _ in range(8)))
     loop = asyncio.get_running_loop()
     begun = loop.time()
@@ -202,8 +202,8 @@
     assert [outcome for outcome, _ in ends].count(Outcome.DONE) == 60 - len(refused) >= 28
 
 
-async def test_queued_request_is_served_when_room_appears() -> None:
-    world = World(answers({**DONE, "delay_s": 0.1}), count=1)
+async def test_queued_request_is_served_when_a_slot_is_freed() -> None:
+    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
     replies = await asyncio.gather(*(world.call() for _ in range(24)))
     assert {reply.outcome for reply in replies} == {Outcome.DONE}
     assert asyncio.get_running_loop().time() == pytest.approx(0.3, abs=0.02)
@@ -213,7 +213,7 @@
 async def test_urgent_request_overtakes_the_queue(by_rule: bool) -> None:
     when = {"team": {"eq": "roof"}}
     rules = [{"name": "roof", "when": when, "then": {"urgent": True}}] if by_rule else []
-    world = World(answers({**DONE, "delay_s": 0.1}), count=1, rules=rules)
+    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1, rules=rules)
     order: list[str] = []
 
     async def one(name: str, **fields: Any) -> None:
@@ -226,19 +226,19 @@
     assert order.index("urgent") < 16
 
 
-async def test_late_doubled_and_foreign_answers_reach_nobody() -> None:
+async def test_late_duplicate_and_foreign_answers_are_dropped() -> None:
     """An answer comes twice, one comes from an instance that was never asked, one after the end.
 
     Each surveyor gets only the answer to her own request; the others are counted and dropped.
     """
 
-    def script(world: World, instance: str, req: ServiceRequest) -> None:
+    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
         other = "i1" if instance == "i0" else "i0"
         world.answer(instance, req, "done", 0.01, sender=other, body=b"else", body_bytes=4)
         world.answer(instance, req, "done", 0.02)
         world.answer(instance, req, "done", 0.03, body=b"again", body_bytes=5)
 
-    world = World(script)
+    world = FakeCluster(script)
     reply = await world.call()
     await asyncio.sleep(0.1)
     assert reply.body == b"body"
@@ -246,20 +246,20 @@
     assert (counters.foreign, counters.late) == (1, 1)
 
 
-async def test_unsent_attempt_goes_elsewhere_and_costs_no_retry() -> None:
-    world = World(answers(DONE))
+async def test_unsent_attempt_is_placed_elsewhere_without_a_retry() -> None:
+    world = FakeCluster(scripted(DONE))
     world.unreachable = {"i0"}
     replies = [await world.call(idempotent=False) for _ in range(10)]
     assert {(reply.outcome, reply.attempts) for reply in replies} == {(Outcome.DONE, 1)}
     assert world.dispatcher.counters.retries == 0
 
 
-async def test_answer_lost_with_its_connection_is_asked_for() -> None:
+async def test_answer_lost_with_its_connection_is_recovered() -> None:
     """The connection goes silent for good after the request got through; the answer is lost.
 
     The entry asks over the control lane, and the agent repeats the answer that it remembers.
     """
-    world = World(answers(None))
+    world = FakeCluster(scripted(None))
     calling = asyncio.create_task(world.call(5.0, idempotent=False))
     while not (asked := world.all_sent(AttemptFate)):
         await asyncio.sleep(0.05)
@@ -271,40 +271,40 @@
     assert (await calling).outcome is Outcome.DONE
 
 
-NEW_RUN = {"incarnation": "b"}
+NEW_INCARNATION = {"incarnation": "b"}
 # What becomes of the instance, what the present run says of the attempt, whether the request is
 # idempotent, and the outcome.
 LOSSES: dict[str, tuple[dict[str, Any], dict[str, Any] | None, bool, Outcome]] = {
-    "restarted, idempotent": (NEW_RUN, {**BROKEN, **NEW_RUN}, True, Outcome.DONE),
-    "restarted, not idempotent": (NEW_RUN, {**BROKEN, **NEW_RUN}, False, Outcome.UNKNOWN),
-    "fenced, and goes on": (NEW_RUN, {**DONE, **NEW_RUN, "delay_s": 0.5}, False, Outcome.DONE),
+    "restarted, idempotent": (NEW_INCARNATION, {**BROKEN, **NEW_INCARNATION}, True, Outcome.DONE),
+    "restarted, not idempotent": (NEW_INCARNATION, {**BROKEN, **NEW_INCARNATION}, False, Outcome.UNKNOWN),
+    "fenced, and goes on": (NEW_INCARNATION, {**DONE, **NEW_INCARNATION, "delay_s": 0.5}, False, Outcome.DONE),
     "silent, idempotent": ({}, None, True, Outcome.DONE),
 }
 
 
 @pytest.mark.parametrize("name", LOSSES)
-async def test_lost_instance_is_noticed_long_before_the_deadline(name: str) -> None:
-    changes, fate, idempotent, expected = LOSSES[name]
-    world = World(answers(None, DONE))
-    world.fate = fate
+async def test_lost_instance_is_detected_before_the_deadline(name: str) -> None:
+    changes, outcome_reply, idempotent, expected = LOSSES[name]
+    world = FakeCluster(scripted(None, DONE))
+    world.outcome_reply = outcome_reply
     calling = asyncio.create_task(world.call(60.0, idempotent=idempotent))
     await asyncio.sleep(0.01)
     lost = world.views[world.sent[0][0]]
-    world.show(replace(lost, **changes), live=bool(changes))
+    world.publish_view(replace(lost, **changes), live=bool(changes))
     assert (await calling).outcome is expected
     assert asyncio.get_running_loop().time() < 1.0
 
 
-async def test_hedge_cuts_the_tail_within_the_budget() -> None:
+async def test_hedging_reduces_tail_latency_within_the_budget() -> None:
     """Every fortieth attempt hangs; hedges answer it early, and stay within their share."""
     number = iter(range(10_000))
     rng = random.Random(3)
 
-    def script(world: World, instance: str, req: ServiceRequest) -> None:
+    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
         slow = next(number) % 40 == 39
         world.answer(instance, req, "done", 0.9 if slow else rng.uniform(0.01, 0.02))
 
-    world = World(script, services={"checks": {"hedge": True}}, count=4)
+    world = FakeCluster(script, services={"checks": {"hedge": True}}, count=4)
     loop = asyncio.get_running_loop()
     took = []
     for _ in range(400):
@@ -317,23 +317,23 @@
     assert len(world.all_sent(CancelAttempt)) >= counters.hedges - 1
 
 
-async def test_rule_refuses_and_says_when_to_come_back() -> None:
+async def test_rejection_by_rule_has_a_retry_delay() -> None:
     rule = {"name": "closed", "then": {"action": "refuse", "retry_after_ms": 3000}}
-    world = World(answers(DONE), rules=[rule])
+    world = FakeCluster(scripted(DONE), rules=[rule])
     reply = await world.call()
     assert (reply.outcome, reply.rule, reply.attempts) == (Outcome.NOT_RUN, "closed", 0)
     assert 3.0 <= reply.retry_after_s <= 7.0
 
 
-async def test_nobody_offers_the_service() -> None:
-    world = World(answers(DONE), count=0)
+async def test_service_without_instances_is_rejected() -> None:
+    world = FakeCluster(scripted(DONE), count=0)
     await asyncio.sleep(SETTINGS.lease.silence_seconds + 0.1)
     reply = await world.call()
     assert reply.failure and reply.failure.code is Code.NO_INSTANCE
 
 
-async def test_drain_finishes_what_runs_and_refuses_what_comes() -> None:
-    world = World(answers({**DONE, "delay_s": 0.5}))
+async def test_drain_finishes_open_requests_and_rejects_new_ones() -> None:
+    world = FakeCluster(scripted({**DONE, "delay_s": 0.5}))
     running = asyncio.create_task(world.call())
     await asyncio.sleep(0.1)
     draining = asyncio.create_task(world.dispatcher.drain())
@@ -344,12 +344,12 @@
     assert running.done() and running.result().outcome is Outcome.DONE
 
 
-async def test_caller_that_leaves_frees_its_room() -> None:
-    world = World(answers(None), count=1)
+async def test_cancelled_request_frees_its_slot() -> None:
+    world = FakeCluster(scripted(None), count=1)
     callers = [asyncio.create_task(world.call(30.0)) for _ in range(12)]
     await asyncio.sleep(0.1)
     for caller in callers:
         caller.cancel()
     await asyncio.gather(*callers, return_exceptions=True)
     assert len(world.all_sent(CancelAttempt)) == 8
-    await no_slot_is_lost(world)
+    await check_no_slot_leaked(world)
