--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -1,4 +1,4 @@
-"""The caller API over real HTTP on loopback, with small fakes behind it."""
+"""Tests the caller API over HTTP on loopback, with a fake backend."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 class FakeBackend:
-    """Dispatcher, jobs and configuration in one small fake."""
+    """Fake dispatcher, job service and configuration service."""
 
     def __init__(self, **document: Any) -> None:
         self.current = Config(1, ConfigDocument.model_validate(document))
@@ -122,7 +122,7 @@
 
 
 SERVICE = "/v1/services/checks"
-# What is sent and the status, code and field that come back.
+# Request, and the expected status, code and field.
 INVALID_REQUESTS: dict[str, tuple[str, str, dict[str, Any], tuple[int, str, str]]] = {
     "deadline no number": (
         "POST", SERVICE, {"headers": {"X-Request-Deadline-Ms": "soon"}},
@@ -201,7 +201,9 @@
     back = FakeBackend(services={"checks": {"deadline_ms": 700}})
     async with serving(back) as (_, http):
         headers = {"X-Request-Team": "roofs", "X-Other": "1", "Connection": "keep-alive"}
-        status, body, got = await send_request(http, "POST", SERVICE, data=b"photo", headers=headers)
+        status, body, got = await send_request(
+            http, "POST", SERVICE, data=b"photo", headers=headers
+        )
     assert (status, body, got["X-Own"], got["X-Request-Outcome"]) == (201, b"photo", "yes", "done")
     call = back.calls[0]
     assert (call.team, call.headers["X-Other"], "Host" in call.headers) == ("roofs", "1", False)
@@ -264,7 +266,9 @@
     once = {"X-Request-Idempotent": "false", "Idempotency-Key": "r-1"}
     async with serving(back) as (_, http):
         late = {**once, "X-Request-Deadline-Ms": "100"}
-        status, body, headers = await send_request(http, "POST", SERVICE, data=b"roll", headers=late)
+        status, body, headers = await send_request(
+            http, "POST", SERVICE, data=b"roll", headers=late
+        )
         assert (status, body["outcome"], headers["Idempotency-Key"]) == (504, "unknown", "r-1")
         back.ended.set()
         status, body, _ = await send_request(http, "POST", SERVICE, data=b"roll", headers=once)
@@ -284,7 +288,7 @@
         await send_request(http, "POST", "/v1/jobs", json={**JOB, "kind": "watch"})
         async with http.get("/v1/jobs/k1/events", headers=headers) as response:
             first = await response.content.readline()
-            assert b"1.2" in first, "what the caller has seen is not sent again"
+            assert b"1.2" in first, "events up to Last-Event-ID are not sent again"
             await api.drain(5.0)
             rest = (await response.content.read()).decode()
     assert "1.3" in rest and "moved" in rest.splitlines()[-3 if sse else -1]
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -1,4 +1,4 @@
-"""The service path on a paused clock, with small fakes for the sockets, membership and config."""
+"""Tests the service dispatcher on a simulated clock, with fake links, membership and config."""
 
 import asyncio
 import random
@@ -29,11 +29,11 @@
 SETTINGS = EntrySettings.model_validate(
     {"id": "e1", "zone": "z0", "platform": {"table_url": "http://127.0.0.1:1"}}
 )
-Script = Callable[["World", str, ServiceRequest], None]
+Script = Callable[["FakeCluster", str, ServiceRequest], None]
 
 
 class FakeCluster:
-    """Links, membership and configuration of a dispatcher; ``script`` plays the instances."""
+    """Fake links, membership and configuration; ``script`` simulates the instances."""
 
     def __init__(self, script: Script, count: int = 2, **document: Any) -> None:
         self.current = Config(1, ConfigDocument.model_validate(document))
@@ -112,26 +112,26 @@
 
 
 def scripted(*ends: dict[str, Any] | None) -> Script:
-    """Play the given ends in order of the attempts, the last one for ever; ``None`` is silence."""
+    """Answer attempts with ``ends`` in order, repeating the last one; ``None`` sends no answer."""
     left = list(ends)
 
-    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
+    def script(cluster: FakeCluster, instance: str, req: ServiceRequest) -> None:
         end = left.pop(0) if len(left) > 1 else left[0]
         if end is not None:
-            world.answer(instance, req, **end)
+            cluster.answer(instance, req, **end)
 
     return script
 
 
-async def check_no_slot_leaked(world: FakeCluster) -> None:
-    """Fill every slot at once; one that was never given back would make somebody wait."""
-    assert world.dispatcher.open_requests == 0
-    for view in world.views.values():
-        world.publish_view(view)
-    world.script = scripted(DONE)
+async def check_no_slot_leaked(cluster: FakeCluster) -> None:
+    """Check that all slots are free: requests for every slot are served without queueing."""
+    assert cluster.dispatcher.open_requests == 0
+    for view in cluster.views.values():
+        cluster.publish_view(view)
+    cluster.script = scripted(DONE)
     loop = asyncio.get_running_loop()
     begun = loop.time()
-    replies = await asyncio.gather(*(world.call() for _ in range(8 * len(world.views))))
+    replies = await asyncio.gather(*(cluster.call() for _ in range(8 * len(cluster.views))))
     assert {reply.outcome for reply in replies} == {Outcome.DONE}
     assert loop.time() - begun < 0.015
 
@@ -139,9 +139,11 @@
 DONE = {"ran": "done"}
 FULL = {"ran": "not_run", "reason": "full"}
 BROKEN = {"ran": "unknown", "reason": "no whole answer"}
-# The attempts' ends, whether the request is idempotent, and what its caller is told: outcome, code
-# and number of attempts.
-SCRIPTED_CASES: dict[str, tuple[list[dict[str, Any] | None], bool, tuple[Outcome, Code | None, int]]] = {
+# Ends of the attempts, whether the request is idempotent, and the expected outcome, code and number
+# of attempts.
+SCRIPTED_CASES: dict[
+    str, tuple[list[dict[str, Any] | None], bool, tuple[Outcome, Code | None, int]]
+] = {
     "answered": ([DONE], True, (Outcome.DONE, None, 1)),
     "refused, then answered": ([FULL, DONE], False, (Outcome.DONE, None, 2)),
     "broken, then answered": ([BROKEN, DONE], True, (Outcome.DONE, None, 2)),
@@ -161,50 +163,50 @@
 @pytest.mark.parametrize("name", SCRIPTED_CASES)
 async def test_reply_reports_the_proven_outcome(name: str) -> None:
     ends, idempotent, expected = SCRIPTED_CASES[name]
-    world = FakeCluster(scripted(*ends), count=4)
-    reply = await world.call(idempotent=idempotent)
+    cluster = FakeCluster(scripted(*ends), count=4)
+    reply = await cluster.call(idempotent=idempotent)
     code = reply.failure.code if reply.failure else None
     assert (reply.outcome, code, reply.attempts) == expected
     assert (reply.outcome is Outcome.DONE) == (reply.body == b"body")
     assert (reply.retry_after_s > 0) == (reply.outcome is not Outcome.DONE)
-    await check_no_slot_leaked(world)
+    await check_no_slot_leaked(cluster)
 
 
 async def test_request_that_cannot_meet_its_deadline_fails_immediately() -> None:
-    """All slots are taken for seconds; a caller with half a second left is told so now."""
-    world = FakeCluster(scripted({**DONE, "delay_s": 2.0}), count=1)
-    busy = [asyncio.create_task(world.call(10.0)) for _ in range(8)]
+    """Guards against queueing a request that no slot can serve before its deadline."""
+    cluster = FakeCluster(scripted({**DONE, "delay_s": 2.0}), count=1)
+    busy = [asyncio.create_task(cluster.call(10.0)) for _ in range(8)]
     await asyncio.gather(*busy)
-    busy = [asyncio.create_task(world.call(10.0)) for _ in range(8)]
+    busy = [asyncio.create_task(cluster.call(10.0)) for _ in range(8)]
     await asyncio.sleep(0)
     asked_at = asyncio.get_running_loop().time()
-    reply = await world.call(0.5)
+    reply = await cluster.call(0.5)
     assert (reply.outcome, reply.attempts) == (Outcome.NOT_RUN, 0)
     assert asyncio.get_running_loop().time() - asked_at < 0.01
     assert {(await task).outcome for task in busy} == {Outcome.DONE}
 
 
 async def test_requests_that_would_time_out_in_the_queue_are_rejected_on_arrival() -> None:
-    """Sixty callers with half a second come at once to eight slots of a tenth of a second each."""
-    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
-    await asyncio.gather(*(world.call() for _ in range(8)))
+    """Guards against queueing more requests than the slots can serve before the deadline."""
+    cluster = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
+    await asyncio.gather(*(cluster.call() for _ in range(8)))
     loop = asyncio.get_running_loop()
     begun = loop.time()
 
     async def one() -> tuple[Outcome, float]:
-        reply = await world.call(0.5)
+        reply = await cluster.call(0.5)
         return reply.outcome, loop.time() - begun
 
     ends = await asyncio.gather(*(one() for _ in range(60)))
     refused = [took_s for outcome, took_s in ends if outcome is Outcome.NOT_RUN]
     assert sum(took_s < 0.001 for took_s in refused) >= 20
-    assert max(refused) < 0.11, "the rest when the first answers show how long they take"
+    assert max(refused) < 0.11, "the rest is rejected once the first answers show the latency"
     assert [outcome for outcome, _ in ends].count(Outcome.DONE) == 60 - len(refused) >= 28
 
 
 async def test_queued_request_is_served_when_a_slot_is_freed() -> None:
-    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
-    replies = await asyncio.gather(*(world.call() for _ in range(24)))
+    cluster = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1)
+    replies = await asyncio.gather(*(cluster.call() for _ in range(24)))
     assert {reply.outcome for reply in replies} == {Outcome.DONE}
     assert asyncio.get_running_loop().time() == pytest.approx(0.3, abs=0.02)
 
@@ -213,11 +215,11 @@
 async def test_urgent_request_overtakes_the_queue(by_rule: bool) -> None:
     when = {"team": {"eq": "roof"}}
     rules = [{"name": "roof", "when": when, "then": {"urgent": True}}] if by_rule else []
-    world = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1, rules=rules)
+    cluster = FakeCluster(scripted({**DONE, "delay_s": 0.1}), count=1, rules=rules)
     order: list[str] = []
 
     async def one(name: str, **fields: Any) -> None:
-        await world.call(**fields)
+        await cluster.call(**fields)
         order.append(name)
 
     calls = [one(f"c{number}") for number in range(24)]
@@ -227,57 +229,64 @@
 
 
 async def test_late_duplicate_and_foreign_answers_are_dropped() -> None:
-    """An answer comes twice, one comes from an instance that was never asked, one after the end.
+    """Guards against returning an answer from the wrong instance or to a closed attempt."""
 
-    Each surveyor gets only the answer to her own request; the others are counted and dropped.
-    """
-
-    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
+    def script(cluster: FakeCluster, instance: str, req: ServiceRequest) -> None:
         other = "i1" if instance == "i0" else "i0"
-        world.answer(instance, req, "done", 0.01, sender=other, body=b"else", body_bytes=4)
-        world.answer(instance, req, "done", 0.02)
-        world.answer(instance, req, "done", 0.03, body=b"again", body_bytes=5)
+        cluster.answer(instance, req, "done", 0.01, sender=other, body=b"else", body_bytes=4)
+        cluster.answer(instance, req, "done", 0.02)
+        cluster.answer(instance, req, "done", 0.03, body=b"again", body_bytes=5)
 
-    world = FakeCluster(script)
-    reply = await world.call()
+    cluster = FakeCluster(script)
+    reply = await cluster.call()
     await asyncio.sleep(0.1)
     assert reply.body == b"body"
-    counters = world.dispatcher.counters
+    counters = cluster.dispatcher.counters
     assert (counters.foreign, counters.late) == (1, 1)
 
 
 async def test_unsent_attempt_is_placed_elsewhere_without_a_retry() -> None:
-    world = FakeCluster(scripted(DONE))
-    world.unreachable = {"i0"}
-    replies = [await world.call(idempotent=False) for _ in range(10)]
+    cluster = FakeCluster(scripted(DONE))
+    cluster.unreachable = {"i0"}
+    replies = [await cluster.call(idempotent=False) for _ in range(10)]
     assert {(reply.outcome, reply.attempts) for reply in replies} == {(Outcome.DONE, 1)}
-    assert world.dispatcher.counters.retries == 0
+    assert cluster.dispatcher.counters.retries == 0
 
 
 async def test_answer_lost_with_its_connection_is_recovered() -> None:
-    """The connection goes silent for good after the request got through; the answer is lost.
+    """Guards against losing an answer when the data connection fails.
 
-    The entry asks over the control lane, and the agent repeats the answer that it remembers.
+    The entry queries the outcome over the control lane and the agent resends the answer.
     """
-    world = FakeCluster(scripted(None))
-    calling = asyncio.create_task(world.call(5.0, idempotent=False))
-    while not (asked := world.all_sent(AttemptFate)):
+    cluster = FakeCluster(scripted(None))
+    calling = asyncio.create_task(cluster.call(5.0, idempotent=False))
+    while not (asked := cluster.all_sent(AttemptFate)):
         await asyncio.sleep(0.05)
     assert asyncio.get_running_loop().time() < 1.0
-    assert world.sent[-1][1] is Lane.CONTROL and asked[0].sent_to == "a"
-    instance, _, req = world.sent[0]
+    assert cluster.sent[-1][1] is Lane.CONTROL and asked[0].sent_to == "a"
+    instance, _, req = cluster.sent[0]
     assert isinstance(req, ServiceRequest)
-    world.answer(instance, req, "done")
+    cluster.answer(instance, req, "done")
     assert (await calling).outcome is Outcome.DONE
 
 
 NEW_INCARNATION = {"incarnation": "b"}
-# What becomes of the instance, what the present run says of the attempt, whether the request is
-# idempotent, and the outcome.
+# Changes of the instance, its reply to the outcome query, whether the request is idempotent, and the
+# expected outcome.
 LOSSES: dict[str, tuple[dict[str, Any], dict[str, Any] | None, bool, Outcome]] = {
     "restarted, idempotent": (NEW_INCARNATION, {**BROKEN, **NEW_INCARNATION}, True, Outcome.DONE),
-    "restarted, not idempotent": (NEW_INCARNATION, {**BROKEN, **NEW_INCARNATION}, False, Outcome.UNKNOWN),
-    "fenced, and goes on": (NEW_INCARNATION, {**DONE, **NEW_INCARNATION, "delay_s": 0.5}, False, Outcome.DONE),
+    "restarted, not idempotent": (
+        NEW_INCARNATION,
+        {**BROKEN, **NEW_INCARNATION},
+        False,
+        Outcome.UNKNOWN,
+    ),
+    "fenced, and goes on": (
+        NEW_INCARNATION,
+        {**DONE, **NEW_INCARNATION, "delay_s": 0.5},
+        False,
+        Outcome.DONE,
+    ),
     "silent, idempotent": ({}, None, True, Outcome.DONE),
 }
 
@@ -285,71 +294,71 @@
 @pytest.mark.parametrize("name", LOSSES)
 async def test_lost_instance_is_detected_before_the_deadline(name: str) -> None:
     changes, outcome_reply, idempotent, expected = LOSSES[name]
-    world = FakeCluster(scripted(None, DONE))
-    world.outcome_reply = outcome_reply
-    calling = asyncio.create_task(world.call(60.0, idempotent=idempotent))
+    cluster = FakeCluster(scripted(None, DONE))
+    cluster.outcome_reply = outcome_reply
+    calling = asyncio.create_task(cluster.call(60.0, idempotent=idempotent))
     await asyncio.sleep(0.01)
-    lost = world.views[world.sent[0][0]]
-    world.publish_view(replace(lost, **changes), live=bool(changes))
+    lost = cluster.views[cluster.sent[0][0]]
+    cluster.publish_view(replace(lost, **changes), live=bool(changes))
     assert (await calling).outcome is expected
     assert asyncio.get_running_loop().time() < 1.0
 
 
 async def test_hedging_reduces_tail_latency_within_the_budget() -> None:
-    """Every fortieth attempt hangs; hedges answer it early, and stay within their share."""
+    """Guards against slow attempts delaying replies, and against hedges beyond the budget."""
     number = iter(range(10_000))
     rng = random.Random(3)
 
-    def script(world: FakeCluster, instance: str, req: ServiceRequest) -> None:
+    def script(cluster: FakeCluster, instance: str, req: ServiceRequest) -> None:
         slow = next(number) % 40 == 39
-        world.answer(instance, req, "done", 0.9 if slow else rng.uniform(0.01, 0.02))
+        cluster.answer(instance, req, "done", 0.9 if slow else rng.uniform(0.01, 0.02))
 
-    world = FakeCluster(script, services={"checks": {"hedge": True}}, count=4)
+    cluster = FakeCluster(script, services={"checks": {"hedge": True}}, count=4)
     loop = asyncio.get_running_loop()
     took = []
     for _ in range(400):
         begun = loop.time()
-        await world.call(2.0)
+        await cluster.call(2.0)
         took.append(loop.time() - begun)
-    counters = world.dispatcher.counters
+    counters = cluster.dispatcher.counters
     assert max(took[150:]) < 0.1
     assert 0 < counters.hedges + counters.retries <= 0.1 * 400
-    assert len(world.all_sent(CancelAttempt)) >= counters.hedges - 1
+    assert len(cluster.all_sent(CancelAttempt)) >= counters.hedges - 1
 
 
 async def test_rejection_by_rule_has_a_retry_delay() -> None:
     rule = {"name": "closed", "then": {"action": "refuse", "retry_after_ms": 3000}}
-    world = FakeCluster(scripted(DONE), rules=[rule])
-    reply = await world.call()
+    cluster = FakeCluster(scripted(DONE), rules=[rule])
+    reply = await cluster.call()
     assert (reply.outcome, reply.rule, reply.attempts) == (Outcome.NOT_RUN, "closed", 0)
     assert 3.0 <= reply.retry_after_s <= 7.0
 
 
 async def test_service_without_instances_is_rejected() -> None:
-    world = FakeCluster(scripted(DONE), count=0)
+    cluster = FakeCluster(scripted(DONE), count=0)
     await asyncio.sleep(SETTINGS.lease.silence_seconds + 0.1)
-    reply = await world.call()
+    reply = await cluster.call()
     assert reply.failure and reply.failure.code is Code.NO_INSTANCE
 
 
 async def test_drain_finishes_open_requests_and_rejects_new_ones() -> None:
-    world = FakeCluster(scripted({**DONE, "delay_s": 0.5}))
-    running = asyncio.create_task(world.call())
+    cluster = FakeCluster(scripted({**DONE, "delay_s": 0.5}))
+    running = asyncio.create_task(cluster.call())
     await asyncio.sleep(0.1)
-    draining = asyncio.create_task(world.dispatcher.drain())
+    draining = asyncio.create_task(cluster.dispatcher.drain())
     await asyncio.sleep(0.1)
-    refused = await world.call()
+    refused = await cluster.call()
     assert refused.failure and refused.failure.code is Code.DRAINING
     await draining
     assert running.done() and running.result().outcome is Outcome.DONE
 
 
 async def test_cancelled_request_frees_its_slot() -> None:
-    world = FakeCluster(scripted(None), count=1)
-    callers = [asyncio.create_task(world.call(30.0)) for _ in range(12)]
+    cluster = FakeCluster(scripted(None), count=1)
+    callers = [asyncio.create_task(cluster.call(30.0)) for _ in range(12)]
     await asyncio.sleep(0.1)
     for caller in callers:
         caller.cancel()
     await asyncio.gather(*callers, return_exceptions=True)
-    assert len(world.all_sent(CancelAttempt)) == 8
-    await check_no_slot_leaked(world)
+    assert len(cluster.all_sent(CancelAttempt)) == 8
+    await check_no_slot_leaked(cluster)
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -253,7 +253,9 @@
         draining = asyncio.create_task(served.api.drain(5.0))
         closing = asyncio.create_task(_close_later(served.routes))
         assert served.routes.in_progress == 1
-        meanwhile = asyncio.create_task(send_request(http, "POST", f"{NIGHTLY}/jobs/a2", **steps(STEP)))
+        meanwhile = asyncio.create_task(
+            send_request(http, "POST", f"{NIGHTLY}/jobs/a2", **steps(STEP))
+        )
         await asyncio.sleep(0.1)
         assert len(served.fleet.calls) == 2 and not closing.done()
         await asyncio.sleep(0.2)
