--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -246,14 +246,14 @@
         service = parse_name("service", request.match_info["service"])
         if isinstance(service, Err):
             return service
-        known = self._ports.config.current.document.services.get(service.ok_value)
-        default_ms = known.deadline_ms if known else limits.default_deadline_ms
+        configured = self._ports.config.current.document.services.get(service.ok_value)
+        default_ms = configured.deadline_ms if configured else limits.default_deadline_ms
         deadline = parse_deadline_ms(
             headers.get(DEADLINE_HEADER), default_ms, limits.max_deadline_ms
         )
         if isinstance(deadline, Err):
             return deadline
-        policy = known or ServicePolicy()
+        policy = configured or ServicePolicy()
         idempotent = parse_flag(
             IDEMPOTENT_HEADER, headers.get(IDEMPOTENT_HEADER), policy.idempotent
         )
--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -89,7 +89,7 @@
 
 
 @asynccontextmanager
-async def serving(back: FakeBackend) -> AsyncIterator[tuple[CallerApi, aiohttp.ClientSession]]:
+async def serving(backend: FakeBackend) -> AsyncIterator[tuple[CallerApi, aiohttp.ClientSession]]:
     settings = EntrySettings.model_validate(
         {
             "id": "e1",
@@ -99,7 +99,7 @@
             "limits": LIMITS,
         }
     )
-    fake: Any = back
+    fake: Any = backend
     ports = CallerPorts(
         fake, fake, fake, Metrics(), lambda: True, lambda spec: Situation(kind=spec.kind.value)
     )
@@ -166,13 +166,13 @@
 @pytest.mark.parametrize("name", INVALID_REQUESTS)
 async def test_invalid_input_is_rejected_with_the_field_named(name: str) -> None:
     method, path, options, expected = INVALID_REQUESTS[name]
-    back = FakeBackend()
-    async with serving(back) as (_, http):
+    backend = FakeBackend()
+    async with serving(backend) as (_, http):
         status, body, _ = await send_request(http, method, path, **options)
         assert (status, body["code"], body.get("field", "")) == expected
         assert body["status"] == status and body["outcome"] in ("not_run", "unknown")
         assert body.get("limit") or not expected[2] or expected[1] == "SL-102"
-        assert not back.calls and not back.jobs
+        assert not backend.calls and not backend.jobs
 
 
 RAW_HEAD = b"POST /v1/services/checks HTTP/1.1\r\nHost: x\r\n"
@@ -186,26 +186,26 @@
 @pytest.mark.parametrize("name", MALFORMED)
 async def test_malformed_request_is_closed_without_blocking_others(name: str) -> None:
     sent, expected = MALFORMED[name]
-    back = FakeBackend()
-    async with serving(back) as (api, http):
+    backend = FakeBackend()
+    async with serving(backend) as (api, http):
         reader, writer = await asyncio.open_connection("127.0.0.1", api.port)
         writer.write(sent)
         assert (await send_request(http, "POST", SERVICE, data=b"quick"))[0] == 201
         line = await asyncio.wait_for(reader.readline(), 3)
         assert expected in line
         writer.close()
-        assert [call.body for call in back.calls] == [b"quick"]
+        assert [call.body for call in backend.calls] == [b"quick"]
 
 
 async def test_target_response_is_returned_unchanged() -> None:
-    back = FakeBackend(services={"checks": {"deadline_ms": 700}})
-    async with serving(back) as (_, http):
+    backend = FakeBackend(services={"checks": {"deadline_ms": 700}})
+    async with serving(backend) as (_, http):
         headers = {"X-Request-Team": "roofs", "X-Other": "1", "Connection": "keep-alive"}
         status, body, got = await send_request(
             http, "POST", SERVICE, data=b"photo", headers=headers
         )
     assert (status, body, got["X-Own"], got["X-Request-Outcome"]) == (201, b"photo", "yes", "done")
-    call = back.calls[0]
+    call = backend.calls[0]
     assert (call.team, call.headers["X-Other"], "Host" in call.headers) == ("roofs", "1", False)
     assert 0.6 < call.budget_s <= 0.7
 
@@ -221,9 +221,9 @@
 @pytest.mark.parametrize("name", REFUSALS)
 async def test_rejection_has_retry_after(name: str) -> None:
     code, status, retry_after = REFUSALS[name]
-    back = FakeBackend()
-    back.refusal = Failure(code, "no")
-    async with serving(back) as (_, http):
+    backend = FakeBackend()
+    backend.refusal = Failure(code, "no")
+    async with serving(backend) as (_, http):
         got, body, headers = await send_request(http, "POST", SERVICE)
     assert (got, body["outcome"], headers.get("Retry-After", "")) == (
         status,
@@ -242,49 +242,49 @@
 @pytest.mark.parametrize("name", STORE_FAILURES)
 async def test_failed_submission_reports_its_outcome(name: str) -> None:
     code, status, outcome = STORE_FAILURES[name]
-    back = FakeBackend()
-    back.refusal = Failure(code, "no")
-    async with serving(back) as (_, http):
+    backend = FakeBackend()
+    backend.refusal = Failure(code, "no")
+    async with serving(backend) as (_, http):
         got, body, _ = await send_request(http, "POST", "/v1/jobs", json=JOB)
     assert (got, body["outcome"], body["key"]) == (status, outcome, "k1")
 
 
 async def test_job_is_submitted_joined_read_and_cancelled() -> None:
-    back = FakeBackend(job_classes={"rollover": {"cpu_millicores": 250}})
-    async with serving(back) as (_, http):
+    backend = FakeBackend(job_classes={"rollover": {"cpu_millicores": 250}})
+    async with serving(backend) as (_, http):
         assert (await send_request(http, "POST", "/v1/jobs", json=JOB))[0] == 202
         status, body, headers = await send_request(http, "POST", "/v1/jobs", json=JOB)
         assert (status, body["state"], headers["Location"]) == (202, "queued", "/v1/jobs/k1")
         assert (await send_request(http, "POST", "/v1/jobs", json={**JOB, "input": 2}))[0] == 422
-        assert back.jobs["k1"].spec.resources.cpu_millicores == 250
+        assert backend.jobs["k1"].spec.resources.cpu_millicores == 250
         status, body, _ = await send_request(http, "DELETE", "/v1/jobs/k1")
         assert (status, body["state"], body["outcome"]) == (200, "cancelled", "not_run")
 
 
 async def test_non_idempotent_request_waits_for_a_durable_job() -> None:
-    back = FakeBackend()
+    backend = FakeBackend()
     once = {"X-Request-Idempotent": "false", "Idempotency-Key": "r-1"}
-    async with serving(back) as (_, http):
+    async with serving(backend) as (_, http):
         late = {**once, "X-Request-Deadline-Ms": "100"}
         status, body, headers = await send_request(
             http, "POST", SERVICE, data=b"roll", headers=late
         )
         assert (status, body["outcome"], headers["Idempotency-Key"]) == (504, "unknown", "r-1")
-        back.ended.set()
+        backend.ended.set()
         status, body, _ = await send_request(http, "POST", SERVICE, data=b"roll", headers=once)
         assert (status, body["outcome"], body["result"]) == (200, "done", {"sum": 7})
         status, _, headers = await send_request(
             http, "POST", SERVICE, headers={"X-Request-Idempotent": "false"}
         )
         assert status == 200 and len(headers["Idempotency-Key"]) == 32
-    assert "r-1" in back.jobs and len(back.jobs) == 2 and not back.calls
+    assert "r-1" in backend.jobs and len(backend.jobs) == 2 and not backend.calls
 
 
 @pytest.mark.parametrize("sse", [True, False])
 async def test_event_stream_resumes_and_moves_when_the_entry_drains(sse: bool) -> None:
-    back = FakeBackend()
+    backend = FakeBackend()
     headers = {"Last-Event-ID": "1.1", "Accept": "text/event-stream" if sse else "*/*"}
-    async with serving(back) as (api, http):
+    async with serving(backend) as (api, http):
         await send_request(http, "POST", "/v1/jobs", json={**JOB, "kind": "watch"})
         async with http.get("/v1/jobs/k1/events", headers=headers) as response:
             first = await response.content.readline()
@@ -295,11 +295,11 @@
 
 
 async def test_draining_entry_finishes_open_requests_and_rejects_new_ones() -> None:
-    back = FakeBackend()
-    back.reply_delay_s = 0.3
-    async with serving(back) as (api, http):
+    backend = FakeBackend()
+    backend.reply_delay_s = 0.3
+    async with serving(backend) as (api, http):
         running = asyncio.create_task(send_request(http, "POST", SERVICE, data=b"x"))
-        while not back.calls:
+        while not backend.calls:
             await asyncio.sleep(0.01)
         draining = asyncio.create_task(api.drain(5.0))
         await asyncio.sleep(0)
@@ -312,9 +312,9 @@
 
 
 async def test_too_many_open_requests_are_refused_and_probes_are_not() -> None:
-    back = FakeBackend()
-    back.reply_delay_s = 0.3
-    async with serving(back) as (_, http):
+    backend = FakeBackend()
+    backend.reply_delay_s = 0.3
+    async with serving(backend) as (_, http):
         posts = [send_request(http, "POST", SERVICE, data=b"x") for _ in range(30)]
         probe = asyncio.create_task(send_request(http, "GET", "/healthz"))
         statuses = [status for status, _, _ in await asyncio.gather(*posts)]
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -179,10 +179,10 @@
     await asyncio.gather(*busy)
     busy = [asyncio.create_task(cluster.call(10.0)) for _ in range(8)]
     await asyncio.sleep(0)
-    asked_at = asyncio.get_running_loop().time()
+    called_at = asyncio.get_running_loop().time()
     reply = await cluster.call(0.5)
     assert (reply.outcome, reply.attempts) == (Outcome.NOT_RUN, 0)
-    assert asyncio.get_running_loop().time() - asked_at < 0.01
+    assert asyncio.get_running_loop().time() - called_at < 0.01
     assert {(await task).outcome for task in busy} == {Outcome.DONE}
 
 
@@ -271,7 +271,7 @@
 
 
 NEW_INCARNATION = {"incarnation": "b"}
-# Changes of the instance, its reply to the outcome query, whether the request is idempotent, and the
+# Changes of the instance, its reply to an outcome query, whether the request is idempotent, and the
 # expected outcome.
 LOSSES: dict[str, tuple[dict[str, Any], dict[str, Any] | None, bool, Outcome]] = {
     "restarted, idempotent": (NEW_INCARNATION, {**BROKEN, **NEW_INCARNATION}, True, Outcome.DONE),
