--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -225,7 +225,7 @@
         return web.json_response({"instances": sorted(views, key=lambda view: str(view["id"]))})
 
     async def drain(self, request: web.Request) -> web.Response:
-        """Request an instance's agent to drain."""
+        """Send a drain request to an instance's agent."""
         ports = self._ports
         name = request.match_info["id"]
         if ports.members.get(name) is None:
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -260,10 +260,10 @@
     """
     cluster = FakeCluster(scripted(None))
     calling = asyncio.create_task(cluster.call(5.0, idempotent=False))
-    while not (asked := cluster.all_sent(AttemptFate)):
+    while not (queries := cluster.all_sent(AttemptFate)):
         await asyncio.sleep(0.05)
     assert asyncio.get_running_loop().time() < 1.0
-    assert cluster.sent[-1][1] is Lane.CONTROL and asked[0].sent_to == "a"
+    assert cluster.sent[-1][1] is Lane.CONTROL and queries[0].sent_to == "a"
     instance, _, req = cluster.sent[0]
     assert isinstance(req, ServiceRequest)
     cluster.answer(instance, req, "done")
