--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -9,9 +9,9 @@
 
 from aiohttp import web
 
-from sapphirelead.agent_holdings import Holdings
-from sapphirelead.agent_pressure import PressureKeeper
-from sapphirelead.agent_task_book import Phase
+from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_throttle import PressureKeeper
+from sapphirelead.agent_task_table import Phase
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -21,16 +21,16 @@
 from result import Err, Ok
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_ends import EndReporter
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_outcomes import EndReporter
+from sapphirelead.agent_context import Holdings
 from sapphirelead.agent_http import AgentHttp, register_gauges
 from sapphirelead.agent_links import AgentLinks
 from sapphirelead.agent_poll import Poller
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_pressure import PressureKeeper
+from sapphirelead.agent_throttle import PressureKeeper
 from sapphirelead.agent_service import ServiceRunner
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_book import End, Phase, StopOrder, Task, TaskBook
+from sapphirelead.agent_task_table import End, Phase, StopOrder, Task, TaskBook
 from sapphirelead.agent_tasks import TaskRunner
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
--- a/sapphirelead/agent_ends.py
+++ b/sapphirelead/agent_outcomes.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_task_book import End, Fate, Phase, Task, TaskBook
+from sapphirelead.agent_task_table import End, Fate, Phase, Task, TaskBook
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
 from sapphirelead.wire_messages import Checkpointed, Completed
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -19,10 +19,10 @@
 
 from result import Ok
 
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_context import Holdings
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import LOST, Stopper, end_of, find
-from sapphirelead.agent_task_book import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import End, Fate, Phase, StopOrder, Task
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -15,7 +15,7 @@
 
 from result import Ok, Result
 
-from sapphirelead.agent_task_book import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import End, Fate, Phase, StopOrder, Task
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -3,7 +3,7 @@
 Algorithm.  An offer reserves room.  A start is obeyed only if its claim names this incarnation, its
 epoch is higher than any known of the key, the lease is held and the ledger admits it.  The worker's
 view is polled and moves each record on; :mod:`sapphirelead.agent_stops` ends tasks on order, and
-:mod:`sapphirelead.agent_ends` repeats each end until an entry has committed it.
+:mod:`sapphirelead.agent_outcomes` repeats each end until an entry has committed it.
 
 Invariants:
 
@@ -20,11 +20,11 @@
 
 from result import Err, Ok
 
-from sapphirelead.agent_ends import EndReporter
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_outcomes import EndReporter
+from sapphirelead.agent_context import Holdings
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find
-from sapphirelead.agent_task_book import Fate, Phase, StopOrder, Task, TaskBook
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskBook
 from sapphirelead.background import Background
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
--- a/sapphirelead/agent_pressure.py
+++ b/sapphirelead/agent_throttle.py
@@ -11,10 +11,10 @@
 from typing import Final
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_context import Holdings
 from sapphirelead.agent_samples import LatencyWindow, UseWindow, class_samples, is_running_batch
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_book import Phase, StopOrder, Task
+from sapphirelead.agent_task_table import Phase, StopOrder, Task
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
--- a/tests/unit/test_agent_pressure.py
+++ b/tests/unit/test_agent_throttle.py
@@ -131,7 +131,7 @@
 
     async with Rig() as rig:
         await serve(rig, 20.0, 0.0)
-        monkeypatch.setattr("sapphirelead.agent_pressure.log_event", note)
+        monkeypatch.setattr("sapphirelead.agent_throttle.log_event", note)
         await serve(rig, 4.0, 0.0)
         assert not lines
         for number in range(80):
