--- a/sapphirelead/agent_context.py
+++ b/sapphirelead/agent_context.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Holdings:
+class AgentContext:
     """The state of one agent, used only from the agent's loop.
 
     :ivar lease: the lease of the present incarnation; replaced with it.
--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_throttle import PressureKeeper
 from sapphirelead.agent_task_table import Phase
 from sapphirelead.clock import now
@@ -70,12 +70,12 @@
         return web.Response(body=self._metrics.render(), content_type=CONTENT_TYPE)
 
 
-def register_gauges(metrics: Metrics, holdings: Holdings, pressure: PressureKeeper) -> None:
+def register_gauges(metrics: Metrics, context: AgentContext, pressure: PressureKeeper) -> None:
     """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
-    ledger, book = holdings.ledger, holdings.book
+    ledger, book = context.ledger, context.book
 
     def lease_left_s() -> float:
-        return max(0.0, holdings.lease.deadline - now()) if holdings.lease.granted() else 0.0
+        return max(0.0, context.lease.deadline - now()) if context.lease.granted() else 0.0
 
     metrics.gauge("agent_slots_used", lambda: ledger.requests)
     metrics.gauge("agent_slots", lambda: ledger.slots)
@@ -85,6 +85,6 @@
     metrics.gauge("agent_tasks_running", lambda: len(book.in_phase(Phase.RUNNING)))
     metrics.gauge("agent_ends_unacknowledged", lambda: len(book.in_phase(Phase.ENDED)))
     metrics.gauge("agent_lease_left_seconds", lease_left_s)
-    metrics.gauge("agent_worker_healthy", lambda: float(holdings.session.healthy))
+    metrics.gauge("agent_worker_healthy", lambda: float(context.session.healthy))
     metrics.gauge("agent_slowdown", lambda: pressure.slowdown)
     metrics.gauge("agent_classes_throttled", lambda: pressure.throttled_classes)
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -22,7 +22,7 @@
 
 from sapphirelead.agent_config import ConfigHolder
 from sapphirelead.agent_outcomes import EndReporter
-from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_http import AgentHttp, register_gauges
 from sapphirelead.agent_links import AgentLinks
 from sapphirelead.agent_poll import Poller
@@ -75,7 +75,7 @@
     metrics: Metrics
     stopped: asyncio.Event
     failure: str
-    _holdings: Holdings
+    _context: AgentContext
     _loops: Background
     _work: Background
     _draining: asyncio.Task[None] | None
@@ -96,7 +96,7 @@
         self._loops = Background(self._crashed)
         self._work = Background(self._crashed)
         self._sender = Sender(settings.id, _new_incarnation())
-        self._holdings = Holdings(
+        self._context = AgentContext(
             sender=self._sender,
             ledger=Ledger.from_settings(settings),
             book=TaskBook(),
@@ -105,16 +105,16 @@
         )
         self._links: Links = make_links(settings, self._sender, self._loops)
         self._config = ConfigHolder(self._sender)
-        self._ends = EndReporter(self._sender, self._links, self._holdings.book)
-        self._stopper = Stopper(self._holdings.session, self._work, self._finish)
-        self._poller = Poller(self._holdings, self._links, self._stopper, settings.lease)
-        self._pressure = PressureKeeper(self._holdings, self._config, self._stopper)
+        self._ends = EndReporter(self._sender, self._links, self._context.book)
+        self._stopper = Stopper(self._context.session, self._work, self._finish)
+        self._poller = Poller(self._context, self._links, self._stopper, settings.lease)
+        self._pressure = PressureKeeper(self._context, self._config, self._stopper)
         self._poller.on_view = self._pressure.on_view
         self.metrics = Metrics()
         self._http = AgentHttp(self._admits, self.metrics)
-        register_gauges(self.metrics, self._holdings, self._pressure)
+        register_gauges(self.metrics, self._context, self._pressure)
         self._runner = TaskRunner(
-            self._holdings,
+            self._context,
             self._links,
             self._ends,
             self._stopper,
@@ -124,7 +124,7 @@
         self._service = ServiceRunner(
             settings,
             self._sender,
-            self._holdings.ledger,
+            self._context.ledger,
             self._links,
             target,
             self._loops,
@@ -180,7 +180,7 @@
         view = await self._open_session(self.incarnation)
         for info in _newest(view):
             self._runner.adopt(info)
-        self._holdings.ready = True
+        self._context.ready = True
         log_event(
             "INFO",
             "agent_ready",
@@ -191,7 +191,7 @@
 
     async def _open_session(self, incarnation: str) -> WorkerView:
         while True:
-            match await self._holdings.session.open(incarnation):
+            match await self._context.session.open(incarnation):
                 case Ok(view):
                     return view
                 case Err(failure):
@@ -207,7 +207,7 @@
     async def _beat(self) -> None:
         patience = 2 * self._settings.lease.beat_interval_seconds
         # Noted before anything is sent: the lease counts from here.
-        beat = self._make_beat(self._holdings.lease.next_beat(now()))
+        beat = self._make_beat(self._context.lease.next_beat(now()))
         for index in self._links.indexes:
             if self._links.announce_due(index, patience):
                 await self._links.send(index, Lane.CONTROL, self._make_announce())
@@ -218,27 +218,27 @@
         return Announce(
             zone=settings.zone,
             rack=settings.rack,
-            capacity=Amount.from_resources(self._holdings.ledger.capacity),
+            capacity=Amount.from_resources(self._context.ledger.capacity),
             slots=settings.slots,
             connections=settings.connections,
             services=list(settings.services),
-            draining=self._holdings.draining,
+            draining=self._context.draining,
             **self._sender.head(),
         )
 
     def _make_beat(self, counter: int) -> Beat:
-        ledger = self._holdings.ledger
+        ledger = self._context.ledger
         ledger.lapse(now())
         return Beat(
             counter=counter,
             zone=self._settings.zone,
-            draining=self._holdings.draining,
+            draining=self._context.draining,
             slots_used=ledger.requests,
             slots=ledger.slots,
             connections_used=ledger.requests,
             connections=ledger.connections,
             free=Amount.from_resources(ledger.free),
-            tasks=len(self._holdings.book.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
+            tasks=len(self._context.book.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
             services=self._pressure.services,
             classes=self._pressure.classes,
             **self._sender.head(),
@@ -246,7 +246,7 @@
 
     def _on_beat_ack(self, _index: int, ack: BeatAck) -> None:
         if not ack.fenced:
-            self._holdings.lease.acked(ack.committed)
+            self._context.lease.acked(ack.committed)
         elif not self._fencing:
             self._fencing = True
             self._loops.spawn(self._begin_anew(), "fenced")
@@ -254,20 +254,20 @@
     async def _begin_anew(self) -> None:
         """Drop everything of the fenced incarnation and go on as a new one."""
         log_event("WARNING", "agent_fenced", incarnation=self.incarnation)
-        holdings = self._holdings
-        holdings.ready = False
-        holdings.lease = LeaseHolder.from_settings(self._settings.lease)
+        context = self._context
+        context.ready = False
+        context.lease = LeaseHolder.from_settings(self._settings.lease)
         await self._work.close()
         incarnation = _new_incarnation()
         await self._clear_worker(incarnation)
-        for task in holdings.book.clear():
-            holdings.ledger.release(task.key)
+        for task in context.book.clear():
+            context.ledger.release(task.key)
         # Together with the connections, never before: until then beats carry the name that the
         # identity of their socket carries.
         self._sender.incarnation = incarnation
         self._service.add_incarnation()
         self._links.reopen()
-        holdings.ready = True
+        context.ready = True
         self._fencing = False
 
     async def _clear_worker(self, incarnation: str) -> None:
@@ -275,12 +275,12 @@
         view = await self._open_session(incarnation)
         while view.tasks:
             for info in view.tasks:
-                await self._holdings.session.stop(info.task_id)
-                await self._holdings.session.remove(info.task_id)
+                await self._context.session.stop(info.task_id)
+                await self._context.session.remove(info.task_id)
             view = await self._open_session(incarnation)
 
     def _admits(self) -> bool:
-        return self._holdings.ready and not self._holdings.draining
+        return self._context.ready and not self._context.draining
 
     def _observe(self, service: str, seconds: float, ok: bool) -> None:
         self._pressure.observe(service, seconds, ok)
@@ -288,11 +288,11 @@
 
     def _finish(self, task: Task, end: End) -> None:
         """Note the end of a task and report it."""
-        if task.end or self._holdings.book.get(task.key, task.epoch) is not task:
+        if task.end or self._context.book.get(task.key, task.epoch) is not task:
             return
         task.phase = Phase.ENDED
         task.end = end
-        self._holdings.ledger.release(task.key)
+        self._context.ledger.release(task.key)
         log_event(
             "INFO",
             "task_ended",
@@ -311,7 +311,7 @@
 
     async def _leave(self) -> None:
         log_event("INFO", "agent_draining", instance=self._settings.id)
-        self._holdings.draining = True
+        self._context.draining = True
         self._service.draining = True
         await self._beat()
         with contextlib.suppress(TimeoutError):
@@ -320,14 +320,14 @@
         # Not bounded here: each call to the target ends within its own timeout, and a planned stop
         # cuts none.
         await self._service.idle()
-        log_event("INFO", "agent_left", tasks_left=len(self._holdings.book.tasks))
+        log_event("INFO", "agent_left", tasks_left=len(self._context.book.tasks))
         self.stopped.set()
 
     async def _evacuate(self) -> None:
         """Checkpoint every task and wait until every end is committed."""
         order = StopOrder(cancel=False, reason="draining")
-        while self._holdings.book.tasks:
-            for task in self._holdings.book.in_phase(Phase.STARTING, Phase.RUNNING):
+        while self._context.book.tasks:
+            for task in self._context.book.in_phase(Phase.STARTING, Phase.RUNNING):
                 self._stopper.order(task, order)
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
@@ -342,7 +342,7 @@
         if not self.failure:
             log_event("ERROR", "agent_failed", instance=self._settings.id, reason=reason)
         self.failure = self.failure or reason
-        self._holdings.ready = False
+        self._context.ready = False
         self.stopped.set()
 
 
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -19,7 +19,7 @@
 
 from result import Ok
 
-from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import LOST, Stopper, end_of, find
 from sapphirelead.agent_task_table import End, Fate, Phase, StopOrder, Task
@@ -44,7 +44,7 @@
     :ivar on_view: called with each view after the records have been brought up to date.
     """
 
-    _holdings: Holdings
+    _context: AgentContext
     _links: Links
     _stopper: Stopper
     on_view: ViewListener
@@ -52,9 +52,9 @@
     _wake: asyncio.Event
 
     def __init__(
-        self, holdings: Holdings, links: Links, stopper: Stopper, settings: LeaseSettings
+        self, context: AgentContext, links: Links, stopper: Stopper, settings: LeaseSettings
     ) -> None:
-        self._holdings = holdings
+        self._context = context
         self._links = links
         self._stopper = stopper
         self._lease_s = settings.lease_seconds
@@ -69,9 +69,9 @@
         """Poll until cancelled."""
         while True:
             self._wake.clear()
-            if self._holdings.ready:
+            if self._context.ready:
                 await self.poll()
-            active = bool(self._holdings.book.in_phase(Phase.RUNNING, Phase.STOPPING))
+            active = bool(self._context.book.in_phase(Phase.RUNNING, Phase.STOPPING))
             if active:
                 await asyncio.sleep(BUSY_SECONDS)
                 continue
@@ -90,24 +90,24 @@
     async def poll(self) -> None:
         """Bring the records up to date with the worker."""
         asked_at = now()
-        viewed = await self._holdings.session.view()
-        if not isinstance(viewed, Ok) or not self._holdings.ready:
+        viewed = await self._context.session.view()
+        if not isinstance(viewed, Ok) or not self._context.ready:
             return
         view = viewed.ok_value
-        for task in self._holdings.book.in_phase(Phase.RUNNING):
+        for task in self._context.book.in_phase(Phase.RUNNING):
             # A task that started after the question may be missing from the answer.
             if task.since < asked_at:
                 await self._update(task, find(view.tasks, task))
         for info in view.tasks:
-            if info.task_id not in self._holdings.book.tasks:
+            if info.task_id not in self._context.book.tasks:
                 await self._sweep(info)
         await self.on_view(view)
 
     async def lease_round(self) -> None:
         """Renew the worker's leases, or hold the tasks where the lease runs out."""
         at = now()
-        lease = self._holdings.lease
-        running = self._holdings.book.in_phase(Phase.RUNNING)
+        lease = self._context.lease
+        running = self._context.book.in_phase(Phase.RUNNING)
         for task in running:
             if not task.confirmed and at - task.since > self._lease_s * GUARD_SHARE:
                 self._stopper.order(task, StopOrder(cancel=False, reason="claim not confirmed"))
@@ -117,17 +117,17 @@
         if not lease.may_act(at):
             return
         # A task that is being stopped keeps its lease: the worker must not cut the checkpoint.
-        held = self._holdings.book.in_phase(Phase.RUNNING, Phase.STOPPING)
-        until = self._holdings.session.lease_until(lease.deadline)
+        held = self._context.book.in_phase(Phase.RUNNING, Phase.STOPPING)
+        until = self._context.session.lease_until(lease.deadline)
         leases = {task.key: until for task in held if task.confirmed}
         if leases:
-            await self._holdings.session.renew(leases)
+            await self._context.session.renew(leases)
 
     async def _update(self, task: Task, info: TaskInfo | None) -> None:
         if info is None:
             self._stopper.finish(task, End(Fate.STOPPED, reason=LOST))
             return
-        self._holdings.ledger.measure(task.key, info.usage)
+        self._context.ledger.measure(task.key, info.usage)
         await self._forward_events(task, info)
         end = end_of(info)
         if end is None:
@@ -145,14 +145,14 @@
             number = info.first_event + offset
             if number > task.events_sent:
                 task.events_sent = number
-                head = self._holdings.sender.head()
+                head = self._context.sender.head()
                 message = WatchEvent(
                     key=task.key, epoch=task.epoch, number=number, event=event, **head
                 )
                 await self._links.broadcast(message)
 
     async def _sweep(self, info: TaskInfo) -> None:
-        session = self._holdings.session
+        session = self._context.session
         if info.state is TaskState.RUNNING:
             log_event("WARNING", "task_unknown", job=info.task_id, epoch=info.epoch)
             await session.stop(info.task_id)
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -21,7 +21,7 @@
 from result import Err, Ok
 
 from sapphirelead.agent_outcomes import EndReporter
-from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find
 from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskBook
@@ -55,7 +55,7 @@
 class TaskRunner:
     """Obeys the entries' messages about tasks."""
 
-    _holdings: Holdings
+    _context: AgentContext
     _book: TaskBook
     _links: Links
     _ends: EndReporter
@@ -66,15 +66,15 @@
 
     def __init__(
         self,
-        holdings: Holdings,
+        context: AgentContext,
         links: Links,
         ends: EndReporter,
         stopper: Stopper,
         background: Background,
         wake_poll: Callable[[], None],
     ) -> None:
-        self._holdings = holdings
-        self._book = holdings.book
+        self._context = context
+        self._book = context.book
         self._links = links
         self._ends = ends
         self._stopper = stopper
@@ -105,7 +105,7 @@
         )
         self._book.add(task)
         if info.state is TaskState.RUNNING:
-            self._holdings.ledger.adopt(task.key, kind, info.resources, info.usage)
+            self._context.ledger.adopt(task.key, kind, info.resources, info.usage)
         log_event("INFO", "task_adopted", job=task.key, epoch=task.epoch, state=info.state)
 
     def _send(self, index: int, message: AnyMessage) -> None:
@@ -120,17 +120,17 @@
 
     def _refuse_claim(self, index: int, offer_id: str, key: str, epoch: int, reason: str) -> None:
         log_event("INFO", "task_refused", job=key, epoch=epoch, reason=reason)
-        head = self._holdings.sender.head()
+        head = self._context.sender.head()
         refused = Refused(offer_id=offer_id, key=key, epoch=epoch, reason=reason, **head)
         self._send(index, refused)
 
     def _closed(self) -> str:
         """Return why nothing may be started now, or an empty string."""
-        if self._holdings.draining:
+        if self._context.draining:
             return "draining"
-        if not self._holdings.ready or not self._holdings.session.healthy:
+        if not self._context.ready or not self._context.session.healthy:
             return "worker unavailable"
-        return "" if self._holdings.lease.may_act(now()) else "no lease"
+        return "" if self._context.lease.may_act(now()) else "no lease"
 
     def _on_offer(self, index: int, offer: Offer) -> None:
         closed = self._closed()
@@ -138,7 +138,7 @@
             self._refuse(index, offer, closed)
             return
         size = offer.resources.to_resources()
-        ledger = self._holdings.ledger
+        ledger = self._context.ledger
         match ledger.reserve(offer.offer_id, offer.key, size, offer.urgent, now()):
             case Err(failure):
                 self._refuse_or_evict(index, offer, size, failure)
@@ -146,7 +146,7 @@
                 self._accept(index, offer)
 
     def _accept(self, index: int, offer: Offer) -> None:
-        head = self._holdings.sender.head()
+        head = self._context.sender.head()
         self._send(index, Accepted(offer_id=offer.offer_id, **head))
 
     def _refuse_or_evict(self, index: int, offer: Offer, size: Resources, failure: Failure) -> None:
@@ -154,11 +154,11 @@
         running = {task.key for task in self._book.in_phase(Phase.RUNNING)}
         stopping = {task.key for task in self._book.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
-        victims = self._holdings.ledger.make_room(size, running, stopping) if possible else None
+        victims = self._context.ledger.make_room(size, running, stopping) if possible else None
         if victims is None:
             self._refuse(index, offer, failure.message)
             return
-        self._holdings.ledger.reserve_evicted(offer.offer_id, offer.key, size, now())
+        self._context.ledger.reserve_evicted(offer.offer_id, offer.key, size, now())
         for key in victims:
             order = StopOrder(cancel=False, reason="urgent work")
             self._stopper.order(self._book.tasks[key], order)
@@ -166,9 +166,9 @@
 
     async def _accept_when_free(self, index: int, offer: Offer) -> None:
         gave_up_at = now() + EVICTION_SECONDS
-        while self._holdings.ledger.overbooked:
+        while self._context.ledger.overbooked:
             if now() >= gave_up_at:
-                self._holdings.ledger.cancel_reservation(offer.offer_id)
+                self._context.ledger.cancel_reservation(offer.offer_id)
                 self._refuse(index, offer, "eviction took too long")
                 return
             await asyncio.sleep(EVICTION_POLL_SECONDS)
@@ -181,14 +181,14 @@
             return
         refusal = self._refusal(start)
         if refusal:
-            self._holdings.ledger.cancel_reservation(start.offer_id)
+            self._context.ledger.cancel_reservation(start.offer_id)
             self._refuse(index, start, refusal)
             return
         self._begin(index, start)
 
     def _confirm(self, index: int, task: Task, start: Start) -> None:
         """Note that the committed claim names this incarnation; the start itself is a repeat."""
-        if start.claimed_by in ("", self._holdings.sender.incarnation):
+        if start.claimed_by in ("", self._context.sender.incarnation):
             task.confirmed = True
         if task.end:
             self._ends.wake()
@@ -196,7 +196,7 @@
             self._send(index, self._started(task))
 
     def _refusal(self, start: Start) -> str:
-        if start.claimed_by not in ("", self._holdings.sender.incarnation):
+        if start.claimed_by not in ("", self._context.sender.incarnation):
             return "claim of an earlier run"
         if not self._book.may_start(start.key, start.epoch):
             return "stale epoch"
@@ -223,7 +223,7 @@
     def _begin(self, index: int, start: Start) -> None:
         kind = Kind(start.kind)
         size = start.resources.to_resources()
-        charged = self._holdings.ledger.charge(start.offer_id, start.key, kind, size, now())
+        charged = self._context.ledger.charge(start.offer_id, start.key, kind, size, now())
         if isinstance(charged, Err):
             self._refuse(index, start, charged.err_value.message)
             return
@@ -247,7 +247,7 @@
     async def _start(self, index: int, task: Task) -> None:
         failure = await self._try_start(task)
         if failure:
-            self._holdings.ledger.release(task.key)
+            self._context.ledger.release(task.key)
             self._book.drop_unstarted(task)
             self._refuse_claim(index, task.offer_id, task.key, task.epoch, failure.message)
             return
@@ -262,14 +262,14 @@
     async def _try_start(self, task: Task) -> Failure | None:
         """Start the task; return why it has proven not to be started, or ``None`` if it is."""
         if task.key in self._leftovers:
-            await self._holdings.session.remove(task.key)
+            await self._context.session.remove(task.key)
             self._leftovers.discard(task.key)
         lease_until = 0.0
         while True:
-            if task.order or not self._holdings.lease.may_act(now()):
+            if task.order or not self._context.lease.may_act(now()):
                 return await self._settle_start(task, lease_until, "stopped before its start")
             lease_until = max(lease_until, self._first_lease())
-            answer = await self._holdings.session.start(self._spec(task, lease_until))
+            answer = await self._context.session.start(self._spec(task, lease_until))
             if isinstance(answer, Ok):
                 return None
             if answer.err_value.code is not Code.WORKER_UNAVAILABLE:
@@ -283,7 +283,7 @@
         so a view that does not show the task proves nothing before that.
         """
         while lease_until:
-            viewed = await self._holdings.session.view()
+            viewed = await self._context.session.view()
             if isinstance(viewed, Ok):
                 if find(viewed.ok_value.tasks, task):
                     return None
@@ -294,8 +294,8 @@
 
     def _first_lease(self) -> float:
         # Short, because an ambiguous start is settled only after it.
-        deadline = min(self._holdings.lease.deadline, now() + START_LEASE_SECONDS)
-        return self._holdings.session.lease_until(deadline)
+        deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
+        return self._context.session.lease_until(deadline)
 
     def _spec(self, task: Task, lease_until: float) -> TaskSpec:
         return TaskSpec(
@@ -310,7 +310,7 @@
         )
 
     def _started(self, task: Task) -> Started:
-        return Started(key=task.key, epoch=task.epoch, **self._holdings.sender.head())
+        return Started(key=task.key, epoch=task.epoch, **self._context.sender.head())
 
     def _on_stop(self, _index: int, stop: Stop) -> None:
         task = self._book.get(stop.key, stop.epoch)
@@ -332,16 +332,16 @@
 
     async def _remove(self, key: str) -> None:
         # Where this fails, the poll finds a task without a record and removes it.
-        if isinstance(await self._holdings.session.remove(key), Ok):
+        if isinstance(await self._context.session.remove(key), Ok):
             self._leftovers.discard(key)
 
     def _on_fate(self, index: int, asked: FateRequest) -> None:
-        if not self._holdings.ready:
+        if not self._context.ready:
             # Tasks of an earlier run are not listed yet; the entry asks again.
             return
-        claimed_here = asked.claimed_by == self._holdings.sender.incarnation
+        claimed_here = asked.claimed_by == self._context.sender.incarnation
         fate = self._book.fate(asked.key, asked.epoch, claimed_here)
-        head = self._holdings.sender.head()
+        head = self._context.sender.head()
         self._send(index, FateAnswer(key=asked.key, epoch=asked.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
             self._ends.wake()
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_context import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_samples import LatencyWindow, UseWindow, class_samples, is_running_batch
 from sapphirelead.agent_stops import Stopper
 from sapphirelead.agent_task_table import Phase, StopOrder, Task
@@ -35,7 +35,7 @@
     :ivar classes: what ran at the last view, for beats.
     """
 
-    _holdings: Holdings
+    _context: AgentContext
     _config: ConfigHolder
     _stopper: Stopper
     services: list[ServiceSample]
@@ -45,14 +45,14 @@
     _controller: ThrottleController
     _capped: dict[str, float]
 
-    def __init__(self, holdings: Holdings, config: ConfigHolder, stopper: Stopper) -> None:
-        self._holdings = holdings
+    def __init__(self, context: AgentContext, config: ConfigHolder, stopper: Stopper) -> None:
+        self._context = context
         self._config = config
         self._stopper = stopper
         self.services = []
         self.classes = []
         self._windows = {}
-        self._use = UseWindow(holdings.ledger.capacity, holdings.ledger.slots)
+        self._use = UseWindow(context.ledger.capacity, context.ledger.slots)
         self._controller = ThrottleController(InterferenceModel())
         self._capped = {}
 
@@ -80,7 +80,7 @@
         self._use.add(view.tasks, now())
         self._act_on_excess()
         for info in view.tasks:
-            task = self._holdings.book.get(info.task_id, info.epoch)
+            task = self._context.book.get(info.task_id, info.epoch)
             if task and task.phase is Phase.RUNNING and is_running_batch(info):
                 await self._adjust(task, info)
 
@@ -135,7 +135,7 @@
         )
 
     def _running_batch(self) -> list[Task]:
-        running = self._holdings.book.in_phase(Phase.RUNNING)
+        running = self._context.book.in_phase(Phase.RUNNING)
         return [task for task in running if task.kind is Kind.BATCH]
 
     def _act(self, action: Action, running: list[Task]) -> None:
@@ -152,18 +152,18 @@
 
     def _act_on_excess(self) -> None:
         """Throttle or evict where measured use is above the size of the instance."""
-        excess = self._holdings.ledger.excess()
+        excess = self._context.ledger.excess()
         for key in excess.evict:
-            task = self._holdings.book.tasks.get(key)
+            task = self._context.book.tasks.get(key)
             if task and task.phase is Phase.RUNNING:
                 log_event("WARNING", "task_outgrew_instance", job=key)
                 self._stopper.order(task, StopOrder(cancel=False, reason="over its size"))
         for key in excess.throttle:
-            charge = self._holdings.ledger.charge_of(key)
+            charge = self._context.ledger.charge_of(key)
             if charge and key not in self._capped:
                 self._capped[key] = _cap(charge.declared, charge.measured)
                 log_event("WARNING", "task_capped", job=key, share=self._capped[key])
-        tasks = self._holdings.book.tasks
+        tasks = self._context.book.tasks
         self._capped = {key: share for key, share in self._capped.items() if key in tasks}
 
     async def _adjust(self, task: Task, info: TaskInfo) -> None:
@@ -173,7 +173,7 @@
             self._rule_share(task.rule),
         )
         if abs(wanted - info.throttle) >= SHARE_STEP:
-            await self._holdings.session.throttle(task.key, wanted)
+            await self._context.session.throttle(task.key, wanted)
 
     def _rule_share(self, name: str) -> float:
         for rule in self._config.current.document.rules:
