--- a/sapphirelead/agent_context.py
+++ b/sapphirelead/agent_context.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from sapphirelead.agent_ports import Sender
-from sapphirelead.agent_task_table import TaskBook
+from sapphirelead.agent_task_table import TaskTable
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.model_lease import LeaseHolder
 from sapphirelead.model_ledger import Ledger
@@ -19,7 +19,7 @@
 
     sender: Sender
     ledger: Ledger
-    book: TaskBook
+    task_table: TaskTable
     session: WorkerSession
     lease: LeaseHolder
     ready: bool = False
--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -72,7 +72,7 @@
 
 def register_gauges(metrics: Metrics, context: AgentContext, pressure: PressureKeeper) -> None:
     """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
-    ledger, book = context.ledger, context.book
+    ledger, task_table = context.ledger, context.task_table
 
     def lease_left_s() -> float:
         return max(0.0, context.lease.deadline - now()) if context.lease.granted() else 0.0
@@ -82,8 +82,8 @@
     metrics.gauge("agent_free_cpu_millicores", lambda: ledger.free.cpu_millicores)
     metrics.gauge("agent_free_memory_mb", lambda: ledger.free.memory_mb)
     metrics.gauge("agent_free_accelerators", lambda: ledger.free.accelerators)
-    metrics.gauge("agent_tasks_running", lambda: len(book.in_phase(Phase.RUNNING)))
-    metrics.gauge("agent_ends_unacknowledged", lambda: len(book.in_phase(Phase.ENDED)))
+    metrics.gauge("agent_tasks_running", lambda: len(task_table.in_phase(Phase.RUNNING)))
+    metrics.gauge("agent_ends_unacknowledged", lambda: len(task_table.in_phase(Phase.ENDED)))
     metrics.gauge("agent_lease_left_seconds", lease_left_s)
     metrics.gauge("agent_worker_healthy", lambda: float(context.session.healthy))
     metrics.gauge("agent_slowdown", lambda: pressure.slowdown)
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -30,7 +30,7 @@
 from sapphirelead.agent_throttle import PressureKeeper
 from sapphirelead.agent_service import ServiceRunner
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_table import End, Phase, StopOrder, Task, TaskBook
+from sapphirelead.agent_task_table import End, Phase, StopOrder, Task, TaskTable
 from sapphirelead.agent_tasks import TaskRunner
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
@@ -99,13 +99,13 @@
         self._context = AgentContext(
             sender=self._sender,
             ledger=Ledger.from_settings(settings),
-            book=TaskBook(),
+            task_table=TaskTable(),
             session=WorkerSession(worker, self._replaced),
             lease=LeaseHolder.from_settings(settings.lease),
         )
         self._links: Links = make_links(settings, self._sender, self._loops)
         self._config = ConfigHolder(self._sender)
-        self._ends = EndReporter(self._sender, self._links, self._context.book)
+        self._ends = EndReporter(self._sender, self._links, self._context.task_table)
         self._stopper = Stopper(self._context.session, self._work, self._finish)
         self._poller = Poller(self._context, self._links, self._stopper, settings.lease)
         self._pressure = PressureKeeper(self._context, self._config, self._stopper)
@@ -238,7 +238,7 @@
             connections_used=ledger.requests,
             connections=ledger.connections,
             free=Amount.from_resources(ledger.free),
-            tasks=len(self._context.book.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
+            tasks=len(self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
             services=self._pressure.services,
             classes=self._pressure.classes,
             **self._sender.head(),
@@ -260,7 +260,7 @@
         await self._work.close()
         incarnation = _new_incarnation()
         await self._clear_worker(incarnation)
-        for task in context.book.clear():
+        for task in context.task_table.clear():
             context.ledger.release(task.key)
         # Together with the connections, never before: until then beats carry the name that the
         # identity of their socket carries.
@@ -288,7 +288,7 @@
 
     def _finish(self, task: Task, end: End) -> None:
         """Note the end of a task and report it."""
-        if task.end or self._context.book.get(task.key, task.epoch) is not task:
+        if task.end or self._context.task_table.get(task.key, task.epoch) is not task:
             return
         task.phase = Phase.ENDED
         task.end = end
@@ -320,14 +320,14 @@
         # Not bounded here: each call to the target ends within its own timeout, and a planned stop
         # cuts none.
         await self._service.idle()
-        log_event("INFO", "agent_left", tasks_left=len(self._context.book.tasks))
+        log_event("INFO", "agent_left", tasks_left=len(self._context.task_table.tasks))
         self.stopped.set()
 
     async def _evacuate(self) -> None:
         """Checkpoint every task and wait until every end is committed."""
         order = StopOrder(cancel=False, reason="draining")
-        while self._context.book.tasks:
-            for task in self._context.book.in_phase(Phase.STARTING, Phase.RUNNING):
+        while self._context.task_table.tasks:
+            for task in self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING):
                 self._stopper.order(task, order)
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
--- a/sapphirelead/agent_outcomes.py
+++ b/sapphirelead/agent_outcomes.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_task_table import End, Fate, Phase, Task, TaskBook
+from sapphirelead.agent_task_table import End, Fate, Phase, Task, TaskTable
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
 from sapphirelead.wire_messages import Checkpointed, Completed
@@ -23,14 +23,14 @@
 
     _sender: Sender
     _links: Links
-    _book: TaskBook
+    _task_table: TaskTable
     _turn: int
     _wake: asyncio.Event
 
-    def __init__(self, sender: Sender, links: Links, book: TaskBook) -> None:
+    def __init__(self, sender: Sender, links: Links, task_table: TaskTable) -> None:
         self._sender = sender
         self._links = links
-        self._book = book
+        self._task_table = task_table
         self._turn = 0
         self._wake = asyncio.Event()
 
@@ -61,7 +61,7 @@
                 await self._links.send(index, Lane.CONTROL, self._message(task, task.end))
 
     def _waiting(self) -> list[Task]:
-        return self._book.in_phase(Phase.ENDED)
+        return self._task_table.in_phase(Phase.ENDED)
 
     def _message(self, task: Task, end: End) -> Completed | Checkpointed:
         if end.fate is Fate.STOPPED:
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -71,7 +71,7 @@
             self._wake.clear()
             if self._context.ready:
                 await self.poll()
-            active = bool(self._context.book.in_phase(Phase.RUNNING, Phase.STOPPING))
+            active = bool(self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING))
             if active:
                 await asyncio.sleep(BUSY_SECONDS)
                 continue
@@ -94,12 +94,12 @@
         if not isinstance(viewed, Ok) or not self._context.ready:
             return
         view = viewed.ok_value
-        for task in self._context.book.in_phase(Phase.RUNNING):
+        for task in self._context.task_table.in_phase(Phase.RUNNING):
             # A task that started after the question may be missing from the answer.
             if task.since < asked_at:
                 await self._update(task, find(view.tasks, task))
         for info in view.tasks:
-            if info.task_id not in self._context.book.tasks:
+            if info.task_id not in self._context.task_table.tasks:
                 await self._sweep(info)
         await self.on_view(view)
 
@@ -107,7 +107,7 @@
         """Renew the worker's leases, or hold the tasks where the lease runs out."""
         at = now()
         lease = self._context.lease
-        running = self._context.book.in_phase(Phase.RUNNING)
+        running = self._context.task_table.in_phase(Phase.RUNNING)
         for task in running:
             if not task.confirmed and at - task.since > self._lease_s * GUARD_SHARE:
                 self._stopper.order(task, StopOrder(cancel=False, reason="claim not confirmed"))
@@ -117,7 +117,7 @@
         if not lease.may_act(at):
             return
         # A task that is being stopped keeps its lease: the worker must not cut the checkpoint.
-        held = self._context.book.in_phase(Phase.RUNNING, Phase.STOPPING)
+        held = self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING)
         until = self._context.session.lease_until(lease.deadline)
         leases = {task.key: until for task in held if task.confirmed}
         if leases:
--- a/sapphirelead/agent_task_table.py
+++ b/sapphirelead/agent_task_table.py
@@ -16,7 +16,7 @@
 from sapphirelead.model_job import Kind
 from sapphirelead.model_resources import Resources
 
-MARKS: Final = 20_000
+MAX_CLAIM_RECORDS: Final = 20_000
 
 
 class Phase(StrEnum):
@@ -97,20 +97,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
+class _ClaimRecord:
     epoch: int
     started: bool
 
 
-class TaskBook:
+class TaskTable:
     """Records of tasks, and marks of claims that must not start any more."""
 
     tasks: dict[str, Task]
-    _marks: OrderedDict[str, _Mark]
+    _claims: OrderedDict[str, _ClaimRecord]
 
     def __init__(self) -> None:
         self.tasks = {}
-        self._marks = OrderedDict()
+        self._claims = OrderedDict()
 
     def get(self, key: str, epoch: int) -> Task | None:
         """Return the record of ``key`` if it is of ``epoch``."""
@@ -123,20 +123,20 @@
 
     def may_start(self, key: str, epoch: int) -> bool:
         """Return whether ``epoch`` is higher than any known of ``key``."""
-        mark = self._marks.get(key)
-        return mark is None or epoch > mark.epoch
+        claim = self._claims.get(key)
+        return claim is None or epoch > claim.epoch
 
     def add(self, task: Task) -> None:
         """Record a task; its epoch must be higher than any known of the key."""
         assert self.may_start(task.key, task.epoch), f"stale epoch {task.epoch} of {task.key!r}"
         assert task.key not in self.tasks, f"task {task.key!r} is recorded already"
         self.tasks[task.key] = task
-        self._mark(task.key, _Mark(task.epoch, True))
+        self._record_claim(task.key, _ClaimRecord(task.epoch, True))
 
     def drop_unstarted(self, task: Task) -> None:
         """Forget a task that was proven never to have started; its epoch stays marked."""
         self.tasks.pop(task.key, None)
-        self._mark(task.key, _Mark(task.epoch, False))
+        self._record_claim(task.key, _ClaimRecord(task.epoch, False))
 
     def forget(self, task: Task) -> None:
         """Forget a task whose end is committed; its epoch stays marked."""
@@ -145,7 +145,7 @@
     def refuse(self, key: str, epoch: int) -> None:
         """See to it that a claim that is not known here is never started."""
         if self.may_start(key, epoch):
-            self._mark(key, _Mark(epoch, False))
+            self._record_claim(key, _ClaimRecord(epoch, False))
 
     def clear(self) -> list[Task]:
         """Forget all tasks and return them; marks stay."""
@@ -161,16 +161,16 @@
         task = self.get(key, epoch)
         if task:
             return task.fate
-        mark = self._marks.get(key)
-        known_started = mark is not None and mark.epoch == epoch and mark.started
-        later = mark is not None and mark.epoch > epoch
+        claim = self._claims.get(key)
+        known_started = claim is not None and claim.epoch == epoch and claim.started
+        later = claim is not None and claim.epoch > epoch
         if known_started or later or not claimed_here:
             return Fate.LOST
         self.refuse(key, epoch)
         return Fate.NEVER_STARTED
 
-    def _mark(self, key: str, mark: _Mark) -> None:
-        self._marks[key] = mark
-        self._marks.move_to_end(key)
-        while len(self._marks) > MARKS:
-            self._marks.popitem(last=False)
+    def _record_claim(self, key: str, claim: _ClaimRecord) -> None:
+        self._claims[key] = claim
+        self._claims.move_to_end(key)
+        while len(self._claims) > MAX_CLAIM_RECORDS:
+            self._claims.popitem(last=False)
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -24,7 +24,7 @@
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find
-from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskBook
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
 from sapphirelead.background import Background
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
@@ -56,7 +56,7 @@
     """Obeys the entries' messages about tasks."""
 
     _context: AgentContext
-    _book: TaskBook
+    _task_table: TaskTable
     _links: Links
     _ends: EndReporter
     _stopper: Stopper
@@ -74,7 +74,7 @@
         wake_poll: Callable[[], None],
     ) -> None:
         self._context = context
-        self._book = context.book
+        self._task_table = context.task_table
         self._links = links
         self._ends = ends
         self._stopper = stopper
@@ -103,7 +103,7 @@
             confirmed=False,
             since=now(),
         )
-        self._book.add(task)
+        self._task_table.add(task)
         if info.state is TaskState.RUNNING:
             self._context.ledger.adopt(task.key, kind, info.resources, info.usage)
         log_event("INFO", "task_adopted", job=task.key, epoch=task.epoch, state=info.state)
@@ -151,8 +151,8 @@
 
     def _refuse_or_evict(self, index: int, offer: Offer, size: Resources, failure: Failure) -> None:
         """Refuse an offer that does not fit, unless it is urgent and eviction makes room for it."""
-        running = {task.key for task in self._book.in_phase(Phase.RUNNING)}
-        stopping = {task.key for task in self._book.in_phase(Phase.STOPPING)}
+        running = {task.key for task in self._task_table.in_phase(Phase.RUNNING)}
+        stopping = {task.key for task in self._task_table.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
         victims = self._context.ledger.make_room(size, running, stopping) if possible else None
         if victims is None:
@@ -161,7 +161,7 @@
         self._context.ledger.reserve_evicted(offer.offer_id, offer.key, size, now())
         for key in victims:
             order = StopOrder(cancel=False, reason="urgent work")
-            self._stopper.order(self._book.tasks[key], order)
+            self._stopper.order(self._task_table.tasks[key], order)
         self._background.spawn(self._accept_when_free(index, offer), f"urgent-{offer.key}")
 
     async def _accept_when_free(self, index: int, offer: Offer) -> None:
@@ -175,7 +175,7 @@
         self._accept(index, offer)
 
     def _on_start(self, index: int, start: Start) -> None:
-        known = self._book.get(start.key, start.epoch)
+        known = self._task_table.get(start.key, start.epoch)
         if known:
             self._confirm(index, known, start)
             return
@@ -198,7 +198,7 @@
     def _refusal(self, start: Start) -> str:
         if start.claimed_by not in ("", self._context.sender.incarnation):
             return "claim of an earlier run"
-        if not self._book.may_start(start.key, start.epoch):
+        if not self._task_table.may_start(start.key, start.epoch):
             return "stale epoch"
         if _kind(start.kind) is None:
             return "unknown kind"
@@ -210,13 +210,13 @@
         The entry committed a later claim, so the earlier one is settled and the acknowledgement of
         its end was lost.  Where it still runs it must stop before anything else is started.
         """
-        earlier = self._book.tasks.get(key)
+        earlier = self._task_table.tasks.get(key)
         if earlier is None:
             return ""
         if earlier.phase is not Phase.ENDED:
             self._stopper.order(earlier, StopOrder(cancel=True, reason="superseded"))
             return "an earlier epoch is stopping"
-        self._book.forget(earlier)
+        self._task_table.forget(earlier)
         self._leftovers.add(key)
         return ""
 
@@ -241,14 +241,14 @@
             checkpoint=start.checkpoint,
             rule=start.rule,
         )
-        self._book.add(task)
+        self._task_table.add(task)
         self._background.spawn(self._start(index, task), f"start-{task.key}")
 
     async def _start(self, index: int, task: Task) -> None:
         failure = await self._try_start(task)
         if failure:
             self._context.ledger.release(task.key)
-            self._book.drop_unstarted(task)
+            self._task_table.drop_unstarted(task)
             self._refuse_claim(index, task.offer_id, task.key, task.epoch, failure.message)
             return
         task.phase = Phase.RUNNING
@@ -313,20 +313,20 @@
         return Started(key=task.key, epoch=task.epoch, **self._context.sender.head())
 
     def _on_stop(self, _index: int, stop: Stop) -> None:
-        task = self._book.get(stop.key, stop.epoch)
+        task = self._task_table.get(stop.key, stop.epoch)
         if task is None:
             # The start may be under way through another entry, and would run a job that is
             # cancelled by the time it comes.
-            self._book.refuse(stop.key, stop.epoch)
+            self._task_table.refuse(stop.key, stop.epoch)
         elif task.end:
             self._ends.wake()
         else:
             self._stopper.order(task, StopOrder(stop.cancel, stop.reason))
 
     def _on_end_ack(self, _index: int, ack: EndAck) -> None:
-        task = self._book.get(ack.key, ack.epoch)
+        task = self._task_table.get(ack.key, ack.epoch)
         if task and task.end:
-            self._book.forget(task)
+            self._task_table.forget(task)
             self._leftovers.add(task.key)
             self._background.spawn(self._remove(task.key), f"remove-{task.key}")
 
@@ -340,7 +340,7 @@
             # Tasks of an earlier run are not listed yet; the entry asks again.
             return
         claimed_here = asked.claimed_by == self._context.sender.incarnation
-        fate = self._book.fate(asked.key, asked.epoch, claimed_here)
+        fate = self._task_table.fate(asked.key, asked.epoch, claimed_here)
         head = self._context.sender.head()
         self._send(index, FateAnswer(key=asked.key, epoch=asked.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -80,7 +80,7 @@
         self._use.add(view.tasks, now())
         self._act_on_excess()
         for info in view.tasks:
-            task = self._context.book.get(info.task_id, info.epoch)
+            task = self._context.task_table.get(info.task_id, info.epoch)
             if task and task.phase is Phase.RUNNING and is_running_batch(info):
                 await self._adjust(task, info)
 
@@ -135,7 +135,7 @@
         )
 
     def _running_batch(self) -> list[Task]:
-        running = self._context.book.in_phase(Phase.RUNNING)
+        running = self._context.task_table.in_phase(Phase.RUNNING)
         return [task for task in running if task.kind is Kind.BATCH]
 
     def _act(self, action: Action, running: list[Task]) -> None:
@@ -154,7 +154,7 @@
         """Throttle or evict where measured use is above the size of the instance."""
         excess = self._context.ledger.excess()
         for key in excess.evict:
-            task = self._context.book.tasks.get(key)
+            task = self._context.task_table.tasks.get(key)
             if task and task.phase is Phase.RUNNING:
                 log_event("WARNING", "task_outgrew_instance", job=key)
                 self._stopper.order(task, StopOrder(cancel=False, reason="over its size"))
@@ -163,7 +163,7 @@
             if charge and key not in self._capped:
                 self._capped[key] = _cap(charge.declared, charge.measured)
                 log_event("WARNING", "task_capped", job=key, share=self._capped[key])
-        tasks = self._context.book.tasks
+        tasks = self._context.task_table.tasks
         self._capped = {key: share for key, share in self._capped.items() if key in tasks}
 
     async def _adjust(self, task: Task, info: TaskInfo) -> None:
