--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -21,7 +21,7 @@
 from result import Err, Ok
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_outcomes import EndReporter
+from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_http import AgentHttp, register_gauges
 from sapphirelead.agent_links import AgentLinks
@@ -30,7 +30,7 @@
 from sapphirelead.agent_throttle import PressureKeeper
 from sapphirelead.agent_service import ServiceRunner
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_table import End, Phase, StopOrder, Task, TaskTable
+from sapphirelead.agent_task_table import TaskOutcome, Phase, StopOrder, Task, TaskTable
 from sapphirelead.agent_tasks import TaskRunner
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
@@ -65,7 +65,7 @@
     _settings: AgentSettings
     _sender: Sender
     _config: ConfigHolder
-    _ends: EndReporter
+    _outcome_reporter: OutcomeReporter
     _stopper: Stopper
     _poller: Poller
     _pressure: PressureKeeper
@@ -105,8 +105,8 @@
         )
         self._links: Links = make_links(settings, self._sender, self._loops)
         self._config = ConfigHolder(self._sender)
-        self._ends = EndReporter(self._sender, self._links, self._context.task_table)
-        self._stopper = Stopper(self._context.session, self._work, self._finish)
+        self._outcome_reporter = OutcomeReporter(self._sender, self._links, self._context.task_table)
+        self._stopper = Stopper(self._context.session, self._work, self._record_outcome)
         self._poller = Poller(self._context, self._links, self._stopper, settings.lease)
         self._pressure = PressureKeeper(self._context, self._config, self._stopper)
         self._poller.on_view = self._pressure.on_view
@@ -116,7 +116,7 @@
         self._runner = TaskRunner(
             self._context,
             self._links,
-            self._ends,
+            self._outcome_reporter,
             self._stopper,
             self._work,
             self._poller.wake,
@@ -171,7 +171,7 @@
         self._links.open()
         self._loops.spawn(self._poller.run(), "poll")
         self._loops.spawn(self._poller.run_leases(), "leases")
-        self._loops.spawn(self._ends.run(), "ends")
+        self._loops.spawn(self._outcome_reporter.run(), "ends")
         self._loops.spawn(self._pressure.run(), "pressure")
         await self._run_beats()
 
@@ -286,24 +286,24 @@
         self._pressure.observe(service, seconds, ok)
         self.metrics.latency("agent_target_latency_ms", seconds * 1000, service=service)
 
-    def _finish(self, task: Task, end: End) -> None:
+    def _record_outcome(self, task: Task, outcome: TaskOutcome) -> None:
         """Note the end of a task and report it."""
-        if task.end or self._context.task_table.get(task.key, task.epoch) is not task:
+        if task.outcome or self._context.task_table.get(task.key, task.epoch) is not task:
             return
         task.phase = Phase.ENDED
-        task.end = end
+        task.outcome = outcome
         self._context.ledger.release(task.key)
         log_event(
             "INFO",
             "task_ended",
             job=task.key,
             epoch=task.epoch,
-            fate=end.fate,
-            checkpoint=end.checkpoint,
-            reason=end.reason,
+            fate=outcome.fate,
+            checkpoint=outcome.checkpoint,
+            reason=outcome.reason,
         )
-        self.metrics.count("agent_tasks_ended_total", fate=end.fate, job_class=task.job_class)
-        self._ends.wake()
+        self.metrics.count("agent_tasks_ended_total", fate=outcome.fate, job_class=task.job_class)
+        self._outcome_reporter.wake()
 
     def _on_drain(self, _index: int, message: Drain) -> None:
         log_event("INFO", "drain_ordered", reason=message.reason)
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -22,7 +22,7 @@
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import LOST, Stopper, end_of, find
-from sapphirelead.agent_task_table import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, StopOrder, Task
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -125,18 +125,18 @@
 
     async def _update(self, task: Task, info: TaskInfo | None) -> None:
         if info is None:
-            self._stopper.finish(task, End(Fate.STOPPED, reason=LOST))
+            self._stopper.finish(task, TaskOutcome(Fate.STOPPED, reason=LOST))
             return
         self._context.ledger.measure(task.key, info.usage)
         await self._forward_events(task, info)
-        end = end_of(info)
-        if end is None:
+        outcome = end_of(info)
+        if outcome is None:
             return
-        if end.fate is Fate.STOPPED and not end.checkpoint:
+        if outcome.fate is Fate.STOPPED and not outcome.checkpoint:
             # Its lease passed at the worker, or a checkpoint is still being written.
-            self._stopper.order(task, StopOrder(cancel=False, reason=end.reason))
+            self._stopper.order(task, StopOrder(cancel=False, reason=outcome.reason))
         else:
-            self._stopper.finish(task, end)
+            self._stopper.finish(task, outcome)
 
     async def _forward_events(self, task: Task, info: TaskInfo) -> None:
         if task.kind is not Kind.WATCH:
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -15,7 +15,7 @@
 
 from result import Ok, Result
 
-from sapphirelead.agent_task_table import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, StopOrder, Task
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -27,7 +27,7 @@
 SETTLE_SECONDS: Final = 2.0
 LOST: Final = "lost"
 
-Finish = Callable[[Task, End], None]
+Finish = Callable[[Task, TaskOutcome], None]
 
 
 class Stopper:
@@ -63,12 +63,12 @@
             # A cancellation may come while a checkpoint is being made.
             order = task.order or order
             answer = await self._tell_worker(task, order)
-            end = await self._found(task, order, answer)
-            if end and _is_empty(end) and not order.cancel and end.reason != LOST:
+            outcome = await self._found(task, order, answer)
+            if outcome and _is_empty(outcome) and not order.cancel and outcome.reason != LOST:
                 empty_since = now() if empty_since is None else empty_since
-                end = end if now() - empty_since >= SETTLE_SECONDS else None
-            if end:
-                self.finish(task, end)
+                outcome = outcome if now() - empty_since >= SETTLE_SECONDS else None
+            if outcome:
+                self.finish(task, outcome)
                 return
             await asyncio.sleep(RETRY_SECONDS)
 
@@ -79,24 +79,24 @@
 
     async def _found(
         self, task: Task, order: StopOrder, answer: Result[str, Failure]
-    ) -> End | None:
+    ) -> TaskOutcome | None:
         """Return how the task has ended by now, or ``None`` while it runs or that is unknown."""
         if isinstance(answer, Ok) and answer.ok_value:
-            return End(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
+            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
         viewed = await self._session.view()
         if not isinstance(viewed, Ok):
             return None
         info = find(viewed.ok_value.tasks, task)
         if info is None:
-            return End(Fate.STOPPED, reason=LOST)
-        end = end_of(info)
-        if end and end.fate is Fate.STOPPED:
-            return End(Fate.STOPPED, reason=order.reason, checkpoint=end.checkpoint)
-        return end
+            return TaskOutcome(Fate.STOPPED, reason=LOST)
+        outcome = end_of(info)
+        if outcome and outcome.fate is Fate.STOPPED:
+            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=outcome.checkpoint)
+        return outcome
 
 
-def _is_empty(end: End) -> bool:
-    return end.fate is Fate.STOPPED and not end.checkpoint
+def _is_empty(outcome: TaskOutcome) -> bool:
+    return outcome.fate is Fate.STOPPED and not outcome.checkpoint
 
 
 def find(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
@@ -104,14 +104,14 @@
     return next((i for i in tasks if i.task_id == task.key and i.epoch == task.epoch), None)
 
 
-def end_of(info: TaskInfo) -> End | None:
+def end_of(info: TaskInfo) -> TaskOutcome | None:
     """Return how the worker says the task ended, or ``None`` while it runs."""
     match info.state:
         case TaskState.SUCCEEDED:
-            return End(Fate.COMPLETED, result=info.result)
+            return TaskOutcome(Fate.COMPLETED, result=info.result)
         case TaskState.FAILED:
-            return End(Fate.FAILED, result=info.result, reason=info.reason)
+            return TaskOutcome(Fate.FAILED, result=info.result, reason=info.reason)
         case TaskState.STOPPED:
-            return End(Fate.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
+            return TaskOutcome(Fate.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
         case TaskState.RUNNING:
             return None
--- a/sapphirelead/agent_task_table.py
+++ b/sapphirelead/agent_task_table.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class TaskOutcome:
     """How a task ended.
 
     :ivar fate: ``COMPLETED``, ``FAILED`` or ``STOPPED``.
@@ -81,7 +81,7 @@
     confirmed: bool
     since: float
     order: StopOrder | None = None
-    end: End | None = None
+    outcome: TaskOutcome | None = None
     reported_at: float = float("-inf")
     events_sent: int = 0
     throttle: float = 1.0
@@ -93,7 +93,7 @@
     @property
     def fate(self) -> Fate:
         """The answer to a question about this task."""
-        return self.end.fate if self.end else Fate.RUNNING
+        return self.outcome.fate if self.outcome else Fate.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -2,8 +2,8 @@
 
 Algorithm.  An offer reserves room.  A start is obeyed only if its claim names this incarnation, its
 epoch is higher than any known of the key, the lease is held and the ledger admits it.  The worker's
-view is polled and moves each record on; :mod:`sapphirelead.agent_stops` ends tasks on order, and
-:mod:`sapphirelead.agent_outcomes` repeats each end until an entry has committed it.
+view is polled and moves each record on; :mod:`sapphirelead.agent_stops` outcome_reporter tasks on order, and
+:mod:`sapphirelead.agent_outcomes` repeats each outcome until an entry has committed it.
 
 Invariants:
 
@@ -20,7 +20,7 @@
 
 from result import Err, Ok
 
-from sapphirelead.agent_outcomes import EndReporter
+from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find
@@ -58,7 +58,7 @@
     _context: AgentContext
     _task_table: TaskTable
     _links: Links
-    _ends: EndReporter
+    _outcome_reporter: OutcomeReporter
     _stopper: Stopper
     _background: Background
     _wake_poll: Callable[[], None]
@@ -68,7 +68,7 @@
         self,
         context: AgentContext,
         links: Links,
-        ends: EndReporter,
+        outcome_reporter: OutcomeReporter,
         stopper: Stopper,
         background: Background,
         wake_poll: Callable[[], None],
@@ -76,7 +76,7 @@
         self._context = context
         self._task_table = context.task_table
         self._links = links
-        self._ends = ends
+        self._outcome_reporter = outcome_reporter
         self._stopper = stopper
         self._background = background
         self._wake_poll = wake_poll
@@ -190,8 +190,8 @@
         """Note that the committed claim names this incarnation; the start itself is a repeat."""
         if start.claimed_by in ("", self._context.sender.incarnation):
             task.confirmed = True
-        if task.end:
-            self._ends.wake()
+        if task.outcome:
+            self._outcome_reporter.wake()
         elif task.phase is not Phase.STARTING:
             self._send(index, self._started(task))
 
@@ -318,14 +318,14 @@
             # The start may be under way through another entry, and would run a job that is
             # cancelled by the time it comes.
             self._task_table.refuse(stop.key, stop.epoch)
-        elif task.end:
-            self._ends.wake()
+        elif task.outcome:
+            self._outcome_reporter.wake()
         else:
             self._stopper.order(task, StopOrder(stop.cancel, stop.reason))
 
     def _on_end_ack(self, _index: int, ack: EndAck) -> None:
         task = self._task_table.get(ack.key, ack.epoch)
-        if task and task.end:
+        if task and task.outcome:
             self._task_table.forget(task)
             self._leftovers.add(task.key)
             self._background.spawn(self._remove(task.key), f"remove-{task.key}")
@@ -344,7 +344,7 @@
         head = self._context.sender.head()
         self._send(index, FateAnswer(key=asked.key, epoch=asked.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
-            self._ends.wake()
+            self._outcome_reporter.wake()
 
 
 def _kind(name: str) -> Kind | None:
