--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -21,7 +21,7 @@
 
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
-from sapphirelead.agent_stops import LOST, Stopper, end_of, find
+from sapphirelead.agent_stops import LOST, Stopper, outcome_of, find_task
 from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, StopOrder, Task
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
@@ -97,7 +97,7 @@
         for task in self._context.task_table.in_phase(Phase.RUNNING):
             # A task that started after the question may be missing from the answer.
             if task.since < asked_at:
-                await self._update(task, find(view.tasks, task))
+                await self._update(task, find_task(view.tasks, task))
         for info in view.tasks:
             if info.task_id not in self._context.task_table.tasks:
                 await self._sweep(info)
@@ -129,7 +129,7 @@
             return
         self._context.ledger.measure(task.key, info.usage)
         await self._forward_events(task, info)
-        outcome = end_of(info)
+        outcome = outcome_of(info)
         if outcome is None:
             return
         if outcome.fate is Fate.STOPPED and not outcome.checkpoint:
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -5,7 +5,7 @@
 before the order reached it is reported as it ended.
 
 The worker writes a checkpoint after it has stopped the task, so a stopped task without one may have
-one a moment later.  It is taken for lost only after it stayed without for ``SETTLE_SECONDS``: the
+one a moment later.  It is taken for lost only after it stayed without for ``CHECKPOINT_TIMEOUT_S``: the
 difference decides whether a non-idempotent job resumes or ends as unknown.
 """
 
@@ -23,11 +23,11 @@
 from sapphirelead.logs import log_event
 from sapphirelead.ports import TaskInfo, TaskState
 
-RETRY_SECONDS: Final = 0.2
-SETTLE_SECONDS: Final = 2.0
+RETRY_INTERVAL_S: Final = 0.2
+CHECKPOINT_TIMEOUT_S: Final = 2.0
 LOST: Final = "lost"
 
-Finish = Callable[[Task, TaskOutcome], None]
+FinishCallback = Callable[[Task, TaskOutcome], None]
 
 
 class Stopper:
@@ -38,9 +38,9 @@
 
     _session: WorkerSession
     _background: Background
-    finish: Finish
+    finish: FinishCallback
 
-    def __init__(self, session: WorkerSession, background: Background, finish: Finish) -> None:
+    def __init__(self, session: WorkerSession, background: Background, finish: FinishCallback) -> None:
         self._session = session
         self._background = background
         self.finish = finish
@@ -58,26 +58,26 @@
             task.order = order
 
     async def _stop(self, task: Task, order: StopOrder) -> None:
-        empty_since: float | None = None
+        no_checkpoint_since: float | None = None
         while True:
             # A cancellation may come while a checkpoint is being made.
             order = task.order or order
-            answer = await self._tell_worker(task, order)
-            outcome = await self._found(task, order, answer)
-            if outcome and _is_empty(outcome) and not order.cancel and outcome.reason != LOST:
-                empty_since = now() if empty_since is None else empty_since
-                outcome = outcome if now() - empty_since >= SETTLE_SECONDS else None
+            answer = await self._send_order(task, order)
+            outcome = await self._find_outcome(task, order, answer)
+            if outcome and _lacks_checkpoint(outcome) and not order.cancel and outcome.reason != LOST:
+                no_checkpoint_since = now() if no_checkpoint_since is None else no_checkpoint_since
+                outcome = outcome if now() - no_checkpoint_since >= CHECKPOINT_TIMEOUT_S else None
             if outcome:
                 self.finish(task, outcome)
                 return
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _tell_worker(self, task: Task, order: StopOrder) -> Result[str, Failure]:
+    async def _send_order(self, task: Task, order: StopOrder) -> Result[str, Failure]:
         if order.cancel:
             return (await self._session.stop(task.key)).map(lambda _: "")
         return await self._session.checkpoint_stop(task.key)
 
-    async def _found(
+    async def _find_outcome(
         self, task: Task, order: StopOrder, answer: Result[str, Failure]
     ) -> TaskOutcome | None:
         """Return how the task has ended by now, or ``None`` while it runs or that is unknown."""
@@ -86,25 +86,25 @@
         viewed = await self._session.view()
         if not isinstance(viewed, Ok):
             return None
-        info = find(viewed.ok_value.tasks, task)
+        info = find_task(viewed.ok_value.tasks, task)
         if info is None:
             return TaskOutcome(Fate.STOPPED, reason=LOST)
-        outcome = end_of(info)
+        outcome = outcome_of(info)
         if outcome and outcome.fate is Fate.STOPPED:
             return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=outcome.checkpoint)
         return outcome
 
 
-def _is_empty(outcome: TaskOutcome) -> bool:
+def _lacks_checkpoint(outcome: TaskOutcome) -> bool:
     return outcome.fate is Fate.STOPPED and not outcome.checkpoint
 
 
-def find(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
+def find_task(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
     """Return the worker's record of ``task`` at its epoch."""
     return next((i for i in tasks if i.task_id == task.key and i.epoch == task.epoch), None)
 
 
-def end_of(info: TaskInfo) -> TaskOutcome | None:
+def outcome_of(info: TaskInfo) -> TaskOutcome | None:
     """Return how the worker says the task ended, or ``None`` while it runs."""
     match info.state:
         case TaskState.SUCCEEDED:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -23,7 +23,7 @@
 from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
-from sapphirelead.agent_stops import Stopper, find
+from sapphirelead.agent_stops import Stopper, find_task
 from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -47,7 +47,7 @@
 from sapphirelead.wire_messages import Fate as FateRequest
 
 START_LEASE_SECONDS: Final = 5.0
-RETRY_SECONDS: Final = 0.2
+RETRY_INTERVAL_S: Final = 0.2
 EVICTION_SECONDS: Final = 2.3
 EVICTION_POLL_SECONDS: Final = 0.02
 
@@ -274,7 +274,7 @@
                 return None
             if answer.err_value.code is not Code.WORKER_UNAVAILABLE:
                 return await self._settle_start(task, lease_until, answer.err_value.message)
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _settle_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
         """Find out whether a start took effect whose answer was lost.
@@ -285,11 +285,11 @@
         while lease_until:
             viewed = await self._context.session.view()
             if isinstance(viewed, Ok):
-                if find(viewed.ok_value.tasks, task):
+                if find_task(viewed.ok_value.tasks, task):
                     return None
                 if viewed.ok_value.clock > lease_until:
                     break
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return Failure(Code.WORKER_UNAVAILABLE, reason)
 
     def _first_lease(self) -> float:
