--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from sapphirelead.agent_context import AgentContext
-from sapphirelead.agent_throttle import PressureKeeper
+from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.agent_task_table import Phase
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
@@ -70,7 +70,7 @@
         return web.Response(body=self._metrics.render(), content_type=CONTENT_TYPE)
 
 
-def register_gauges(metrics: Metrics, context: AgentContext, pressure: PressureKeeper) -> None:
+def register_gauges(metrics: Metrics, context: AgentContext, throttle_manager: ThrottleManager) -> None:
     """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
     ledger, task_table = context.ledger, context.task_table
 
@@ -86,5 +86,5 @@
     metrics.gauge("agent_ends_unacknowledged", lambda: len(task_table.in_phase(Phase.ENDED)))
     metrics.gauge("agent_lease_left_seconds", lease_left_s)
     metrics.gauge("agent_worker_healthy", lambda: float(context.session.healthy))
-    metrics.gauge("agent_slowdown", lambda: pressure.slowdown)
-    metrics.gauge("agent_classes_throttled", lambda: pressure.throttled_classes)
+    metrics.gauge("agent_slowdown", lambda: throttle_manager.slowdown)
+    metrics.gauge("agent_classes_throttled", lambda: throttle_manager.throttled_classes)
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -27,7 +27,7 @@
 from sapphirelead.agent_links import AgentLinks
 from sapphirelead.agent_poll import Poller
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_throttle import PressureKeeper
+from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.agent_service import ServiceRunner
 from sapphirelead.agent_stops import Stopper
 from sapphirelead.agent_task_table import TaskOutcome, Phase, StopOrder, Task, TaskTable
@@ -68,7 +68,7 @@
     _outcome_reporter: OutcomeReporter
     _stopper: Stopper
     _poller: Poller
-    _pressure: PressureKeeper
+    _throttle_manager: ThrottleManager
     _http: AgentHttp
     _runner: TaskRunner
     _service: ServiceRunner
@@ -108,11 +108,11 @@
         self._outcome_reporter = OutcomeReporter(self._sender, self._links, self._context.task_table)
         self._stopper = Stopper(self._context.session, self._work, self._record_outcome)
         self._poller = Poller(self._context, self._links, self._stopper, settings.lease)
-        self._pressure = PressureKeeper(self._context, self._config, self._stopper)
-        self._poller.on_view = self._pressure.on_view
+        self._throttle_manager = ThrottleManager(self._context, self._config, self._stopper)
+        self._poller.on_view = self._throttle_manager.on_view
         self.metrics = Metrics()
         self._http = AgentHttp(self._admits, self.metrics)
-        register_gauges(self.metrics, self._context, self._pressure)
+        register_gauges(self.metrics, self._context, self._throttle_manager)
         self._runner = TaskRunner(
             self._context,
             self._links,
@@ -172,7 +172,7 @@
         self._loops.spawn(self._poller.run(), "poll")
         self._loops.spawn(self._poller.run_leases(), "leases")
         self._loops.spawn(self._outcome_reporter.run(), "ends")
-        self._loops.spawn(self._pressure.run(), "pressure")
+        self._loops.spawn(self._throttle_manager.run(), "pressure")
         await self._run_beats()
 
     async def _take_over(self) -> None:
@@ -239,8 +239,8 @@
             connections=ledger.connections,
             free=Amount.from_resources(ledger.free),
             tasks=len(self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
-            services=self._pressure.services,
-            classes=self._pressure.classes,
+            services=self._throttle_manager.services,
+            classes=self._throttle_manager.classes,
             **self._sender.head(),
         )
 
@@ -283,7 +283,7 @@
         return self._context.ready and not self._context.draining
 
     def _observe(self, service: str, seconds: float, ok: bool) -> None:
-        self._pressure.observe(service, seconds, ok)
+        self._throttle_manager.observe(service, seconds, ok)
         self.metrics.latency("agent_target_latency_ms", seconds * 1000, service=service)
 
     def _record_outcome(self, task: Task, outcome: TaskOutcome) -> None:
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -24,11 +24,11 @@
 from sapphirelead.ports import TaskInfo, WorkerView
 from sapphirelead.wire_messages import ClassSample, ServiceSample
 
-SHARE_STEP: Final = 0.01
+MIN_SHARE_CHANGE: Final = 0.01
 MIN_SHARE: Final = 0.05
 
 
-class PressureKeeper:
+class ThrottleManager:
     """Measures, decides and acts for one agent.
 
     :ivar services: the last report of each service, for beats.
@@ -41,9 +41,9 @@
     services: list[ServiceSample]
     classes: list[ClassSample]
     _windows: dict[str, LatencyWindow]
-    _use: UseWindow
+    _usage: UseWindow
     _controller: ThrottleController
-    _capped: dict[str, float]
+    _capped_shares: dict[str, float]
 
     def __init__(self, context: AgentContext, config: ConfigHolder, stopper: Stopper) -> None:
         self._context = context
@@ -52,9 +52,9 @@
         self.services = []
         self.classes = []
         self._windows = {}
-        self._use = UseWindow(context.ledger.capacity, context.ledger.slots)
+        self._usage = UseWindow(context.ledger.capacity, context.ledger.slots)
         self._controller = ThrottleController(InterferenceModel())
-        self._capped = {}
+        self._capped_shares = {}
 
     @property
     def slowdown(self) -> float:
@@ -72,13 +72,13 @@
         if window is None:
             window = self._windows[service] = LatencyWindow(service)
         window.add(seconds, ok)
-        self._use.serve(seconds)
+        self._usage.serve(seconds)
 
     async def on_view(self, view: WorkerView) -> None:
         """Sample what runs, act on excess, and bring throttles up to date."""
         self.classes = class_samples(view.tasks)
-        self._use.add(view.tasks, now())
-        self._act_on_excess()
+        self._usage.add(view.tasks, now())
+        self._limit_excess_usage()
         for info in view.tasks:
             task = self._context.task_table.get(info.task_id, info.epoch)
             if task and task.phase is Phase.RUNNING and is_running_batch(info):
@@ -100,7 +100,7 @@
         reports = [r for w in self._windows.values() if (r := w.report(now())) is not None]
         if not reports and any(window.open_count for window in self._windows.values()):
             return
-        intensities, occupancy = self._use.close(now())
+        intensities, occupancy = self._usage.close(now())
         running = self._running_batch()
         tasks: dict[str, int] = {}
         for task in running:
@@ -110,9 +110,9 @@
         if action:
             self._act(action, running)
         elif self._controller.over_target:
-            self._log_unblamed(tasks, occupancy)
+            self._log_unattributed_slowdown(tasks, occupancy)
 
-    def _log_unblamed(self, tasks: dict[str, int], occupancy: float) -> None:
+    def _log_unattributed_slowdown(self, tasks: dict[str, int], occupancy: float) -> None:
         """Log what a slowdown was judged by on which nothing is done."""
         worst, harms = self._controller.worst, self._controller.harms
         if worst is None:
@@ -150,7 +150,7 @@
                 log_event("INFO", "task_evicted", job=newest.key, slowdown=slowdown)
                 self._stopper.order(newest, StopOrder(cancel=False, reason="interference"))
 
-    def _act_on_excess(self) -> None:
+    def _limit_excess_usage(self) -> None:
         """Throttle or evict where measured use is above the size of the instance."""
         excess = self._context.ledger.excess()
         for key in excess.evict:
@@ -160,19 +160,19 @@
                 self._stopper.order(task, StopOrder(cancel=False, reason="over its size"))
         for key in excess.throttle:
             charge = self._context.ledger.charge_of(key)
-            if charge and key not in self._capped:
-                self._capped[key] = _cap(charge.declared, charge.measured)
-                log_event("WARNING", "task_capped", job=key, share=self._capped[key])
+            if charge and key not in self._capped_shares:
+                self._capped_shares[key] = _usage_cap(charge.declared, charge.measured)
+                log_event("WARNING", "task_capped", job=key, share=self._capped_shares[key])
         tasks = self._context.task_table.tasks
-        self._capped = {key: share for key, share in self._capped.items() if key in tasks}
+        self._capped_shares = {key: share for key, share in self._capped_shares.items() if key in tasks}
 
     async def _adjust(self, task: Task, info: TaskInfo) -> None:
         wanted = min(
             self._controller.share(task.job_class),
-            self._capped.get(task.key, 1.0),
+            self._capped_shares.get(task.key, 1.0),
             self._rule_share(task.rule),
         )
-        if abs(wanted - info.throttle) >= SHARE_STEP:
+        if abs(wanted - info.throttle) >= MIN_SHARE_CHANGE:
             await self._context.session.throttle(task.key, wanted)
 
     def _rule_share(self, name: str) -> float:
@@ -182,7 +182,7 @@
         return 1.0
 
 
-def _cap(declared: Resources, measured: Resources) -> float:
+def _usage_cap(declared: Resources, measured: Resources) -> float:
     """Return the share that brings measured use down to the declaration."""
     return max(MIN_SHARE, declared.cpu_millicores / max(1, measured.cpu_millicores))
 
