--- a/sapphirelead/agent_samples.py
+++ b/sapphirelead/agent_samples.py
@@ -12,14 +12,14 @@
 from sapphirelead.ports import TaskInfo, TaskState
 from sapphirelead.wire_messages import ClassSample, ServiceSample
 
-LOWEST_US: Final = 10
-HIGHEST_US: Final = 600_000_000
-DIGITS: Final = 2
+MIN_LATENCY_US: Final = 10
+MAX_LATENCY_US: Final = 600_000_000
+SIGNIFICANT_DIGITS: Final = 2
 TAIL_PERCENTILE: Final = 95.0
-MIN_COUNT: Final = 30
-MAX_INTERVALS: Final = 5
-SHORTEST_S: Final = 1e-3
-PEAK_SHARE: Final = 0.1
+MIN_REQUESTS_PER_REPORT: Final = 30
+MAX_INTERVALS_PER_REPORT: Final = 5
+MIN_ELAPSED_S: Final = 1e-3
+PEAK_TIME_SHARE: Final = 0.1
 
 
 @dataclass(slots=True)
@@ -27,12 +27,12 @@
     """Latencies of one service since the last report.
 
     An interval with few requests says little about the tail; its requests are counted into the next
-    one, for up to ``MAX_INTERVALS``.
+    one, for up to ``MAX_INTERVALS_PER_REPORT``.
     """
 
     service: str
     histogram: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        default_factory=lambda: HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     )
     errors: int = 0
     intervals: int = 0
@@ -40,11 +40,11 @@
 
     def add(self, seconds: float, ok: bool) -> None:
         """Count one answer."""
-        self.histogram.record_value(min(HIGHEST_US, max(LOWEST_US, int(seconds * 1e6))))
+        self.histogram.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, int(seconds * 1e6))))
         self.errors += 0 if ok else 1
 
     @property
-    def open_count(self) -> int:
+    def unreported_count(self) -> int:
         """Requests that have not been reported yet."""
         return int(self.histogram.get_total_count())
 
@@ -62,9 +62,9 @@
         """Close an interval; return the report once the window holds enough, and clear it."""
         self.intervals += 1
         count = self.histogram.get_total_count()
-        if count < MIN_COUNT and self.intervals < MAX_INTERVALS:
+        if count < MIN_REQUESTS_PER_REPORT and self.intervals < MAX_INTERVALS_PER_REPORT:
             return None
-        tail, elapsed = self._percentile(TAIL_PERCENTILE), max(at - self.since, SHORTEST_S)
+        tail, elapsed = self._percentile(TAIL_PERCENTILE), max(at - self.since, MIN_ELAPSED_S)
         self.histogram.reset()
         self.errors, self.intervals, self.since = 0, 0, at
         if not count:
@@ -76,60 +76,60 @@
 
 
 @dataclass(slots=True)
-class UseWindow:
+class UsageWindow:
     """Intensity of each job class and mean occupancy of the slots, since the last report.
 
     The report beside it holds a tail, and a tail shows the worst part of an interval.  So the
-    intensity of a class is the one that it reached for at least ``PEAK_SHARE`` of the time.  With
+    intensity of a class is the one that it reached for at least ``PEAK_TIME_SHARE`` of the time.  With
     the mean, a wave that began in mid-interval was taken for twice as harmful as it is.
     """
 
     capacity: Resources
     slots: int
     spans: list[tuple[dict[str, float], float]] = field(default_factory=list)
-    present: dict[str, float] = field(default_factory=dict)
+    intensities: dict[str, float] = field(default_factory=dict)
     busy_s: float = 0.0
     opened_at: float = float("-inf")
-    seen_at: float = float("-inf")
+    updated_at: float = float("-inf")
 
     def add(self, tasks: tuple[TaskInfo, ...], at: float) -> None:
         """Take a view of the worker."""
-        self._hold(at)
-        self.present = {}
+        self._close_span(at)
+        self.intensities = {}
         for info in tasks:
             if is_running_batch(info):
                 more = self._intensity(info)
-                self.present[info.job_class] = self.present.get(info.job_class, 0.0) + more
+                self.intensities[info.job_class] = self.intensities.get(info.job_class, 0.0) + more
 
-    def serve(self, seconds: float) -> None:
+    def add_request(self, seconds: float) -> None:
         """Count the time for which a request held its slot."""
         self.busy_s += seconds
 
     def close(self, at: float) -> tuple[dict[str, float], float]:
         """Return both and begin the next window."""
-        self._hold(at)
-        elapsed = max(at - self.opened_at, SHORTEST_S)
-        names = {name for present, _ in self.spans for name in present}
-        peaks = {name: self._peak(name, elapsed * PEAK_SHARE) for name in names}
+        self._close_span(at)
+        elapsed = max(at - self.opened_at, MIN_ELAPSED_S)
+        names = {name for intensities, _ in self.spans for name in intensities}
+        peaks = {name: self._peak(name, elapsed * PEAK_TIME_SHARE) for name in names}
         occupancy = min(1.0, self.busy_s / (self.slots * elapsed))
         self.spans, self.busy_s, self.opened_at = [], 0.0, at
         return peaks, occupancy
 
-    def _peak(self, name: str, least_s: float) -> float:
-        left_s = least_s
-        for intensity, held_s in sorted(
-            ((present.get(name, 0.0), held_s) for present, held_s in self.spans), reverse=True
+    def _peak(self, name: str, min_duration_s: float) -> float:
+        remaining_s = min_duration_s
+        for intensity, duration_s in sorted(
+            ((intensities.get(name, 0.0), duration_s) for intensities, duration_s in self.spans), reverse=True
         ):
-            left_s -= held_s
-            if left_s <= 0:
+            remaining_s -= duration_s
+            if remaining_s <= 0:
                 return intensity
         return 0.0
 
-    def _hold(self, at: float) -> None:
+    def _close_span(self, at: float) -> None:
         if self.opened_at == float("-inf"):
-            self.opened_at = self.seen_at = at
-        self.spans.append((self.present, at - self.seen_at))
-        self.seen_at = at
+            self.opened_at = self.updated_at = at
+        self.spans.append((self.intensities, at - self.updated_at))
+        self.updated_at = at
 
     def _intensity(self, info: TaskInfo) -> float:
         # Measured use lags; until it comes the declaration stands for it.
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -12,7 +12,7 @@
 
 from sapphirelead.agent_config import ConfigHolder
 from sapphirelead.agent_context import AgentContext
-from sapphirelead.agent_samples import LatencyWindow, UseWindow, class_samples, is_running_batch
+from sapphirelead.agent_samples import LatencyWindow, UsageWindow, class_samples, is_running_batch
 from sapphirelead.agent_stops import Stopper
 from sapphirelead.agent_task_table import Phase, StopOrder, Task
 from sapphirelead.clock import now
@@ -41,7 +41,7 @@
     services: list[ServiceSample]
     classes: list[ClassSample]
     _windows: dict[str, LatencyWindow]
-    _usage: UseWindow
+    _usage: UsageWindow
     _controller: ThrottleController
     _capped_shares: dict[str, float]
 
@@ -52,7 +52,7 @@
         self.services = []
         self.classes = []
         self._windows = {}
-        self._usage = UseWindow(context.ledger.capacity, context.ledger.slots)
+        self._usage = UsageWindow(context.ledger.capacity, context.ledger.slots)
         self._controller = ThrottleController(InterferenceModel())
         self._capped_shares = {}
 
@@ -72,7 +72,7 @@
         if window is None:
             window = self._windows[service] = LatencyWindow(service)
         window.add(seconds, ok)
-        self._usage.serve(seconds)
+        self._usage.add_request(seconds)
 
     async def on_view(self, view: WorkerView) -> None:
         """Sample what runs, act on excess, and bring throttles up to date."""
@@ -98,7 +98,7 @@
         """
         self.services = [window.sample() for window in self._windows.values()]
         reports = [r for w in self._windows.values() if (r := w.report(now())) is not None]
-        if not reports and any(window.open_count for window in self._windows.values()):
+        if not reports and any(window.unreported_count for window in self._windows.values()):
             return
         intensities, occupancy = self._usage.close(now())
         running = self._running_batch()
--- a/tests/process/test_waves.py
+++ b/tests/process/test_waves.py
@@ -7,14 +7,14 @@
 
 from bench.harness import Cluster
 from bench.procs import wait_until
-from sapphirelead.agent_samples import MAX_INTERVALS
+from sapphirelead.agent_samples import MAX_INTERVALS_PER_REPORT
 from sapphirelead.model_config import ConfigDocument
 
 CALM_MS: Final = 20.0
 LAG_S: Final = 0.5
 FIRST_LAG_S: Final = ConfigDocument().interference.report_lag_seconds
 """Lag in force when the agent starts; the interval that has begun with it ends with it."""
-NOISE_MS: Final = 1000 * (FIRST_LAG_S + (MAX_INTERVALS + 1) * LAG_S + 1.0)
+NOISE_MS: Final = 1000 * (FIRST_LAG_S + (MAX_INTERVALS_PER_REPORT + 1) * LAG_S + 1.0)
 """Noise that outlasts the intervals in which the agent has to decide, and a second."""
 
 
--- a/tests/unit/test_agent_throttle.py
+++ b/tests/unit/test_agent_throttle.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sapphirelead.agent_samples import MAX_INTERVALS, MIN_COUNT, LatencyWindow
+from sapphirelead.agent_samples import MAX_INTERVALS_PER_REPORT, MIN_REQUESTS_PER_REPORT, LatencyWindow
 from sapphirelead.model_resources import Resources
 from sapphirelead.wire_messages import Beat, Checkpointed, ConfigPush, ServiceRequest
 from tests.unit.agent_fakes import ENTRY, Rig, start
@@ -93,11 +93,11 @@
 async def test_few_requests_are_gathered_over_several_intervals() -> None:
     window = LatencyWindow("check")
     reports = []
-    for number in range(2 * MAX_INTERVALS):
+    for number in range(2 * MAX_INTERVALS_PER_REPORT):
         window.add(0.1, True)
         reports.append(window.report(float(number + 1)))
-    assert [r.count for r in reports if r] == [MAX_INTERVALS, MAX_INTERVALS]
-    for _ in range(MIN_COUNT):
+    assert [r.count for r in reports if r] == [MAX_INTERVALS_PER_REPORT, MAX_INTERVALS_PER_REPORT]
+    for _ in range(MIN_REQUESTS_PER_REPORT):
         window.add(0.1, True)
     assert window.report(99.0) is not None
 
@@ -141,7 +141,7 @@
         await asyncio.sleep(2.0)
     line, *_ = lines
     assert (line["event"], line["suspect"], line["running"]) == ("slowdown_unblamed", "-", 0)
-    assert line["tail_ms"] > 5 * 20 > line["usual_ms"] and line["requests"] >= MIN_COUNT
+    assert line["tail_ms"] > 5 * 20 > line["usual_ms"] and line["requests"] >= MIN_REQUESTS_PER_REPORT
 
 
 async def test_noise_that_leaves_few_answers_is_held_back_within_the_intervals_gathered() -> None:
@@ -158,4 +158,4 @@
             rig.links.deliver(request(f"few{number}"))
             number += 1
             await asyncio.sleep(0.125)
-            assert asyncio.get_running_loop().time() - began <= (MAX_INTERVALS + 1) * lag_s + 0.5
+            assert asyncio.get_running_loop().time() - began <= (MAX_INTERVALS_PER_REPORT + 1) * lag_s + 0.5
