--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -33,10 +33,10 @@
 from sapphirelead.wire_messages import AnyMessage, BeatAck, LaneHello
 from sapphirelead.wire_sockets import connect_dealer, send
 
-BATCH: Final = 256
-CONTROL_PAUSE_SECONDS: Final = 0.002
+MAX_BATCH_FRAMES: Final = 256
+CONTROL_BATCH_DELAY_S: Final = 0.002
 LINGER_MS: Final = 1_000
-WAITING_HELLOS: Final = 30
+UNROUTED_HELLOS_PER_TIMEOUT: Final = 30
 _NEVER: Final = float("-inf")
 
 
@@ -47,67 +47,67 @@
     _keys: Keys | None
     _address: EntryAddress
     _sender: Sender
-    _silence_s: float
-    _number: int
+    _timeout_s: float
+    _connection_number: int
     _sockets: dict[Lane, zmq.asyncio.Socket]
-    _heard: dict[Lane, float]
-    _answered: set[Lane]
+    _received_at: dict[Lane, float]
+    _active_lanes: set[Lane]
     _acked_at: float
-    _peer: str
+    _peer_incarnation: str
 
     def __init__(
         self,
         ctx: zmq.asyncio.Context,
         address: EntryAddress,
         sender: Sender,
-        silence_s: float,
+        timeout_s: float,
         keys: Keys | None,
     ) -> None:
         self._ctx = ctx
         self._keys = keys
         self._address = address
         self._sender = sender
-        self._silence_s = silence_s
-        self._number = 0
+        self._timeout_s = timeout_s
+        self._connection_number = 0
         self._sockets = {}
-        self._heard = {}
-        self._answered = set()
+        self._received_at = {}
+        self._active_lanes = set()
         self._acked_at = _NEVER
-        self._peer = ""
+        self._peer_incarnation = ""
 
     @property
     def acknowledged(self) -> bool:
         """Whether the entry has lately acknowledged a beat over the present connection."""
-        return now() - self._acked_at <= self._silence_s
+        return now() - self._acked_at <= self._timeout_s
 
     @property
     def routed(self) -> bool:
         """Whether something has come over every lane of the present connection."""
-        return len(self._answered) == len(Lane)
+        return len(self._active_lanes) == len(Lane)
 
-    def announce_due(self, patience_s: float) -> bool:
+    def announce_due(self, ack_timeout_s: float) -> bool:
         """Return whether the entry may not know this agent, having left beats unanswered."""
-        return now() - self._acked_at > patience_s
+        return now() - self._acked_at > ack_timeout_s
 
-    def acked(self, peer: str) -> None:
+    def record_ack(self, peer_incarnation: str) -> None:
         """Note an acknowledged beat.
 
         A restarted entry takes the connection over without a visible break, and knows nothing of
         the agent; it shows as another incarnation in the acknowledgement.
         """
-        known = self._peer in ("", peer)
-        self._peer = peer
+        known = self._peer_incarnation in ("", peer_incarnation)
+        self._peer_incarnation = peer_incarnation
         self._acked_at = now() if known else _NEVER
 
     def open(self) -> dict[Lane, zmq.asyncio.Socket]:
         """Connect every lane under the next number and return the sockets to receive from."""
-        self._number += 1
+        self._connection_number += 1
         self._acked_at = _NEVER
-        self._peer = ""
-        self._answered.clear()
+        self._peer_incarnation = ""
+        self._active_lanes.clear()
         for lane in Lane:
             self._sockets[lane] = self._connect(lane)
-            self._heard[lane] = now()
+            self._received_at[lane] = now()
         return dict(self._sockets)
 
     def close(self, linger_ms: int = 0) -> None:
@@ -116,18 +116,18 @@
             sock.close(linger=linger_ms)
         self._sockets.clear()
 
-    def heard(self, lane: Lane) -> None:
+    def record_received(self, lane: Lane) -> None:
         """Note that something came over ``lane``."""
-        self._heard[lane] = now()
-        self._answered.add(lane)
+        self._received_at[lane] = now()
+        self._active_lanes.add(lane)
 
-    def silent(self) -> bool:
+    def timed_out(self) -> bool:
         """Return whether one lane has carried nothing for too long."""
-        return min(self._heard.values()) + self._silence_s < now()
+        return min(self._received_at.values()) + self._timeout_s < now()
 
-    def forgive(self) -> None:
+    def reset_timeouts(self) -> None:
         """Start the silence of every lane anew."""
-        self._heard = dict.fromkeys(self._heard, now())
+        self._received_at = dict.fromkeys(self._received_at, now())
 
     async def send(self, lane: Lane, message: AnyMessage) -> bool:
         """Send over ``lane``; ``False`` means proven not sent."""
@@ -136,13 +136,13 @@
 
     def _connect(self, lane: Lane) -> zmq.asyncio.Socket:
         sender, address = self._sender, self._address
-        identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._number}"
+        identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._connection_number}"
         port = {
             Lane.CONTROL: address.control_port,
             Lane.DATA: address.data_port,
             Lane.BULK: address.bulk_port,
         }[lane]
-        return connect_dealer(self._ctx, identity, address.host, port, self._silence_s, self._keys)
+        return connect_dealer(self._ctx, identity, address.host, port, self._timeout_s, self._keys)
 
 
 class AgentLinks:
@@ -151,8 +151,8 @@
     _ctx: zmq.asyncio.Context
     _sender: Sender
     _background: Background
-    _silence_s: float
-    _pause_s: float
+    _timeout_s: float
+    _max_check_gap_s: float
     _links: list[EntryLink]
     _receivers: list[list[asyncio.Task[None]]]
     _handlers: dict[type, Handler]
@@ -169,10 +169,10 @@
         self._ctx = zmq.asyncio.Context()
         self._sender = sender
         self._background = background
-        self._silence_s = settings.lease.silence_seconds
-        self._pause_s = settings.lease.beat_interval_seconds + self._silence_s / 2
+        self._timeout_s = settings.lease.silence_seconds
+        self._max_check_gap_s = settings.lease.beat_interval_seconds + self._timeout_s / 2
         self._links = [
-            EntryLink(self._ctx, address, sender, self._silence_s, keys)
+            EntryLink(self._ctx, address, sender, self._timeout_s, keys)
             for address in settings.entries
         ]
         self._receivers = [[] for _ in self._links]
@@ -189,9 +189,9 @@
         """Call ``handler`` with the link's number and each message of ``kind``."""
         self._handlers[kind] = handler
 
-    def announce_due(self, index: int, patience_s: float) -> bool:
-        """Return whether the entry has left beats of the last ``patience_s`` unanswered."""
-        return self._links[index].announce_due(patience_s)
+    def announce_due(self, index: int, ack_timeout_s: float) -> bool:
+        """Return whether the entry has left beats of the last ``ack_timeout_s`` unanswered."""
+        return self._links[index].announce_due(ack_timeout_s)
 
     def live(self) -> list[int]:
         """Return links over which the entry acknowledged a beat."""
@@ -202,7 +202,7 @@
         self._checked_at = now()
         for index in self.indexes:
             self._open(index)
-        self._background.spawn(self._say_hello(), "lane-hello")
+        self._background.spawn(self._send_hellos(), "lane-hello")
 
     def reopen(self) -> None:
         """Connect anew everywhere, under the sender's new incarnation."""
@@ -224,19 +224,19 @@
         for index in self.live():
             await self._links[index].send(Lane.CONTROL, message)
 
-    def check_silence(self) -> None:
+    def reconnect_unresponsive(self) -> None:
         """Connect anew to entries that have gone silent.
 
         After a pause of this process nothing was received because nothing was read: every link
         gets a fresh period of silence, or a resumed agent would drop connections that work.
         """
-        paused = now() - self._checked_at > self._pause_s
+        paused = now() - self._checked_at > self._max_check_gap_s
         self._checked_at = now()
         for index in self.indexes:
             link = self._links[index]
             if paused:
-                link.forgive()
-            elif link.silent():
+                link.reset_timeouts()
+            elif link.timed_out():
                 log_event("WARNING", "entry_silent", link=index)
                 self._reopen(index)
 
@@ -263,11 +263,11 @@
             frames = [await sock.recv()]
             if lane is Lane.CONTROL:
                 frames += await _drain(sock)
-            self._links[index].heard(lane)
+            self._links[index].record_received(lane)
             for frame in frames:
                 self._dispatch(index, frame)
             if lane is Lane.CONTROL:
-                await asyncio.sleep(CONTROL_PAUSE_SECONDS)
+                await asyncio.sleep(CONTROL_BATCH_DELAY_S)
 
     def _dispatch(self, index: int, frame: bytes) -> None:
         match decode(frame):
@@ -276,12 +276,12 @@
                 log_event("WARNING", "frame_undecodable", link=index, reason=failure.message)
             case Ok(message):
                 if isinstance(message, BeatAck):
-                    self._links[index].acked(message.incarnation)
+                    self._links[index].record_ack(message.incarnation)
                 handler = self._handlers.get(type(message))
                 if handler:
                     handler(index, message)
 
-    async def _say_hello(self) -> None:
+    async def _send_hellos(self) -> None:
         while True:
             for index in self.indexes:
                 for lane in (Lane.DATA, Lane.BULK):
@@ -291,13 +291,13 @@
 
     def _hello_interval(self) -> float:
         # An entry that has not answered over a lane may know no route for requests yet.
-        waiting = any(not link.routed for link in self._links)
-        return self._silence_s / (WAITING_HELLOS if waiting else 2)
+        unrouted = any(not link.routed for link in self._links)
+        return self._timeout_s / (UNROUTED_HELLOS_PER_TIMEOUT if unrouted else 2)
 
 
 async def _drain(sock: zmq.asyncio.Socket) -> list[bytes]:
     frames: list[bytes] = []
-    while len(frames) < BATCH:
+    while len(frames) < MAX_BATCH_FRAMES:
         try:
             frames.append(await sock.recv(flags=zmq.NOBLOCK))
         except zmq.Again:
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -200,7 +200,7 @@
 
     async def _run_beats(self) -> None:
         while True:
-            self._links.check_silence()
+            self._links.reconnect_unresponsive()
             await self._beat()
             await asyncio.sleep(self._settings.lease.beat_interval_seconds)
 
--- a/sapphirelead/agent_ports.py
+++ b/sapphirelead/agent_ports.py
@@ -44,8 +44,8 @@
     def live(self) -> list[int]:
         """Return links over which the entry lately acknowledged a beat."""
 
-    def announce_due(self, index: int, patience_s: float) -> bool:
-        """Return whether the entry has left beats of the last ``patience_s`` unanswered."""
+    def announce_due(self, index: int, ack_timeout_s: float) -> bool:
+        """Return whether the entry has left beats of the last ``ack_timeout_s`` unanswered."""
 
     def open(self) -> None:
         """Connect to every entry."""
@@ -53,7 +53,7 @@
     def reopen(self) -> None:
         """Connect anew everywhere, under the sender's new incarnation."""
 
-    def check_silence(self) -> None:
+    def reconnect_unresponsive(self) -> None:
         """Connect anew to entries that have gone silent."""
 
     async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
--- a/sapphirelead/agent_samples.py
+++ b/sapphirelead/agent_samples.py
@@ -98,8 +98,8 @@
         self.intensities = {}
         for info in tasks:
             if is_running_batch(info):
-                more = self._intensity(info)
-                self.intensities[info.job_class] = self.intensities.get(info.job_class, 0.0) + more
+                task_intensity = self._intensity(info)
+                self.intensities[info.job_class] = self.intensities.get(info.job_class, 0.0) + task_intensity
 
     def add_request(self, seconds: float) -> None:
         """Count the time for which a request held its slot."""
--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -248,7 +248,7 @@
     def live(self) -> list[int]:
         return [0] if self.connected else []
 
-    def announce_due(self, index: int, patience_s: float) -> bool:
+    def announce_due(self, index: int, ack_timeout_s: float) -> bool:
         return False
 
     def open(self) -> None:
@@ -259,7 +259,7 @@
         self.fencing = False
         self._committed = 0
 
-    def check_silence(self) -> None:
+    def reconnect_unresponsive(self) -> None:
         pass
 
     async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -72,7 +72,7 @@
     async def run(self) -> None:
         self.links.open()
         while True:
-            self.links.check_silence()
+            self.links.reconnect_unresponsive()
             beat = Beat(
                 counter=1,
                 zone="z1",
