--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -52,7 +52,7 @@
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
-LinksMaker = Callable[[AgentSettings, Sender, Background], Links]
+LinksFactory = Callable[[AgentSettings, Sender, Background], Links]
 
 
 class Agent:
@@ -86,7 +86,7 @@
         settings: AgentSettings,
         worker: Worker,
         target: Target,
-        make_links: LinksMaker = AgentLinks,
+        make_links: LinksFactory = AgentLinks,
     ) -> None:
         self._settings = settings
         self.stopped = asyncio.Event()
@@ -156,7 +156,7 @@
     def drain(self) -> None:
         """Begin to leave; :attr:`stopped` is set when that is done."""
         if self._draining is None:
-            self._draining = self._loops.spawn(self._leave(), "drain")
+            self._draining = self._loops.spawn(self._drain_and_stop(), "drain")
 
     async def stop(self) -> None:
         """Stop at once: what runs at the worker is left to its leases."""
@@ -173,12 +173,12 @@
         self._loops.spawn(self._poller.run_leases(), "leases")
         self._loops.spawn(self._outcome_reporter.run(), "ends")
         self._loops.spawn(self._throttle_manager.run(), "pressure")
-        await self._run_beats()
+        await self._run_heartbeats()
 
     async def _take_over(self) -> None:
         """Open a session and charge what the worker runs, before anything is admitted."""
         view = await self._open_session(self.incarnation)
-        for info in _newest(view):
+        for info in _newest_records(view):
             self._runner.adopt(info)
         self._context.ready = True
         log_event(
@@ -198,20 +198,20 @@
                     log_event("WARNING", "worker_unavailable", reason=failure.message)
             await asyncio.sleep(WORKER_RETRY_SECONDS)
 
-    async def _run_beats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
             self._links.reconnect_unresponsive()
-            await self._beat()
+            await self._send_heartbeat()
             await asyncio.sleep(self._settings.lease.beat_interval_seconds)
 
-    async def _beat(self) -> None:
-        patience = 2 * self._settings.lease.beat_interval_seconds
+    async def _send_heartbeat(self) -> None:
+        ack_timeout_s = 2 * self._settings.lease.beat_interval_seconds
         # Noted before anything is sent: the lease counts from here.
-        beat = self._make_beat(self._context.lease.next_beat(now()))
+        heartbeat = self._make_heartbeat(self._context.lease.next_beat(now()))
         for index in self._links.indexes:
-            if self._links.announce_due(index, patience):
+            if self._links.announce_due(index, ack_timeout_s):
                 await self._links.send(index, Lane.CONTROL, self._make_announce())
-            await self._links.send(index, Lane.CONTROL, beat)
+            await self._links.send(index, Lane.CONTROL, heartbeat)
 
     def _make_announce(self) -> Announce:
         settings = self._settings
@@ -226,7 +226,7 @@
             **self._sender.head(),
         )
 
-    def _make_beat(self, counter: int) -> Beat:
+    def _make_heartbeat(self, counter: int) -> Beat:
         ledger = self._context.ledger
         ledger.lapse(now())
         return Beat(
@@ -249,9 +249,9 @@
             self._context.lease.acked(ack.committed)
         elif not self._fencing:
             self._fencing = True
-            self._loops.spawn(self._begin_anew(), "fenced")
+            self._loops.spawn(self._restart_incarnation(), "fenced")
 
-    async def _begin_anew(self) -> None:
+    async def _restart_incarnation(self) -> None:
         """Drop everything of the fenced incarnation and go on as a new one."""
         log_event("WARNING", "agent_fenced", incarnation=self.incarnation)
         context = self._context
@@ -309,11 +309,11 @@
         log_event("INFO", "drain_ordered", reason=message.reason)
         self.drain()
 
-    async def _leave(self) -> None:
+    async def _drain_and_stop(self) -> None:
         log_event("INFO", "agent_draining", instance=self._settings.id)
         self._context.draining = True
         self._service.draining = True
-        await self._beat()
+        await self._send_heartbeat()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.drain_seconds):
                 await self._evacuate()
@@ -370,7 +370,7 @@
     return uuid.uuid4().hex[:12]
 
 
-def _newest(view: WorkerView) -> list[TaskInfo]:
+def _newest_records(view: WorkerView) -> list[TaskInfo]:
     """Return for each task the record that runs, or else that of the highest epoch."""
     newest: dict[str, TaskInfo] = {}
     for info in sorted(view.tasks, key=lambda i: (i.state is TaskState.RUNNING, i.epoch)):
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -31,9 +31,9 @@
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_messages import WatchEvent
 
-BUSY_SECONDS: Final = 0.2
-IDLE_SECONDS: Final = 2.0
-LEASE_ROUNDS: Final = 20.0
+BUSY_INTERVAL_S: Final = 0.2
+IDLE_INTERVAL_S: Final = 2.0
+ROUNDS_PER_LEASE: Final = 20.0
 
 ViewListener = Callable[[WorkerView], Awaitable[None]]
 
@@ -73,10 +73,10 @@
                 await self.poll()
             active = bool(self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING))
             if active:
-                await asyncio.sleep(BUSY_SECONDS)
+                await asyncio.sleep(BUSY_INTERVAL_S)
                 continue
             try:
-                async with asyncio.timeout(IDLE_SECONDS):
+                async with asyncio.timeout(IDLE_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -85,22 +85,22 @@
         """Renew or hold until cancelled."""
         while True:
             await self.lease_round()
-            await asyncio.sleep(self._lease_s / LEASE_ROUNDS)
+            await asyncio.sleep(self._lease_s / ROUNDS_PER_LEASE)
 
     async def poll(self) -> None:
         """Bring the records up to date with the worker."""
-        asked_at = now()
+        requested_at = now()
         viewed = await self._context.session.view()
         if not isinstance(viewed, Ok) or not self._context.ready:
             return
         view = viewed.ok_value
         for task in self._context.task_table.in_phase(Phase.RUNNING):
             # A task that started after the question may be missing from the answer.
-            if task.since < asked_at:
+            if task.since < requested_at:
                 await self._update(task, find_task(view.tasks, task))
         for info in view.tasks:
             if info.task_id not in self._context.task_table.tasks:
-                await self._sweep(info)
+                await self._remove_unknown(info)
         await self.on_view(view)
 
     async def lease_round(self) -> None:
@@ -151,7 +151,7 @@
                 )
                 await self._links.broadcast(message)
 
-    async def _sweep(self, info: TaskInfo) -> None:
+    async def _remove_unknown(self, info: TaskInfo) -> None:
         session = self._context.session
         if info.state is TaskState.RUNNING:
             log_event("WARNING", "task_unknown", job=info.task_id, epoch=info.epoch)
