--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -39,18 +39,18 @@
     ServiceRequest,
 )
 
-KEPT_ANSWERS: Final = 1_024
-KEPT_BYTES: Final = 16 * 1024 * 1024
-SEEN_ATTEMPTS: Final = 50_000
-SEEN_SECONDS: Final = 660.0
-SEND_TRIES: Final = 20
-SEND_RETRY_SECONDS: Final = 0.1
+MAX_CACHED_ANSWERS: Final = 1_024
+MAX_CACHED_BYTES: Final = 16 * 1024 * 1024
+MAX_SEEN_ATTEMPTS: Final = 50_000
+SEEN_RETENTION_S: Final = 660.0
+MAX_SEND_ATTEMPTS: Final = 20
+SEND_RETRY_DELAY_S: Final = 0.1
 
 Attempt = tuple[str, int]
 Observer = Callable[[str, float, bool], None]
 
 
-class Ends:
+class AttemptHistory:
     """Ends of attempts, remembered within bounds.
 
     Whole answers are kept for a short time, bare attempt numbers for much longer.  Where even a
@@ -61,13 +61,13 @@
     _answers: OrderedDict[Attempt, ServiceAnswer]
     _answer_bytes: int
     _seen: OrderedDict[Attempt, float]
-    _forgot_at: float
+    _evicted_at: float
 
     def __init__(self) -> None:
         self._answers = OrderedDict()
         self._answer_bytes = 0
         self._seen = OrderedDict()
-        self._forgot_at = float("-inf")
+        self._evicted_at = float("-inf")
 
     def answer(self, attempt: Attempt) -> ServiceAnswer | None:
         """Return the whole answer of ``attempt`` if it is still kept."""
@@ -78,21 +78,21 @@
         return attempt in self._seen
 
     def complete(self, at: float) -> bool:
-        """Return whether every attempt of the last ``SEEN_SECONDS`` is remembered."""
-        return at - self._forgot_at > SEEN_SECONDS
+        """Return whether every attempt of the last ``SEEN_RETENTION_S`` is remembered."""
+        return at - self._evicted_at > SEEN_RETENTION_S
 
     def add(self, attempt: Attempt, answer: ServiceAnswer, at: float) -> None:
         """Remember the end of ``attempt``."""
         self._seen[attempt] = at
         self._answers[attempt] = answer
         self._answer_bytes += len(answer.body)
-        while len(self._answers) > KEPT_ANSWERS or self._answer_bytes > KEPT_BYTES:
+        while len(self._answers) > MAX_CACHED_ANSWERS or self._answer_bytes > MAX_CACHED_BYTES:
             _, dropped = self._answers.popitem(last=False)
             self._answer_bytes -= len(dropped.body)
-        while len(self._seen) > SEEN_ATTEMPTS:
+        while len(self._seen) > MAX_SEEN_ATTEMPTS:
             _, seen_at = self._seen.popitem(last=False)
-            if at - seen_at <= SEEN_SECONDS:
-                self._forgot_at = at
+            if at - seen_at <= SEEN_RETENTION_S:
+                self._evicted_at = at
 
 
 class ServiceRunner:
@@ -111,10 +111,10 @@
     _observe: Observer
     draining: bool
     _running: set[Attempt]
-    _unwanted: set[Attempt]
-    _ends: Ends
+    _cancelled: set[Attempt]
+    _history: AttemptHistory
     _incarnations: set[str]
-    _open: int
+    _operations: int
     _idle: asyncio.Event
 
     def __init__(
@@ -137,10 +137,10 @@
         self._observe = observe
         self.draining = False
         self._running = set()
-        self._unwanted = set()
-        self._ends = Ends()
+        self._cancelled = set()
+        self._history = AttemptHistory()
         self._incarnations = {sender.incarnation}
-        self._open = 0
+        self._operations = 0
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -160,8 +160,8 @@
 
     def _on_request(self, index: int, req: ServiceRequest) -> None:
         attempt = (req.request_id, req.attempt)
-        if self._ends.seen(attempt):
-            self._repeat(index, attempt)
+        if self._history.seen(attempt):
+            self._resend(index, attempt)
         elif attempt not in self._running:
             refusal = self._refusal(req)
             if refusal:
@@ -180,7 +180,7 @@
 
     def _start(self, index: int, attempt: Attempt, req: ServiceRequest) -> None:
         self._running.add(attempt)
-        self._enter()
+        self._begin_operation()
         self._background.spawn(self._run(index, attempt, req), f"request-{req.request_id}")
 
     async def _run(self, index: int, attempt: Attempt, req: ServiceRequest) -> None:
@@ -191,8 +191,8 @@
             # slots the median request waited 40 ms for room that was there.
             self._finish(index, self._from_target(attempt, outcome))
         finally:
-            self._unwanted.discard(attempt)
-            self._leave()
+            self._cancelled.discard(attempt)
+            self._end_operation()
 
     async def _call(
         self, index: int, attempt: Attempt, req: ServiceRequest
@@ -215,59 +215,59 @@
             self._ledger.release_request()
             self._running.discard(attempt)
 
-    def _enter(self) -> None:
-        self._open += 1
+    def _begin_operation(self) -> None:
+        self._operations += 1
         self._idle.clear()
 
-    def _leave(self) -> None:
-        self._open -= 1
-        if self._open == 0:
+    def _end_operation(self) -> None:
+        self._operations -= 1
+        if self._operations == 0:
             self._idle.set()
 
     def _on_cancel(self, _index: int, cancel: CancelAttempt) -> None:
         """Drop the answer of an attempt; the call itself goes on, and so does its charge."""
         attempt = (cancel.request_id, cancel.attempt)
         if attempt in self._running:
-            self._unwanted.add(attempt)
+            self._cancelled.add(attempt)
 
     def _on_fate(self, index: int, fate: AttemptFate) -> None:
         attempt = (fate.request_id, fate.attempt)
         # Answered on the control lane where the size allows: the entry asks because it suspects the
         # others.
-        if self._ends.seen(attempt):
-            self._repeat(index, attempt, Lane.CONTROL)
+        if self._history.seen(attempt):
+            self._resend(index, attempt, Lane.CONTROL)
         elif attempt not in self._running:
-            never = fate.sent_to in self._incarnations and self._ends.complete(now())
-            outcome = Outcome.NOT_RUN if never else Outcome.UNKNOWN
+            never_arrived = fate.sent_to in self._incarnations and self._history.complete(now())
+            outcome = Outcome.NOT_RUN if never_arrived else Outcome.UNKNOWN
             self._finish(index, self._answer(attempt, outcome, "never arrived"), Lane.CONTROL)
 
     def _finish(self, index: int, answer: ServiceAnswer, lane: Lane = Lane.DATA) -> None:
         attempt = (answer.request_id, answer.attempt)
-        if self._ends.seen(attempt):
+        if self._history.seen(attempt):
             return
-        self._ends.add(attempt, answer, now())
-        if attempt not in self._unwanted:
+        self._history.add(attempt, answer, now())
+        if attempt not in self._cancelled:
             self._reply(index, answer, lane)
 
-    def _repeat(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
-        lost = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
-        self._reply(index, self._ends.answer(attempt) or lost, lane)
+    def _resend(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
+        expired = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
+        self._reply(index, self._history.answer(attempt) or expired, lane)
 
     def _reply(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        self._enter()
+        self._begin_operation()
         self._background.spawn(self._send(index, answer, lane), f"answer-{answer.request_id}")
 
     async def _send(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
         lane = Lane.BULK if len(answer.body) > BULK_BYTES else lane
         try:
-            for _ in range(SEND_TRIES):
+            for _ in range(MAX_SEND_ATTEMPTS):
                 if await self._links.send(index, lane, answer):
                     return
-                await asyncio.sleep(SEND_RETRY_SECONDS)
+                await asyncio.sleep(SEND_RETRY_DELAY_S)
             # The entry asks for the attempt's fate over its next connection.
             log_event("WARNING", "answer_not_sent", request=answer.request_id, link=index)
         finally:
-            self._leave()
+            self._end_operation()
 
     def _from_target(
         self, attempt: Attempt, outcome: Result[TargetAnswer, Failure]
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sapphirelead.agent_service import SEEN_ATTEMPTS, Ends
+from sapphirelead.agent_service import MAX_SEEN_ATTEMPTS, AttemptHistory
 from sapphirelead.entry_ports import Lane
 from sapphirelead.errors import Code, Failure
 from sapphirelead.wire_messages import (
@@ -122,15 +122,15 @@
 
 
 def test_a_full_memory_no_longer_proves_anything() -> None:
-    ends = Ends()
+    history = AttemptHistory()
     answer = ServiceAnswer(
         request_id="", attempt=1, ran="", status=0, headers={}, body=b"", body_bytes=0, **ENTRY
     )
-    for number in range(SEEN_ATTEMPTS):
-        ends.add((str(number), 1), answer, 1.0)
-    assert ends.complete(2.0)
-    ends.add(("last", 1), answer, 2.0)
-    assert not ends.complete(3.0) and ends.complete(1000.0)
+    for number in range(MAX_SEEN_ATTEMPTS):
+        history.add((str(number), 1), answer, 1.0)
+    assert history.complete(2.0)
+    history.add(("last", 1), answer, 2.0)
+    assert not history.complete(3.0) and history.complete(1000.0)
 
 
 async def test_a_fate_is_answered_on_the_control_lane() -> None:
