--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -48,8 +48,8 @@
 
 START_LEASE_SECONDS: Final = 5.0
 RETRY_INTERVAL_S: Final = 0.2
-EVICTION_SECONDS: Final = 2.3
-EVICTION_POLL_SECONDS: Final = 0.02
+EVICTION_TIMEOUT_S: Final = 2.3
+EVICTION_POLL_INTERVAL_S: Final = 0.02
 
 
 class TaskRunner:
@@ -62,7 +62,7 @@
     _stopper: Stopper
     _background: Background
     _wake_poll: Callable[[], None]
-    _leftovers: set[str]
+    _unremoved: set[str]
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._stopper = stopper
         self._background = background
         self._wake_poll = wake_poll
-        self._leftovers = set()
+        self._unremoved = set()
 
     def register(self) -> None:
         """Take the messages about tasks from the links."""
@@ -165,13 +165,13 @@
         self._background.spawn(self._accept_when_free(index, offer), f"urgent-{offer.key}")
 
     async def _accept_when_free(self, index: int, offer: Offer) -> None:
-        gave_up_at = now() + EVICTION_SECONDS
+        timeout_at = now() + EVICTION_TIMEOUT_S
         while self._context.ledger.overbooked:
-            if now() >= gave_up_at:
+            if now() >= timeout_at:
                 self._context.ledger.cancel_reservation(offer.offer_id)
                 self._refuse(index, offer, "eviction took too long")
                 return
-            await asyncio.sleep(EVICTION_POLL_SECONDS)
+            await asyncio.sleep(EVICTION_POLL_INTERVAL_S)
         self._accept(index, offer)
 
     def _on_start(self, index: int, start: Start) -> None:
@@ -202,9 +202,9 @@
             return "stale epoch"
         if _kind(start.kind) is None:
             return "unknown kind"
-        return self._closed() or self._make_room_for_epoch(start.key)
+        return self._closed() or self._drop_earlier_epoch(start.key)
 
-    def _make_room_for_epoch(self, key: str) -> str:
+    def _drop_earlier_epoch(self, key: str) -> str:
         """Drop the record of an earlier epoch of ``key``, or say why that cannot be done.
 
         The entry committed a later claim, so the earlier one is settled and the acknowledgement of
@@ -217,7 +217,7 @@
             self._stopper.order(earlier, StopOrder(cancel=True, reason="superseded"))
             return "an earlier epoch is stopping"
         self._task_table.forget(earlier)
-        self._leftovers.add(key)
+        self._unremoved.add(key)
         return ""
 
     def _begin(self, index: int, start: Start) -> None:
@@ -261,22 +261,22 @@
 
     async def _try_start(self, task: Task) -> Failure | None:
         """Start the task; return why it has proven not to be started, or ``None`` if it is."""
-        if task.key in self._leftovers:
+        if task.key in self._unremoved:
             await self._context.session.remove(task.key)
-            self._leftovers.discard(task.key)
+            self._unremoved.discard(task.key)
         lease_until = 0.0
         while True:
             if task.order or not self._context.lease.may_act(now()):
-                return await self._settle_start(task, lease_until, "stopped before its start")
-            lease_until = max(lease_until, self._first_lease())
+                return await self._resolve_start(task, lease_until, "stopped before its start")
+            lease_until = max(lease_until, self._start_lease())
             answer = await self._context.session.start(self._spec(task, lease_until))
             if isinstance(answer, Ok):
                 return None
             if answer.err_value.code is not Code.WORKER_UNAVAILABLE:
-                return await self._settle_start(task, lease_until, answer.err_value.message)
+                return await self._resolve_start(task, lease_until, answer.err_value.message)
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _settle_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
+    async def _resolve_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
         """Find out whether a start took effect whose answer was lost.
 
         A request that is still under way can take effect until its lease has passed at the worker,
@@ -292,7 +292,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
         return Failure(Code.WORKER_UNAVAILABLE, reason)
 
-    def _first_lease(self) -> float:
+    def _start_lease(self) -> float:
         # Short, because an ambiguous start is settled only after it.
         deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
         return self._context.session.lease_until(deadline)
@@ -327,22 +327,22 @@
         task = self._task_table.get(ack.key, ack.epoch)
         if task and task.outcome:
             self._task_table.forget(task)
-            self._leftovers.add(task.key)
+            self._unremoved.add(task.key)
             self._background.spawn(self._remove(task.key), f"remove-{task.key}")
 
     async def _remove(self, key: str) -> None:
         # Where this fails, the poll finds a task without a record and removes it.
         if isinstance(await self._context.session.remove(key), Ok):
-            self._leftovers.discard(key)
+            self._unremoved.discard(key)
 
-    def _on_fate(self, index: int, asked: FateRequest) -> None:
+    def _on_fate(self, index: int, request: FateRequest) -> None:
         if not self._context.ready:
             # Tasks of an earlier run are not listed yet; the entry asks again.
             return
-        claimed_here = asked.claimed_by == self._context.sender.incarnation
-        fate = self._task_table.fate(asked.key, asked.epoch, claimed_here)
+        claimed_here = request.claimed_by == self._context.sender.incarnation
+        fate = self._task_table.fate(request.key, request.epoch, claimed_here)
         head = self._context.sender.head()
-        self._send(index, FateAnswer(key=asked.key, epoch=asked.epoch, fate=fate, **head))
+        self._send(index, FateAnswer(key=request.key, epoch=request.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
             self._outcome_reporter.wake()
 
--- a/sapphirelead/agent_worker.py
+++ b/sapphirelead/agent_worker.py
@@ -37,7 +37,7 @@
     _session: int
     _clock: WorkerClock
     _incarnation: str
-    _opening: asyncio.Lock
+    _open_lock: asyncio.Lock
     _on_replaced: Callable[[], None]
 
     def __init__(self, worker: Worker, on_replaced: Callable[[], None]) -> None:
@@ -45,16 +45,16 @@
         self._on_replaced = on_replaced
         self._session = NO_SESSION
         self._incarnation = ""
-        self._opening = asyncio.Lock()
+        self._open_lock = asyncio.Lock()
         self._clock = WorkerClock(0.0, 0.0)
         self.healthy = False
 
     async def open(self, incarnation: str) -> Result[WorkerView, Failure]:
         """Take the worker over; until that has succeeded every other call fails."""
-        async with self._opening:
+        async with self._open_lock:
             self._session = NO_SESSION
             self._incarnation = incarnation
-            opened = self._noted(await self._worker.open_session(incarnation))
+            opened = self._record_view(await self._worker.open_session(incarnation))
             if isinstance(opened, Ok):
                 self._session = opened.ok_value.session
             return opened
@@ -64,7 +64,7 @@
         session = self._session
         if session == NO_SESSION:
             return await self.open(self._incarnation) if self._incarnation else _CLOSED
-        viewed = self._noted(await self._worker.view())
+        viewed = self._record_view(await self._worker.view())
         if not isinstance(viewed, Ok) or viewed.ok_value.session == session:
             return viewed
         if session != self._session:
@@ -86,50 +86,50 @@
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.start(session, spec))
+        return self._check_reachable(await self._worker.start(session, spec))
 
     async def renew(self, leases: dict[str, float]) -> Result[None, Failure]:
         """Move the leases of tasks, given in worker time."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.renew(session, leases))
+        return self._check_reachable(await self._worker.renew(session, leases))
 
     async def throttle(self, key: str, share: float) -> Result[None, Failure]:
         """Limit a task to ``share`` of its processors."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.throttle(session, key, share))
+        return self._check_reachable(await self._worker.throttle(session, key, share))
 
     async def checkpoint_stop(self, key: str) -> Result[str, Failure]:
         """Stop a task at an exact checkpoint and return its object key."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.checkpoint_stop(session, key))
+        return self._check_reachable(await self._worker.checkpoint_stop(session, key))
 
     async def stop(self, key: str) -> Result[None, Failure]:
         """Stop a task where it is."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.stop(session, key))
+        return self._check_reachable(await self._worker.stop(session, key))
 
     async def remove(self, key: str) -> Result[None, Failure]:
         """Make the worker forget an ended task."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._checked(await self._worker.remove(session, key))
+        return self._check_reachable(await self._worker.remove(session, key))
 
-    def _noted(self, answer: Result[WorkerView, Failure]) -> Result[WorkerView, Failure]:
+    def _record_view(self, answer: Result[WorkerView, Failure]) -> Result[WorkerView, Failure]:
         self.healthy = isinstance(answer, Ok)
         if isinstance(answer, Ok):
             self._clock = WorkerClock(answer.ok_value.clock, now())
         return answer
 
-    def _checked(self, answer: Result[T, Failure]) -> Result[T, Failure]:
+    def _check_reachable(self, answer: Result[T, Failure]) -> Result[T, Failure]:
         unreachable = (Code.WORKER_UNAVAILABLE, Code.STORE_CONFLICT)
         if isinstance(answer, Err) and answer.err_value.code in unreachable:
             # A conflict is explained by the next view; until then nothing may be started.
