--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 
 from sapphirelead.agent_context import AgentContext
-from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.agent_task_table import Phase
+from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 
@@ -70,7 +70,9 @@
         return web.Response(body=self._metrics.render(), content_type=CONTENT_TYPE)
 
 
-def register_gauges(metrics: Metrics, context: AgentContext, throttle_manager: ThrottleManager) -> None:
+def register_gauges(
+    metrics: Metrics, context: AgentContext, throttle_manager: ThrottleManager
+) -> None:
     """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
     ledger, task_table = context.ledger, context.task_table
 
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -21,17 +21,17 @@
 from result import Err, Ok
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_http import AgentHttp, register_gauges
 from sapphirelead.agent_links import AgentLinks
+from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_poll import Poller
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.agent_service import ServiceRunner
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_table import TaskOutcome, Phase, StopOrder, Task, TaskTable
+from sapphirelead.agent_task_table import Phase, StopOrder, Task, TaskOutcome, TaskTable
 from sapphirelead.agent_tasks import TaskRunner
+from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -105,7 +105,9 @@
         )
         self._links: Links = make_links(settings, self._sender, self._loops)
         self._config = ConfigHolder(self._sender)
-        self._outcome_reporter = OutcomeReporter(self._sender, self._links, self._context.task_table)
+        self._outcome_reporter = OutcomeReporter(
+            self._sender, self._links, self._context.task_table
+        )
         self._stopper = Stopper(self._context.session, self._work, self._record_outcome)
         self._poller = Poller(self._context, self._links, self._stopper, settings.lease)
         self._throttle_manager = ThrottleManager(self._context, self._config, self._stopper)
@@ -238,7 +240,9 @@
             connections_used=ledger.requests,
             connections=ledger.connections,
             free=Amount.from_resources(ledger.free),
-            tasks=len(self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)),
+            tasks=len(
+                self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING, Phase.STOPPING)
+            ),
             services=self._throttle_manager.services,
             classes=self._throttle_manager.classes,
             **self._sender.head(),
--- a/sapphirelead/agent_outcomes.py
+++ b/sapphirelead/agent_outcomes.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, Task, TaskTable
+from sapphirelead.agent_task_table import Fate, Phase, Task, TaskOutcome, TaskTable
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
 from sapphirelead.wire_messages import Checkpointed, Completed
@@ -52,7 +52,9 @@
     async def round(self) -> None:
         """Send the reports that are due."""
         live = self._links.live()
-        due = [task for task in self._unacknowledged() if now() - task.reported_at >= REPEAT_INTERVAL_S]
+        due = [
+            task for task in self._unacknowledged() if now() - task.reported_at >= REPEAT_INTERVAL_S
+        ]
         for task in due[:MAX_REPORTS_PER_ROUND]:
             if live and task.outcome:
                 self._sent_count += 1
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -21,8 +21,8 @@
 
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
-from sapphirelead.agent_stops import LOST, Stopper, outcome_of, find_task
-from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_stops import LOST, Stopper, find_task, outcome_of
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
--- a/sapphirelead/agent_samples.py
+++ b/sapphirelead/agent_samples.py
@@ -99,7 +99,9 @@
         for info in tasks:
             if is_running_batch(info):
                 task_intensity = self._intensity(info)
-                self.intensities[info.job_class] = self.intensities.get(info.job_class, 0.0) + task_intensity
+                self.intensities[info.job_class] = (
+                    self.intensities.get(info.job_class, 0.0) + task_intensity
+                )
 
     def add_request(self, seconds: float) -> None:
         """Count the time for which a request held its slot."""
@@ -118,7 +120,8 @@
     def _peak(self, name: str, min_duration_s: float) -> float:
         remaining_s = min_duration_s
         for intensity, duration_s in sorted(
-            ((intensities.get(name, 0.0), duration_s) for intensities, duration_s in self.spans), reverse=True
+            ((intensities.get(name, 0.0), duration_s) for intensities, duration_s in self.spans),
+            reverse=True,
         ):
             remaining_s -= duration_s
             if remaining_s <= 0:
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -114,7 +114,7 @@
     _cancelled: set[Attempt]
     _history: AttemptHistory
     _incarnations: set[str]
-    _operations: int
+    _operation_count: int
     _idle: asyncio.Event
 
     def __init__(
@@ -140,7 +140,7 @@
         self._cancelled = set()
         self._history = AttemptHistory()
         self._incarnations = {sender.incarnation}
-        self._operations = 0
+        self._operation_count = 0
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -216,12 +216,12 @@
             self._running.discard(attempt)
 
     def _begin_operation(self) -> None:
-        self._operations += 1
+        self._operation_count += 1
         self._idle.clear()
 
     def _end_operation(self) -> None:
-        self._operations -= 1
-        if self._operations == 0:
+        self._operation_count -= 1
+        if self._operation_count == 0:
             self._idle.set()
 
     def _on_cancel(self, _index: int, cancel: CancelAttempt) -> None:
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -15,7 +15,7 @@
 
 from result import Ok, Result
 
-from sapphirelead.agent_task_table import TaskOutcome, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -40,7 +40,9 @@
     _background: Background
     finish: FinishCallback
 
-    def __init__(self, session: WorkerSession, background: Background, finish: FinishCallback) -> None:
+    def __init__(
+        self, session: WorkerSession, background: Background, finish: FinishCallback
+    ) -> None:
         self._session = session
         self._background = background
         self.finish = finish
@@ -64,7 +66,12 @@
             order = task.order or order
             answer = await self._send_order(task, order)
             outcome = await self._find_outcome(task, order, answer)
-            if outcome and _lacks_checkpoint(outcome) and not order.cancel and outcome.reason != LOST:
+            if (
+                outcome
+                and _lacks_checkpoint(outcome)
+                and not order.cancel
+                and outcome.reason != LOST
+            ):
                 no_checkpoint_since = now() if no_checkpoint_since is None else no_checkpoint_since
                 outcome = outcome if now() - no_checkpoint_since >= CHECKPOINT_TIMEOUT_S else None
             if outcome:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -20,8 +20,8 @@
 
 from result import Err, Ok
 
-from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_context import AgentContext
+from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find_task
 from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -164,7 +164,9 @@
                 self._capped_shares[key] = _usage_cap(charge.declared, charge.measured)
                 log_event("WARNING", "task_capped", job=key, share=self._capped_shares[key])
         tasks = self._context.task_table.tasks
-        self._capped_shares = {key: share for key, share in self._capped_shares.items() if key in tasks}
+        self._capped_shares = {
+            key: share for key, share in self._capped_shares.items() if key in tasks
+        }
 
     async def _adjust(self, task: Task, info: TaskInfo) -> None:
         wanted = min(
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -23,7 +23,7 @@
 
 
 class BareEntry:
-    """Three routers that answer hellos, and acknowledge beats while ``answering``."""
+    """Three routers that answer hellos, and acknowledge beats while ``acknowledging``."""
 
     def __init__(self) -> None:
         self.ctx = make_context()
@@ -31,7 +31,7 @@
         self.sockets = [sock for sock, _ in bound]
         self.ports = [port for _, port in bound]
         self.identities: set[bytes] = set()
-        self.answering = True
+        self.acknowledging = True
         self.incarnation = "e1-a"
         self.tasks = [asyncio.create_task(self._serve(sock)) for sock in self.sockets]
 
@@ -41,7 +41,7 @@
             self.identities.add(identity)
             message = decode(frame).unwrap()
             answer: BeatAck | LaneHello | None = None
-            if isinstance(message, Beat) and self.answering:
+            if isinstance(message, Beat) and self.acknowledging:
                 head = {**ENTRY, "incarnation": self.incarnation}
                 answer = BeatAck(counter=message.counter, committed=0, **head)
             elif isinstance(message, LaneHello):
@@ -56,7 +56,7 @@
         self.ctx.destroy(linger=0)
 
 
-class Beating:
+class HeartbeatingLinks:
     """Links that beat every twentieth of a second."""
 
     def __init__(self, entry: BareEntry) -> None:
@@ -89,53 +89,59 @@
             await asyncio.sleep(LEASE.beat_interval_seconds)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(DEADLINE_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 @pytest.fixture
-async def pair() -> AsyncIterator[tuple[BareEntry, Beating]]:
+async def pair() -> AsyncIterator[tuple[BareEntry, HeartbeatingLinks]]:
     entry = BareEntry()
-    beating = Beating(entry)
-    beating.background.spawn(beating.run(), "beating")
-    yield entry, beating
-    await beating.background.close()
-    await beating.links.close()
+    heartbeating = HeartbeatingLinks(entry)
+    heartbeating.background.spawn(heartbeating.run(), "heartbeating")
+    yield entry, heartbeating
+    await heartbeating.background.close()
+    await heartbeating.links.close()
     await entry.close()
-    assert beating.crashes == []
+    assert heartbeating.crashes == []
 
 
-async def test_three_lanes_under_one_identity(pair: tuple[BareEntry, Beating]) -> None:
-    entry, beating = pair
-    await until(lambda: len(entry.identities) == 3 and beating.links.live() == [0])
+async def test_three_lanes_under_one_identity(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
+    entry, heartbeating = pair
+    await wait_until(lambda: len(entry.identities) == 3 and heartbeating.links.live() == [0])
     assert entry.identities == {f"i1|run1|{lane}|1".encode() for lane in Lane}
 
 
-async def test_a_silent_entry_is_connected_anew(pair: tuple[BareEntry, Beating]) -> None:
+async def test_unresponsive_entry_is_reconnected(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
     """The connection stays open and carries beats, but no acknowledgement comes back."""
-    entry, beating = pair
-    await until(lambda: beating.links.live() == [0])
-    entry.answering = False
-    await until(lambda: b"i1|run1|control|2" in entry.identities)
-    entry.answering = True
-    await until(lambda: beating.links.live() == [0])
+    entry, heartbeating = pair
+    await wait_until(lambda: heartbeating.links.live() == [0])
+    entry.acknowledging = False
+    await wait_until(lambda: b"i1|run1|control|2" in entry.identities)
+    entry.acknowledging = True
+    await wait_until(lambda: heartbeating.links.live() == [0])
 
 
-async def test_a_restarted_entry_is_announced_to(pair: tuple[BareEntry, Beating]) -> None:
+async def test_agent_announces_itself_to_a_restarted_entry(
+    pair: tuple[BareEntry, HeartbeatingLinks],
+) -> None:
     """The entry is replaced at once on the same address: the connection shows no break."""
-    entry, beating = pair
-    await until(lambda: not beating.links.announce_due(0, 1.0))
+    entry, heartbeating = pair
+    await wait_until(lambda: not heartbeating.links.announce_due(0, 1.0))
     entry.incarnation = "e1-b"
-    await until(lambda: beating.links.announce_due(0, 1.0))
-    await until(lambda: not beating.links.announce_due(0, 1.0))
-
-
-async def test_a_new_incarnation_gets_new_connections(pair: tuple[BareEntry, Beating]) -> None:
-    entry, beating = pair
-    await until(lambda: beating.links.live() == [0])
-    beating.sender.incarnation = "run2"
-    beating.links.reopen()
-    assert beating.links.live() == []
-    await until(lambda: b"i1|run2|control|2" in entry.identities and beating.links.live() == [0])
+    await wait_until(lambda: heartbeating.links.announce_due(0, 1.0))
+    await wait_until(lambda: not heartbeating.links.announce_due(0, 1.0))
+
+
+async def test_a_new_incarnation_gets_new_connections(
+    pair: tuple[BareEntry, HeartbeatingLinks],
+) -> None:
+    entry, heartbeating = pair
+    await wait_until(lambda: heartbeating.links.live() == [0])
+    heartbeating.sender.incarnation = "run2"
+    heartbeating.links.reopen()
+    assert heartbeating.links.live() == []
+    await wait_until(
+        lambda: b"i1|run2|control|2" in entry.identities and heartbeating.links.live() == [0]
+    )
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -48,14 +48,16 @@
         pytest.param({}, Code.NO_INSTANCE, ("not_run", "f"), id="target never saw it"),
     ],
 )
-async def test_ends(changes: Any, failure: Code | None, expected: tuple[str, str]) -> None:
+async def test_request_outcomes(
+    changes: Any, failure: Code | None, expected: tuple[str, str]
+) -> None:
     async with Rig() as rig:
         rig.target.failure = Failure(failure, "f") if failure else None
         await rig.send(request(1, **changes))
         assert answers(rig) == [expected]
 
 
-async def test_slots_stay_taken_until_the_target_is_done() -> None:
+async def test_slots_are_held_until_the_target_call_ends() -> None:
     """Callers give up on a slow target and ask again; the target still works on the first ones.
 
     Giving their slots to the repeats would load the target beyond its size.
@@ -84,7 +86,7 @@
 
 
 @pytest.mark.parametrize("repeat", ["request", "fate"])
-async def test_a_lost_answer_is_given_again(repeat: str) -> None:
+async def test_lost_answer_is_resent(repeat: str) -> None:
     async with Rig() as rig:
         await rig.send(request(1, body=b"x" * (BULK_BYTES + 1)))
         again = (
@@ -121,7 +123,7 @@
         assert answers(rig)[1:] == [("done", "")] and rig.agent.stopped.is_set()
 
 
-def test_a_full_memory_no_longer_proves_anything() -> None:
+def test_full_history_is_incomplete() -> None:
     history = AttemptHistory()
     answer = ServiceAnswer(
         request_id="", attempt=1, ran="", status=0, headers={}, body=b"", body_bytes=0, **ENTRY
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -140,7 +140,7 @@
         assert len(rig.links.got(Refused)) == 1 and rig.worker.starts == []
 
 
-async def test_store_outage_holds_tasks_before_the_lease_lapses() -> None:
+async def test_store_outage_checkpoints_tasks_before_the_lease_expires() -> None:
     """The table is down for longer than the lease, so beats are acknowledged but not committed.
 
     The task must be stopped at a checkpoint before the lease can have lapsed, and is reported once
@@ -161,7 +161,7 @@
         assert rig.worker.starts == [("a", 1), ("a", 2)]
 
 
-async def test_worker_lease_ends_with_the_lease() -> None:
+async def test_worker_lease_expires_with_the_agent_lease() -> None:
     """The agent freezes while it holds a task; only the worker's own lease can stop it."""
     async with Rig() as rig:
         await rig.send(start("a"), 5.0)
@@ -171,7 +171,7 @@
         assert rig.worker.running() == set()
 
 
-async def test_fence_drops_everything_and_begins_anew() -> None:
+async def test_fence_stops_all_tasks_and_starts_a_new_incarnation() -> None:
     """An entry has fenced the instance; its jobs may run elsewhere by now."""
     async with Rig() as rig:
         await rig.send(start("a"))
--- a/tests/unit/test_agent_throttle.py
+++ b/tests/unit/test_agent_throttle.py
@@ -5,7 +5,11 @@
 
 import pytest
 
-from sapphirelead.agent_samples import MAX_INTERVALS_PER_REPORT, MIN_REQUESTS_PER_REPORT, LatencyWindow
+from sapphirelead.agent_samples import (
+    MAX_INTERVALS_PER_REPORT,
+    MIN_REQUESTS_PER_REPORT,
+    LatencyWindow,
+)
 from sapphirelead.model_resources import Resources
 from sapphirelead.wire_messages import Beat, Checkpointed, ConfigPush, ServiceRequest
 from tests.unit.agent_fakes import ENTRY, Rig, start
@@ -29,29 +33,29 @@
     )
 
 
-async def serve(rig: Rig, seconds: float, hurt: float) -> None:
+async def serve(rig: Rig, seconds: float, interference: float) -> None:
     """Send forty requests a second to a target that running tasks slow down."""
     for number in range(int(seconds * 40)):
         running = (rig.worker.tasks[key].info for key in rig.worker.running())
-        rig.target.delay_s = 0.02 * (1 + hurt * sum(info.throttle for info in running) / 4)
+        rig.target.delay_s = 0.02 * (1 + interference * sum(info.throttle for info in running) / 4)
         rig.links.deliver(request(f"{asyncio.get_running_loop().time()}.{number}"))
         await asyncio.sleep(0.025)
 
 
 @pytest.mark.parametrize(
-    ("hurt", "share", "evicted"),
+    ("interference", "share", "evicted"),
     [
         pytest.param(0.2, 1.0, False, id="quiet"),
         pytest.param(2.0, 0.5, False, id="throttled"),
         pytest.param(20.0, 0.25, True, id="evicted"),
     ],
 )
-async def test_interference(hurt: float, share: float, evicted: bool) -> None:
+async def test_interference(interference: float, share: float, evicted: bool) -> None:
     async with Rig() as rig:
-        await serve(rig, 20.0, hurt)
+        await serve(rig, 20.0, interference)
         for key in "ab":
             await rig.send(start(key), 0.1)
-        await serve(rig, 40.0, hurt)
+        await serve(rig, 40.0, interference)
         shares = {rig.worker.tasks[key].info.throttle for key in rig.worker.running()}
         assert shares and max(shares) <= share + 0.1 and min(shares) >= min(share, 0.25) - 0.01
         assert bool(rig.links.got(Checkpointed)) == evicted
@@ -90,7 +94,7 @@
         assert rig.links.got(Beat)[-1].config_version == 2
 
 
-async def test_few_requests_are_gathered_over_several_intervals() -> None:
+async def test_few_requests_are_accumulated_over_several_intervals() -> None:
     window = LatencyWindow("check")
     reports = []
     for number in range(2 * MAX_INTERVALS_PER_REPORT):
@@ -102,7 +106,7 @@
     assert window.report(99.0) is not None
 
 
-async def test_few_slow_answers_release_nothing() -> None:
+async def test_few_slow_answers_keep_the_throttle() -> None:
     """Batch slows a target so much that too few answers come for a report in each interval.
 
     Taking that for calm would release the batch, slow the target again, and so on for ever.
@@ -111,27 +115,27 @@
         await serve(rig, 20.0, 4.0)
         await rig.send(start("a"), 0.1)
         await serve(rig, 10.0, 4.0)
-        held = rig.worker.tasks["a"].info.throttle
-        assert held < 1.0
+        initial_share = rig.worker.tasks["a"].info.throttle
+        assert initial_share < 1.0
         for number in range(10):
             rig.target.delay_s = 0.2
             rig.links.deliver(request(f"few-{number}"))
             await asyncio.sleep(0.9)
-            assert rig.worker.tasks["a"].info.throttle <= held
+            assert rig.worker.tasks["a"].info.throttle <= initial_share
 
 
-async def test_a_slowdown_that_nobody_is_blamed_for_is_logged(
+async def test_unattributed_slowdown_is_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a service that is slow while its agent says nothing of what it saw."""
     lines: list[dict[str, Any]] = []
 
-    def note(_level: str, event: str, /, **fields: Any) -> None:
+    def record(_level: str, event: str, /, **fields: Any) -> None:
         lines.append({"event": event, **fields})
 
     async with Rig() as rig:
         await serve(rig, 20.0, 0.0)
-        monkeypatch.setattr("sapphirelead.agent_throttle.log_event", note)
+        monkeypatch.setattr("sapphirelead.agent_throttle.log_event", record)
         await serve(rig, 4.0, 0.0)
         assert not lines
         for number in range(80):
@@ -141,21 +145,26 @@
         await asyncio.sleep(2.0)
     line, *_ = lines
     assert (line["event"], line["suspect"], line["running"]) == ("slowdown_unblamed", "-", 0)
-    assert line["tail_ms"] > 5 * 20 > line["usual_ms"] and line["requests"] >= MIN_REQUESTS_PER_REPORT
+    assert (
+        line["tail_ms"] > 5 * 20 > line["usual_ms"] and line["requests"] >= MIN_REQUESTS_PER_REPORT
+    )
 
 
-async def test_noise_that_leaves_few_answers_is_held_back_within_the_intervals_gathered() -> None:
+async def test_batch_is_throttled_in_time_when_answers_are_few() -> None:
     """Guards against batch that slows a service so much that its agent decides too late."""
     lag_s = 0.5
     async with Rig() as rig:
         await rig.send(push(2, {"interference": {"report_lag_seconds": lag_s}}))
         await serve(rig, 20.0, 0.0)
         await rig.send(start("a"), 0.1)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         number = 0
         while rig.worker.tasks["a"].info.throttle >= 1.0:
             rig.target.delay_s = 0.2
             rig.links.deliver(request(f"few{number}"))
             number += 1
             await asyncio.sleep(0.125)
-            assert asyncio.get_running_loop().time() - began <= (MAX_INTERVALS_PER_REPORT + 1) * lag_s + 0.5
+            assert (
+                asyncio.get_running_loop().time() - started_at
+                <= (MAX_INTERVALS_PER_REPORT + 1) * lag_s + 0.5
+            )
