--- a/sapphirelead/agent_config.py
+++ b/sapphirelead/agent_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as an agent holds it: the highest version it was ever sent."""
+"""Holds the highest version of the operators' configuration that the agent has received."""
 
 from result import Err, Ok
 
@@ -9,7 +9,7 @@
 
 
 class ConfigHolder:
-    """Keeps the highest version seen; a lower one that arrives late changes nothing."""
+    """Keeps the highest version received and ignores lower ones that arrive late."""
 
     _sender: Sender
     current: Config
@@ -19,7 +19,7 @@
         self.current = EMPTY
 
     def register(self, links: Links) -> None:
-        """Take pushes from the links."""
+        """Subscribe to configuration pushes on ``links``."""
         links.on(ConfigPush, self._on_push)
 
     def _on_push(self, _index: int, push: ConfigPush) -> None:
--- a/sapphirelead/agent_context.py
+++ b/sapphirelead/agent_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent that handle tasks share."""
+"""State shared by the components of an agent that handle tasks."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,10 @@
 
 @dataclass(slots=True)
 class AgentContext:
-    """The state of one agent, used only from the agent's loop.
+    """The state of one agent; not thread-safe, used only from the agent's event loop.
 
-    :ivar lease: the lease of the present incarnation; replaced with it.
-    :ivar ready: whether the worker's tasks have been charged since its session was opened.
+    :ivar lease: the lease of the current incarnation; replaced when the incarnation changes.
+    :ivar ready: whether the worker's tasks have been charged to the ledger in this session.
     """
 
     sender: Sender
--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -1,7 +1,8 @@
-"""The HTTP side of an agent or a runner for the platform's probes and for metrics, on loopback.
+"""HTTP server for probes and metrics of an agent or a runner, on the loopback interface.
 
-``/healthz`` answers while the loop runs, ``/readyz`` while it admits work, ``/metrics`` in
-the Prometheus text format.  Nothing is listened on where ``http_port`` is 0.
+``/healthz`` returns 200 while the event loop runs.  ``/readyz`` returns 200 while the process
+admits work, 503 otherwise.  ``/metrics`` uses the Prometheus text format.  The server is disabled
+if ``http_port`` is 0.
 """
 
 from collections.abc import Callable
@@ -22,7 +23,7 @@
 class AgentHttp:
     """Serves probes and metrics of one process.
 
-    :ivar port: bound port, 0 where nothing is listened on.
+    :ivar port: bound port, 0 if the server is disabled.
     """
 
     _ready: Callable[[], bool]
@@ -37,7 +38,7 @@
         self.port = 0
 
     async def start(self, port: int) -> None:
-        """Listen on ``port`` unless it is 0."""
+        """Listen on ``port``; do nothing if it is 0."""
         if port == 0:
             return
         app = web.Application()
@@ -55,7 +56,7 @@
         self.port = port
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop the server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -73,7 +74,7 @@
 def register_gauges(
     metrics: Metrics, context: AgentContext, throttle_manager: ThrottleManager
 ) -> None:
-    """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
+    """Register the agent's gauges, which docs/OPERATIONS.md describes."""
     ledger, task_table = context.ledger, context.task_table
 
     def lease_left_s() -> float:
--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -1,17 +1,13 @@
 """The agent's connections: three lanes to each entry in its settings.
 
-Algorithm.  Each entry has one :class:`EntryLink` with a dealer for each lane.  The identity of a
-dealer is ``instance|incarnation|lane|number``; the number grows with every new connection, so that
-the entry tells the newest from those that it may still hold.
-
-A link is *silent* when nothing has come over one of its lanes for ``silence_seconds``: the entry
-acknowledges every beat on the control lane and answers every hello on the others.  The failure:
-something between the two ends has lost track of a connection, which stays open and carries
-nothing, while new connections work.  It shows as missing acknowledgements only.  A silent link is
-closed and opened anew under the next number, and the agent announces itself again.
-
-Invariant: acknowledgements carry no incarnation, so no socket outlives the incarnation in its
-identity; a late acknowledgement of an earlier incarnation has no socket left to arrive on.
+Each :class:`EntryLink` has one ZeroMQ dealer per lane, with the identity
+``instance|incarnation|lane|number``.  The number grows with each connection, so that the entry can
+tell the newest one.  The entry acknowledges each heartbeat on the control lane and each hello on
+the others; a link that received nothing over one lane for ``silence_seconds`` is reconnected.  This
+detects connections that stay open but carry no data.
+
+Invariant: no socket outlives the incarnation in its identity.  Acknowledgements do not name the
+agent's incarnation, so a late one must not reach the next incarnation.
 """
 
 import asyncio
@@ -77,30 +73,32 @@
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the entry has lately acknowledged a beat over the present connection."""
+        """Whether the current connection carried a heartbeat acknowledgement within the timeout."""
         return now() - self._acked_at <= self._timeout_s
 
     @property
     def routed(self) -> bool:
-        """Whether something has come over every lane of the present connection."""
+        """Whether something was received over every lane of the current connection."""
         return len(self._active_lanes) == len(Lane)
 
     def announce_due(self, ack_timeout_s: float) -> bool:
-        """Return whether the entry may not know this agent, having left beats unanswered."""
+        """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
         return now() - self._acked_at > ack_timeout_s
 
     def record_ack(self, peer_incarnation: str) -> None:
-        """Note an acknowledged beat.
+        """Record an acknowledged heartbeat.
 
-        A restarted entry takes the connection over without a visible break, and knows nothing of
-        the agent; it shows as another incarnation in the acknowledgement.
+        If the entry's incarnation has changed, it was restarted and does not know the agent, so the
+        acknowledgement is discarded and the agent announces itself again.
+
+        :param peer_incarnation: the entry's incarnation, named in the acknowledgement.
         """
         known = self._peer_incarnation in ("", peer_incarnation)
         self._peer_incarnation = peer_incarnation
         self._acked_at = now() if known else _NEVER
 
     def open(self) -> dict[Lane, zmq.asyncio.Socket]:
-        """Connect every lane under the next number and return the sockets to receive from."""
+        """Connect every lane under the next connection number and return the sockets."""
         self._connection_number += 1
         self._acked_at = _NEVER
         self._peer_incarnation = ""
@@ -111,26 +109,26 @@
         return dict(self._sockets)
 
     def close(self, linger_ms: int = 0) -> None:
-        """Close every lane, giving queued messages ``linger_ms`` to leave."""
+        """Close every lane; queued messages are sent for up to ``linger_ms``."""
         for sock in self._sockets.values():
             sock.close(linger=linger_ms)
         self._sockets.clear()
 
     def record_received(self, lane: Lane) -> None:
-        """Note that something came over ``lane``."""
+        """Record that something was received over ``lane``."""
         self._received_at[lane] = now()
         self._active_lanes.add(lane)
 
     def timed_out(self) -> bool:
-        """Return whether one lane has carried nothing for too long."""
+        """Return whether nothing was received over one of the lanes within the timeout."""
         return min(self._received_at.values()) + self._timeout_s < now()
 
     def reset_timeouts(self) -> None:
-        """Start the silence of every lane anew."""
+        """Restart the timeout of every lane."""
         self._received_at = dict.fromkeys(self._received_at, now())
 
     async def send(self, lane: Lane, message: AnyMessage) -> bool:
-        """Send over ``lane``; ``False`` means proven not sent."""
+        """Send over ``lane``; ``False`` means that the message was certainly not sent."""
         sock = self._sockets.get(lane)
         return sock is not None and await send(sock, message)
 
@@ -182,19 +180,19 @@
 
     @property
     def indexes(self) -> range:
-        """Numbers of the links, in the order of the settings."""
+        """Indexes of the links, in the order of the settings."""
         return range(len(self._links))
 
     def on(self, kind: type[AnyMessage], handler: Handler) -> None:
-        """Call ``handler`` with the link's number and each message of ``kind``."""
+        """Call ``handler`` with the link's index for each message of ``kind``."""
         self._handlers[kind] = handler
 
     def announce_due(self, index: int, ack_timeout_s: float) -> bool:
-        """Return whether the entry has left beats of the last ``ack_timeout_s`` unanswered."""
+        """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
         return self._links[index].announce_due(ack_timeout_s)
 
     def live(self) -> list[int]:
-        """Return links over which the entry acknowledged a beat."""
+        """Return the indexes of links whose entry acknowledged a heartbeat within the timeout."""
         return [index for index in self.indexes if self._links[index].acknowledged]
 
     def open(self) -> None:
@@ -205,30 +203,30 @@
         self._background.spawn(self._send_hellos(), "lane-hello")
 
     def reopen(self) -> None:
-        """Connect anew everywhere, under the sender's new incarnation."""
+        """Reconnect every link under the sender's new incarnation."""
         for index in self.indexes:
             self._reopen(index)
 
     async def close(self) -> None:
-        """Close all links after what was queued has left."""
+        """Close all links; queued messages are sent for up to ``LINGER_MS``."""
         for link in self._links:
             link.close(LINGER_MS)
         await asyncio.to_thread(self._ctx.term)
 
     async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
-        """Send to one entry; ``False`` means proven not sent."""
+        """Send to one entry; ``False`` means that the message was certainly not sent."""
         return await self._links[index].send(lane, message)
 
     async def broadcast(self, message: AnyMessage) -> None:
-        """Send to the control lane of every entry that acknowledged a beat."""
+        """Send over the control lane of every live link."""
         for index in self.live():
             await self._links[index].send(Lane.CONTROL, message)
 
     def reconnect_unresponsive(self) -> None:
-        """Connect anew to entries that have gone silent.
+        """Reconnect the links that have timed out.
 
-        After a pause of this process nothing was received because nothing was read: every link
-        gets a fresh period of silence, or a resumed agent would drop connections that work.
+        If this process was suspended since the last check, the timeouts are restarted instead:
+        nothing was received because nothing was read.
         """
         paused = now() - self._checked_at > self._max_check_gap_s
         self._checked_at = now()
@@ -256,8 +254,8 @@
     async def _receive(self, index: int, lane: Lane, sock: zmq.asyncio.Socket) -> None:
         """Receive from one socket until it is closed.
 
-        Control is taken in batches with a short pause after each, so that a burst of it costs few
-        wake-ups; requests are taken one at a time, as they come.
+        Control messages are received in batches with a short delay in between, which bounds the
+        wake-ups during a burst; messages on other lanes are handled as they arrive.
         """
         while True:
             frames = [await sock.recv()]
@@ -290,7 +288,7 @@
             await asyncio.sleep(self._hello_interval())
 
     def _hello_interval(self) -> float:
-        # An entry that has not answered over a lane may know no route for requests yet.
+        # An entry may have no route to this agent over a lane that it has not replied on.
         unrouted = any(not link.routed for link in self._links)
         return self._timeout_s / (UNROUTED_HELLOS_PER_TIMEOUT if unrouted else 2)
 
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -1,13 +1,10 @@
-"""The agent: one process beside each target, the only owner of its instance's capacity.
+"""The agent: one process next to each target, the sole owner of its instance's capacity.
 
-Start: take the worker over, list and charge what it runs, then connect, announce and beat.  Nothing
-is admitted before the list is charged.
-
-Fence: an entry says that this incarnation was fenced.  Every task is stopped and dropped, and the
-agent goes on under a new incarnation, a new session and new connections.
-
-Leave (SIGTERM, or the operators' drain): announce it at once, refuse what comes as not run, let
-requests in progress finish, checkpoint tasks, wait for their ends to be committed, then exit.
+On start it opens a worker session and charges the running tasks to the ledger before it connects
+to the entries and admits work.  When an entry reports that the incarnation was fenced, it stops all
+tasks and continues under a new incarnation, session and connections.  On SIGTERM or a drain message
+it refuses new work, finishes requests in progress, checkpoints tasks, waits until their outcomes
+are committed, and exits.
 """
 
 import asyncio
@@ -56,10 +53,10 @@
 
 
 class Agent:
-    """One agent.
+    """Wires the components of one agent and runs its lifecycle.
 
-    :ivar stopped: set when the agent has left, for whatever reason.
-    :ivar failure: why it had to stop, or empty.
+    :ivar stopped: set when the agent has drained, failed or been stopped.
+    :ivar failure: the reason for a failure, or an empty string.
     """
 
     _settings: AgentSettings
@@ -137,16 +134,16 @@
     def from_settings(
         cls, settings: AgentSettings, worker: Worker, target: Target, keys: Keys | None = None
     ) -> "Agent":
-        """Build the agent that ``settings`` describe, with protected links where there are keys."""
+        """Build the agent described by ``settings``; ``keys``, if any, secure its links."""
         return cls(settings, worker, target, partial(AgentLinks, keys=keys))
 
     @property
     def incarnation(self) -> str:
-        """The present run, as entries know it."""
+        """The identifier of the current incarnation."""
         return self._sender.incarnation
 
     async def start(self) -> None:
-        """Take the worker over, then connect and serve."""
+        """Start the agent's loops; the worker is taken over in the background."""
         self._links.on(BeatAck, self._on_beat_ack)
         self._links.on(Drain, self._on_drain)
         self._config.register(self._links)
@@ -156,12 +153,12 @@
         self._loops.spawn(self._run(), "agent")
 
     def drain(self) -> None:
-        """Begin to leave; :attr:`stopped` is set when that is done."""
+        """Start draining; :attr:`stopped` is set when it is complete."""
         if self._draining is None:
             self._draining = self._loops.spawn(self._drain_and_stop(), "drain")
 
     async def stop(self) -> None:
-        """Stop at once: what runs at the worker is left to its leases."""
+        """Stop without draining; tasks at the worker run until their leases expire."""
         await self._work.close()
         await self._loops.close()
         await self._http.stop()
@@ -178,7 +175,7 @@
         await self._run_heartbeats()
 
     async def _take_over(self) -> None:
-        """Open a session and charge what the worker runs, before anything is admitted."""
+        """Open a session and charge the worker's tasks to the ledger before work is admitted."""
         view = await self._open_session(self.incarnation)
         for info in _newest_records(view):
             self._runner.adopt(info)
@@ -208,7 +205,7 @@
 
     async def _send_heartbeat(self) -> None:
         ack_timeout_s = 2 * self._settings.lease.beat_interval_seconds
-        # Noted before anything is sent: the lease counts from here.
+        # The lease is counted from this time, so it is recorded before anything is sent.
         heartbeat = self._make_heartbeat(self._context.lease.next_beat(now()))
         for index in self._links.indexes:
             if self._links.announce_due(index, ack_timeout_s):
@@ -256,7 +253,7 @@
             self._loops.spawn(self._restart_incarnation(), "fenced")
 
     async def _restart_incarnation(self) -> None:
-        """Drop everything of the fenced incarnation and go on as a new one."""
+        """Stop all work of the fenced incarnation and continue under a new one."""
         log_event("WARNING", "agent_fenced", incarnation=self.incarnation)
         context = self._context
         context.ready = False
@@ -266,8 +263,8 @@
         await self._clear_worker(incarnation)
         for task in context.task_table.clear():
             context.ledger.release(task.key)
-        # Together with the connections, never before: until then beats carry the name that the
-        # identity of their socket carries.
+        # Changed together with the connections: messages must carry the same incarnation as the
+        # identity of their socket.
         self._sender.incarnation = incarnation
         self._service.add_incarnation()
         self._links.reopen()
@@ -275,7 +272,7 @@
         self._fencing = False
 
     async def _clear_worker(self, incarnation: str) -> None:
-        """Stop and remove every task at the worker, until its own list is empty."""
+        """Stop and remove tasks at the worker until it lists none."""
         view = await self._open_session(incarnation)
         while view.tasks:
             for info in view.tasks:
@@ -291,7 +288,7 @@
         self.metrics.latency("agent_target_latency_ms", seconds * 1000, service=service)
 
     def _record_outcome(self, task: Task, outcome: TaskOutcome) -> None:
-        """Note the end of a task and report it."""
+        """Record the outcome of a task and wake the reporter."""
         if task.outcome or self._context.task_table.get(task.key, task.epoch) is not task:
             return
         task.phase = Phase.ENDED
@@ -321,14 +318,14 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.drain_seconds):
                 await self._evacuate()
-        # Not bounded here: each call to the target ends within its own timeout, and a planned stop
-        # cuts none.
+        # Not bounded here: each call to the target ends within its own timeout, and draining must
+        # not abort any.
         await self._service.idle()
         log_event("INFO", "agent_left", tasks_left=len(self._context.task_table.tasks))
         self.stopped.set()
 
     async def _evacuate(self) -> None:
-        """Checkpoint every task and wait until every end is committed."""
+        """Checkpoint every task and wait until every outcome is committed."""
         order = StopOrder(cancel=False, reason="draining")
         while self._context.task_table.tasks:
             for task in self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING):
@@ -336,7 +333,7 @@
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def _replaced(self) -> None:
-        """Stop, because another agent has taken the worker over."""
+        """Fail because another agent has opened a session with the worker."""
         self._fail("another agent has taken the worker over")
 
     def _crashed(self, exc: BaseException) -> None:
@@ -351,7 +348,7 @@
 
 
 async def run_agent(settings: AgentSettings) -> int:
-    """Run one agent until it has left; return the exit code."""
+    """Run one agent until it has stopped; return the exit code."""
     keys = read_keys(settings.security.keys_file)
     if isinstance(keys, Err):
         log_event("ERROR", "agent_failed", instance=settings.id, reason=str(keys.err_value))
@@ -375,7 +372,7 @@
 
 
 def _newest_records(view: WorkerView) -> list[TaskInfo]:
-    """Return for each task the record that runs, or else that of the highest epoch."""
+    """Return one record per task: the running one, else the one with the highest epoch."""
     newest: dict[str, TaskInfo] = {}
     for info in sorted(view.tasks, key=lambda i: (i.state is TaskState.RUNNING, i.epoch)):
         newest[info.task_id] = info
--- a/sapphirelead/agent_outcomes.py
+++ b/sapphirelead/agent_outcomes.py
@@ -1,7 +1,7 @@
-"""Reports of the ends of tasks, repeated until an entry has committed them.
+"""Reports the outcomes of ended tasks, and repeats them until an entry has committed them.
 
-Each end goes to one live entry at a time, in turn, so that an entry that lives but cannot reach the
-table does not hold it up.
+Each report goes to one live entry, chosen round-robin, so that an entry that is live but cannot
+reach the table does not block it.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class OutcomeReporter:
-    """Sends and repeats ends."""
+    """Sends the outcomes of ended tasks and repeats those that are not acknowledged."""
 
     _sender: Sender
     _links: Links
@@ -35,7 +35,7 @@
         self._wake = asyncio.Event()
 
     def wake(self) -> None:
-        """Report a new end at once."""
+        """Send the reports that are due without waiting for the next round."""
         self._wake.set()
 
     async def run(self) -> None:
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -1,16 +1,12 @@
-"""The agent's regular rounds over the worker's tasks: what changed, and whose lease to renew.
+"""Periodic polls of the worker's tasks and renewals of their leases.
 
-Poll: compares the worker's list with the records.  Ends are noted, measured use goes to the ledger,
-new events of watches go to every entry, and tasks at the worker that nobody here knows are stopped
-and removed.
+A poll compares the worker's list with the task table: it records outcomes and measured usage,
+forwards new watch events to the entries, and stops and removes tasks that are not in the table.
 
-Lease round: while the lease may be acted on, the worker's leases of confirmed tasks are moved up to
-it.  Near its end every task is stopped at a checkpoint.  If the lease comes back without a fence,
-the entry commits those checkpoints and the jobs are queued again; a held task is never resumed here
-on the agent's own judgement.
-
-An adopted task whose claim is not moved to this incarnation in time is checkpointed too: the run
-that the claim names may be fenced, and its job started elsewhere, while the task still runs here.
+A lease round extends the worker's leases of confirmed tasks up to the agent's lease.  When that
+lease is about to expire, every running task is stopped at a checkpoint and never resumed by the
+agent itself.  An adopted task whose claim is not confirmed in time is checkpointed as well, because
+its job may have been started elsewhere.
 """
 
 import asyncio
@@ -39,9 +35,9 @@
 
 
 class Poller:
-    """Runs both rounds.
+    """Runs the polls and the lease rounds.
 
-    :ivar on_view: called with each view after the records have been brought up to date.
+    :ivar on_view: called with each view of the worker after the task table has been updated.
     """
 
     _context: AgentContext
@@ -62,7 +58,7 @@
         self.on_view = _ignore
 
     def wake(self) -> None:
-        """Poll soon, because a task has started."""
+        """End an idle wait, because a task has started."""
         self._wake.set()
 
     async def run(self) -> None:
@@ -82,20 +78,20 @@
                 continue
 
     async def run_leases(self) -> None:
-        """Renew or hold until cancelled."""
+        """Run lease rounds until cancelled."""
         while True:
             await self.lease_round()
             await asyncio.sleep(self._lease_s / ROUNDS_PER_LEASE)
 
     async def poll(self) -> None:
-        """Bring the records up to date with the worker."""
+        """Update the task table from the worker's list of tasks."""
         requested_at = now()
         viewed = await self._context.session.view()
         if not isinstance(viewed, Ok) or not self._context.ready:
             return
         view = viewed.ok_value
         for task in self._context.task_table.in_phase(Phase.RUNNING):
-            # A task that started after the question may be missing from the answer.
+            # A task that started after the request was sent may be missing from the view.
             if task.since < requested_at:
                 await self._update(task, find_task(view.tasks, task))
         for info in view.tasks:
@@ -104,7 +100,7 @@
         await self.on_view(view)
 
     async def lease_round(self) -> None:
-        """Renew the worker's leases, or hold the tasks where the lease runs out."""
+        """Renew the worker's leases, or checkpoint the tasks if the agent's lease is expiring."""
         at = now()
         lease = self._context.lease
         running = self._context.task_table.in_phase(Phase.RUNNING)
@@ -116,7 +112,7 @@
                 self._stopper.order(task, StopOrder(cancel=False, reason="lease"))
         if not lease.may_act(at):
             return
-        # A task that is being stopped keeps its lease: the worker must not cut the checkpoint.
+        # Leases of stopping tasks are renewed too, so that the worker can finish the checkpoint.
         held = self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING)
         until = self._context.session.lease_until(lease.deadline)
         leases = {task.key: until for task in held if task.confirmed}
@@ -133,7 +129,7 @@
         if outcome is None:
             return
         if outcome.fate is Fate.STOPPED and not outcome.checkpoint:
-            # Its lease passed at the worker, or a checkpoint is still being written.
+            # Its lease expired at the worker, or the checkpoint is still being written.
             self._stopper.order(task, StopOrder(cancel=False, reason=outcome.reason))
         else:
             self._stopper.finish(task, outcome)
--- a/sapphirelead/agent_ports.py
+++ b/sapphirelead/agent_ports.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent share: the head of its messages, and the links to entries."""
+"""Interfaces shared by the components of an agent: message headers and links to entries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class Sender:
-    """The head of every message this agent sends.
+    """The header of every message that this agent sends.
 
-    :ivar config_version: version of the operators' configuration that the agent decides by.
+    :ivar config_version: version of the operators' configuration in force at the agent.
     """
 
     instance: str
@@ -32,35 +32,35 @@
 
 
 class Links(Protocol):
-    """Connections to the entries, each named by its place in the settings."""
+    """Connections to the entries, each identified by its index in the settings."""
 
     @property
     def indexes(self) -> range:
-        """Numbers of all links."""
+        """Indexes of all links."""
 
     def on(self, kind: type[AnyMessage], handler: Handler) -> None:
-        """Call ``handler`` with the link's number and each message of ``kind``."""
+        """Call ``handler`` with the link's index for each message of ``kind``."""
 
     def live(self) -> list[int]:
-        """Return links over which the entry lately acknowledged a beat."""
+        """Return the indexes of links whose entry recently acknowledged a heartbeat."""
 
     def announce_due(self, index: int, ack_timeout_s: float) -> bool:
-        """Return whether the entry has left beats of the last ``ack_timeout_s`` unanswered."""
+        """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
 
     def open(self) -> None:
         """Connect to every entry."""
 
     def reopen(self) -> None:
-        """Connect anew everywhere, under the sender's new incarnation."""
+        """Reconnect every link under the sender's new incarnation."""
 
     def reconnect_unresponsive(self) -> None:
-        """Connect anew to entries that have gone silent."""
+        """Reconnect the links that have timed out."""
 
     async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
-        """Send to one entry; ``False`` means proven not sent."""
+        """Send to one entry; ``False`` means that the message was certainly not sent."""
 
     async def broadcast(self, message: AnyMessage) -> None:
-        """Send to the control lane of every live entry."""
+        """Send over the control lane of every live link."""
 
     async def close(self) -> None:
-        """Close all links after what was queued has left."""
+        """Close all links after sending the queued messages."""
--- a/sapphirelead/agent_samples.py
+++ b/sapphirelead/agent_samples.py
@@ -1,4 +1,4 @@
-"""What an agent measures over one report interval: latency by service, use by job class."""
+"""Measurements over a report interval: latency by service and CPU usage by job class."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -26,8 +26,8 @@
 class LatencyWindow:
     """Latencies of one service since the last report.
 
-    An interval with few requests says little about the tail; its requests are counted into the next
-    one, for up to ``MAX_INTERVALS_PER_REPORT``.
+    An interval with fewer than ``MIN_REQUESTS_PER_REPORT`` requests is merged with the next one, up
+    to ``MAX_INTERVALS_PER_REPORT``, because the tail of few samples is unreliable.
     """
 
     service: str
@@ -39,7 +39,7 @@
     since: float = field(default_factory=now)
 
     def add(self, seconds: float, ok: bool) -> None:
-        """Count one answer."""
+        """Record the latency of one response."""
         self.histogram.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, int(seconds * 1e6))))
         self.errors += 0 if ok else 1
 
@@ -49,7 +49,7 @@
         return int(self.histogram.get_total_count())
 
     def sample(self) -> ServiceSample:
-        """Return the window as beats carry it."""
+        """Return the window in the form sent with heartbeats."""
         return ServiceSample(
             service=self.service,
             count=self.histogram.get_total_count(),
@@ -59,7 +59,7 @@
         )
 
     def report(self, at: float) -> ServiceReport | None:
-        """Close an interval; return the report once the window holds enough, and clear it."""
+        """Close an interval; return the report and clear the window if it is complete."""
         self.intervals += 1
         count = self.histogram.get_total_count()
         if count < MIN_REQUESTS_PER_REPORT and self.intervals < MAX_INTERVALS_PER_REPORT:
@@ -77,11 +77,11 @@
 
 @dataclass(slots=True)
 class UsageWindow:
-    """Intensity of each job class and mean occupancy of the slots, since the last report.
+    """Peak intensity of each job class and mean slot occupancy since the last report.
 
-    The report beside it holds a tail, and a tail shows the worst part of an interval.  So the
-    intensity of a class is the one that it reached for at least ``PEAK_TIME_SHARE`` of the time.  With
-    the mean, a wave that began in mid-interval was taken for twice as harmful as it is.
+    The intensity of a class is its CPU usage as a share of the instance's capacity.  The peak is
+    the level reached for at least ``PEAK_TIME_SHARE`` of the window.  Peaks are used because they
+    are compared with tail latencies, which also reflect the worst part of an interval.
     """
 
     capacity: Resources
@@ -93,7 +93,7 @@
     updated_at: float = float("-inf")
 
     def add(self, tasks: tuple[TaskInfo, ...], at: float) -> None:
-        """Take a view of the worker."""
+        """Record a view of the worker."""
         self._close_span(at)
         self.intensities = {}
         for info in tasks:
@@ -104,11 +104,11 @@
                 )
 
     def add_request(self, seconds: float) -> None:
-        """Count the time for which a request held its slot."""
+        """Record the time for which a request held its slot."""
         self.busy_s += seconds
 
     def close(self, at: float) -> tuple[dict[str, float], float]:
-        """Return both and begin the next window."""
+        """Return the peak intensities and the occupancy, and start the next window."""
         self._close_span(at)
         elapsed = max(at - self.opened_at, MIN_ELAPSED_S)
         names = {name for intensities, _ in self.spans for name in intensities}
@@ -135,18 +135,18 @@
         self.updated_at = at
 
     def _intensity(self, info: TaskInfo) -> float:
-        # Measured use lags; until it comes the declaration stands for it.
+        # Measured usage lags behind; use the declared size until it catches up.
         used = max(info.resources.cpu_millicores, info.usage.cpu_millicores)
         return used * info.throttle / max(1, self.capacity.cpu_millicores)
 
 
 def is_running_batch(info: TaskInfo) -> bool:
-    """Return whether the worker runs ``info`` and it may be throttled."""
+    """Return whether ``info`` is a running batch task."""
     return info.state is TaskState.RUNNING and info.kind == Kind.BATCH
 
 
 def class_samples(tasks: tuple[TaskInfo, ...]) -> list[ClassSample]:
-    """Return running tasks by class, as beats carry them."""
+    """Return the running tasks by class in the form sent with heartbeats."""
     samples: dict[str, ClassSample] = {}
     for info in tasks:
         if info.state is TaskState.RUNNING:
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -1,17 +1,12 @@
-"""Service requests on an instance: admit at once or refuse at once, call the target, answer.
+"""Runs service requests on an instance: admits or refuses, calls the target, and replies.
 
-Algorithm.  A request takes a slot and a connection in the ledger, or it is refused as ``not_run``;
-nothing waits here.  The target is called with the time the caller has left.  When that time is
-over the attempt is answered as ``unknown``, but its slot stays taken until the call has ended: the
-target may still be working on it, and giving the slot to the next request would load the target
-beyond its size.
+A request takes a slot in the ledger or is refused as ``not_run``; nothing is queued.  When the
+caller's budget is exhausted the attempt is answered as ``unknown``, but its slot is held until the
+call ends, so that the target is never loaded beyond its size.
 
-Invariants:
-
-- ``not_run`` is said only of an attempt that the target never saw, and an attempt of which it was
-  said never reaches the target afterwards (its number is remembered).
-- Each attempt has one end.  It is remembered for a bounded time, so that an entry whose connection
-  was lost can ask for it; a request that arrives twice runs once.
+Invariants: ``not_run`` is reported only for attempts that have not reached the target and never
+will.  Each attempt has one outcome, remembered for a bounded time: repeated requests run once, and
+an entry that lost its connection can query the outcome.
 """
 
 import asyncio
@@ -51,11 +46,10 @@
 
 
 class AttemptHistory:
-    """Ends of attempts, remembered within bounds.
+    """Bounded history of completed attempts.
 
-    Whole answers are kept for a short time, bare attempt numbers for much longer.  Where even a
-    number had to go early, :meth:`complete` says so: "I do not know that attempt" is then no proof
-    that it never arrived.
+    Answers are cached for a short time, attempt numbers for longer.  While :meth:`complete` is
+    false, numbers were evicted early and an unknown attempt may have run.
     """
 
     _answers: OrderedDict[Attempt, ServiceAnswer]
@@ -70,19 +64,19 @@
         self._evicted_at = float("-inf")
 
     def answer(self, attempt: Attempt) -> ServiceAnswer | None:
-        """Return the whole answer of ``attempt`` if it is still kept."""
+        """Return the answer of ``attempt`` if it is still cached."""
         return self._answers.get(attempt)
 
     def seen(self, attempt: Attempt) -> bool:
-        """Return whether ``attempt`` is known to have ended."""
+        """Return whether ``attempt`` is known to have completed."""
         return attempt in self._seen
 
     def complete(self, at: float) -> bool:
-        """Return whether every attempt of the last ``SEEN_RETENTION_S`` is remembered."""
+        """Return whether no attempt was evicted early within the last ``SEEN_RETENTION_S``."""
         return at - self._evicted_at > SEEN_RETENTION_S
 
     def add(self, attempt: Attempt, answer: ServiceAnswer, at: float) -> None:
-        """Remember the end of ``attempt``."""
+        """Record the answer of a completed ``attempt``."""
         self._seen[attempt] = at
         self._answers[attempt] = answer
         self._answer_bytes += len(answer.body)
@@ -98,7 +92,7 @@
 class ServiceRunner:
     """Runs the service requests of one instance.
 
-    :ivar draining: refuse whatever comes.
+    :ivar draining: whether all new requests are refused.
     """
 
     _services: frozenset[str]
@@ -145,17 +139,17 @@
         self._idle.set()
 
     def register(self) -> None:
-        """Take the messages of service requests from the links."""
+        """Subscribe to the messages about service requests."""
         self._links.on(ServiceRequest, self._on_request)
         self._links.on(AttemptFate, self._on_fate)
         self._links.on(CancelAttempt, self._on_cancel)
 
     def add_incarnation(self) -> None:
-        """Note that this process goes on under the sender's new incarnation."""
+        """Record the sender's new incarnation as one of this process."""
         self._incarnations.add(self._sender.incarnation)
 
     async def idle(self) -> None:
-        """Wait until no call to the target is in progress and every answer has left."""
+        """Wait until no call to the target and no reply is in progress."""
         await self._idle.wait()
 
     def _on_request(self, index: int, req: ServiceRequest) -> None:
@@ -186,9 +180,7 @@
     async def _run(self, index: int, attempt: Attempt, req: ServiceRequest) -> None:
         try:
             outcome = await self._call(index, attempt, req)
-            # The slot is free again before the answer tells how many are in use.  An answer that
-            # counted its own made entries see one slot fewer than there are: at 80% load of 24
-            # slots the median request waited 40 ms for room that was there.
+            # The slot has been released by now: the answer must not count it in ``slots_used``.
             self._finish(index, self._from_target(attempt, outcome))
         finally:
             self._cancelled.discard(attempt)
@@ -197,7 +189,7 @@
     async def _call(
         self, index: int, attempt: Attempt, req: ServiceRequest
     ) -> Result[TargetAnswer, Failure]:
-        """Call the target; the slot is held until the call ends, past the caller's deadline too."""
+        """Call the target; the slot is held until the call ends, even after the deadline."""
         started_at = now()
         call = asyncio.create_task(
             self._target.call(req.service, req.headers, req.body, self._timeout_s)
@@ -225,15 +217,15 @@
             self._idle.set()
 
     def _on_cancel(self, _index: int, cancel: CancelAttempt) -> None:
-        """Drop the answer of an attempt; the call itself goes on, and so does its charge."""
+        """Suppress the answer of an attempt; the call continues and holds its slot."""
         attempt = (cancel.request_id, cancel.attempt)
         if attempt in self._running:
             self._cancelled.add(attempt)
 
     def _on_fate(self, index: int, fate: AttemptFate) -> None:
         attempt = (fate.request_id, fate.attempt)
-        # Answered on the control lane where the size allows: the entry asks because it suspects the
-        # others.
+        # Answered on the control lane if the size allows, because the entry may have lost the
+        # other lanes.
         if self._history.seen(attempt):
             self._resend(index, attempt, Lane.CONTROL)
         elif attempt not in self._running:
@@ -264,7 +256,7 @@
                 if await self._links.send(index, lane, answer):
                     return
                 await asyncio.sleep(SEND_RETRY_DELAY_S)
-            # The entry asks for the attempt's fate over its next connection.
+            # The entry queries the outcome of the attempt over its next connection.
             log_event("WARNING", "answer_not_sent", request=answer.request_id, link=index)
         finally:
             self._end_operation()
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -1,12 +1,10 @@
-"""Stopping of tasks: at an exact checkpoint, or where they are.
+"""Stops tasks, at a checkpoint or, if their progress is not needed, immediately.
 
-Algorithm.  The order is given to the worker again and again until the worker's own list shows how
-the task ended; an answer that was lost therefore changes nothing.  A task that ended by itself
-before the order reached it is reported as it ended.
+The order is repeated until the worker's response or list shows the outcome, so lost responses are
+harmless.  A task that ended by itself before the order took effect keeps its own outcome.
 
-The worker writes a checkpoint after it has stopped the task, so a stopped task without one may have
-one a moment later.  It is taken for lost only after it stayed without for ``CHECKPOINT_TIMEOUT_S``: the
-difference decides whether a non-idempotent job resumes or ends as unknown.
+The worker writes the checkpoint after it has stopped the task.  A stopped task without a checkpoint
+is therefore rechecked for ``CHECKPOINT_TIMEOUT_S`` before the checkpoint is considered lost.
 """
 
 import asyncio
@@ -31,9 +29,9 @@
 
 
 class Stopper:
-    """Carries stop orders out.
+    """Executes stop orders.
 
-    :ivar finish: called with each task that ended and how.
+    :ivar finish: called with each stopped task and its outcome.
     """
 
     _session: WorkerSession
@@ -48,7 +46,7 @@
         self.finish = finish
 
     def order(self, task: Task, order: StopOrder) -> None:
-        """Stop ``task``; one that is still being started stops right after."""
+        """Stop ``task``; one that is still starting is stopped once it runs."""
         if task.phase is Phase.STARTING:
             task.order = task.order or order
         elif task.phase is Phase.RUNNING:
@@ -62,7 +60,7 @@
     async def _stop(self, task: Task, order: StopOrder) -> None:
         no_checkpoint_since: float | None = None
         while True:
-            # A cancellation may come while a checkpoint is being made.
+            # The order may have become a cancellation while the checkpoint was being written.
             order = task.order or order
             answer = await self._send_order(task, order)
             outcome = await self._find_outcome(task, order, answer)
@@ -87,7 +85,7 @@
     async def _find_outcome(
         self, task: Task, order: StopOrder, answer: Result[str, Failure]
     ) -> TaskOutcome | None:
-        """Return how the task has ended by now, or ``None`` while it runs or that is unknown."""
+        """Return the outcome, or ``None`` if the task still runs or its state is unknown."""
         if isinstance(answer, Ok) and answer.ok_value:
             return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
         viewed = await self._session.view()
@@ -107,12 +105,12 @@
 
 
 def find_task(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
-    """Return the worker's record of ``task`` at its epoch."""
+    """Return the worker's record of ``task`` with the same epoch, if any."""
     return next((i for i in tasks if i.task_id == task.key and i.epoch == task.epoch), None)
 
 
 def outcome_of(info: TaskInfo) -> TaskOutcome | None:
-    """Return how the worker says the task ended, or ``None`` while it runs."""
+    """Return the outcome that the worker reports, or ``None`` while the task runs."""
     match info.state:
         case TaskState.SUCCEEDED:
             return TaskOutcome(Fate.COMPLETED, result=info.result)
--- a/sapphirelead/agent_task_table.py
+++ b/sapphirelead/agent_task_table.py
@@ -1,11 +1,8 @@
-"""What an agent knows of the tasks on its instance.  No I/O.
+"""Table of the tasks on an agent's instance.  Does no I/O.
 
-Invariants:
-
-- One record for each key; its epoch is the highest that this agent ever accepted for that key.
-- A claim at an epoch that is not higher than the highest one known is never started.  That holds
-  too for a claim of which the agent once said that it was never started: saying so leaves a mark
-  here, and a start that arrives late is refused by it.
+Invariants: there is at most one task per key, with the highest epoch that this agent accepted for
+the key.  A claim is started only if its epoch is higher than any known for its key.  Reporting a
+claim as never started records its epoch, so that a delayed start is refused.
 """
 
 from collections import OrderedDict
@@ -20,7 +17,7 @@
 
 
 class Phase(StrEnum):
-    """Where a task is on this instance."""
+    """Lifecycle phase of a task on this instance."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -29,7 +26,7 @@
 
 
 class Fate(StrEnum):
-    """Answers to the question what became of a claim."""
+    """Outcome of a claim, as reported to the entries."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -41,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskOutcome:
-    """How a task ended.
+    """Outcome of an ended task.
 
     :ivar fate: ``COMPLETED``, ``FAILED`` or ``STOPPED``.
-    :ivar checkpoint: object key of an exact checkpoint, or empty.
+    :ivar checkpoint: object key of the checkpoint, or an empty string.
     """
 
     fate: Fate
@@ -55,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Why a task is to stop, and whether its progress is wanted."""
+    """Request to stop a task.
+
+    :ivar cancel: whether the task is stopped without a checkpoint.
+    """
 
     cancel: bool
     reason: str
@@ -65,11 +65,12 @@
 class Task:
     """One task.
 
-    :ivar confirmed: whether the committed claim names this incarnation; an adopted task is not
-        renewed before that.
-    :ivar since: loop time at which the worker was last known to have it, or of adoption.
-    :ivar order: a stop that came before the start was over.
-    :ivar events_sent: number of the last event that was forwarded.
+    :ivar confirmed: whether the committed claim names this incarnation; the lease of an unconfirmed
+        task is not renewed.
+    :ivar since: loop time at which the task was accepted, started or adopted.
+    :ivar order: the pending stop order; one received while the task starts is executed afterwards.
+    :ivar reported_at: loop time of the last report of the outcome.
+    :ivar events_sent: number of the last watch event that was forwarded.
     """
 
     key: str
@@ -92,7 +93,7 @@
 
     @property
     def fate(self) -> Fate:
-        """The answer to a question about this task."""
+        """The outcome of this task, ``RUNNING`` if it has none yet."""
         return self.outcome.fate if self.outcome else Fate.RUNNING
 
 
@@ -103,7 +104,7 @@
 
 
 class TaskTable:
-    """Records of tasks, and marks of claims that must not start any more."""
+    """Tasks by key, and the highest epoch of each claim that must not be started again."""
 
     tasks: dict[str, Task]
     _claims: OrderedDict[str, _ClaimRecord]
@@ -113,50 +114,50 @@
         self._claims = OrderedDict()
 
     def get(self, key: str, epoch: int) -> Task | None:
-        """Return the record of ``key`` if it is of ``epoch``."""
+        """Return the task of ``key`` if its epoch is ``epoch``."""
         task = self.tasks.get(key)
         return task if task and task.epoch == epoch else None
 
     def in_phase(self, *phases: Phase) -> list[Task]:
-        """Return tasks that are in one of ``phases``."""
+        """Return the tasks that are in one of ``phases``."""
         return [task for task in self.tasks.values() if task.phase in phases]
 
     def may_start(self, key: str, epoch: int) -> bool:
-        """Return whether ``epoch`` is higher than any known of ``key``."""
+        """Return whether ``epoch`` is higher than any known epoch of ``key``."""
         claim = self._claims.get(key)
         return claim is None or epoch > claim.epoch
 
     def add(self, task: Task) -> None:
-        """Record a task; its epoch must be higher than any known of the key."""
+        """Add a task; its epoch must be higher than any known epoch of its key."""
         assert self.may_start(task.key, task.epoch), f"stale epoch {task.epoch} of {task.key!r}"
         assert task.key not in self.tasks, f"task {task.key!r} is recorded already"
         self.tasks[task.key] = task
         self._record_claim(task.key, _ClaimRecord(task.epoch, True))
 
     def drop_unstarted(self, task: Task) -> None:
-        """Forget a task that was proven never to have started; its epoch stays marked."""
+        """Remove a task that has certainly not started; its epoch stays recorded."""
         self.tasks.pop(task.key, None)
         self._record_claim(task.key, _ClaimRecord(task.epoch, False))
 
     def forget(self, task: Task) -> None:
-        """Forget a task whose end is committed; its epoch stays marked."""
+        """Remove a task whose outcome is committed; its epoch stays recorded."""
         self.tasks.pop(task.key, None)
 
     def refuse(self, key: str, epoch: int) -> None:
-        """See to it that a claim that is not known here is never started."""
+        """Record the epoch of an unknown claim so that it is never started."""
         if self.may_start(key, epoch):
             self._record_claim(key, _ClaimRecord(epoch, False))
 
     def clear(self) -> list[Task]:
-        """Forget all tasks and return them; marks stay."""
+        """Remove and return all tasks; recorded epochs are kept."""
         tasks = list(self.tasks.values())
         self.tasks.clear()
         return tasks
 
     def fate(self, key: str, epoch: int, claimed_here: bool) -> Fate:
-        """Say what became of a claim, and see to it that the answer stays true.
+        """Return the outcome of a claim; a claim reported as never started is refused from then on.
 
-        :param claimed_here: whether the claim names the present incarnation.
+        :param claimed_here: whether the claim names the current incarnation.
         """
         task = self.get(key, epoch)
         if task:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -1,17 +1,15 @@
-"""Batch tasks and watches on an instance: from a committed claim to a committed end.
+"""Runs batch tasks and watches on an instance, from a committed claim to a committed outcome.
 
-Algorithm.  An offer reserves room.  A start is obeyed only if its claim names this incarnation, its
-epoch is higher than any known of the key, the lease is held and the ledger admits it.  The worker's
-view is polled and moves each record on; :mod:`sapphirelead.agent_stops` outcome_reporter tasks on order, and
-:mod:`sapphirelead.agent_outcomes` repeats each outcome until an entry has committed it.
+An offer reserves capacity.  A start is accepted only if its claim names this incarnation, its epoch
+is higher than any known epoch of the key, the lease is held and the ledger admits it.
 
 Invariants:
 
-- Nothing is started or renewed without asking the lease for the present time first.
-- ``Refused`` and ``never_started`` are said of a start only if the worker cannot have it: it was
-  never asked, it refused, or the lease given with the request has passed by the worker's own clock
-  and the worker lists no such task.
-- The ledger's charge of a task is given back only when the worker no longer runs it.
+- The lease is checked before each start or renewal.
+- ``Refused`` and ``never_started`` are reported only if the worker cannot run the task: it received
+  no request, it refused, or the requested lease has expired by its own clock and it lists no such
+  task.
+- A task's charge in the ledger is released only when the worker no longer runs it.
 """
 
 import asyncio
@@ -53,7 +51,7 @@
 
 
 class TaskRunner:
-    """Obeys the entries' messages about tasks."""
+    """Handles the entries' messages about tasks."""
 
     _context: AgentContext
     _task_table: TaskTable
@@ -83,7 +81,7 @@
         self._unremoved = set()
 
     def register(self) -> None:
-        """Take the messages about tasks from the links."""
+        """Subscribe to the messages about tasks."""
         self._links.on(Offer, self._on_offer)
         self._links.on(Start, self._on_start)
         self._links.on(Stop, self._on_stop)
@@ -91,7 +89,7 @@
         self._links.on(FateRequest, self._on_fate)
 
     def adopt(self, info: TaskInfo) -> None:
-        """Take over a task that the worker already has, from before this incarnation."""
+        """Add a task that the worker has from before this incarnation."""
         kind = _kind(info.kind) or Kind.BATCH
         task = Task(
             key=info.task_id,
@@ -125,7 +123,7 @@
         self._send(index, refused)
 
     def _closed(self) -> str:
-        """Return why nothing may be started now, or an empty string."""
+        """Return the reason why no task may be started now, or an empty string."""
         if self._context.draining:
             return "draining"
         if not self._context.ready or not self._context.session.healthy:
@@ -150,7 +148,7 @@
         self._send(index, Accepted(offer_id=offer.offer_id, **head))
 
     def _refuse_or_evict(self, index: int, offer: Offer, size: Resources, failure: Failure) -> None:
-        """Refuse an offer that does not fit, unless it is urgent and eviction makes room for it."""
+        """Refuse an offer that does not fit, unless it is urgent and can evict other tasks."""
         running = {task.key for task in self._task_table.in_phase(Phase.RUNNING)}
         stopping = {task.key for task in self._task_table.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
@@ -187,7 +185,7 @@
         self._begin(index, start)
 
     def _confirm(self, index: int, task: Task, start: Start) -> None:
-        """Note that the committed claim names this incarnation; the start itself is a repeat."""
+        """Handle a repeated start, which confirms that the claim names this incarnation."""
         if start.claimed_by in ("", self._context.sender.incarnation):
             task.confirmed = True
         if task.outcome:
@@ -205,10 +203,10 @@
         return self._closed() or self._drop_earlier_epoch(start.key)
 
     def _drop_earlier_epoch(self, key: str) -> str:
-        """Drop the record of an earlier epoch of ``key``, or say why that cannot be done.
+        """Remove the task of an earlier epoch of ``key``; return a reason if that is not possible.
 
-        The entry committed a later claim, so the earlier one is settled and the acknowledgement of
-        its end was lost.  Where it still runs it must stop before anything else is started.
+        The entry has committed a later claim, so the outcome of an ended task is settled and needs
+        no acknowledgement.  A task that has not ended must be stopped before another is started.
         """
         earlier = self._task_table.tasks.get(key)
         if earlier is None:
@@ -260,7 +258,7 @@
         self._wake_poll()
 
     async def _try_start(self, task: Task) -> Failure | None:
-        """Start the task; return why it has proven not to be started, or ``None`` if it is."""
+        """Start the task; return ``None`` on success, else why it has certainly not started."""
         if task.key in self._unremoved:
             await self._context.session.remove(task.key)
             self._unremoved.discard(task.key)
@@ -277,10 +275,10 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _resolve_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
-        """Find out whether a start took effect whose answer was lost.
+        """Determine whether a start with an unknown result took effect.
 
-        A request that is still under way can take effect until its lease has passed at the worker,
-        so a view that does not show the task proves nothing before that.
+        A delayed request can take effect until its lease has expired by the worker's clock; a view
+        without the task is conclusive only after that.
         """
         while lease_until:
             viewed = await self._context.session.view()
@@ -293,7 +291,7 @@
         return Failure(Code.WORKER_UNAVAILABLE, reason)
 
     def _start_lease(self) -> float:
-        # Short, because an ambiguous start is settled only after it.
+        # Kept short, because a start with an unknown result is resolved only after it expires.
         deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
         return self._context.session.lease_until(deadline)
 
@@ -315,8 +313,7 @@
     def _on_stop(self, _index: int, stop: Stop) -> None:
         task = self._task_table.get(stop.key, stop.epoch)
         if task is None:
-            # The start may be under way through another entry, and would run a job that is
-            # cancelled by the time it comes.
+            # The start may still arrive through another entry, and must then be refused.
             self._task_table.refuse(stop.key, stop.epoch)
         elif task.outcome:
             self._outcome_reporter.wake()
@@ -331,13 +328,13 @@
             self._background.spawn(self._remove(task.key), f"remove-{task.key}")
 
     async def _remove(self, key: str) -> None:
-        # Where this fails, the poll finds a task without a record and removes it.
+        # If this fails, the next poll removes the task because it is not in the table.
         if isinstance(await self._context.session.remove(key), Ok):
             self._unremoved.discard(key)
 
     def _on_fate(self, index: int, request: FateRequest) -> None:
         if not self._context.ready:
-            # Tasks of an earlier run are not listed yet; the entry asks again.
+            # Tasks of an earlier incarnation are not listed yet; the entry will retry.
             return
         claimed_here = request.claimed_by == self._context.sender.incarnation
         fate = self._task_table.fate(request.key, request.epoch, claimed_here)
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -1,10 +1,9 @@
-"""Keeps batch on an instance from disturbing its services and from outgrowing its size.
+"""Throttles and evicts batch tasks that interfere with services or exceed the instance's size.
 
-Two causes limit a task's share of its processors: interference with services, decided once in a
-report interval (:mod:`sapphirelead.policy_throttle`), and measured use above the size of the
-instance, decided with each view of the worker.  The rule that placed the task may set a third.  The
-smallest wins.  The share wanted is compared with the one that the worker reports and sent where
-they differ, so that an answer that was lost is made good by the next view.
+The CPU share of a task is the smallest of three: the share of its class, decided once per report
+interval (:mod:`sapphirelead.policy_throttle`); a cap on tasks that use more than they declared,
+decided on each view of the worker; and the share set by the rule that placed the task.  Each view
+sends the share to the worker if it differs from the one reported, which also repairs lost calls.
 """
 
 import asyncio
@@ -29,10 +28,10 @@
 
 
 class ThrottleManager:
-    """Measures, decides and acts for one agent.
+    """Measures interference on one instance and throttles or evicts batch tasks.
 
-    :ivar services: the last report of each service, for beats.
-    :ivar classes: what ran at the last view, for beats.
+    :ivar services: samples of the services in the last interval, sent with heartbeats.
+    :ivar classes: samples of the tasks in the last view by job class, sent with heartbeats.
     """
 
     _context: AgentContext
@@ -63,11 +62,11 @@
 
     @property
     def throttled_classes(self) -> int:
-        """Job classes that are throttled for the services' sake."""
+        """Number of job classes that are throttled because of interference."""
         return len(self._controller.shares)
 
     def observe(self, service: str, seconds: float, ok: bool) -> None:
-        """Count one answer of the target."""
+        """Record one response of the target."""
         window = self._windows.get(service)
         if window is None:
             window = self._windows[service] = LatencyWindow(service)
@@ -75,7 +74,7 @@
         self._usage.add_request(seconds)
 
     async def on_view(self, view: WorkerView) -> None:
-        """Sample what runs, act on excess, and bring throttles up to date."""
+        """Sample the running tasks, limit excess usage and update the tasks' shares."""
         self.classes = class_samples(view.tasks)
         self._usage.add(view.tasks, now())
         self._limit_excess_usage()
@@ -85,16 +84,16 @@
                 await self._adjust(task, info)
 
     async def run(self) -> None:
-        """Decide once in a report interval until cancelled."""
+        """Run a report round in each report interval until cancelled."""
         while True:
             await asyncio.sleep(self._config.current.document.interference.report_lag_seconds)
             self.report_round()
 
     def report_round(self) -> None:
-        """Close the interval, learn from it and take at most one action.
+        """Close the interval, update the interference model and take at most one action.
 
-        Too few requests for a report say nothing, least of all that the services are well: slow
-        answers are few answers.  Only an interval without any request counts as calm.
+        If there were too few requests for a report, the interval stays open: it does not count as
+        calm, because slow services complete fewer requests.
         """
         self.services = [window.sample() for window in self._windows.values()]
         reports = [r for w in self._windows.values() if (r := w.report(now())) is not None]
@@ -113,7 +112,7 @@
             self._log_unattributed_slowdown(tasks, occupancy)
 
     def _log_unattributed_slowdown(self, tasks: dict[str, int], occupancy: float) -> None:
-        """Log what a slowdown was judged by on which nothing is done."""
+        """Log the measurements behind a slowdown for which no action was taken."""
         worst, harms = self._controller.worst, self._controller.harms
         if worst is None:
             return
@@ -141,7 +140,7 @@
     def _act(self, action: Action, running: list[Task]) -> None:
         match action:
             case Throttle(job_class, share, slowdown):
-                # Carried out by the next view, for tasks that start later too.
+                # Applied on the next view, and to tasks of the class that start later.
                 log_event(
                     "INFO", "class_throttled", job_class=job_class, share=share, slowdown=slowdown
                 )
@@ -151,7 +150,7 @@
                 self._stopper.order(newest, StopOrder(cancel=False, reason="interference"))
 
     def _limit_excess_usage(self) -> None:
-        """Throttle or evict where measured use is above the size of the instance."""
+        """Throttle or evict tasks if measured usage exceeds the size of the instance."""
         excess = self._context.ledger.excess()
         for key in excess.evict:
             task = self._context.task_table.tasks.get(key)
@@ -185,7 +184,7 @@
 
 
 def _usage_cap(declared: Resources, measured: Resources) -> float:
-    """Return the share that brings measured use down to the declaration."""
+    """Return the CPU share that reduces the measured usage to the declared one."""
     return max(MIN_SHARE, declared.cpu_millicores / max(1, measured.cpu_millicores))
 
 
--- a/sapphirelead/agent_worker.py
+++ b/sapphirelead/agent_worker.py
@@ -1,11 +1,9 @@
-"""The agent's access to the worker: one session, the worker's clock, and task leases in its terms.
+"""The agent's session with the worker, and conversion of lease deadlines to the worker's clock.
 
-A worker obeys the newest session only, and its list of tasks names that session.  Sessions grow.
-
-- A higher one than the agent's own: the agent was paused, and a newer one has taken the worker over
-  and owns the instance.  The agent must stop.
-- A lower one: the worker itself was restarted and has forgotten its sessions and its tasks.  The
-  agent opens a session again, and finds in the list what is left.
+A worker accepts calls of the newest session only, and each view names that session.  Session
+numbers increase.  A higher number than the agent's own means that another agent has taken the
+worker over, and this agent must stop.  A lower number means that the worker was restarted and lost
+its sessions; the agent opens a new one.
 """
 
 import asyncio
@@ -27,9 +25,10 @@
 
 
 class WorkerSession:
-    """Calls to the worker under the agent's present session.
+    """Calls to the worker under the agent's current session.
 
-    :ivar healthy: whether the worker answered the last call.
+    :ivar healthy: whether the last view or session succeeded and no later call failed because the
+        worker was unavailable or the session outdated.
     """
 
     healthy: bool
@@ -50,7 +49,7 @@
         self.healthy = False
 
     async def open(self, incarnation: str) -> Result[WorkerView, Failure]:
-        """Take the worker over; until that has succeeded every other call fails."""
+        """Open a new session; every other call fails until this has succeeded."""
         async with self._open_lock:
             self._session = NO_SESSION
             self._incarnation = incarnation
@@ -60,7 +59,7 @@
             return opened
 
     async def view(self) -> Result[WorkerView, Failure]:
-        """List tasks, and find out whether the session still holds."""
+        """List the worker's tasks and check that the session is still the newest."""
         session = self._session
         if session == NO_SESSION:
             return await self.open(self._incarnation) if self._incarnation else _CLOSED
@@ -78,7 +77,7 @@
         return await self.open(self._incarnation)
 
     def lease_until(self, deadline: float) -> float:
-        """Return the worker time that comes no later than loop time ``deadline``."""
+        """Convert loop time ``deadline`` to a worker time that is never later."""
         return self._clock.convert(deadline)
 
     async def start(self, spec: TaskSpec) -> Result[None, Failure]:
@@ -89,35 +88,35 @@
         return self._check_reachable(await self._worker.start(session, spec))
 
     async def renew(self, leases: dict[str, float]) -> Result[None, Failure]:
-        """Move the leases of tasks, given in worker time."""
+        """Extend the leases of tasks; times are in worker time."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
         return self._check_reachable(await self._worker.renew(session, leases))
 
     async def throttle(self, key: str, share: float) -> Result[None, Failure]:
-        """Limit a task to ``share`` of its processors."""
+        """Limit a task to ``share`` of its CPU."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
         return self._check_reachable(await self._worker.throttle(session, key, share))
 
     async def checkpoint_stop(self, key: str) -> Result[str, Failure]:
-        """Stop a task at an exact checkpoint and return its object key."""
+        """Stop a task at a checkpoint and return the object key of the checkpoint."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
         return self._check_reachable(await self._worker.checkpoint_stop(session, key))
 
     async def stop(self, key: str) -> Result[None, Failure]:
-        """Stop a task where it is."""
+        """Stop a task without a checkpoint."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
         return self._check_reachable(await self._worker.stop(session, key))
 
     async def remove(self, key: str) -> Result[None, Failure]:
-        """Make the worker forget an ended task."""
+        """Remove an ended task from the worker."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
@@ -132,6 +131,6 @@
     def _check_reachable(self, answer: Result[T, Failure]) -> Result[T, Failure]:
         unreachable = (Code.WORKER_UNAVAILABLE, Code.STORE_CONFLICT)
         if isinstance(answer, Err) and answer.err_value.code in unreachable:
-            # A conflict is explained by the next view; until then nothing may be started.
+            # After a conflict nothing may be started until the next view has checked the session.
             self.healthy = False
         return answer
