--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the agent's edges: its worker, its target and its links to one entry."""
+"""Fakes of an agent's worker, its target and its links to one entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 def settings(**changes: Any) -> AgentSettings:
-    """Settings of an agent of four processors, four slots and one entry."""
+    """Return settings of an agent with four processors, four slots and one entry."""
     fields: dict[str, Any] = {
         "id": "i1",
         "zone": "z1",
@@ -55,13 +55,13 @@
 
 
 def start(key: str, epoch: int = 1, **changes: Any) -> Start:
-    """A start of a batch task of one processor."""
+    """Return a start of a batch task with one processor."""
     fields = {"offer_id": f"o-{key}", "idempotent": False, **TASK, **changes}
     return Start(key=key, epoch=epoch, **fields)
 
 
 def offer(key: str, **changes: Any) -> Offer:
-    """An offer of a batch task of one processor."""
+    """Return an offer of a batch task with one processor."""
     return Offer(key=key, **{"offer_id": f"o-{key}", **TASK, **changes})
 
 
@@ -74,10 +74,10 @@
 
 
 class FakeWorker:
-    """A worker whose clock runs 1000 s ahead of the loop's.
+    """A worker whose clock is 1000 s ahead of the event loop's.
 
-    :ivar lose: names of calls that take effect but whose answer is lost, with how often.
-    :ivar down: whether no call reaches it.
+    :ivar lose: by call name, how many calls take effect but lose their response.
+    :ivar down: whether all calls fail without an effect.
     :ivar starts: ``(key, epoch)`` of every start that took effect.
     """
 
@@ -202,7 +202,7 @@
 
 
 class FakeTarget:
-    """A target that answers after ``delay_s`` seconds, or with ``failure``."""
+    """A target that responds after ``delay_s`` seconds, with ``failure`` if that is set."""
 
     def __init__(self) -> None:
         self.delay_s = 0.1
@@ -223,9 +223,9 @@
 
 
 class FakeLinks:
-    """One entry that commits every counter at once while ``committing`` is set.
+    """Links to one entry that commits heartbeat counters immediately while ``committing`` is set.
 
-    :ivar sent: every message of the agent, with its lane.
+    :ivar sent: every message that the agent sent, with its lane.
     """
 
     def __init__(self, sender: Sender) -> None:
@@ -281,7 +281,7 @@
         pass
 
     def deliver(self, message: AnyMessage) -> None:
-        """Hand a message of the entry to the agent."""
+        """Deliver a message from the entry to the agent."""
         handler = self._handlers.get(type(message))
         if handler:
             handler(0, message)
@@ -292,7 +292,7 @@
 
 
 class Rig:
-    """An agent with fakes all round."""
+    """An agent with a fake worker, target and links."""
 
     def __init__(self, worker: FakeWorker | None = None, **changes: Any) -> None:
         self.worker = worker or FakeWorker()
@@ -315,6 +315,6 @@
         await self.agent.stop()
 
     async def send(self, message: AnyMessage, wait_s: float = 1.0) -> None:
-        """Deliver a message and let the agent work on it."""
+        """Deliver a message and wait for ``wait_s`` seconds."""
         self.links.deliver(message)
         await asyncio.sleep(wait_s)
--- a/tests/unit/test_agent_http.py
+++ b/tests/unit/test_agent_http.py
@@ -1,4 +1,4 @@
-"""Probes and metrics of an agent."""
+"""Tests the probes and metrics of an agent."""
 
 import aiohttp
 
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -1,4 +1,4 @@
-"""The agent's connections, against a bare router in the place of an entry."""
+"""Tests the agent's connections against plain ZeroMQ routers in place of an entry."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -17,13 +17,12 @@
 from tests.unit.agent_fakes import ENTRY, settings
 
 LEASE = LeaseSettings(beat_interval_seconds=0.05, silence_seconds=1.5)
-"""The silence is longer than these tests may be without a processor on a busy machine: 0.3 s of
-that counted as silence, and the identities expected below had one number more."""
+"""The timeout must exceed scheduling delays on a busy machine, or links reconnect unexpectedly."""
 DEADLINE_S = 10.0
 
 
 class BareEntry:
-    """Three routers that answer hellos, and acknowledge beats while ``acknowledging``."""
+    """Three routers that answer hellos, and acknowledge heartbeats while ``acknowledging``."""
 
     def __init__(self) -> None:
         self.ctx = make_context()
@@ -57,7 +56,7 @@
 
 
 class HeartbeatingLinks:
-    """Links that beat every twentieth of a second."""
+    """Links that send a heartbeat every 50 ms."""
 
     def __init__(self, entry: BareEntry) -> None:
         ports = dict(zip(("control_port", "data_port", "bulk_port"), entry.ports, strict=True))
@@ -114,7 +113,7 @@
 
 
 async def test_unresponsive_entry_is_reconnected(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
-    """The connection stays open and carries beats, but no acknowledgement comes back."""
+    """The connection stays open and carries heartbeats, but no acknowledgement is received."""
     entry, heartbeating = pair
     await wait_until(lambda: heartbeating.links.live() == [0])
     entry.acknowledging = False
@@ -126,7 +125,7 @@
 async def test_agent_announces_itself_to_a_restarted_entry(
     pair: tuple[BareEntry, HeartbeatingLinks],
 ) -> None:
-    """The entry is replaced at once on the same address: the connection shows no break."""
+    """The entry is restarted on the same address without an interruption of the connection."""
     entry, heartbeating = pair
     await wait_until(lambda: not heartbeating.links.announce_due(0, 1.0))
     entry.incarnation = "e1-b"
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -1,4 +1,4 @@
-"""Service requests on an instance: one end each, never beyond the slots, never a false not_run."""
+"""Tests service requests: one outcome each, within the slots, and no incorrect ``not_run``."""
 
 import asyncio
 from typing import Any
@@ -58,10 +58,7 @@
 
 
 async def test_slots_are_held_until_the_target_call_ends() -> None:
-    """Callers give up on a slow target and ask again; the target still works on the first ones.
-
-    Giving their slots to the repeats would load the target beyond its size.
-    """
+    """Guards against overloading a slow target with retries while it still processes requests."""
     async with Rig() as rig:
         rig.target.delay_s = 5.0
         for number in range(8):
@@ -78,8 +75,7 @@
 
 
 async def test_an_answer_does_not_count_its_own_slot() -> None:
-    """Requests wait at the entries although slots are free: each answer told one slot too many in
-    use, because it was made before its own was given back."""
+    """Guards against answers that report their own slot as used, so that entries see fewer free."""
     async with Rig() as rig:
         await rig.send(request(1))
         assert [m.slots_used for m in rig.links.got(ServiceAnswer)] == [0]
@@ -99,7 +95,7 @@
 
 @pytest.mark.parametrize(("own", "ran"), [(True, "not_run"), (False, "unknown")])
 async def test_an_attempt_declared_not_run_never_runs(own: bool, ran: str) -> None:
-    """The entry gave up on an attempt whose request is still under way when it asks."""
+    """The entry times out and queries an attempt whose request arrives later."""
     async with Rig() as rig:
         sent_to = rig.agent.incarnation if own else "earlier"
         await rig.send(AttemptFate(request_id="1", attempt=1, sent_to=sent_to, **ENTRY))
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks on an instance: starts, ends, stops, fates, restarts, leases and fences."""
+"""Tests tasks on an instance: starts, outcomes, stops, claims, restarts, leases and fencing."""
 
 import asyncio
 from typing import Any
@@ -78,10 +78,7 @@
 
 
 async def test_a_never_started_claim_stays_unstarted() -> None:
-    """A claim is committed but its start is delayed; the entry asks and queues the job again.
-
-    The delayed start then arrives: obeying it would run the job in two places.
-    """
+    """Guards against running a job twice when a start arrives after the job was queued again."""
     async with Rig() as rig:
         me = rig.agent.incarnation
         await rig.send(Fate(key="a", epoch=1, claimed_by=me, **ENTRY))
@@ -93,7 +90,7 @@
 
 
 async def test_a_stop_that_overtakes_its_start_prevents_it() -> None:
-    """One entry claims and sends the start; another, told to cancel, sends the stop first."""
+    """One entry claims and sends the start; another cancels, and its stop arrives first."""
     async with Rig() as rig:
         me = rig.agent.incarnation
         await rig.send(Stop(key="a", epoch=1, cancel=True, reason="cancelled", **ENTRY))
@@ -116,7 +113,7 @@
 
 @pytest.mark.parametrize("lost", ["start", "checkpoint_stop", "stop", "view", "remove"])
 async def test_a_lost_answer_of_the_worker_changes_nothing(lost: str) -> None:
-    """The worker does as told but its answer is lost, three times in a row."""
+    """The worker executes three calls, but their responses are lost."""
     async with Rig() as rig:
         rig.worker.lose[lost] = 3
         await rig.send(start("a"), 2.0)
@@ -141,10 +138,9 @@
 
 
 async def test_store_outage_checkpoints_tasks_before_the_lease_expires() -> None:
-    """The table is down for longer than the lease, so beats are acknowledged but not committed.
+    """The table is down for longer than the lease: heartbeats are acknowledged, not committed.
 
-    The task must be stopped at a checkpoint before the lease can have lapsed, and is reported once
-    the lease comes back.
+    The task must be checkpointed before the lease expires and reported once it is renewed.
     """
     async with Rig() as rig:
         await rig.send(start("a"))
@@ -162,7 +158,7 @@
 
 
 async def test_worker_lease_expires_with_the_agent_lease() -> None:
-    """The agent freezes while it holds a task; only the worker's own lease can stop it."""
+    """The agent is frozen while a task runs; only the worker's lease can stop the task."""
     async with Rig() as rig:
         await rig.send(start("a"), 5.0)
         rig.worker.delay_s = 100.0
@@ -172,7 +168,7 @@
 
 
 async def test_fence_stops_all_tasks_and_starts_a_new_incarnation() -> None:
-    """An entry has fenced the instance; its jobs may run elsewhere by now."""
+    """An entry has fenced the instance; its jobs may be running elsewhere."""
     async with Rig() as rig:
         await rig.send(start("a"))
         before = rig.agent.incarnation
@@ -187,7 +183,7 @@
 
 
 async def test_restart_adopts_and_admits_nothing_beyond() -> None:
-    """The agent is killed and restarted while its worker runs three of four processors."""
+    """The agent is killed and restarted while its worker uses three of four processors."""
     worker = FakeWorker()
     for key in "abc":
         worker.put(key, 3)
@@ -206,7 +202,7 @@
 
 @pytest.mark.parametrize("session", [0, 9])
 async def test_session_lost(session: int) -> None:
-    """A lower session means a restarted worker, a higher one another agent beside it."""
+    """A lower session number means a restarted worker, a higher one another agent."""
     async with Rig() as rig:
         await rig.send(start("a"))
         rig.worker.session = session
@@ -260,7 +256,7 @@
         for key, changes in tasks:
             await rig.send(start(key, **changes), 0.1)
         await rig.send(offer("u", urgent=True, resources=Amount(size, size)), 0.0)
-        # The room that the evictions free is not to be had by anybody else meanwhile.
+        # The capacity that the evictions free must not be given to another offer.
         await rig.send(offer("x", resources=Amount(3000, 3000)), 0.5)
         accepted = [m.offer_id for m in rig.links.got(Accepted)]
         assert accepted == ([] if evicted is None else ["o-u"])
--- a/tests/unit/test_agent_throttle.py
+++ b/tests/unit/test_agent_throttle.py
@@ -1,4 +1,4 @@
-"""Batch on an instance is held back where it disturbs services or outgrows the instance."""
+"""Tests that batch is throttled if it interferes with services or exceeds the instance's size."""
 
 import asyncio
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 async def serve(rig: Rig, seconds: float, interference: float) -> None:
-    """Send forty requests a second to a target that running tasks slow down."""
+    """Send 40 requests per second to a target whose latency grows with the running tasks."""
     for number in range(int(seconds * 40)):
         running = (rig.worker.tasks[key].info for key in rig.worker.running())
         rig.target.delay_s = 0.02 * (1 + interference * sum(info.throttle for info in running) / 4)
@@ -72,7 +72,7 @@
     ],
 )
 async def test_wrong_declarations(usage: Resources, throttle: float, evicted: set[str]) -> None:
-    """A job declares a ninth of what it uses."""
+    """Guards against a job that uses nine times what it declares."""
     async with Rig() as rig:
         for key in "ab":
             await rig.send(start(key), 0.1)
@@ -107,10 +107,7 @@
 
 
 async def test_few_slow_answers_keep_the_throttle() -> None:
-    """Batch slows a target so much that too few answers come for a report in each interval.
-
-    Taking that for calm would release the batch, slow the target again, and so on for ever.
-    """
+    """Guards against releasing a throttle because a slow target completes few requests."""
     async with Rig() as rig:
         await serve(rig, 20.0, 4.0)
         await rig.send(start("a"), 0.1)
@@ -127,7 +124,7 @@
 async def test_unattributed_slowdown_is_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a service that is slow while its agent says nothing of what it saw."""
+    """Guards against a slowdown that leads to no action and leaves no trace in the log."""
     lines: list[dict[str, Any]] = []
 
     def record(_level: str, event: str, /, **fields: Any) -> None:
@@ -151,7 +148,7 @@
 
 
 async def test_batch_is_throttled_in_time_when_answers_are_few() -> None:
-    """Guards against batch that slows a service so much that its agent decides too late."""
+    """Guards against a late throttle when batch slows a service so much that few answers arrive."""
     lag_s = 0.5
     async with Rig() as rig:
         await rig.send(push(2, {"interference": {"report_lag_seconds": lag_s}}))
