--- a/sapphirelead/agent_samples.py
+++ b/sapphirelead/agent_samples.py
@@ -45,7 +45,7 @@
 
     @property
     def unreported_count(self) -> int:
-        """Requests that have not been reported yet."""
+        """Number of requests that have not been reported yet."""
         return int(self.histogram.get_total_count())
 
     def sample(self) -> ServiceSample:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -185,7 +185,7 @@
         self._begin(index, start)
 
     def _confirm(self, index: int, task: Task, start: Start) -> None:
-        """Handle a repeated start, which confirms that the claim names this incarnation."""
+        """Handle a repeated start; confirm the task if the claim names this incarnation."""
         if start.claimed_by in ("", self._context.sender.incarnation):
             task.confirmed = True
         if task.outcome:
