--- a/sapphirelead/model_config_diff.py
+++ b/sapphirelead/model_config_diff.py
@@ -12,8 +12,8 @@
 from sapphirelead.model_config import ConfigDocument
 
 MAX_LINES: Final = 40
-MAX_CHARS: Final = 200
-RULES: Final = "rules"
+MAX_LINE_CHARS: Final = 200
+RULES_KEY: Final = "rules"
 
 
 def describe_changes(before: ConfigDocument, after: ConfigDocument) -> tuple[str, ...]:
@@ -24,7 +24,7 @@
     ('retries.budget_share: unset -> 0.2',)
     """
     lines = list(_changes(_dump(before), _dump(after)))
-    shown = [line if len(line) <= MAX_CHARS else line[:MAX_CHARS] + "..." for line in lines]
+    shown = [line if len(line) <= MAX_LINE_CHARS else line[:MAX_LINE_CHARS] + "..." for line in lines]
     if len(shown) > MAX_LINES:
         return (*shown[:MAX_LINES], f"and {len(shown) - MAX_LINES} further changes")
     return tuple(shown)
@@ -35,8 +35,8 @@
 
 
 def _changes(before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
-    old_rules = before.pop(RULES, [])
-    new_rules = after.pop(RULES, [])
+    old_rules = before.pop(RULES_KEY, [])
+    new_rules = after.pop(RULES_KEY, [])
     for section in sorted(before.keys() | after.keys()):
         # A section that is left out is one whose keys all have their defaults.
         yield from _compare(f"{section}.", before.get(section, {}), after.get(section, {}))
@@ -52,7 +52,7 @@
         if isinstance(old, dict) and isinstance(new, dict):
             yield from _compare(f"{path}.", old, new)
         else:
-            yield f"{path}: {_shown(old)} -> {_shown(new)}"
+            yield f"{path}: {_format_value(old)} -> {_format_value(new)}"
 
 
 def _compare_rules(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> Iterator[str]:
@@ -72,5 +72,5 @@
         yield f"rules in another order: {', '.join(new)}"
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return "unset" if value is None else json.dumps(value, sort_keys=True)
