--- a/sapphirelead/agent_config.py
+++ b/sapphirelead/agent_config.py
@@ -4,7 +4,7 @@
 
 from sapphirelead.agent_ports import Links, Sender
 from sapphirelead.logs import log_event
-from sapphirelead.model_config import EMPTY, Config, parse_document
+from sapphirelead.model_config import EMPTY_CONFIG, Config, parse_document
 from sapphirelead.wire_messages import ConfigPush
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self, sender: Sender) -> None:
         self._sender = sender
-        self.current = EMPTY
+        self.current = EMPTY_CONFIG
 
     def register(self, links: Links) -> None:
         """Take pushes from the links."""
--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -23,7 +23,7 @@
 from sapphirelead.entry_table import Change, EntryTable, Unit, absent, commit_failure
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
-from sapphirelead.model_config import CONFIG_KEY, EMPTY, Config, parse_document
+from sapphirelead.model_config import CONFIG_KEY, EMPTY_CONFIG, Config, parse_document
 from sapphirelead.model_config_diff import describe_changes
 from sapphirelead.ports import CommitStatus, Row
 from sapphirelead.wire_messages import ConfigPush
@@ -79,7 +79,7 @@
         self._members = members
         self._links = links
         self._leases = leases
-        self._current = EMPTY
+        self._current = EMPTY_CONFIG
         self._raw = {}
         self._listeners = []
         self._peers = {}
--- a/sapphirelead/model_config.py
+++ b/sapphirelead/model_config.py
@@ -299,7 +299,7 @@
     document: ConfigDocument
 
 
-EMPTY: Final = Config(0, ConfigDocument())
+EMPTY_CONFIG: Final = Config(0, ConfigDocument())
 
 
 def parse_document(raw: Any) -> Result[ConfigDocument, Failure]:
