--- a/sapphirelead/model_job.py
+++ b/sapphirelead/model_job.py
@@ -32,7 +32,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job has come; those in ``ENDED`` are final."""
+    """How far a job has come; those in ``TERMINAL_STATES`` are final."""
 
     QUEUED = "queued"
     CLAIMED = "claimed"
@@ -43,7 +43,7 @@
     SET_ASIDE = "set_aside"
 
 
-ENDED: Final = frozenset(
+TERMINAL_STATES: Final = frozenset(
     {
         JobState.DONE,
         JobState.FAILED,
@@ -110,14 +110,14 @@
     @property
     def ended(self) -> bool:
         """Whether the job has its final answer."""
-        return self.state in ENDED
+        return self.state in TERMINAL_STATES
 
     def claim(self, holder: Holder) -> "Result[Job, Failure]":
         """Give the job to ``holder`` under the next epoch."""
         if self.state is not JobState.QUEUED:
-            return self._illegal("claim")
+            return self._illegal_transition("claim")
         if self.cancel_requested:
-            return self._illegal("claim after cancel")
+            return self._illegal_transition("claim after cancel")
         return Ok(replace(self, state=JobState.CLAIMED, epoch=self.epoch + 1, holder=holder))
 
     def adopt(self, holder: Holder, epoch: int) -> "Result[Job, Failure]":
@@ -127,15 +127,15 @@
         the epoch stays.
         """
         if not self._held_at(epoch) or self.holder is None:
-            return self._illegal("adopt")
+            return self._illegal_transition("adopt")
         if self.holder.instance != holder.instance:
-            return self._illegal("adopt by another instance")
+            return self._illegal_transition("adopt by another instance")
         return Ok(replace(self, holder=holder))
 
     def complete(self, epoch: int, result: Any) -> "Result[Job, Failure]":
         """Accept the result of the run under ``epoch``."""
         if not self._held_at(epoch):
-            return self._illegal(f"complete at epoch {epoch}")
+            return self._illegal_transition(f"complete at epoch {epoch}")
         return Ok(replace(self, state=JobState.DONE, holder=None, result=result))
 
     def fail(self, epoch: int, reason: str, max_attempts: int) -> "Result[Job, Failure]":
@@ -145,8 +145,8 @@
         one ends: the task had started and may have had effects.
         """
         if not self._held_at(epoch) or self.holder is None:
-            return self._illegal(f"fail at epoch {epoch}")
-        attempted = self._after_attempt(reason)
+            return self._illegal_transition(f"fail at epoch {epoch}")
+        attempted = self._with_failed_attempt(reason)
         if not self.spec.idempotent:
             return Ok(replace(attempted, state=JobState.FAILED))
         if attempted.attempts >= max_attempts:
@@ -156,7 +156,7 @@
     def release_unstarted(self, epoch: int, reason: str) -> "Result[Job, Failure]":
         """Queue again a claim of which the holder proved that it was never started."""
         if not self._held_at(epoch):
-            return self._illegal(f"release at epoch {epoch}")
+            return self._illegal_transition(f"release at epoch {epoch}")
         if self.cancel_requested:
             return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="not_run"))
         return Ok(replace(self, state=JobState.QUEUED, holder=None, reason=reason))
@@ -164,7 +164,7 @@
     def checkpointed(self, epoch: int, checkpoint: str) -> "Result[Job, Failure]":
         """Queue again a task that its holder stopped at an exact checkpoint."""
         if not self._held_at(epoch):
-            return self._illegal(f"checkpoint at epoch {epoch}")
+            return self._illegal_transition(f"checkpoint at epoch {epoch}")
         if self.cancel_requested:
             return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="stopped"))
         return Ok(replace(self, state=JobState.QUEUED, holder=None, checkpoint=checkpoint))
@@ -176,8 +176,8 @@
         non-idempotent one ends as unknown and is never silently run again.
         """
         if not self._held_at(epoch) or self.holder is None:
-            return self._illegal(f"lose holder at epoch {epoch}")
-        attempted = self._after_attempt(reason)
+            return self._illegal_transition(f"lose holder at epoch {epoch}")
+        attempted = self._with_failed_attempt(reason)
         if not self.spec.idempotent:
             return Ok(replace(attempted, state=JobState.UNKNOWN))
         if self.cancel_requested:
@@ -189,7 +189,7 @@
     def request_cancel(self) -> "Result[Job, Failure]":
         """Cancel at once while queued; otherwise ask the holder to stop."""
         if self.ended:
-            return self._illegal("cancel")
+            return self._illegal_transition("cancel")
         if self.state is JobState.QUEUED:
             reason = "not_run" if self.epoch == 0 else "stopped"
             return Ok(replace(self, state=JobState.CANCELLED, cancel_requested=True, reason=reason))
@@ -198,23 +198,23 @@
     def stopped(self, epoch: int) -> "Result[Job, Failure]":
         """End a cancelled job whose holder confirmed that the task was stopped."""
         if not self._held_at(epoch) or not self.cancel_requested:
-            return self._illegal(f"stop at epoch {epoch}")
+            return self._illegal_transition(f"stop at epoch {epoch}")
         return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="stopped"))
 
     def set_aside(self, reason: str) -> "Result[Job, Failure]":
         """Give up on a queued job that can never run."""
         if self.state is not JobState.QUEUED:
-            return self._illegal("set aside")
+            return self._illegal_transition("set aside")
         return Ok(replace(self, state=JobState.SET_ASIDE, reason=reason))
 
     def _held_at(self, epoch: int) -> bool:
         return self.state is JobState.CLAIMED and self.epoch == epoch
 
-    def _after_attempt(self, reason: str) -> "Job":
+    def _with_failed_attempt(self, reason: str) -> "Job":
         instance = self.holder.instance if self.holder else ""
         tried = self.tried if instance in self.tried else (*self.tried, instance)
         return replace(self, holder=None, attempts=self.attempts + 1, tried=tried, reason=reason)
 
-    def _illegal(self, move: str) -> "Err[Failure]":
+    def _illegal_transition(self, move: str) -> "Err[Failure]":
         text = f"job {self.spec.key!r} is {self.state} at epoch {self.epoch}: cannot {move}"
         return Err(Failure(Code.ILLEGAL_MOVE, text))
