--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -207,7 +207,7 @@
     async def _beat(self) -> None:
         patience = 2 * self._settings.lease.beat_interval_seconds
         # Noted before anything is sent: the lease counts from here.
-        beat = self._make_beat(self._holdings.lease.next_beat(now()))
+        beat = self._make_beat(self._holdings.lease.next_heartbeat(now()))
         for index in self._links.indexes:
             if self._links.announce_due(index, patience):
                 await self._links.send(index, Lane.CONTROL, self._make_announce())
@@ -246,7 +246,7 @@
 
     def _on_beat_ack(self, _index: int, ack: BeatAck) -> None:
         if not ack.fenced:
-            self._holdings.lease.acked(ack.committed)
+            self._holdings.lease.record_ack(ack.committed)
         elif not self._fencing:
             self._fencing = True
             self._loops.spawn(self._begin_anew(), "fenced")
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -111,7 +111,7 @@
         for task in running:
             if not task.confirmed and at - task.since > self._lease_s * GUARD_SHARE:
                 self._stopper.order(task, StopOrder(cancel=False, reason="claim not confirmed"))
-        if lease.lapsing(at):
+        if lease.expiring(at):
             for task in running:
                 self._stopper.order(task, StopOrder(cancel=False, reason="lease"))
         if not lease.may_act(at):
--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -25,13 +25,13 @@
 from sapphirelead.settings import LeaseSettings
 
 GUARD_SHARE: Final = 0.25
-PAUSE_ROUNDS: Final = 5.0
-NOTED_MAX: Final = 4_096
+MAX_GAP_INTERVALS: Final = 5.0
+MAX_PENDING_HEARTBEATS: Final = 4_096
 _NEVER: Final = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
-class _Noted:
+class _SentHeartbeat:
     """A beat and the time noted before it was sent."""
 
     counter: int
@@ -42,8 +42,8 @@
     """The agent's side: decides until when the instance may run what it claimed.
 
     >>> lease = LeaseHolder(lease_s=20.0, guard_s=5.0)
-    >>> counter = lease.next_beat(100.0)
-    >>> lease.acked(counter)
+    >>> counter = lease.next_heartbeat(100.0)
+    >>> lease.record_ack(counter)
     >>> (lease.deadline, lease.may_act(114.9), lease.may_act(115.0))
     (120.0, True, False)
     """
@@ -51,14 +51,14 @@
     _lease_s: float
     _guard_s: float
     _counter: int
-    _noted: deque[_Noted]
+    _pending: deque[_SentHeartbeat]
     _deadline: float
 
     def __init__(self, lease_s: float, guard_s: float) -> None:
         self._lease_s = lease_s
         self._guard_s = guard_s
         self._counter = 0
-        self._noted = deque(maxlen=NOTED_MAX)
+        self._pending = deque(maxlen=MAX_PENDING_HEARTBEATS)
         self._deadline = _NEVER
 
     @classmethod
@@ -76,19 +76,19 @@
         """Loop time at which the lease lapses; minus infinity before the first grant."""
         return self._deadline
 
-    def next_beat(self, now: float) -> int:
+    def next_heartbeat(self, now: float) -> int:
         """Note ``now`` and return the counter of the beat that is about to be sent."""
         self._counter += 1
-        self._noted.append(_Noted(self._counter, now))
+        self._pending.append(_SentHeartbeat(self._counter, now))
         return self._counter
 
-    def acked(self, committed: int) -> None:
+    def record_ack(self, committed: int) -> None:
         """Renew the lease from the time noted for the committed counter.
 
         While the table is down, entries acknowledge beats with an old counter: nothing moves.
         """
-        while self._noted and self._noted[0].counter <= committed:
-            noted = self._noted.popleft()
+        while self._pending and self._pending[0].counter <= committed:
+            noted = self._pending.popleft()
             self._deadline = max(self._deadline, noted.at + self._lease_s)
 
     def granted(self) -> bool:
@@ -103,7 +103,7 @@
         """
         return now < self._deadline - self._guard_s
 
-    def lapsing(self, now: float) -> bool:
+    def expiring(self, now: float) -> bool:
         """Return whether a granted lease is so near its end that tasks must be checkpointed."""
         return self.granted() and not self.may_act(now)
 
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _Observation:
     incarnation: str
     counter: int
     since: float
@@ -147,22 +147,22 @@
     fenced for that.
     """
 
-    _lapse_s: float
-    _pause_s: float
-    _last_round: float
-    _seen: dict[str, _Seen]
+    _expiry_s: float
+    _max_gap_s: float
+    _last_read_at: float
+    _observations: dict[str, _Observation]
 
-    def __init__(self, lapse_s: float, pause_s: float) -> None:
-        self._lapse_s = lapse_s
-        self._pause_s = pause_s
-        self._last_round = _NEVER
-        self._seen = {}
+    def __init__(self, expiry_s: float, max_gap_s: float) -> None:
+        self._expiry_s = expiry_s
+        self._max_gap_s = max_gap_s
+        self._last_read_at = _NEVER
+        self._observations = {}
 
     @classmethod
     def from_settings(cls, settings: LeaseSettings) -> "LeaseObserver":
         """Take the lease, its margin and the length of a round from ``settings``."""
         lapse = settings.lease_seconds + settings.margin_seconds
-        pause = min(settings.renew_interval_seconds * PAUSE_ROUNDS, lapse / 2)
+        pause = min(settings.renew_interval_seconds * MAX_GAP_INTERVALS, lapse / 2)
         return cls(lapse, max(pause, settings.renew_interval_seconds * 2))
 
     def observe(self, now: float, counters: Mapping[str, tuple[str, int]]) -> list[tuple[str, str]]:
@@ -171,26 +171,26 @@
         :param now: loop time, in seconds, noted after the read came back.
         :param counters: by instance, its incarnation and its committed counter.
         """
-        if now - self._last_round > self._pause_s:
-            self._seen.clear()
-        self._last_round = now
-        self._seen = {
-            instance: self._merge(now, instance, incarnation, counter)
+        if now - self._last_read_at > self._max_gap_s:
+            self._observations.clear()
+        self._last_read_at = now
+        self._observations = {
+            instance: self._update_observation(now, instance, incarnation, counter)
             for instance, (incarnation, counter) in counters.items()
         }
         return [
             (instance, seen.incarnation)
-            for instance, seen in self._seen.items()
-            if now - seen.since > self._lapse_s
+            for instance, seen in self._observations.items()
+            if now - seen.since > self._expiry_s
         ]
 
     def reset(self, now: float) -> None:
         """Start every observation anew, after a failed read."""
-        self._seen.clear()
-        self._last_round = now
+        self._observations.clear()
+        self._last_read_at = now
 
-    def _merge(self, now: float, instance: str, incarnation: str, counter: int) -> _Seen:
-        seen = self._seen.get(instance)
+    def _update_observation(self, now: float, instance: str, incarnation: str, counter: int) -> _Observation:
+        seen = self._observations.get(instance)
         if seen and seen.incarnation == incarnation and seen.counter == counter:
             return seen
-        return _Seen(incarnation, counter, now)
+        return _Observation(incarnation, counter, now)
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -14,24 +14,24 @@
 
 def test_only_a_committed_counter_renews() -> None:
     lease = LeaseHolder(20.0, 5.0)
-    first = lease.next_beat(0.0)
-    lease.acked(first)
+    first = lease.next_heartbeat(0.0)
+    lease.record_ack(first)
     for at in range(1, 30):
-        lease.next_beat(float(at))
-        lease.acked(first)
+        lease.next_heartbeat(float(at))
+        lease.record_ack(first)
     assert lease.deadline == 20.0
-    lease.acked(15)
+    lease.record_ack(15)
     assert lease.deadline == 34.0
 
 
 @pytest.mark.parametrize(
     ("now", "may_act", "lapsing"), [(0.0, True, False), (14.9, True, False), (15.0, False, True)]
 )
-def test_guard_before_the_deadline(now: float, may_act: bool, lapsing: bool) -> None:
+def test_guard_before_the_deadline(now: float, may_act: bool, expiring: bool) -> None:
     lease = LeaseHolder(20.0, 5.0)
-    assert not lease.may_act(0.0) and not lease.lapsing(1e9)
-    lease.acked(lease.next_beat(0.0))
-    assert (lease.may_act(now), lease.lapsing(now)) == (may_act, lapsing)
+    assert not lease.may_act(0.0) and not lease.expiring(1e9)
+    lease.record_ack(lease.next_heartbeat(0.0))
+    assert (lease.may_act(now), lease.expiring(now)) == (may_act, expiring)
 
 
 Step = tuple[float, int | None]
@@ -83,13 +83,13 @@
     visible: list[tuple[float, int]] = []
     for index, gap in enumerate([*gaps, *[2.0] * 40]):
         now += gap
-        counter = lease.next_beat(now)
+        counter = lease.next_heartbeat(now)
         if index <= last_commit:
             visible.append((now + commit_delay, counter))
         for at, value in visible:
             if at <= now:
                 committed = max(committed, value)
-                lease.acked(value)
+                lease.record_ack(value)
         if observer.observe(now + read_delay, {"i": ("a", committed)}):
             assert now + read_delay > lease.deadline
 
