--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -228,7 +228,7 @@
 
     def _make_beat(self, counter: int) -> Beat:
         ledger = self._holdings.ledger
-        ledger.lapse(now())
+        ledger.expire_reservations(now())
         return Beat(
             counter=counter,
             zone=self._settings.zone,
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -127,7 +127,7 @@
         if info is None:
             self._stopper.finish(task, End(Fate.STOPPED, reason=LOST))
             return
-        self._holdings.ledger.measure(task.key, info.usage)
+        self._holdings.ledger.record_usage(task.key, info.usage)
         await self._forward_events(task, info)
         end = end_of(info)
         if end is None:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -154,11 +154,11 @@
         running = {task.key for task in self._book.in_phase(Phase.RUNNING)}
         stopping = {task.key for task in self._book.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
-        victims = self._holdings.ledger.make_room(size, running, stopping) if possible else None
+        victims = self._holdings.ledger.select_victims(size, running, stopping) if possible else None
         if victims is None:
             self._refuse(index, offer, failure.message)
             return
-        self._holdings.ledger.reserve_evicted(offer.offer_id, offer.key, size, now())
+        self._holdings.ledger.reserve_pending_eviction(offer.offer_id, offer.key, size, now())
         for key in victims:
             order = StopOrder(cancel=False, reason="urgent work")
             self._stopper.order(self._book.tasks[key], order)
@@ -166,7 +166,7 @@
 
     async def _accept_when_free(self, index: int, offer: Offer) -> None:
         gave_up_at = now() + EVICTION_SECONDS
-        while self._holdings.ledger.overbooked:
+        while self._holdings.ledger.overcommitted:
             if now() >= gave_up_at:
                 self._holdings.ledger.cancel_reservation(offer.offer_id)
                 self._refuse(index, offer, "eviction took too long")
--- a/sapphirelead/model_ledger.py
+++ b/sapphirelead/model_ledger.py
@@ -24,8 +24,8 @@
 from sapphirelead.model_resources import NOTHING, Resources
 from sapphirelead.settings import AgentSettings
 
-MARGIN: Final = 1.1
-RESERVATION_SECONDS: Final = 10.0
+MEASURED_MARGIN_FACTOR: Final = 1.1
+RESERVATION_TTL_S: Final = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     key: str
     resources: Resources
     urgent: bool
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,18 +154,18 @@
         self, offer_id: str, key: str, resources: Resources, urgent: bool, now: float
     ) -> Result[Reservation, Failure]:
         """Keep room for an offer; the same offer twice keeps it once."""
-        self.lapse(now)
+        self.expire_reservations(now)
         known = self._reservations.get(offer_id)
         if known:
             return Ok(known)
         match self._check(resources):
             case Err(failure):
                 return Err(failure)
-        reservation = Reservation(offer_id, key, resources, urgent, now + RESERVATION_SECONDS)
+        reservation = Reservation(offer_id, key, resources, urgent, now + RESERVATION_TTL_S)
         self._reservations[offer_id] = reservation
         return Ok(reservation)
 
-    def make_room(
+    def select_victims(
         self, resources: Resources, stoppable: Collection[str], stopping: Collection[str]
     ) -> tuple[str, ...] | None:
         """Name the fewest tasks to evict so that ``resources`` fit, or ``None`` if none suffice.
@@ -187,30 +187,30 @@
                 victims.append(charge)
                 room += charge.charged
                 if resources.fits_in(room):
-                    return _needed(victims, resources, room)
+                    return _minimal_victims(victims, resources, room)
         return None
 
-    def reserve_evicted(
+    def reserve_pending_eviction(
         self, offer_id: str, key: str, resources: Resources, now: float
     ) -> Reservation:
         """Keep room for an urgent offer that waits for evictions.
 
         The room counts as taken at once, so that no other offer gets it; the offer may be accepted
-        only when :attr:`overbooked` is false.
+        only when :attr:`overcommitted` is false.
         """
-        self.lapse(now)
-        reservation = Reservation(offer_id, key, resources, True, now + RESERVATION_SECONDS)
+        self.expire_reservations(now)
+        reservation = Reservation(offer_id, key, resources, True, now + RESERVATION_TTL_S)
         self._reservations[offer_id] = reservation
         return reservation
 
     @property
-    def overbooked(self) -> bool:
+    def overcommitted(self) -> bool:
         """Whether charges and reservations together exceed the size of the instance."""
         return not self.charged.fits_in(self._capacity)
 
-    def lapse(self, now: float) -> None:
+    def expire_reservations(self, now: float) -> None:
         """Drop reservations whose start did not come in time."""
-        for offer_id in [o for o, r in self._reservations.items() if r.until <= now]:
+        for offer_id in [o for o, r in self._reservations.items() if r.expires_at <= now]:
             del self._reservations[offer_id]
 
     def cancel_reservation(self, offer_id: str) -> None:
@@ -225,7 +225,7 @@
         The room of the reservation is used only where the start asks for no more than was offered.
         """
         assert key not in self._charges, f"task {key!r} is charged already"
-        self.lapse(now)
+        self.expire_reservations(now)
         reservation = self._reservations.pop(offer_id, None)
         match self._check(resources):
             case Err(failure):
@@ -238,7 +238,7 @@
         charge = self._add(key, kind, declared, False)
         self._charges[key] = replace(charge, measured=measured)
 
-    def measure(self, key: str, usage: Resources) -> None:
+    def record_usage(self, key: str, usage: Resources) -> None:
         """Take the worker's last measurement of a task."""
         charge = self._charges.get(key)
         if charge:
@@ -257,8 +257,8 @@
 
         Processors can be throttled; memory and accelerators can only be given back by eviction.
         """
-        throttle = self._over_processors()
-        evict = self._over_memory()
+        throttle = self._tasks_to_throttle()
+        evict = self._tasks_to_evict()
         return Excess(tuple(k for k in throttle if k not in evict), evict)
 
     def _add(self, key: str, kind: Kind, declared: Resources, urgent: bool) -> Charge:
@@ -274,22 +274,22 @@
             return Err(Failure(Code.OVERLOADED, "no room"))
         return Ok(None)
 
-    def _over_processors(self) -> tuple[str, ...]:
+    def _tasks_to_throttle(self) -> tuple[str, ...]:
         over = sum(c.used.cpu_millicores for c in self._charges.values())
         if over <= self._capacity.cpu_millicores:
             return ()
         return tuple(
             charge.key
-            for charge in _first_to_give_way(self._charges.values())
+            for charge in _eviction_order(self._charges.values())
             if charge.measured.cpu_millicores > charge.declared.cpu_millicores
         )
 
-    def _over_memory(self) -> tuple[str, ...]:
+    def _tasks_to_evict(self) -> tuple[str, ...]:
         total = NOTHING
         for charge in self._charges.values():
             total += charge.used
         evict: list[str] = []
-        for charge in _first_to_give_way(self._charges.values()):
+        for charge in _eviction_order(self._charges.values()):
             if _without_processors(total).fits_in(_without_processors(self._capacity)):
                 break
             total -= charge.used
@@ -297,7 +297,7 @@
         return tuple(evict)
 
 
-def _needed(victims: list[Charge], resources: Resources, room: Resources) -> tuple[str, ...]:
+def _minimal_victims(victims: list[Charge], resources: Resources, room: Resources) -> tuple[str, ...]:
     """Leave out victims, oldest first, without which ``resources`` still fit."""
     kept = list(victims)
     for charge in reversed(victims):
@@ -307,7 +307,7 @@
     return tuple(charge.key for charge in kept)
 
 
-def _first_to_give_way(charges: Iterable[Charge]) -> list[Charge]:
+def _eviction_order(charges: Iterable[Charge]) -> list[Charge]:
     """Order tasks: those above their declaration, then batch, then not urgent, then newest."""
     return sorted(
         charges,
@@ -333,4 +333,4 @@
 
 
 def _margin(measured: int, declared: int) -> int:
-    return int(measured * MARGIN) if measured > declared else measured
+    return int(measured * MEASURED_MARGIN_FACTOR) if measured > declared else measured
--- a/tests/unit/test_ledger.py
+++ b/tests/unit/test_ledger.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from sapphirelead.model_job import Kind
-from sapphirelead.model_ledger import RESERVATION_SECONDS, Ledger
+from sapphirelead.model_ledger import RESERVATION_TTL_S, Ledger
 from sapphirelead.model_resources import NOTHING, Resources
 
 SIZE = Resources(4000, 4000, 2)
@@ -48,10 +48,10 @@
             del self.tasks[key]
             self.ledger.release(key)
 
-    @rule(seconds=st.floats(0, 2 * RESERVATION_SECONDS))
+    @rule(seconds=st.floats(0, 2 * RESERVATION_TTL_S))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.ledger.lapse(self.now)
+        self.ledger.expire_reservations(self.now)
 
     @rule()
     def request(self) -> None:
@@ -98,7 +98,7 @@
 def test_charge_follows_measurement(declared: int, measured: int, free: int) -> None:
     ledger = Ledger(SIZE, 1, 1)
     ledger.charge("", "k", Kind.BATCH, Resources(declared), 0.0)
-    ledger.measure("k", Resources(measured))
+    ledger.record_usage("k", Resources(measured))
     assert ledger.free.cpu_millicores == free
 
 
@@ -107,10 +107,10 @@
     for key, kind in [("old", Kind.BATCH), ("watch", Kind.WATCH), ("new", Kind.BATCH)]:
         ledger.charge("", key, kind, Resources(1000, 1000), 0.0)
     assert ledger.excess().evict == () and ledger.excess().throttle == ()
-    ledger.measure("old", Resources(2500, 1000))
+    ledger.record_usage("old", Resources(2500, 1000))
     assert ledger.excess().throttle == ("old",)
     for key in ("old", "watch", "new"):
-        ledger.measure(key, Resources(0, 1500))
+        ledger.record_usage(key, Resources(0, 1500))
     assert ledger.excess().evict == ("new",)
-    ledger.measure("watch", Resources(0, 9000))
+    ledger.record_usage("watch", Resources(0, 9000))
     assert ledger.excess().evict == ("new", "old", "watch")
