--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -129,7 +129,7 @@
         self._after_message(message)
 
     def _on_beat(self, message: Beat) -> None:
-        verdict = self._table.beat(message, now())
+        verdict = self._table.heartbeat(message, now())
         if not verdict.known:
             return
         self._acknowledge(
@@ -168,17 +168,17 @@
 
     async def _watch(self) -> None:
         while True:
-            await asyncio.sleep(self._table.silence_s / LOOKS_PER_SILENCE)
+            await asyncio.sleep(self._table.timeout_s / LOOKS_PER_SILENCE)
             self.judge(now())
 
     def judge(self, at: float) -> None:
         """Look for instances that fell silent and forget those long gone."""
-        if self._table.look(at):
+        if self._table.tick(at):
             log_event("WARNING", "loop_was_paused", action="grant_fresh_silence_period")
             return
         for view in self._table.all():
             if self._table.is_live(view, at) != self._shown_live.get(view.id):
                 self._show(view)
-        for instance in self._table.forget_silent(at):
+        for instance in self._table.remove_unresponsive(at):
             self._shown_live.pop(instance, None)
             log_event("INFO", "instance_forgotten", instance=instance)
--- a/sapphirelead/model_membership.py
+++ b/sapphirelead/model_membership.py
@@ -22,13 +22,13 @@
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_messages import Announce, Beat
 
-REPLACED_KEPT: Final = 8
-FORGET_SILENCES: Final = 20.0
-PAUSE_SHARE: Final = 0.34
+MAX_PAST_INCARNATIONS: Final = 8
+REMOVE_AFTER_TIMEOUTS: Final = 20.0
+MAX_TICK_GAP_SHARE: Final = 0.34
 
 
 @dataclass(frozen=True, slots=True)
-class BeatVerdict:
+class HeartbeatReply:
     """How a beat is to be answered.
 
     :ivar known: ``False`` means that no acknowledgement is due: the sender has to announce itself
@@ -40,7 +40,7 @@
     fenced: bool = False
 
 
-UNKNOWN: Final = BeatVerdict(known=False)
+UNKNOWN_SENDER: Final = HeartbeatReply(known=False)
 
 
 @dataclass(slots=True)
@@ -54,34 +54,34 @@
 class MembershipTable:
     """The instances that announced themselves.
 
-    :ivar silence_s: seconds without a message after which an instance is silent.
+    :ivar timeout_s: seconds without a message after which an instance is silent.
     """
 
-    silence_s: float
+    timeout_s: float
     _members: dict[str, _Member]
-    _looked_at: float
-    _granted_at: float
+    _last_tick_at: float
+    _grace_start: float
 
-    def __init__(self, silence_s: float, at: float) -> None:
-        self.silence_s = silence_s
+    def __init__(self, timeout_s: float, at: float) -> None:
+        self.timeout_s = timeout_s
         self._members = {}
-        self._looked_at = at
-        self._granted_at = at
+        self._last_tick_at = at
+        self._grace_start = at
 
     @classmethod
     def from_settings(cls, lease: LeaseSettings, at: float) -> "MembershipTable":
         """Return an empty table."""
         return cls(lease.silence_seconds, at)
 
-    def look(self, at: float) -> bool:
+    def tick(self, at: float) -> bool:
         """Note that the process runs at ``at``; return whether it had been paused until then.
 
         Called several times in each silence period and before every judgement about silence.
         """
-        paused = at - self._looked_at > self.silence_s * PAUSE_SHARE
-        self._looked_at = at
+        paused = at - self._last_tick_at > self.timeout_s * MAX_TICK_GAP_SHARE
+        self._last_tick_at = at
         if paused:
-            self._granted_at = at
+            self._grace_start = at
         return paused
 
     def announce(self, message: Announce, at: float) -> bool:
@@ -93,25 +93,25 @@
         if message.incarnation in member.replaced or message.incarnation in member.fenced:
             return False
         if message.incarnation != member.view.incarnation:
-            member.replaced = [*member.replaced, member.view.incarnation][-REPLACED_KEPT:]
+            member.replaced = [*member.replaced, member.view.incarnation][-MAX_PAST_INCARNATIONS:]
             member.committed = 0
             member.view = _view_of(message, at)
             return True
-        member.view = _announced_again(member.view, message, at)
+        member.view = _after_reannouncement(member.view, message, at)
         return True
 
-    def beat(self, message: Beat, at: float) -> BeatVerdict:
+    def heartbeat(self, message: Beat, at: float) -> HeartbeatReply:
         """Take a beat and return how to answer it."""
         member = self._members.get(message.sender)
         if member is None or message.incarnation in member.replaced:
-            return UNKNOWN
+            return UNKNOWN_SENDER
         if message.incarnation in member.fenced:
-            return BeatVerdict(known=True, fenced=True)
+            return HeartbeatReply(known=True, fenced=True)
         if message.incarnation != member.view.incarnation:
-            return UNKNOWN
+            return UNKNOWN_SENDER
         if message.counter > member.view.counter:
-            member.view = _after_beat(member.view, message, at)
-        return BeatVerdict(known=True, committed=member.committed)
+            member.view = _after_heartbeat(member.view, message, at)
+        return HeartbeatReply(known=True, committed=member.committed)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> bool:
         """Record the counter that the table holds; return whether it grew."""
@@ -127,14 +127,14 @@
         member = self._members.get(instance)
         if member is None or incarnation in member.fenced:
             return
-        member.fenced = [*member.fenced, incarnation][-REPLACED_KEPT:]
+        member.fenced = [*member.fenced, incarnation][-MAX_PAST_INCARNATIONS:]
         if member.view.incarnation == incarnation:
             member.view = replace(member.view, fenced=True)
 
-    def forget_silent(self, at: float) -> list[str]:
+    def remove_unresponsive(self, at: float) -> list[str]:
         """Drop and return instances that have been silent for many silence periods."""
-        limit = self.silence_s * FORGET_SILENCES
-        gone = [key for key, m in self._members.items() if self._quiet_s(m.view, at) > limit]
+        limit = self.timeout_s * REMOVE_AFTER_TIMEOUTS
+        gone = [key for key, m in self._members.items() if self._unresponsive_s(m.view, at) > limit]
         for key in gone:
             del self._members[key]
         return gone
@@ -152,15 +152,15 @@
         """Return whether an instance may be given new work."""
         if view.fenced or view.draining:
             return False
-        return self._quiet_s(view, at) <= self.silence_s
+        return self._unresponsive_s(view, at) <= self.timeout_s
 
     def live(self, at: float) -> list[InstanceView]:
         """Return the instances that are neither silent, fenced nor draining."""
-        self.look(at)
+        self.tick(at)
         return [view for view in self.all() if self.is_live(view, at)]
 
-    def _quiet_s(self, view: InstanceView, at: float) -> float:
-        return at - max(view.heard_at, self._granted_at)
+    def _unresponsive_s(self, view: InstanceView, at: float) -> float:
+        return at - max(view.heard_at, self._grace_start)
 
 
 def _view_of(message: Announce, at: float) -> InstanceView:
@@ -185,7 +185,7 @@
     )
 
 
-def _announced_again(view: InstanceView, message: Announce, at: float) -> InstanceView:
+def _after_reannouncement(view: InstanceView, message: Announce, at: float) -> InstanceView:
     return replace(
         view,
         zone=message.zone,
@@ -200,7 +200,7 @@
     )
 
 
-def _after_beat(view: InstanceView, message: Beat, at: float) -> InstanceView:
+def _after_heartbeat(view: InstanceView, message: Beat, at: float) -> InstanceView:
     return replace(
         view,
         free=message.free.to_resources(),
