--- a/sapphirelead/entry_usage.py
+++ b/sapphirelead/entry_usage.py
@@ -10,7 +10,7 @@
 from sapphirelead.entry_shards import ShardView
 from sapphirelead.entry_start import JobStarter
 from sapphirelead.model_job import JobState
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 
 
 class TeamUsage:
@@ -41,14 +41,14 @@
         for key, stored in self._shards.jobs.items():
             if stored.job.state is JobState.CLAIMED or self._starter.has(key):
                 spec = stored.job.spec
-                used[spec.team] = used.get(spec.team, NOTHING) + spec.resources
+                used[spec.team] = used.get(spec.team, NO_RESOURCES) + spec.resources
         return used
 
     def publish(self, own: dict[str, Resources]) -> None:
         """Hand on what other entries need of this one's jobs: use and queued jobs by team."""
         published: dict[str, list[int]] = {}
         for team in own.keys() | self._shards.teams_queued():
-            held = own.get(team, NOTHING)
+            held = own.get(team, NO_RESOURCES)
             queued = self._shards.queued_of(team)
             published[team] = [held.cpu_millicores, held.memory_mb, held.accelerators, queued]
         self._leases.usage = published
@@ -58,7 +58,7 @@
         used = dict(own)
         for record in self._others():
             for team, amounts in record.usage.items():
-                used[team] = used.get(team, NOTHING) + Resources(*amounts[:3])
+                used[team] = used.get(team, NO_RESOURCES) + Resources(*amounts[:3])
         return used
 
     def _others(self) -> list[EntryRecord]:
--- a/sapphirelead/model_ledger.py
+++ b/sapphirelead/model_ledger.py
@@ -21,7 +21,7 @@
 
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_job import Kind
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 from sapphirelead.settings import AgentSettings
 
 MEASURED_MARGIN_FACTOR: Final = 1.1
@@ -45,12 +45,12 @@
     @property
     def used(self) -> Resources:
         """The larger of declaration and measurement."""
-        return self.declared.largest(self.measured)
+        return self.declared.elementwise_max(self.measured)
 
     @property
     def charged(self) -> Resources:
         """What admission counts."""
-        return self.declared.largest(_with_margin(self.measured, self.declared))
+        return self.declared.elementwise_max(_with_margin(self.measured, self.declared))
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
     @property
     def charged(self) -> Resources:
         """Sum of all charges and reservations."""
-        total = NOTHING
+        total = NO_RESOURCES
         for charge in self._charges.values():
             total += charge.charged
         for reservation in self._reservations.values():
@@ -136,7 +136,7 @@
     @property
     def free(self) -> Resources:
         """What would still be admitted, never below nothing."""
-        return (self._capacity - self.charged).largest(NOTHING)
+        return (self._capacity - self.charged).elementwise_max(NO_RESOURCES)
 
     def admit_request(self) -> bool:
         """Take a slot and a connection for a service request, if both are free."""
@@ -263,7 +263,7 @@
 
     def _add(self, key: str, kind: Kind, declared: Resources, urgent: bool) -> Charge:
         self._admitted += 1
-        charge = Charge(key, kind, declared, NOTHING, urgent, self._admitted)
+        charge = Charge(key, kind, declared, NO_RESOURCES, urgent, self._admitted)
         self._charges[key] = charge
         return charge
 
@@ -285,7 +285,7 @@
         )
 
     def _tasks_to_evict(self) -> tuple[str, ...]:
-        total = NOTHING
+        total = NO_RESOURCES
         for charge in self._charges.values():
             total += charge.used
         evict: list[str] = []
--- a/sapphirelead/model_resources.py
+++ b/sapphirelead/model_resources.py
@@ -44,7 +44,7 @@
             and self.accelerators <= room.accelerators
         )
 
-    def largest(self, other: "Resources") -> "Resources":
+    def elementwise_max(self, other: "Resources") -> "Resources":
         """Return the larger amount of each dimension."""
         return Resources(
             max(self.cpu_millicores, other.cpu_millicores),
@@ -53,4 +53,4 @@
         )
 
 
-NOTHING: Final = Resources()
+NO_RESOURCES: Final = Resources()
--- a/sapphirelead/policy_order.py
+++ b/sapphirelead/policy_order.py
@@ -17,7 +17,7 @@
 from typing import Final
 
 from sapphirelead.model_job import Job
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 
 AGEING_S: Final = 120.0
 DEADLINE_HORIZON_S: Final = 600.0
@@ -47,7 +47,7 @@
     """
 
     weight: float = 1.0
-    quota: Resources = NOTHING
+    quota: Resources = NO_RESOURCES
 
 
 def dominant_share(used: Resources, total: Resources) -> float:
@@ -120,7 +120,7 @@
         item = line.popleft()
         want = item.job.spec.resources
         team = item.job.spec.team
-        held = holding.get(team, NOTHING)
+        held = holding.get(team, NO_RESOURCES)
         if within_quota(held, want, shares.get(team, TeamShare()).quota):
             picked.append(item)
             holding[team] = held + want
@@ -170,5 +170,5 @@
 ) -> _Rank:
     team = item.job.spec.team
     weight = shares.get(team, TeamShare()).weight
-    share = dominant_share(used.get(team, NOTHING), total) / weight
+    share = dominant_share(used.get(team, NO_RESOURCES), total) / weight
     return _Rank(not item.urgent, -item.priority, share - pressure(item, at), _line_of(item))
--- a/sapphirelead/policy_placement.py
+++ b/sapphirelead/policy_placement.py
@@ -23,7 +23,7 @@
 from sapphirelead.entry_ports import InstanceView
 from sapphirelead.model_config import Weights
 from sapphirelead.model_job import Job
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 from sapphirelead.policy_order import dominant_share
 
 ZONE_COST: Final = 0.5
@@ -176,7 +176,7 @@
 
 def total_capacity(views: list[InstanceView]) -> Resources:
     """Return the sum of the capacities."""
-    total = NOTHING
+    total = NO_RESOURCES
     for view in views:
         total = total + view.capacity
     return total
--- a/sapphirelead/runner_book.py
+++ b/sapphirelead/runner_book.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 from sapphirelead.node_messages import (
     RunEnded,
     RunPhase,
@@ -95,7 +95,7 @@
     @property
     def used(self) -> Resources:
         """Room taken by the runs whose size is known."""
-        used = NOTHING
+        used = NO_RESOURCES
         for run in self.runs.values():
             if run.order is not None:
                 used = used + run.order.room
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import Final
 
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 from sapphirelead.node_messages import WorkerInfo
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_spec import StepSpec
@@ -133,7 +133,7 @@
     old_boots: set[str] = field(default_factory=set)
     returning: Returning | None = None
     runs: dict[RunKey, Run] = field(default_factory=dict)
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
     fill_cpu: int = 0
     serving: int = 0
     lasting: int = 0
--- a/tests/unit/test_ledger.py
+++ b/tests/unit/test_ledger.py
@@ -8,7 +8,7 @@
 
 from sapphirelead.model_job import Kind
 from sapphirelead.model_ledger import RESERVATION_TTL_S, Ledger
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 
 SIZE = Resources(4000, 4000, 2)
 amounts = st.builds(Resources, st.integers(0, 5000), st.integers(0, 5000), st.integers(0, 3))
@@ -63,7 +63,7 @@
     @invariant()
     def never_beyond_the_size(self) -> None:
         assert self.ledger.charged.fits_in(SIZE)
-        assert sum(self.tasks.values(), NOTHING).fits_in(self.ledger.charged)
+        assert sum(self.tasks.values(), NO_RESOURCES).fits_in(self.ledger.charged)
 
 
 TestLedgerMachine = LedgerMachine.TestCase
@@ -77,8 +77,8 @@
     for index, (declared, measured) in enumerate(tasks):
         ledger.adopt(str(index), Kind.BATCH, declared, measured)
     if not ledger.charged.fits_in(SIZE):
-        over = ledger.charged.largest(SIZE) - SIZE
-        probe = over.largest(Resources(1, 1, 1))
+        over = ledger.charged.elementwise_max(SIZE) - SIZE
+        probe = over.elementwise_max(Resources(1, 1, 1))
         assert isinstance(ledger.reserve("o", "k", probe, False, 0.0), Err)
     for key in ledger.excess().evict:
         ledger.release(key)
