--- a/tests/unit/test_entry_members.py
+++ b/tests/unit/test_entry_members.py
@@ -16,7 +16,7 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck, ServiceSample
-from tests.unit.test_membership import ANNOUNCE, BEAT
+from tests.unit.test_membership import ANNOUNCE, HEARTBEAT
 
 pytestmark = pytest.mark.looptime
 
@@ -53,18 +53,18 @@
 async def test_acknowledgements_tell_what_is_committed() -> None:
     links = FakeLinks()
     members = EntryMembers.from_settings(SETTINGS, links, Stamp("e1", "r"))
-    links.receive(BEAT)
+    links.receive(HEARTBEAT)
     assert links.acks == [], "an instance that was not announced must announce itself"
     links.receive(ANNOUNCE)
-    links.receive(BEAT, counter=1)
+    links.receive(HEARTBEAT, counter=1)
     members.set_committed("i1", "a", 1)
     members.set_committed("i1", "a", 1)
-    links.receive(BEAT, counter=2)
+    links.receive(HEARTBEAT, counter=2)
     members.mark_fenced("i1", "a")
-    links.receive(BEAT, counter=3)
+    links.receive(HEARTBEAT, counter=3)
     links.receive(ANNOUNCE, incarnation="b")
-    links.receive(BEAT, counter=4)
-    links.receive(BEAT, incarnation="b", counter=1)
+    links.receive(HEARTBEAT, counter=4)
+    links.receive(HEARTBEAT, incarnation="b", counter=1)
     expected = [
         ("a", 1, 0, False),
         ("a", 1, 1, False),
@@ -86,7 +86,7 @@
     links.receive(ANNOUNCE)
     await asyncio.sleep(SETTINGS.lease.silence_seconds + 1)
     assert heard == [True, False] and members.live() == []
-    links.receive(BEAT)
+    links.receive(HEARTBEAT)
     assert heard[-1] and [view.id for view in members.live()] == ["i1"]
     await asyncio.sleep(SETTINGS.lease.silence_seconds * 25)
     assert members.all() == []
@@ -133,7 +133,7 @@
     links = FakeLinks()
     members = EntryMembers.from_settings(SETTINGS, links, Stamp("e1", "r"))
     links.receive(ANNOUNCE)
-    links.receive(BEAT)
+    links.receive(HEARTBEAT)
     situation = EntrySituation("z1", members, lambda: False, lambda: 7)
     seen = situation.of_job(JobSpec("k", Kind.BATCH, "rollover", "team", WHOLE, urgent=True))
     assert (seen.store_up, seen.queue_length, seen.load, seen.urgent) == (False, 7, 0.5, True)
