--- a/sapphirelead/model_config.py
+++ b/sapphirelead/model_config.py
@@ -1,7 +1,7 @@
-"""The operators' configuration: one document, one version that only grows.
+"""Schema and validation of the operators' configuration document.
 
-The document is checked here, at the border; rules are compiled from it by
-:mod:`sapphirelead.policy_rules`.  Durations, sizes and shares carry their unit in the key's name.
+:mod:`sapphirelead.policy_rules` compiles the rules of a validated document.  Key names carry the
+unit of durations, sizes and shares.
 """
 
 from dataclasses import dataclass
@@ -290,9 +290,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A configuration in force.
+    """A configuration document and its version.
 
-    :ivar version: number of the accepted change that made it; 0 before the first.
+    :ivar version: number of the change that produced it; 0 before the first change.
     """
 
     version: int
@@ -303,8 +303,10 @@
 
 
 def parse_document(raw: Any) -> Result[ConfigDocument, Failure]:
-    """Check a decoded document."""
+    """Validate a decoded document."""
     try:
         return Ok(ConfigDocument.model_validate(raw))
     except ValueError as exc:
-        return Err(Failure(Code.CONFIG_INVALID, str(exc), "mend the keys named and apply again"))
+        return Err(
+            Failure(Code.CONFIG_INVALID, str(exc), "correct the listed keys and apply again")
+        )
--- a/sapphirelead/model_config_diff.py
+++ b/sapphirelead/model_config_diff.py
@@ -1,8 +1,7 @@
-"""What a change of the configuration changed, in words for the audit trail.
+"""Describes the difference between two configuration documents for the audit trail.
 
-Tables are compared key by key.  Rules are compared by name, and their order by itself, because the
-first rule that matches decides: moving a rule can change every decision without changing a word of
-any rule.
+Tables are compared key by key.  Rules are compared by name.  A change of rule order is reported
+separately, because the first matching rule decides.
 """
 
 import json
@@ -17,14 +16,16 @@
 
 
 def describe_changes(before: ConfigDocument, after: ConfigDocument) -> tuple[str, ...]:
-    """Return one line for each change, at most :data:`MAX_LINES`.
+    """Return one line per change, and a summary line for those beyond :data:`MAX_LINES`.
 
     >>> new = ConfigDocument.model_validate({"retries": {"budget_share": 0.2}})
     >>> describe_changes(ConfigDocument(), new)
     ('retries.budget_share: unset -> 0.2',)
     """
     lines = list(_changes(_dump(before), _dump(after)))
-    shown = [line if len(line) <= MAX_LINE_CHARS else line[:MAX_LINE_CHARS] + "..." for line in lines]
+    shown = [
+        line if len(line) <= MAX_LINE_CHARS else line[:MAX_LINE_CHARS] + "..." for line in lines
+    ]
     if len(shown) > MAX_LINES:
         return (*shown[:MAX_LINES], f"and {len(shown) - MAX_LINES} further changes")
     return tuple(shown)
@@ -38,7 +39,7 @@
     old_rules = before.pop(RULES_KEY, [])
     new_rules = after.pop(RULES_KEY, [])
     for section in sorted(before.keys() | after.keys()):
-        # A section that is left out is one whose keys all have their defaults.
+        # Sections with only default values are omitted from the dump.
         yield from _compare(f"{section}.", before.get(section, {}), after.get(section, {}))
     yield from _compare_rules(old_rules, new_rules)
 
--- a/sapphirelead/model_job.py
+++ b/sapphirelead/model_job.py
@@ -1,16 +1,15 @@
-"""The states of one durable job and the moves between them.
+"""State machine of a durable job, stored as one row of the platform's table.
 
-A job is one row of the platform's table.  Every move below yields the next value of the row or a
-:class:`~sapphirelead.errors.Failure`; the caller commits it under the condition that the row is
-still at the version it was read at, so that two processes can never both make a move.
+Each transition returns the next value of the row or a :class:`~sapphirelead.errors.Failure`.  The
+caller commits it with a compare-and-set on the row's version.
 
 Invariants:
 
-- ``epoch`` grows by one with every claim and never otherwise.  A task runs only under a committed
-  claim, and a completion is accepted only at the epoch of the claim it ran under.
-- A ``CLAIMED`` row may have been started.  Only the holder's own word (never started, exact
-  checkpoint) or idempotence allows it to be queued again.
-- An ended row never moves again.
+- ``epoch`` is incremented by each claim and by nothing else.  A task runs only under a committed
+  claim, and a completion is accepted only at the epoch of its claim.
+- A ``CLAIMED`` job may have been started.  It is queued again only if its holder reports that it
+  was never started or stopped at an exact checkpoint, or if it is idempotent.
+- A job in a terminal state never changes state again.
 """
 
 from dataclasses import dataclass, field, replace
@@ -24,7 +23,7 @@
 
 
 class Kind(StrEnum):
-    """The three kinds of work."""
+    """The kind of a job."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -32,7 +31,7 @@
 
 
 class JobState(StrEnum):
-    """How far a job has come; those in ``TERMINAL_STATES`` are final."""
+    """State of a job; those in ``TERMINAL_STATES`` are final."""
 
     QUEUED = "queued"
     CLAIMED = "claimed"
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """The instance, and the run of its agent, that a claim names."""
+    """The instance that holds a claim, and the incarnation of its agent."""
 
     instance: str
     incarnation: str
@@ -64,11 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What the caller asked for; never changes after the row is created.
+    """The caller's request; immutable after the row is created.
 
     :ivar key: the caller's idempotency key.
-    :ivar deadline_ms: wanted end, in milliseconds after acceptance; 0 for none.
-    :ivar expected_ms: declared run time, a hint that is never trusted alone; 0 for none.
+    :ivar deadline_ms: deadline, in milliseconds after acceptance; 0 for none.
+    :ivar expected_ms: declared run time, used only as a hint; 0 for none.
     """
 
     key: str
@@ -89,8 +88,8 @@
 
     :ivar checkpoint: object key of the last exact checkpoint, or empty.
     :ivar attempts: claims that ended in a failure of the task or the loss of its holder.
-    :ivar tried: instances on which an attempt failed, for setting poison jobs aside.
-    :ivar submitted_ms: wall-clock time of acceptance, for people and ordering hints only.
+    :ivar tried: instances on which an attempt failed, used to detect poison jobs.
+    :ivar submitted_ms: wall-clock time of acceptance, for display and ordering hints only.
     """
 
     spec: JobSpec
@@ -109,11 +108,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the job has its final answer."""
+        """Whether the job is in a terminal state."""
         return self.state in TERMINAL_STATES
 
     def claim(self, holder: Holder) -> "Result[Job, Failure]":
-        """Give the job to ``holder`` under the next epoch."""
+        """Assign the job to ``holder`` and increment the epoch."""
         if self.state is not JobState.QUEUED:
             return self._illegal_transition("claim")
         if self.cancel_requested:
@@ -121,10 +120,9 @@
         return Ok(replace(self, state=JobState.CLAIMED, epoch=self.epoch + 1, holder=holder))
 
     def adopt(self, holder: Holder, epoch: int) -> "Result[Job, Failure]":
-        """Move the claim to a new run of the same instance's agent, under the same epoch.
+        """Move the claim to a new incarnation of the same instance's agent.
 
-        A restarted agent finds the task still running at the worker; no second start happens, so
-        the epoch stays.
+        The epoch does not change, because the task is still running and is not started again.
         """
         if not self._held_at(epoch) or self.holder is None:
             return self._illegal_transition("adopt")
@@ -133,16 +131,16 @@
         return Ok(replace(self, holder=holder))
 
     def complete(self, epoch: int, result: Any) -> "Result[Job, Failure]":
-        """Accept the result of the run under ``epoch``."""
+        """Record the result of the attempt at ``epoch``."""
         if not self._held_at(epoch):
             return self._illegal_transition(f"complete at epoch {epoch}")
         return Ok(replace(self, state=JobState.DONE, holder=None, result=result))
 
     def fail(self, epoch: int, reason: str, max_attempts: int) -> "Result[Job, Failure]":
-        """Record that the task itself failed under ``epoch``.
+        """Record that the task failed at ``epoch``.
 
         An idempotent job is queued again until ``max_attempts``, then set aside.  A non-idempotent
-        one ends: the task had started and may have had effects.
+        job fails at once, because the task may have had effects.
         """
         if not self._held_at(epoch) or self.holder is None:
             return self._illegal_transition(f"fail at epoch {epoch}")
@@ -154,7 +152,7 @@
         return Ok(replace(attempted, state=JobState.QUEUED))
 
     def release_unstarted(self, epoch: int, reason: str) -> "Result[Job, Failure]":
-        """Queue again a claim of which the holder proved that it was never started."""
+        """Requeue or cancel a job whose holder reported that it was never started."""
         if not self._held_at(epoch):
             return self._illegal_transition(f"release at epoch {epoch}")
         if self.cancel_requested:
@@ -162,7 +160,7 @@
         return Ok(replace(self, state=JobState.QUEUED, holder=None, reason=reason))
 
     def checkpointed(self, epoch: int, checkpoint: str) -> "Result[Job, Failure]":
-        """Queue again a task that its holder stopped at an exact checkpoint."""
+        """Requeue or cancel a job that its holder stopped at an exact checkpoint."""
         if not self._held_at(epoch):
             return self._illegal_transition(f"checkpoint at epoch {epoch}")
         if self.cancel_requested:
@@ -170,10 +168,11 @@
         return Ok(replace(self, state=JobState.QUEUED, holder=None, checkpoint=checkpoint))
 
     def lose_holder(self, epoch: int, reason: str, max_attempts: int) -> "Result[Job, Failure]":
-        """Record that the holder is fenced or does not know the task any more.
+        """Record that the holder is fenced or no longer knows the task.
 
-        The run may have had effects since its last exact checkpoint.  An idempotent job resumes; a
-        non-idempotent one ends as unknown and is never silently run again.
+        The task may have had effects since its last exact checkpoint.  A non-idempotent job ends as
+        ``UNKNOWN``; an idempotent one is queued again, unless it was cancelled or, for jobs other
+        than watches, has reached ``max_attempts``.
         """
         if not self._held_at(epoch) or self.holder is None:
             return self._illegal_transition(f"lose holder at epoch {epoch}")
@@ -187,7 +186,7 @@
         return Ok(replace(attempted, state=JobState.QUEUED))
 
     def request_cancel(self) -> "Result[Job, Failure]":
-        """Cancel at once while queued; otherwise ask the holder to stop."""
+        """Cancel a queued job at once; mark a claimed one for its holder to stop."""
         if self.ended:
             return self._illegal_transition("cancel")
         if self.state is JobState.QUEUED:
@@ -196,13 +195,13 @@
         return Ok(replace(self, cancel_requested=True))
 
     def stopped(self, epoch: int) -> "Result[Job, Failure]":
-        """End a cancelled job whose holder confirmed that the task was stopped."""
+        """Cancel a job whose holder confirmed that the task was stopped."""
         if not self._held_at(epoch) or not self.cancel_requested:
             return self._illegal_transition(f"stop at epoch {epoch}")
         return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="stopped"))
 
     def set_aside(self, reason: str) -> "Result[Job, Failure]":
-        """Give up on a queued job that can never run."""
+        """Set aside a queued job that can never run."""
         if self.state is not JobState.QUEUED:
             return self._illegal_transition("set aside")
         return Ok(replace(self, state=JobState.SET_ASIDE, reason=reason))
@@ -215,6 +214,6 @@
         tried = self.tried if instance in self.tried else (*self.tried, instance)
         return replace(self, holder=None, attempts=self.attempts + 1, tried=tried, reason=reason)
 
-    def _illegal_transition(self, move: str) -> "Err[Failure]":
-        text = f"job {self.spec.key!r} is {self.state} at epoch {self.epoch}: cannot {move}"
+    def _illegal_transition(self, transition: str) -> "Err[Failure]":
+        text = f"job {self.spec.key!r} is {self.state} at epoch {self.epoch}: cannot {transition}"
         return Err(Failure(Code.ILLEGAL_MOVE, text))
--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -1,20 +1,19 @@
-"""The lease of an instance, seen from its holder and from its observers.
+"""Leases of instances: the holder's side and the observer's side.
 
-Algorithm.  Every beat of an agent carries a counter that grows.  An entry commits the counter in
-the platform's table and then acknowledges it.  Only that acknowledgement renews the lease, and it
-renews it from the moment noted *before* the beat was sent.  An observer takes the instance for lost
-after it has itself seen the committed counter unchanged for longer than the lease and a margin.
+Each heartbeat carries an increasing counter, which an entry commits to the platform's table and
+then acknowledges.  The acknowledgement renews the lease from the time recorded *before* the
+heartbeat was sent.  An observer reports a lease as expired once it has seen the committed counter
+unchanged for longer than the lease plus a margin.
 
-Why the two never overlap.  Let the holder note time ``t`` and send counter ``c``.  The commit of
-``c`` happens after ``t``, so any observer first sees ``c`` after ``t`` and declares the loss after
-``t + lease + margin``.  The holder's deadline is ``t + lease``.  Only durations are compared, each
-on its owner's own monotonic clock; the margin covers the difference of the clocks' rates.
+Safety: if counter ``c`` is recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see
+``c`` only after ``t``, so they report the expiry after ``t + lease + margin``.  Each side measures
+durations on its own monotonic clock; the margin covers clock drift.
 
 Invariants:
 
-- The holder's deadline never moves back and never moves without a committed counter.
-- An observation that was interrupted (a failed read, a pause of the observer's own loop) starts
-  anew; it never counts time during which the observer saw nothing.
+- The holder's deadline never decreases, and only a committed counter extends it.
+- An interrupted observation (failed read, paused process) starts over, so time without reads does
+  not count towards expiry.
 """
 
 from collections import deque
@@ -32,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentHeartbeat:
-    """A beat and the time noted before it was sent."""
+    """A heartbeat's counter and the time recorded before it was sent."""
 
     counter: int
     at: float
 
 
 class LeaseHolder:
-    """The agent's side: decides until when the instance may run what it claimed.
+    """The agent's side of a lease: tracks until when the instance may run its claims.
 
     >>> lease = LeaseHolder(lease_s=20.0, guard_s=5.0)
     >>> counter = lease.next_heartbeat(100.0)
@@ -63,29 +62,29 @@
 
     @classmethod
     def from_settings(cls, settings: LeaseSettings) -> "LeaseHolder":
-        """Take the lease's length from ``settings``; the guard is a fixed share of it."""
+        """Return a holder with the lease of ``settings`` and a guard of ``GUARD_SHARE`` of it."""
         return cls(settings.lease_seconds, settings.lease_seconds * GUARD_SHARE)
 
     @property
     def counter(self) -> int:
-        """The counter of the last beat."""
+        """The counter of the last heartbeat."""
         return self._counter
 
     @property
     def deadline(self) -> float:
-        """Loop time at which the lease lapses; minus infinity before the first grant."""
+        """Loop time at which the lease expires; minus infinity before the first grant."""
         return self._deadline
 
     def next_heartbeat(self, now: float) -> int:
-        """Note ``now`` and return the counter of the beat that is about to be sent."""
+        """Record ``now`` and return the counter for the next heartbeat; call before sending it."""
         self._counter += 1
         self._pending.append(_SentHeartbeat(self._counter, now))
         return self._counter
 
     def record_ack(self, committed: int) -> None:
-        """Renew the lease from the time noted for the committed counter.
+        """Renew the lease from the send time of the heartbeat with the committed counter.
 
-        While the table is down, entries acknowledge beats with an old counter: nothing moves.
+        A counter that was committed before, as sent while the table is down, renews nothing.
         """
         while self._pending and self._pending[0].counter <= committed:
             noted = self._pending.popleft()
@@ -96,24 +95,24 @@
         return self._deadline != _NEVER
 
     def may_act(self, now: float) -> bool:
-        """Return whether an effect (a start, a renewal) may be made at ``now``.
+        """Return whether a task may be started or renewed at ``now``.
 
-        Asked before every effect: an agent that was paused past its deadline resumes in the middle
-        of its code, and its timers fire only afterwards.
+        Call it before each such action: an agent that was paused past its deadline resumes before
+        its timers fire.
         """
         return now < self._deadline - self._guard_s
 
     def expiring(self, now: float) -> bool:
-        """Return whether a granted lease is so near its end that tasks must be checkpointed."""
+        """Return whether a granted lease is within the guard of its deadline, or past it."""
         return self.granted() and not self.may_act(now)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerClock:
-    """The worker's clock beside the loop's, from one answer of the worker.
+    """Maps loop time to a worker's clock, from one response of the worker.
 
-    :ivar clock: the worker's clock, read by it before it answered, in seconds.
-    :ivar received_at: loop time at which the answer was received.
+    :ivar clock: the worker's clock, in seconds, read before it responded.
+    :ivar received_at: loop time at which the response was received.
     """
 
     clock: float
@@ -122,8 +121,8 @@
     def convert(self, deadline: float) -> float:
         """Return a worker time that is never later than loop time ``deadline``.
 
-        The worker read its clock before ``received_at``, so by the reception its clock showed
-        ``clock`` or more; a late reception only shortens the result.
+        The worker read its clock before ``received_at``, so network delay only makes the result
+        earlier.
 
         >>> WorkerClock(clock=1_000.0, received_at=50.0).convert(60.0)
         1010.0
@@ -139,12 +138,10 @@
 
 
 class LeaseObserver:
-    """An entry's side: says which instances have let their lease lapse.
+    """An entry's side of leases: detects expired leases.
 
-    The observer is told of each round of reads.  A round that failed, or that comes so late that
-    the observer's own process must have been paused, starts every observation anew: the counters
-    of a zone also stand still when the table or the zone's only entry does, and nobody is to be
-    fenced for that.
+    All observations restart after a failed read, or after a gap between reads long enough that the
+    process must have been paused.  Otherwise an outage of the table would fence healthy instances.
     """
 
     _expiry_s: float
@@ -160,16 +157,16 @@
 
     @classmethod
     def from_settings(cls, settings: LeaseSettings) -> "LeaseObserver":
-        """Take the lease, its margin and the length of a round from ``settings``."""
-        lapse = settings.lease_seconds + settings.margin_seconds
-        pause = min(settings.renew_interval_seconds * MAX_GAP_INTERVALS, lapse / 2)
-        return cls(lapse, max(pause, settings.renew_interval_seconds * 2))
+        """Return an observer with the lease, margin and renewal interval of ``settings``."""
+        expiry_s = settings.lease_seconds + settings.margin_seconds
+        max_gap_s = min(settings.renew_interval_seconds * MAX_GAP_INTERVALS, expiry_s / 2)
+        return cls(expiry_s, max(max_gap_s, settings.renew_interval_seconds * 2))
 
     def observe(self, now: float, counters: Mapping[str, tuple[str, int]]) -> list[tuple[str, str]]:
-        """Take one successful read and return ``(instance, incarnation)`` of each lapsed lease.
+        """Record a successful read and return ``(instance, incarnation)`` of each expired lease.
 
-        :param now: loop time, in seconds, noted after the read came back.
-        :param counters: by instance, its incarnation and its committed counter.
+        :param now: loop time, in seconds, after the read returned.
+        :param counters: incarnation and committed counter of each instance.
         """
         if now - self._last_read_at > self._max_gap_s:
             self._observations.clear()
@@ -185,11 +182,13 @@
         ]
 
     def reset(self, now: float) -> None:
-        """Start every observation anew, after a failed read."""
+        """Restart all observations after a failed read."""
         self._observations.clear()
         self._last_read_at = now
 
-    def _update_observation(self, now: float, instance: str, incarnation: str, counter: int) -> _Observation:
+    def _update_observation(
+        self, now: float, instance: str, incarnation: str, counter: int
+    ) -> _Observation:
         seen = self._observations.get(instance)
         if seen and seen.incarnation == incarnation and seen.counter == counter:
             return seen
--- a/sapphirelead/model_ledger.py
+++ b/sapphirelead/model_ledger.py
@@ -1,16 +1,17 @@
-"""The ledger of one instance's capacity: the only place that admits work to it.
+"""Admission control and capacity accounting of one instance.
 
 Service requests take a slot and a connection each; batch tasks and watches take processors, memory
-and accelerators.  The two are apart, so that a long task never stands in front of a quick request.
+and accelerators.  The two are accounted separately, so that tasks do not delay requests.
 
 Invariants:
 
-- What is admitted never exceeds the size of the instance: the charges of tasks and open
-  reservations together fit, and so do slots and connections.
-- A task is charged the larger of its declaration and its measured use; a task that was measured
-  above its declaration is charged a margin besides, since the measurement lags.
-- A charge may rise above the size only through measurement or adoption after a restart.  Then
-  nothing is admitted, and :meth:`Ledger.excess` names the tasks to throttle or to evict.
+- Admission never makes the sum of charges and reservations, the slots or the connections exceed the
+  capacity of the instance.
+- A task is charged the larger of its declared and its measured use, with a margin on measured use
+  above the declaration, because measurements lag.
+- Only measurements, adoption after a restart and reservations pending eviction can raise the sum
+  above the capacity.  Nothing else is admitted then, and :meth:`Ledger.excess` returns the tasks to
+  throttle or evict.
 """
 
 from collections.abc import Collection, Iterable
@@ -30,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """What one task is charged.
+    """The resources charged to one task.
 
-    :ivar order: grows with admission; the newest task is the first to give way.
+    :ivar order: admission sequence number; newer tasks are evicted first.
     """
 
     key: str
@@ -44,18 +45,18 @@
 
     @property
     def used(self) -> Resources:
-        """The larger of declaration and measurement."""
+        """The larger of declared and measured use."""
         return self.declared.elementwise_max(self.measured)
 
     @property
     def charged(self) -> Resources:
-        """What admission counts."""
+        """The amount that admission control counts, including the margin."""
         return self.declared.elementwise_max(_with_margin(self.measured, self.declared))
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room kept for an offer until its start comes or the reservation lapses."""
+    """Capacity reserved for an offer until the task starts or the reservation expires."""
 
     offer_id: str
     key: str
@@ -66,10 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """Tasks to act on, so that the instance holds no more than its size.
+    """Tasks to throttle or evict to bring the instance back within its capacity.
 
-    :ivar throttle: tasks that use more processors than they declared, newest first.
-    :ivar evict: tasks to checkpoint and stop, since memory or accelerators cannot be throttled.
+    :ivar throttle: tasks that use more processors than they declared, in eviction order.
+    :ivar evict: tasks to checkpoint and stop, because memory and accelerators cannot be throttled.
     """
 
     throttle: tuple[str, ...] = ()
@@ -77,7 +78,7 @@
 
 
 class Ledger:
-    """Capacity of one instance and what holds it."""
+    """Capacity of one instance and its charges and reservations."""
 
     _capacity: Resources
     _slots: int
@@ -98,29 +99,29 @@
 
     @classmethod
     def from_settings(cls, settings: AgentSettings) -> "Ledger":
-        """Take the size of the instance from ``settings``."""
+        """Return a ledger with the capacity that ``settings`` declare."""
         size = settings.capacity
         capacity = Resources(size.cpu_millicores, size.memory_mb, size.accelerators)
         return cls(capacity, settings.slots, settings.connections)
 
     @property
     def capacity(self) -> Resources:
-        """Size of the instance for batch and watches."""
+        """Capacity for batch tasks and watches."""
         return self._capacity
 
     @property
     def slots(self) -> int:
-        """Service requests that may run at once."""
+        """Maximum number of concurrent service requests."""
         return self._slots
 
     @property
     def connections(self) -> int:
-        """Connections that the target takes."""
+        """Maximum number of connections to the target."""
         return self._connections
 
     @property
     def requests(self) -> int:
-        """Service requests that hold a slot."""
+        """Number of service requests that hold a slot."""
         return self._requests
 
     @property
@@ -135,29 +136,29 @@
 
     @property
     def free(self) -> Resources:
-        """What would still be admitted, never below nothing."""
+        """Unreserved capacity, at least zero in each dimension."""
         return (self._capacity - self.charged).elementwise_max(NO_RESOURCES)
 
     def admit_request(self) -> bool:
-        """Take a slot and a connection for a service request, if both are free."""
+        """Acquire a slot and a connection for a service request, if both are free."""
         if self._requests >= min(self._slots, self._connections):
             return False
         self._requests += 1
         return True
 
     def release_request(self) -> None:
-        """Give back what a service request held."""
+        """Release the slot and the connection of a service request."""
         assert self._requests > 0, "more requests released than admitted"
         self._requests -= 1
 
     def reserve(
         self, offer_id: str, key: str, resources: Resources, urgent: bool, now: float
     ) -> Result[Reservation, Failure]:
-        """Keep room for an offer; the same offer twice keeps it once."""
+        """Reserve capacity for an offer; idempotent per ``offer_id``."""
         self.expire_reservations(now)
-        known = self._reservations.get(offer_id)
-        if known:
-            return Ok(known)
+        existing = self._reservations.get(offer_id)
+        if existing:
+            return Ok(existing)
         match self._check(resources):
             case Err(failure):
                 return Err(failure)
@@ -168,35 +169,35 @@
     def select_victims(
         self, resources: Resources, stoppable: Collection[str], stopping: Collection[str]
     ) -> tuple[str, ...] | None:
-        """Name the fewest tasks to evict so that ``resources`` fit, or ``None`` if none suffice.
+        """Return the tasks to evict so that ``resources`` fit, or ``None`` if that is impossible.
 
-        Only batch that is not urgent gives way, newest first; watches and urgent tasks never do.
+        Only batch tasks that are not urgent are evicted, newest first.  No victim is superfluous.
 
-        :param stoppable: tasks that run and may be stopped.
-        :param stopping: tasks that are being stopped already; their room is counted as free.
+        :param stoppable: running tasks that may be stopped.
+        :param stopping: tasks already being stopped; their charges count as free.
         """
-        room = self._capacity - self.charged
+        available = self._capacity - self.charged
         for key in stopping:
             if key in self._charges:
-                room += self._charges[key].charged
-        if resources.fits_in(room):
+                available += self._charges[key].charged
+        if resources.fits_in(available):
             return ()
         victims: list[Charge] = []
         for charge in sorted(self._charges.values(), key=lambda c: -c.order):
             if charge.key in stoppable and charge.kind is Kind.BATCH and not charge.urgent:
                 victims.append(charge)
-                room += charge.charged
-                if resources.fits_in(room):
-                    return _minimal_victims(victims, resources, room)
+                available += charge.charged
+                if resources.fits_in(available):
+                    return _minimal_victims(victims, resources, available)
         return None
 
     def reserve_pending_eviction(
         self, offer_id: str, key: str, resources: Resources, now: float
     ) -> Reservation:
-        """Keep room for an urgent offer that waits for evictions.
+        """Reserve capacity for an urgent offer that waits for evictions.
 
-        The room counts as taken at once, so that no other offer gets it; the offer may be accepted
-        only when :attr:`overcommitted` is false.
+        Overcommits the instance until the evictions finish.  The caller accepts the offer only when
+        :attr:`overcommitted` is false.
         """
         self.expire_reservations(now)
         reservation = Reservation(offer_id, key, resources, True, now + RESERVATION_TTL_S)
@@ -205,26 +206,26 @@
 
     @property
     def overcommitted(self) -> bool:
-        """Whether charges and reservations together exceed the size of the instance."""
+        """Whether charges and reservations together exceed the capacity of the instance."""
         return not self.charged.fits_in(self._capacity)
 
     def expire_reservations(self, now: float) -> None:
-        """Drop reservations whose start did not come in time."""
+        """Remove expired reservations."""
         for offer_id in [o for o, r in self._reservations.items() if r.expires_at <= now]:
             del self._reservations[offer_id]
 
     def cancel_reservation(self, offer_id: str) -> None:
-        """Give back the room of an offer that will not start."""
+        """Release the reservation of an offer that will not start."""
         self._reservations.pop(offer_id, None)
 
     def charge(
         self, offer_id: str, key: str, kind: Kind, resources: Resources, now: float
     ) -> Result[Charge, Failure]:
-        """Turn an offer's reservation into a task's charge, or admit the task anew.
+        """Replace an offer's reservation, if any, by the charge of its task.
 
-        The room of the reservation is used only where the start asks for no more than was offered.
+        The task is admitted anew, so a request for more than was reserved can fail.
         """
-        assert key not in self._charges, f"task {key!r} is charged already"
+        assert key not in self._charges, f"task {key!r} is already charged"
         self.expire_reservations(now)
         reservation = self._reservations.pop(offer_id, None)
         match self._check(resources):
@@ -234,28 +235,28 @@
         return Ok(self._add(key, kind, resources, urgent))
 
     def adopt(self, key: str, kind: Kind, declared: Resources, measured: Resources) -> None:
-        """Charge a task that runs already, whether there is room or not."""
+        """Charge a task that already runs, even if this exceeds the capacity."""
         charge = self._add(key, kind, declared, False)
         self._charges[key] = replace(charge, measured=measured)
 
     def record_usage(self, key: str, usage: Resources) -> None:
-        """Take the worker's last measurement of a task."""
+        """Record the measured resource usage of a task."""
         charge = self._charges.get(key)
         if charge:
             self._charges[key] = replace(charge, measured=usage)
 
     def charge_of(self, key: str) -> Charge | None:
-        """Return what a task is charged, or ``None`` where it holds nothing."""
+        """Return the charge of a task, or ``None`` if it has none."""
         return self._charges.get(key)
 
     def release(self, key: str) -> None:
-        """Give back what an ended task held."""
+        """Release the charge of an ended task."""
         self._charges.pop(key, None)
 
     def excess(self) -> Excess:
-        """Name the tasks to act on because measured use exceeds the size of the instance.
+        """Return the tasks to throttle or evict because use exceeds the capacity of the instance.
 
-        Processors can be throttled; memory and accelerators can only be given back by eviction.
+        Processor use can be throttled; memory and accelerators are freed only by eviction.
         """
         throttle = self._tasks_to_throttle()
         evict = self._tasks_to_evict()
@@ -275,8 +276,8 @@
         return Ok(None)
 
     def _tasks_to_throttle(self) -> tuple[str, ...]:
-        over = sum(c.used.cpu_millicores for c in self._charges.values())
-        if over <= self._capacity.cpu_millicores:
+        used = sum(c.used.cpu_millicores for c in self._charges.values())
+        if used <= self._capacity.cpu_millicores:
             return ()
         return tuple(
             charge.key
@@ -297,18 +298,20 @@
         return tuple(evict)
 
 
-def _minimal_victims(victims: list[Charge], resources: Resources, room: Resources) -> tuple[str, ...]:
-    """Leave out victims, oldest first, without which ``resources`` still fit."""
+def _minimal_victims(
+    victims: list[Charge], resources: Resources, available: Resources
+) -> tuple[str, ...]:
+    """Drop victims, oldest first, without whose eviction ``resources`` still fit."""
     kept = list(victims)
     for charge in reversed(victims):
-        if resources.fits_in(room - charge.charged):
-            room -= charge.charged
+        if resources.fits_in(available - charge.charged):
+            available -= charge.charged
             kept.remove(charge)
     return tuple(charge.key for charge in kept)
 
 
 def _eviction_order(charges: Iterable[Charge]) -> list[Charge]:
-    """Order tasks: those above their declaration, then batch, then not urgent, then newest."""
+    """Sort tasks for eviction: above declared memory or accelerators, batch, not urgent, newest."""
     return sorted(
         charges,
         key=lambda c: (
--- a/sapphirelead/model_membership.py
+++ b/sapphirelead/model_membership.py
@@ -1,17 +1,15 @@
-"""Which instances exist, and which of them are live, as one entry knows it.
+"""Membership table of one entry: the known instances and their liveness.
 
-An instance exists from its announcement on; nothing lists it beforehand.  Each run of its agent is
-an incarnation.  Incarnations carry no order of their own: the one announced last is current, unless
-it was fenced or had been replaced by another before.
+Instances are added by their first announcement.  Each run of an instance's agent is an incarnation;
+the last one announced is current, unless it was fenced or replaced before.
 
 Invariants:
 
-- A message of an incarnation that was replaced or fenced changes nothing.
-- The beat counter of an incarnation never goes back, so a delayed beat does not revive an instance.
-- Nobody is called silent for a time in which this process itself did not run.  The failure: an
-  entry is stopped for some seconds and wakes up; each instance's last message looks old, and all
-  would be dropped at once although each of them kept sending.  A gap between two looks at the clock
-  shows it, and everybody is granted a fresh silence period from the moment of waking.
+- Messages of replaced or fenced incarnations do not change the table.
+- The heartbeat counter of an incarnation never decreases, so a delayed heartbeat does not make an
+  instance live again.
+- After a pause of this process, detected by a gap between ticks, every instance gets a fresh
+  timeout, so that the pause does not make all instances appear unresponsive at once.
 """
 
 from dataclasses import dataclass, field, replace
@@ -29,10 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """How a beat is to be answered.
+    """How to reply to a heartbeat.
 
-    :ivar known: ``False`` means that no acknowledgement is due: the sender has to announce itself
-        again, or was replaced.
+    :ivar known: ``False`` if no acknowledgement is due, because the incarnation is not the current
+        one of a known instance.
+    :ivar committed: last committed counter of the incarnation.
+    :ivar fenced: whether the incarnation is fenced.
     """
 
     known: bool
@@ -52,9 +52,9 @@
 
 
 class MembershipTable:
-    """The instances that announced themselves.
+    """The instances that have announced themselves.
 
-    :ivar timeout_s: seconds without a message after which an instance is silent.
+    :ivar timeout_s: seconds without a message after which an instance is unresponsive.
     """
 
     timeout_s: float
@@ -74,9 +74,9 @@
         return cls(lease.silence_seconds, at)
 
     def tick(self, at: float) -> bool:
-        """Note that the process runs at ``at``; return whether it had been paused until then.
+        """Record that the process runs at ``at``; return whether it was paused until then.
 
-        Called several times in each silence period and before every judgement about silence.
+        Call several times per timeout, and before each liveness check.
         """
         paused = at - self._last_tick_at > self.timeout_s * MAX_TICK_GAP_SHARE
         self._last_tick_at = at
@@ -85,7 +85,7 @@
         return paused
 
     def announce(self, message: Announce, at: float) -> bool:
-        """Take an announcement; return whether its incarnation is current now."""
+        """Process an announcement; return whether its incarnation is now current."""
         member = self._members.get(message.sender)
         if member is None:
             self._members[message.sender] = _Member(_view_of(message, at))
@@ -101,7 +101,7 @@
         return True
 
     def heartbeat(self, message: Beat, at: float) -> HeartbeatReply:
-        """Take a beat and return how to answer it."""
+        """Process a heartbeat and return how to reply to it."""
         member = self._members.get(message.sender)
         if member is None or message.incarnation in member.replaced:
             return UNKNOWN_SENDER
@@ -114,7 +114,7 @@
         return HeartbeatReply(known=True, committed=member.committed)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> bool:
-        """Record the counter that the table holds; return whether it grew."""
+        """Record the committed counter; return whether it grew and the instance is not fenced."""
         member = self._members.get(instance)
         if member is None or member.view.incarnation != incarnation:
             return False
@@ -123,7 +123,7 @@
         return grew and not member.view.fenced
 
     def mark_fenced(self, instance: str, incarnation: str) -> None:
-        """Record that an incarnation may act no more."""
+        """Record that an incarnation is fenced."""
         member = self._members.get(instance)
         if member is None or incarnation in member.fenced:
             return
@@ -132,30 +132,32 @@
             member.view = replace(member.view, fenced=True)
 
     def remove_unresponsive(self, at: float) -> list[str]:
-        """Drop and return instances that have been silent for many silence periods."""
+        """Remove and return instances unresponsive for over ``REMOVE_AFTER_TIMEOUTS`` timeouts."""
         limit = self.timeout_s * REMOVE_AFTER_TIMEOUTS
-        gone = [key for key, m in self._members.items() if self._unresponsive_s(m.view, at) > limit]
-        for key in gone:
+        removed = [
+            key for key, m in self._members.items() if self._unresponsive_s(m.view, at) > limit
+        ]
+        for key in removed:
             del self._members[key]
-        return gone
+        return removed
 
     def get(self, instance: str) -> InstanceView | None:
-        """Return one instance, silent or not."""
+        """Return an instance, live or not, or ``None`` if it is unknown."""
         member = self._members.get(instance)
         return member.view if member else None
 
     def all(self) -> list[InstanceView]:
-        """Return every instance that is not forgotten."""
+        """Return all known instances, live or not."""
         return [member.view for member in self._members.values()]
 
     def is_live(self, view: InstanceView, at: float) -> bool:
-        """Return whether an instance may be given new work."""
+        """Return whether an instance is responsive and neither fenced nor draining."""
         if view.fenced or view.draining:
             return False
         return self._unresponsive_s(view, at) <= self.timeout_s
 
     def live(self, at: float) -> list[InstanceView]:
-        """Return the instances that are neither silent, fenced nor draining."""
+        """Record a tick and return the live instances."""
         self.tick(at)
         return [view for view in self.all() if self.is_live(view, at)]
 
--- a/sapphirelead/model_resources.py
+++ b/sapphirelead/model_resources.py
@@ -1,7 +1,6 @@
 """Amounts of processor, memory and accelerators.
 
-All amounts are integers, so that sums over many tasks are exact and the capacity check never
-depends on the order in which tasks were added.
+Amounts are integers, so sums are exact and independent of the order of addition.
 """
 
 from dataclasses import dataclass
@@ -36,16 +35,16 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits_in(self, room: "Resources") -> bool:
-        """Return whether ``room`` holds this amount in every dimension."""
+    def fits_in(self, capacity: "Resources") -> bool:
+        """Return whether ``capacity`` is at least this amount in every dimension."""
         return (
-            self.cpu_millicores <= room.cpu_millicores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu_millicores <= capacity.cpu_millicores
+            and self.memory_mb <= capacity.memory_mb
+            and self.accelerators <= capacity.accelerators
         )
 
     def elementwise_max(self, other: "Resources") -> "Resources":
-        """Return the larger amount of each dimension."""
+        """Return the larger amount in each dimension."""
         return Resources(
             max(self.cpu_millicores, other.cpu_millicores),
             max(self.memory_mb, other.memory_mb),
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "may_act", "lapsing"), [(0.0, True, False), (14.9, True, False), (15.0, False, True)]
+    ("now", "may_act", "expiring"), [(0.0, True, False), (14.9, True, False), (15.0, False, True)]
 )
 def test_guard_before_the_deadline(now: float, may_act: bool, expiring: bool) -> None:
     lease = LeaseHolder(20.0, 5.0)
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -61,7 +61,10 @@
     "beat without announcement": ([heartbeat()], []),
     "draining": ([announce(), heartbeat(draining=True)], []),
     "restarted": ([announce(), heartbeat(), announce("b"), heartbeat("b")], ["b"]),
-    "late messages of the run before": ([announce(), announce("b"), announce(), heartbeat()], ["b"]),
+    "late messages of the run before": (
+        [announce(), announce("b"), announce(), heartbeat()],
+        ["b"],
+    ),
     "beat of a run not announced": ([announce(), heartbeat("b")], ["a"]),
 }
 
@@ -117,7 +120,9 @@
     assert live(table, 1.0) == []
     assert table.announce(announce("b"), 1.1)
     assert live(table, 1.1) == ["b"]
-    assert table.heartbeat(heartbeat("b"), 1.2).committed == 0, "a counter of another run renews nothing"
+    assert (
+        table.heartbeat(heartbeat("b"), 1.2).committed == 0
+    ), "a counter of another run renews nothing"
     assert not table.set_committed("i1", "a", 9)
 
 
