--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -154,7 +154,7 @@
         running = {task.key for task in self._book.in_phase(Phase.RUNNING)}
         stopping = {task.key for task in self._book.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
-        victims = self._holdings.ledger.select_victims(size, running, stopping) if possible else None
+        victims = self._holdings.ledger.find_victims(size, running, stopping) if possible else None
         if victims is None:
             self._refuse(index, offer, failure.message)
             return
--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -5,8 +5,8 @@
 heartbeat was sent.  An observer reports a lease as expired once it has seen the committed counter
 unchanged for longer than the lease plus a margin.
 
-Safety: if counter ``c`` is recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see
-``c`` only after ``t``, so they report the expiry after ``t + lease + margin``.  Each side measures
+Safety: for a counter recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see the
+counter only after ``t``, so they report the expiry after ``t + lease + margin``.  Each side measures
 durations on its own monotonic clock; the margin covers clock drift.
 
 Invariants:
--- a/sapphirelead/model_ledger.py
+++ b/sapphirelead/model_ledger.py
@@ -10,8 +10,8 @@
 - A task is charged the larger of its declared and its measured use, with a margin on measured use
   above the declaration, because measurements lag.
 - Only measurements, adoption after a restart and reservations pending eviction can raise the sum
-  above the capacity.  Nothing else is admitted then, and :meth:`Ledger.excess` returns the tasks to
-  throttle or evict.
+  above the capacity.  No other task is admitted then, and :meth:`Ledger.excess` returns the tasks
+  to throttle or evict.
 """
 
 from collections.abc import Collection, Iterable
@@ -166,7 +166,7 @@
         self._reservations[offer_id] = reservation
         return Ok(reservation)
 
-    def select_victims(
+    def find_victims(
         self, resources: Resources, stoppable: Collection[str], stopping: Collection[str]
     ) -> tuple[str, ...] | None:
         """Return the tasks to evict so that ``resources`` fit, or ``None`` if that is impossible.
@@ -223,7 +223,8 @@
     ) -> Result[Charge, Failure]:
         """Replace an offer's reservation, if any, by the charge of its task.
 
-        The task is admitted anew, so a request for more than was reserved can fail.
+        The task is admitted anew, so a request for more than was reserved can fail.  The
+        reservation is released in either case.
         """
         assert key not in self._charges, f"task {key!r} is already charged"
         self.expire_reservations(now)
