--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -6,7 +6,7 @@
 unchanged for longer than the lease plus a margin.
 
 Safety: for a counter recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see the
-counter only after ``t``, so they report the expiry after ``t + lease + margin``.  Each side measures
+counter only after ``t``, so they report the expiry after ``t + lease + margin``.  Both sides measure
 durations on its own monotonic clock; the margin covers clock drift.
 
 Invariants:
--- a/tests/unit/test_config_diff.py
+++ b/tests/unit/test_config_diff.py
@@ -1,4 +1,4 @@
-"""The audit trail says what a change changed, the order of rules included."""
+"""Configuration changes, including rule order, are described for the audit trail."""
 
 from typing import Any
 
@@ -35,12 +35,12 @@
         ),
     ],
 )
-def test_changes_in_words(before: Any, after: Any, changes: tuple[str, ...]) -> None:
+def test_describe_changes(before: Any, after: Any, changes: tuple[str, ...]) -> None:
     parse = ConfigDocument.model_validate
     assert describe_changes(parse(before), parse(after)) == changes
 
 
-def test_record_of_a_large_change_is_bounded() -> None:
+def test_number_of_lines_is_bounded() -> None:
     rules = [{"name": f"r{n}"} for n in range(MAX_LINES + 7)]
     changes = describe_changes(ConfigDocument(), ConfigDocument.model_validate({"rules": rules}))
     assert len(changes) == MAX_LINES + 1
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: holder and observer never overlap, and nobody is accused by a blind observer."""
+"""Leases: no expiry is reported before the holder's deadline, or by an interrupted observer."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,8 @@
 
 from sapphirelead.model_lease import LeaseHolder, LeaseObserver, WorkerClock
 
-LAPSE = 25.0
-PAUSE = 10.0
+EXPIRY_S = 25.0
+MAX_GAP_S = 10.0
 
 
 def test_only_a_committed_counter_renews() -> None:
@@ -38,31 +38,33 @@
 
 
 @pytest.mark.parametrize(
-    ("steps", "lapsed"),
+    ("steps", "expired"),
     [
         pytest.param([(t, 7) for t in range(0, 27, 2)], True, id="counter unchanged throughout"),
-        pytest.param([(t, 7) for t in range(0, 25, 2)], False, id="not yet longer than the lapse"),
-        pytest.param([(t, t) for t in range(0, 60, 2)], False, id="counter moves"),
+        pytest.param([(t, 7) for t in range(0, 25, 2)], False, id="shorter than the expiry time"),
+        pytest.param([(t, t) for t in range(0, 60, 2)], False, id="counter grows"),
         pytest.param([(0, 7), (30, 7)], False, id="observer paused between two reads"),
         pytest.param(
             [(0, 7), (8, 7), (10, None), (18, 7), (26, 7), (34, 7)], False, id="a read failed"
         ),
-        pytest.param([(0, 7), *[(t, 7) for t in range(40, 68, 2)]], True, id="anew after a pause"),
+        pytest.param(
+            [(0, 7), *[(t, 7) for t in range(40, 68, 2)]], True, id="restarted after a pause"
+        ),
     ],
 )
-def test_observer(steps: list[Step], lapsed: bool) -> None:
-    observer = LeaseObserver(LAPSE, PAUSE)
+def test_observer(steps: list[Step], expired: bool) -> None:
+    observer = LeaseObserver(EXPIRY_S, MAX_GAP_S)
     found: list[tuple[str, str]] = []
     for now, counter in steps:
         if counter is None:
             observer.reset(now)
         else:
             found = observer.observe(now, {"i1": ("a", counter)})
-    assert found == ([("i1", "a")] if lapsed else [])
+    assert found == ([("i1", "a")] if expired else [])
 
 
-def test_new_incarnation_is_observed_anew() -> None:
-    observer = LeaseObserver(LAPSE, PAUSE)
+def test_new_incarnation_restarts_the_observation() -> None:
+    observer = LeaseObserver(EXPIRY_S, MAX_GAP_S)
     for now in range(0, 24, 2):
         observer.observe(now, {"i1": ("a", 3)})
     assert observer.observe(26.0, {"i1": ("b", 3)}) == []
@@ -74,11 +76,11 @@
     st.floats(0.0, 3.0),
     st.floats(0.0, 3.0),
 )
-def test_holder_has_stopped_before_any_observer_accuses(
+def test_holder_stops_before_any_observer_reports_expiry(
     gaps: list[float], last_commit: int, commit_delay: float, read_delay: float
 ) -> None:
     lease = LeaseHolder(20.0, 5.0)
-    observer = LeaseObserver(LAPSE, PAUSE)
+    observer = LeaseObserver(EXPIRY_S, MAX_GAP_S)
     now, committed = 0.0, 0
     visible: list[tuple[float, int]] = []
     for index, gap in enumerate([*gaps, *[2.0] * 40]):
@@ -95,7 +97,7 @@
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1e6), st.floats(0, 5), st.floats(0, 5), st.floats(0, 60))
-def test_worker_lease_never_outlives_the_agent(
+def test_worker_lease_never_outlives_the_agents_lease(
     worker: float, loop: float, back: float, late: float, left: float
 ) -> None:
     received = loop + back + late
--- a/tests/unit/test_ledger.py
+++ b/tests/unit/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger never admits beyond the instance's size, whatever is asked and measured."""
+"""The ledger never admits more than the capacity of the instance."""
 
 import pytest
 from hypothesis import given
@@ -15,7 +15,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Random offers, starts, ends and lapses, with truthful measurements."""
+    """Random offers, starts, ends and expiries, without measurements."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
             self.ledger.release_request()
 
     @invariant()
-    def never_beyond_the_size(self) -> None:
+    def charges_fit_in_capacity(self) -> None:
         assert self.ledger.charged.fits_in(SIZE)
         assert sum(self.tasks.values(), NO_RESOURCES).fits_in(self.ledger.charged)
 
@@ -70,7 +70,7 @@
 
 
 @given(st.lists(st.tuples(amounts, amounts), max_size=8), amounts)
-def test_measured_excess_admits_nothing_and_is_named(
+def test_excess_blocks_admission_and_is_resolved_by_eviction(
     tasks: list[tuple[Resources, Resources]], more: Resources
 ) -> None:
     ledger = Ledger(SIZE, 1, 1)
@@ -89,10 +89,10 @@
 @pytest.mark.parametrize(
     ("declared", "measured", "free"),
     [
-        pytest.param(1000, 900, 3000, id="declaration holds"),
-        pytest.param(1000, 1000, 3000, id="a full declaration costs no margin"),
-        pytest.param(1000, 2000, 1800, id="measured above it, with a margin"),
-        pytest.param(1000, 9000, 0, id="above the instance"),
+        pytest.param(1000, 900, 3000, id="measured below declaration"),
+        pytest.param(1000, 1000, 3000, id="measured at declaration, no margin"),
+        pytest.param(1000, 2000, 1800, id="measured above declaration, with margin"),
+        pytest.param(1000, 9000, 0, id="measured above capacity"),
     ],
 )
 def test_charge_follows_measurement(declared: int, measured: int, free: int) -> None:
@@ -102,7 +102,7 @@
     assert ledger.free.cpu_millicores == free
 
 
-def test_who_gives_way() -> None:
+def test_throttling_and_eviction_order() -> None:
     ledger = Ledger(SIZE, 1, 1)
     for key, kind in [("old", Kind.BATCH), ("watch", Kind.WATCH), ("new", Kind.BATCH)]:
         ledger.charge("", key, kind, Resources(1000, 1000), 0.0)
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who is live, judged by messages and an own clock that may have stood still."""
+"""Liveness of instances, from their messages and across pauses of the entry's own process."""
 
 import msgspec
 import pytest
@@ -58,19 +58,19 @@
 
 HISTORIES: dict[str, tuple[list[Announce | Beat], list[str]]] = {
     "announced": ([announce()], ["a"]),
-    "beat without announcement": ([heartbeat()], []),
+    "heartbeat without announcement": ([heartbeat()], []),
     "draining": ([announce(), heartbeat(draining=True)], []),
     "restarted": ([announce(), heartbeat(), announce("b"), heartbeat("b")], ["b"]),
-    "late messages of the run before": (
+    "late messages of the previous incarnation": (
         [announce(), announce("b"), announce(), heartbeat()],
         ["b"],
     ),
-    "beat of a run not announced": ([announce(), heartbeat("b")], ["a"]),
+    "heartbeat of an unannounced incarnation": ([announce(), heartbeat("b")], ["a"]),
 }
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_last_announced_run_is_current(name: str) -> None:
+def test_last_announced_incarnation_is_current(name: str) -> None:
     messages, expected = HISTORIES[name]
     table = MembershipTable(TIMEOUT_S, 0.0)
     for message in messages:
@@ -81,7 +81,7 @@
     assert live(table, 1.0) == expected
 
 
-def test_silent_instance_is_not_live_until_it_beats_again() -> None:
+def test_unresponsive_instance_is_not_live_until_next_heartbeat() -> None:
     table = MembershipTable(TIMEOUT_S, 0.0)
     table.announce(announce(), 0.0)
     tick_until(table, 0.0, TIMEOUT_S + 0.1)
@@ -90,16 +90,13 @@
     assert live(table, TIMEOUT_S + 0.2) == ["a"]
     tick_until(table, TIMEOUT_S + 0.2, 2 * TIMEOUT_S + 0.3)
     table.heartbeat(heartbeat(counter=1), 2 * TIMEOUT_S + 0.3)
-    assert live(table, 2 * TIMEOUT_S + 0.3) == [], "a repeated counter is no sign of life"
-
+    assert (
+        live(table, 2 * TIMEOUT_S + 0.3) == []
+    ), "a repeated counter must not make an instance live"
 
-def test_entry_that_was_paused_accuses_nobody() -> None:
-    """An entry is stopped for ten seconds while its instances go on beating.
 
-    When it wakes, every last message looks ten seconds old.  Ejecting them all would answer each
-    request with "no instance" until the next beats are read.  The gap in its own looks shows that
-    it was the entry that slept; an instance that stays silent after that is found as usual.
-    """
+def test_paused_entry_does_not_time_out_instances() -> None:
+    """Guards against dropping all instances after a pause of the entry's own process."""
     table = MembershipTable(TIMEOUT_S, 0.0)
     table.announce(announce(), 0.0)
     tick_until(table, 0.0, 1.0)
@@ -108,7 +105,7 @@
     assert live(table, 11.0 + TIMEOUT_S + 0.1) == []
 
 
-def test_fenced_run_is_told_so_and_a_new_one_is_welcome() -> None:
+def test_fenced_incarnation_is_rejected_and_a_new_one_accepted() -> None:
     table = MembershipTable(TIMEOUT_S, 0.0)
     table.announce(announce(), 0.0)
     table.set_committed("i1", "a", 5)
@@ -122,11 +119,11 @@
     assert live(table, 1.1) == ["b"]
     assert (
         table.heartbeat(heartbeat("b"), 1.2).committed == 0
-    ), "a counter of another run renews nothing"
+    ), "the committed counter is reset with a new incarnation"
     assert not table.set_committed("i1", "a", 9)
 
 
-def test_instances_long_silent_are_forgotten() -> None:
+def test_long_unresponsive_instances_are_removed() -> None:
     table = MembershipTable(TIMEOUT_S, 0.0)
     table.announce(announce(), 0.0)
     table.announce(announce(sender="i2"), 50.0)
