--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -6,8 +6,8 @@
 unchanged for longer than the lease plus a margin.
 
 Safety: for a counter recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see the
-counter only after ``t``, so they report the expiry after ``t + lease + margin``.  Both sides measure
-durations on its own monotonic clock; the margin covers clock drift.
+counter only after ``t``, so they report its expiry after ``t + lease + margin``.  Each side uses its
+own monotonic clock and compares only durations; the margin covers clock drift.
 
 Invariants:
 
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -90,9 +90,7 @@
     assert live(table, TIMEOUT_S + 0.2) == ["a"]
     tick_until(table, TIMEOUT_S + 0.2, 2 * TIMEOUT_S + 0.3)
     table.heartbeat(heartbeat(counter=1), 2 * TIMEOUT_S + 0.3)
-    assert (
-        live(table, 2 * TIMEOUT_S + 0.3) == []
-    ), "a repeated counter must not make an instance live"
+    assert live(table, 2 * TIMEOUT_S + 0.3) == [], "a repeated counter must be ignored"
 
 
 def test_paused_entry_does_not_time_out_instances() -> None:
@@ -117,9 +115,7 @@
     assert live(table, 1.0) == []
     assert table.announce(announce("b"), 1.1)
     assert live(table, 1.1) == ["b"]
-    assert (
-        table.heartbeat(heartbeat("b"), 1.2).committed == 0
-    ), "the committed counter is reset with a new incarnation"
+    assert table.heartbeat(heartbeat("b"), 1.2).committed == 0, "a new incarnation starts at zero"
     assert not table.set_committed("i1", "a", 9)
 
 
