--- a/sapphirelead/model_job.py
+++ b/sapphirelead/model_job.py
@@ -124,7 +124,7 @@
 
         The epoch does not change, because the task is still running and is not started again.
         """
-        if not self._held_at(epoch) or self.holder is None:
+        if not self._is_claimed_at(epoch) or self.holder is None:
             return self._illegal_transition("adopt")
         if self.holder.instance != holder.instance:
             return self._illegal_transition("adopt by another instance")
@@ -132,7 +132,7 @@
 
     def complete(self, epoch: int, result: Any) -> "Result[Job, Failure]":
         """Record the result of the attempt at ``epoch``."""
-        if not self._held_at(epoch):
+        if not self._is_claimed_at(epoch):
             return self._illegal_transition(f"complete at epoch {epoch}")
         return Ok(replace(self, state=JobState.DONE, holder=None, result=result))
 
@@ -142,7 +142,7 @@
         An idempotent job is queued again until ``max_attempts``, then set aside.  A non-idempotent
         job fails at once, because the task may have had effects.
         """
-        if not self._held_at(epoch) or self.holder is None:
+        if not self._is_claimed_at(epoch) or self.holder is None:
             return self._illegal_transition(f"fail at epoch {epoch}")
         attempted = self._with_failed_attempt(reason)
         if not self.spec.idempotent:
@@ -153,7 +153,7 @@
 
     def release_unstarted(self, epoch: int, reason: str) -> "Result[Job, Failure]":
         """Requeue or cancel a job whose holder reported that it was never started."""
-        if not self._held_at(epoch):
+        if not self._is_claimed_at(epoch):
             return self._illegal_transition(f"release at epoch {epoch}")
         if self.cancel_requested:
             return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="not_run"))
@@ -161,7 +161,7 @@
 
     def checkpointed(self, epoch: int, checkpoint: str) -> "Result[Job, Failure]":
         """Requeue or cancel a job that its holder stopped at an exact checkpoint."""
-        if not self._held_at(epoch):
+        if not self._is_claimed_at(epoch):
             return self._illegal_transition(f"checkpoint at epoch {epoch}")
         if self.cancel_requested:
             return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="stopped"))
@@ -174,7 +174,7 @@
         ``UNKNOWN``; an idempotent one is queued again, unless it was cancelled or, for jobs other
         than watches, has reached ``max_attempts``.
         """
-        if not self._held_at(epoch) or self.holder is None:
+        if not self._is_claimed_at(epoch) or self.holder is None:
             return self._illegal_transition(f"lose holder at epoch {epoch}")
         attempted = self._with_failed_attempt(reason)
         if not self.spec.idempotent:
@@ -196,7 +196,7 @@
 
     def stopped(self, epoch: int) -> "Result[Job, Failure]":
         """Cancel a job whose holder confirmed that the task was stopped."""
-        if not self._held_at(epoch) or not self.cancel_requested:
+        if not self._is_claimed_at(epoch) or not self.cancel_requested:
             return self._illegal_transition(f"stop at epoch {epoch}")
         return Ok(replace(self, state=JobState.CANCELLED, holder=None, reason="stopped"))
 
@@ -206,7 +206,7 @@
             return self._illegal_transition("set aside")
         return Ok(replace(self, state=JobState.SET_ASIDE, reason=reason))
 
-    def _held_at(self, epoch: int) -> bool:
+    def _is_claimed_at(self, epoch: int) -> bool:
         return self.state is JobState.CLAIMED and self.epoch == epoch
 
     def _with_failed_attempt(self, reason: str) -> "Job":
--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -6,8 +6,8 @@
 unchanged for longer than the lease plus a margin.
 
 Safety: for a counter recorded at ``t``, the holder's deadline is ``t + lease``.  Observers see the
-counter only after ``t``, so they report its expiry after ``t + lease + margin``.  Each side uses its
-own monotonic clock and compares only durations; the margin covers clock drift.
+counter only after ``t``, so they report expiry after ``t + lease + margin``.  Each side measures
+durations on its own monotonic clock; the margin covers clock drift.
 
 Invariants:
 
@@ -87,8 +87,8 @@
         A counter that was committed before, as sent while the table is down, renews nothing.
         """
         while self._pending and self._pending[0].counter <= committed:
-            noted = self._pending.popleft()
-            self._deadline = max(self._deadline, noted.at + self._lease_s)
+            sent = self._pending.popleft()
+            self._deadline = max(self._deadline, sent.at + self._lease_s)
 
     def granted(self) -> bool:
         """Return whether the lease was ever granted to this incarnation."""
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -109,8 +109,8 @@
     table.set_committed("i1", "a", 5)
     assert table.heartbeat(heartbeat(counter=6), 0.5).committed == 5
     table.mark_fenced("i1", "a")
-    verdict = table.heartbeat(heartbeat(counter=7), 1.0)
-    assert verdict.known and verdict.fenced
+    reply = table.heartbeat(heartbeat(counter=7), 1.0)
+    assert reply.known and reply.fenced
     assert not table.announce(announce(), 1.0)
     assert live(table, 1.0) == []
     assert table.announce(announce("b"), 1.1)
