--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -32,7 +32,7 @@
 from sapphirelead.ports import Target, TargetAnswer
 from sapphirelead.settings import AgentSettings
 from sapphirelead.wire_messages import (
-    BULK_BYTES,
+    BULK_THRESHOLD_BYTES,
     AttemptFate,
     CancelAttempt,
     ServiceAnswer,
@@ -258,7 +258,7 @@
         self._background.spawn(self._send(index, answer, lane), f"answer-{answer.request_id}")
 
     async def _send(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        lane = Lane.BULK if len(answer.body) > BULK_BYTES else lane
+        lane = Lane.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else lane
         try:
             for _ in range(SEND_TRIES):
                 if await self._links.send(index, lane, answer):
--- a/sapphirelead/http_client.py
+++ b/sapphirelead/http_client.py
@@ -24,11 +24,11 @@
 from result import Err, Ok, Result
 from yarl import URL
 
-CONNECT_SHARE: Final = 0.5
-IDLE_CONNECTION_S: Final = 15.0
-DEFAULT_CONNECTIONS: Final = 64
+CONNECT_TIMEOUT_SHARE: Final = 0.5
+KEEPALIVE_TIMEOUT_S: Final = 15.0
+DEFAULT_MAX_CONNECTIONS: Final = 64
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
-WITHOUT_BODY: Final = frozenset({204, 304})
+STATUSES_WITHOUT_BODY: Final = frozenset({204, 304})
 
 
 class Loss(StrEnum):
@@ -82,7 +82,7 @@
 
     @classmethod
     def connect(
-        cls, base: str, timeout_s: float, connections: int = DEFAULT_CONNECTIONS
+        cls, base: str, timeout_s: float, connections: int = DEFAULT_MAX_CONNECTIONS
     ) -> "HttpCaller":
         """Return a caller; the first call opens the first connection.
 
@@ -142,18 +142,18 @@
         timeout_s: float,
     ) -> Reply:
         total = timeout_s or self._timeout_s
-        timeout = aiohttp.ClientTimeout(total=total, connect=total * CONNECT_SHARE)
+        timeout = aiohttp.ClientTimeout(total=total, connect=total * CONNECT_TIMEOUT_SHARE)
         async with pool.session.request(
             method, url, data=body, headers=headers, timeout=timeout, allow_redirects=False
         ) as response:
             payload = await response.read()
-            _require_checked_length(response)
+            _require_verifiable_length(response)
             return Reply(response.status, dict(response.headers), payload)
 
     def _open_pool(self) -> _Pool:
         if self._pool is None:
             connector = aiohttp.TCPConnector(
-                limit=self._connections, keepalive_timeout=IDLE_CONNECTION_S
+                limit=self._connections, keepalive_timeout=KEEPALIVE_TIMEOUT_S
             )
             session = aiohttp.ClientSession(
                 connector=connector, cookie_jar=aiohttp.DummyCookieJar(), auto_decompress=False
@@ -180,10 +180,10 @@
     return quote(text, safe="")
 
 
-def _require_checked_length(response: aiohttp.ClientResponse) -> None:
+def _require_verifiable_length(response: aiohttp.ClientResponse) -> None:
     # An answer that ends with its connection looks whole when the connection is cut in the middle,
     # so it proves nothing.  With a length or chunks the transport itself raises on a short one.
-    if response.status in WITHOUT_BODY or response.method == "HEAD":
+    if response.status in STATUSES_WITHOUT_BODY or response.method == "HEAD":
         return
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     if "Content-Length" not in response.headers and not chunked:
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -6,7 +6,7 @@
 
 Three lanes carry them, each a connection of its own, so that no large answer delays a beat or a
 quick answer: ``control`` (everything but requests and answers), ``data`` (service requests and
-answers up to ``BULK_BYTES``) and ``bulk`` (larger answers).  An agent connects to every entry in
+answers up to ``BULK_THRESHOLD_BYTES``) and ``bulk`` (larger answers).  An agent connects to every entry in
 its settings; an entry connects to its peers' control lane.
 """
 
@@ -16,7 +16,7 @@
 
 from sapphirelead.model_resources import Resources
 
-BULK_BYTES: Final = 64 * 1024
+BULK_THRESHOLD_BYTES: Final = 64 * 1024
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, kw_only=True):
--- a/sapphirelead/wire_sockets.py
+++ b/sapphirelead/wire_sockets.py
@@ -24,11 +24,11 @@
 from sapphirelead.wire_codec import encode
 from sapphirelead.wire_messages import AnyMessage
 
-HIGH_WATER: Final = 10_000
-PINGS_PER_SILENCE: Final = 3
-HANDSHAKE_MS: Final = 2_000
-RECONNECT_MS: Final = 100
-RECONNECT_MAX_MS: Final = 1_000
+HIGH_WATER_MARK: Final = 10_000
+PINGS_PER_TIMEOUT: Final = 3
+HANDSHAKE_TIMEOUT_MS: Final = 2_000
+MIN_RECONNECT_INTERVAL_MS: Final = 100
+MAX_RECONNECT_INTERVAL_MS: Final = 1_000
 
 
 def make_context() -> zmq.asyncio.Context:
@@ -56,19 +56,19 @@
     identity: str,
     host: str,
     port: int,
-    silence_s: float,
+    timeout_s: float,
     keys: Keys | None = None,
 ) -> zmq.asyncio.Socket:
     """Connect a dealer under ``identity``."""
     sock = ctx.socket(zmq.DEALER)
     sock.setsockopt(zmq.IDENTITY, identity.encode())
     sock.setsockopt(zmq.IMMEDIATE, 1)
-    sock.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-    sock.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
-    silence_ms = int(silence_s * 1000)
-    sock.setsockopt(zmq.HEARTBEAT_IVL, silence_ms // PINGS_PER_SILENCE)
-    sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, silence_ms)
-    sock.setsockopt(zmq.HEARTBEAT_TTL, silence_ms)
+    sock.setsockopt(zmq.RECONNECT_IVL, MIN_RECONNECT_INTERVAL_MS)
+    sock.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_INTERVAL_MS)
+    timeout_ms = int(timeout_s * 1000)
+    sock.setsockopt(zmq.HEARTBEAT_IVL, timeout_ms // PINGS_PER_TIMEOUT)
+    sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, timeout_ms)
+    sock.setsockopt(zmq.HEARTBEAT_TTL, timeout_ms)
     _set_common(sock)
     secure_client(sock, keys)
     sock.connect(f"tcp://{host}:{port}")
@@ -77,9 +77,9 @@
 
 def _set_common(sock: zmq.asyncio.Socket) -> None:
     sock.setsockopt(zmq.LINGER, 0)
-    sock.setsockopt(zmq.SNDHWM, HIGH_WATER)
-    sock.setsockopt(zmq.RCVHWM, HIGH_WATER)
-    sock.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_MS)
+    sock.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+    sock.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
+    sock.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS)
 
 
 async def send(sock: zmq.asyncio.Socket, message: AnyMessage) -> bool:
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -9,7 +9,7 @@
 from sapphirelead.entry_ports import Lane
 from sapphirelead.errors import Code, Failure
 from sapphirelead.wire_messages import (
-    BULK_BYTES,
+    BULK_THRESHOLD_BYTES,
     AttemptFate,
     CancelAttempt,
     Drain,
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("repeat", ["request", "fate"])
 async def test_a_lost_answer_is_given_again(repeat: str) -> None:
     async with Rig() as rig:
-        await rig.send(request(1, body=b"x" * (BULK_BYTES + 1)))
+        await rig.send(request(1, body=b"x" * (BULK_THRESHOLD_BYTES + 1)))
         again = (
             request(1) if repeat == "request" else AttemptFate(request_id="1", attempt=1, **ENTRY)
         )
