--- a/tests/process/test_platform_process.py
+++ b/tests/process/test_platform_process.py
@@ -9,7 +9,7 @@
 from sapphirelead.platform.main import EXIT_SETTINGS
 
 
-async def test_a_reload_during_the_start_does_not_end_the_process(tmp_path: Path) -> None:
+async def test_sighup_during_startup_does_not_terminate_the_process(tmp_path: Path) -> None:
     """A node is gone, with no line in its log, after a change of the settings files.
 
     The signal that says so came while the process was still starting: its libraries take a part of
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -29,13 +29,13 @@
     await table.stop()
 
 
-async def table_of(standin: StandInTable) -> HttpTable:
+async def connect_table(standin: StandInTable) -> HttpTable:
     port = await standin.start("127.0.0.1", 0)
     cfg = PlatformSettings(table_url=f"http://127.0.0.1:{port}", timeout_seconds=0.2)
     return HttpTable.from_settings(cfg)
 
 
-COMMITS: dict[str, tuple[Faults, CommitStatus, bool]] = {
+COMMIT_CASES: dict[str, tuple[Faults, CommitStatus, bool]] = {
     "answered": (Faults(), CommitStatus.COMMITTED, True),
     "answer lost after the effect": (Faults(lose_answers=1), CommitStatus.AMBIGUOUS, True),
     "dropped before the effect": (Faults(drop_before=1), CommitStatus.AMBIGUOUS, False),
@@ -45,18 +45,18 @@
 }
 
 
-@pytest.mark.parametrize("name", COMMITS)
-async def test_commit_ends_as_proven(standin: StandInTable, name: str) -> None:
-    faults, status, applied = COMMITS[name]
-    table = await table_of(standin)
+@pytest.mark.parametrize("name", COMMIT_CASES)
+async def test_commit_status_for_each_fault(standin: StandInTable, name: str) -> None:
+    faults, status, applied = COMMIT_CASES[name]
+    table = await connect_table(standin)
     standin.faults = faults
     commit = await table.commit(TXN)
     assert (commit.status, standin.rows.get("a").version > 0) == (status, applied)
     await table.close()
 
 
-async def test_held_commit_may_yet_take_effect(standin: StandInTable) -> None:
-    table = await table_of(standin)
+async def test_timed_out_commit_may_be_applied_later(standin: StandInTable) -> None:
+    table = await connect_table(standin)
     standin.faults = Faults(down=True, hang=True, late_apply=True)
     assert (await table.commit(TXN)).status is CommitStatus.AMBIGUOUS
     standin.set_faults(Faults())
@@ -68,8 +68,8 @@
     await table.close()
 
 
-async def test_conflict_names_its_rows_and_rate_is_enforced(standin: StandInTable) -> None:
-    table = await table_of(standin)
+async def test_conflict_lists_its_rows_and_write_rate_is_enforced(standin: StandInTable) -> None:
+    table = await connect_table(standin)
     assert (await table.commit(TXN)).status is CommitStatus.COMMITTED
     conflict = await table.commit(TXN)
     assert (conflict.status, conflict.conflicts) == (CommitStatus.CONFLICT, ("a",))
@@ -77,15 +77,15 @@
     await table.close()
 
 
-async def test_nobody_listening_proves_that_nothing_was_applied(standin: StandInTable) -> None:
-    table = await table_of(standin)
+async def test_refused_connection_is_reported_as_not_applied(standin: StandInTable) -> None:
+    table = await connect_table(standin)
     await standin.stop()
     assert (await table.commit(TXN)).status is CommitStatus.REJECTED
     assert (await table.rows(["a"])).unwrap_err().code is Code.STORE_UNAVAILABLE
     await table.close()
 
 
-async def test_pool_of_silent_connections_costs_one_timeout(standin: StandInTable) -> None:
+async def test_unresponsive_connection_pool_costs_one_timeout(standin: StandInTable) -> None:
     """A path forgets all open connections at once, while new ones work.
 
     Eight connections are pooled.  Without giving them all up on the first timeout, each later
@@ -104,7 +104,7 @@
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-ANSWERS: dict[str, tuple[bytes, Code | None]] = {
+RESPONSE_CASES: dict[str, tuple[bytes, Code | None]] = {
     "whole": (HEAD + b"Content-Length: 2\r\n\r\nok", None),
     "chunked": (HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", None),
     "cut short": (HEAD + b"Content-Length: 9\r\n\r\nok", Code.TARGET_FAILED),
@@ -117,9 +117,9 @@
 }
 
 
-@pytest.mark.parametrize("name", ANSWERS)
-async def test_target_answer_is_whole_or_none(name: str) -> None:
-    raw, failure = ANSWERS[name]
+@pytest.mark.parametrize("name", RESPONSE_CASES)
+async def test_incomplete_target_response_is_an_error(name: str) -> None:
+    raw, failure = RESPONSE_CASES[name]
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"body")
