--- a/sapphirelead/platform/advice.py
+++ b/sapphirelead/platform/advice.py
@@ -12,7 +12,7 @@
 from sapphirelead.platform.decoding import Name, decode
 from sapphirelead.sched_spec import AdvicePolicy
 
-MARGIN_S: Final = 2.0
+TIMEOUT_MARGIN_S: Final = 2.0
 """Allowed beyond the service's own time: it answers one call after the other."""
 
 
@@ -37,7 +37,7 @@
     @classmethod
     def connect(cls, address: str) -> "PlatformAdvice":
         """Return the service at ``address``."""
-        return cls(HttpCaller.connect(f"http://{address}", MARGIN_S))
+        return cls(HttpCaller.connect(f"http://{address}", TIMEOUT_MARGIN_S))
 
     async def close(self) -> None:
         """Close all connections."""
@@ -47,10 +47,14 @@
         self, step: str, workers: list[str], policy: AdvicePolicy
     ) -> Result[AdviceAnswer, Failure]:
         """Ask about ``workers`` for the step named ``step``."""
-        took_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
+        service_time_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
         body = {"step": step, "workers": workers}
         found = await self._http.call(
-            "POST", "/advise", msgspec.json.encode(body), JSON_HEADERS, took_s + MARGIN_S
+            "POST",
+            "/advise",
+            msgspec.json.encode(body),
+            JSON_HEADERS,
+            service_time_s + TIMEOUT_MARGIN_S,
         )
         if isinstance(found, Err):
             return Err(Failure(Code.NO_INSTANCE, f"advice service: {found.err_value.detail}"))
--- a/sapphirelead/platform/config.py
+++ b/sapphirelead/platform/config.py
@@ -14,11 +14,11 @@
 from sapphirelead.sched_config import QueueConfig, Route
 from sapphirelead.sched_spec import AdvicePolicy, QueuePolicy
 
-TABLE: Final = "op"
-KEY: Final = "config"
+CONFIG_TABLE: Final = "op"
+CONFIG_KEY: Final = "config"
 
-RETRY_FIRST_S: Final = 0.1
-RETRY_MOST_S: Final = 0.4
+MIN_RETRY_DELAY_S: Final = 0.1
+MAX_RETRY_DELAY_S: Final = 0.4
 
 
 class _Advice(msgspec.Struct):
@@ -111,24 +111,24 @@
     """
 
     _table: PlatformTable
-    _take: Callable[[QueueConfig], None]
-    _store_seen: Callable[[bool], None]
-    _hurry: asyncio.Event
+    _apply: Callable[[QueueConfig], None]
+    _report_store: Callable[[bool], None]
+    _read_requested: asyncio.Event
 
     def __init__(
         self,
         table: PlatformTable,
-        take: Callable[[QueueConfig], None],
-        store_seen: Callable[[bool], None],
+        apply: Callable[[QueueConfig], None],
+        report_store: Callable[[bool], None],
     ) -> None:
         self._table = table
-        self._take = take
-        self._store_seen = store_seen
-        self._hurry = asyncio.Event()
+        self._apply = apply
+        self._report_store = report_store
+        self._read_requested = asyncio.Event()
 
     def read_now(self) -> None:
         """Read the row at once: a newer version is known to exist."""
-        self._hurry.set()
+        self._read_requested.set()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -138,43 +138,43 @@
 
     async def _follow(self) -> None:
         after = -1
-        pause = RETRY_FIRST_S
+        delay_s = MIN_RETRY_DELAY_S
         while True:
             try:
                 after = await (self._read() if after < 0 else self._wait(after))
-                pause = RETRY_FIRST_S
+                delay_s = MIN_RETRY_DELAY_S
             except FeedGapError:
                 log_event("INFO", "config_history_gone", after=after)
                 after = -1
                 continue
-            except _StoreAwayError:
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, RETRY_MOST_S)
+            except _StoreUnreachableError:
+                await asyncio.sleep(delay_s)
+                delay_s = min(delay_s * 2, MAX_RETRY_DELAY_S)
 
     async def _read(self) -> int:
-        found = await self._table.raw_row(TABLE, KEY)
+        found = await self._table.raw_row(CONFIG_TABLE, CONFIG_KEY)
         if isinstance(found, Err):
-            self._away(found.err_value)
+            self._raise_unreachable(found.err_value)
         assert isinstance(found, Ok)
-        self._store_seen(True)
+        self._report_store(True)
         data, version = found.ok_value
         self._decode(data)
         return version
 
     async def _wait(self, after: int) -> int:
-        found = await self._table.changes(TABLE, after)
+        found = await self._table.changes(CONFIG_TABLE, after)
         if isinstance(found, Err):
-            self._away(found.err_value)
+            self._raise_unreachable(found.err_value)
         assert isinstance(found, Ok)
-        self._store_seen(True)
+        self._report_store(True)
         changed, version = found.ok_value
-        self._decode(changed.get(KEY))
+        self._decode(changed.get(CONFIG_KEY))
         return version
 
-    def _away(self, failure: Failure) -> None:
-        self._store_seen(False)
+    def _raise_unreachable(self, failure: Failure) -> None:
+        self._report_store(False)
         log_event("INFO", "config_not_read", reason=str(failure))
-        raise _StoreAwayError
+        raise _StoreUnreachableError
 
     def _decode(self, data: bytes | None) -> None:
         if data is None:
@@ -183,19 +183,19 @@
         if isinstance(decoded, Err):
             log_event("ERROR", "config_refused", reason=str(decoded.err_value))
             return
-        self._take(decoded.ok_value)
+        self._apply(decoded.ok_value)
 
     async def _read_on_demand(self) -> None:
         while True:
-            await self._hurry.wait()
+            await self._read_requested.wait()
             try:
                 await self._read()
-            except _StoreAwayError:
-                await asyncio.sleep(RETRY_FIRST_S)
+            except _StoreUnreachableError:
+                await asyncio.sleep(MIN_RETRY_DELAY_S)
                 continue
-            self._hurry.clear()
-            await asyncio.sleep(RETRY_FIRST_S)
+            self._read_requested.clear()
+            await asyncio.sleep(MIN_RETRY_DELAY_S)
 
 
-class _StoreAwayError(Exception):
+class _StoreUnreachableError(Exception):
     """A read got no answer."""
--- a/sapphirelead/platform/decoding.py
+++ b/sapphirelead/platform/decoding.py
@@ -12,13 +12,13 @@
 import msgspec
 from result import Err, Ok, Result
 
-LARGEST: Final = 2**53
+MAX_NUMBER: Final = 2**53
 """Largest number taken: milliseconds of 285,000 years, and exact in every JSON library."""
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=LARGEST)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 """A whole number that is not negative."""
 
-Whole = Annotated[int, msgspec.Meta(ge=-LARGEST, le=LARGEST)]
+Integer = Annotated[int, msgspec.Meta(ge=-MAX_NUMBER, le=MAX_NUMBER)]
 """A whole number whose sign is checked elsewhere."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
--- a/sapphirelead/platform/heartbeats.py
+++ b/sapphirelead/platform/heartbeats.py
@@ -50,7 +50,7 @@
 _DECODER: Final = msgspec.json.Decoder(_Beat)
 
 
-class WorkerSide:
+class WorkerRequestHandler:
     """Answers the worker on behalf of the agent."""
 
     _runner: Runner
--- a/sapphirelead/platform/http_server.py
+++ b/sapphirelead/platform/http_server.py
@@ -14,7 +14,7 @@
 BACKLOG: Final = 512
 """Connections that may wait to be accepted; a burst of clients beyond it waits for seconds."""
 
-ANSWER_S: Final = 1.0
+SHUTDOWN_TIMEOUT_S: Final = 1.0
 """Time for handlers that answer at once, such as those of readiness, heartbeats and metrics."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -25,20 +25,20 @@
 
     _runner: web.ServerRunner
     _handler: Handler
-    _answer_s: float
+    _shutdown_timeout_s: float
 
-    def __init__(self, handler: Handler, answer_s: float = ANSWER_S) -> None:
+    def __init__(self, handler: Handler, shutdown_timeout_s: float = SHUTDOWN_TIMEOUT_S) -> None:
         """Make a server that does not listen yet.
 
-        :param answer_s: how long :meth:`stop` waits for handlers before it cancels them.
+        :param shutdown_timeout_s: how long :meth:`stop` waits for handlers before it cancels them.
         """
         self._handler = handler
-        self._answer_s = answer_s
+        self._shutdown_timeout_s = shutdown_timeout_s
 
     async def start(self, address: Address) -> None:
         """Listen on ``address``."""
         server = web.Server(self._handler, access_log=None)
-        self._runner = web.ServerRunner(server, shutdown_timeout=self._answer_s)
+        self._runner = web.ServerRunner(server, shutdown_timeout=self._shutdown_timeout_s)
         await self._runner.setup()
         site = web.TCPSite(self._runner, address.host, address.port, backlog=BACKLOG)
         await site.start()
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -13,7 +13,7 @@
 from sapphirelead.node_callers import CallerAccount
 from sapphirelead.node_entry import FleetEntry
 from sapphirelead.node_messages import CallKind, Reply, ReplyKind
-from sapphirelead.platform.decoding import Whole, decode
+from sapphirelead.platform.decoding import Integer, decode
 from sapphirelead.platform.http_server import HttpServer
 from sapphirelead.platform.node_file import Address
 from sapphirelead.sched_config import QueueConfig, Route
@@ -22,13 +22,13 @@
 
 DEADLINE_HEADER: Final = "X-Deadline-Ms"
 DEFAULT_DEADLINE_MS: Final = 3_000
-LONGEST_DEADLINE_MS: Final = 30_000
-DEADLINE_DIGITS: Final = 9
+MAX_DEADLINE_MS: Final = 30_000
+MAX_DEADLINE_DIGITS: Final = 9
 
 JOB_ID: Final = re.compile(r"[0-9a-fA-F]{1,64}")
-USUAL: Final = frozenset({200, 410})
+EXPECTED_STATUSES: Final = frozenset({200, 410})
 
-_STATUS: Final = {
+_STATUS_BY_REPLY: Final = {
     ReplyKind.OK: 200,
     ReplyKind.ABSENT: 410,
     ReplyKind.NOT_RUN: 503,
@@ -49,24 +49,24 @@
     :ivar may_miss: tasks that may be away at a time by the scheduler's doing.
     """
 
-    count: Whole = 1
-    cpu: Whole = 0
-    mem_mb: Whole = 0
-    gpu: Whole = 0
-    estimate_ms: Whole = 0
-    after: tuple[Whole, ...] = ()
+    count: Integer = 1
+    cpu: Integer = 0
+    mem_mb: Integer = 0
+    gpu: Integer = 0
+    estimate_ms: Integer = 0
+    after: tuple[Integer, ...] = ()
     checkpoint: bool = False
     gang: bool = False
     same_rack: bool = False
     requires: str = ""
     affinity: str = ""
-    anti_affinity: Whole = 0
+    anti_affinity: Integer = 0
     speculative: bool = False
     long_running: bool = False
     image: str = ""
-    target_ms: Whole = 0
+    target_ms: Integer = 0
     fills: bool = False
-    may_miss: Whole = 0
+    may_miss: Integer = 0
 
     def step(self) -> StepSpec:
         """Return the step in the product's words."""
@@ -97,9 +97,9 @@
 
     spec: str
     steps: list[_Step]
-    times: Whole = 0
-    first_ms: Whole = 0
-    interval_ms: Whole = 0
+    times: Integer = 0
+    first_ms: Integer = 0
+    interval_ms: Integer = 0
 
 
 class _State(msgspec.Struct):
@@ -145,12 +145,12 @@
     _servers: list[HttpServer]
 
     def __init__(self, entry: FleetEntry) -> None:
-        self._account = CallerAccount(entry, USUAL)
+        self._account = CallerAccount(entry, EXPECTED_STATUSES)
         self._entry = entry
         # Calls may be held for seconds.  The product gives each its answer in time before the kill;
         # a server that gives up sooner cancels them, and callers see a closed connection.
-        answer_s = entry.node.bounds.grace_s
-        self._servers = [HttpServer(self.handle, answer_s), HttpServer(self.ready)]
+        shutdown_timeout_s = entry.node.bounds.grace_s
+        self._servers = [HttpServer(self.handle, shutdown_timeout_s), HttpServer(self.ready)]
 
     @property
     def in_progress(self) -> int:
@@ -183,75 +183,75 @@
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         config = self._entry.config
         if config.version == 0:
-            return _refusal(503, "no configuration yet", 1.0)
+            return _error_response(503, "no configuration yet", 1.0)
         route = config.match(request.host.partition(":")[0], request.path)
         if route is None:
-            return _refusal(404, "no such queue")
+            return _error_response(404, "no such queue")
         rest = request.path[len(route.prefix) :]
         if not rest and request.method == "GET":
-            return await self._waiting(request, route)
+            return await self._count_waiting(request, route)
         if not JOB_ID.fullmatch(rest):
-            return _refusal(400, "the path does not end with the id of a job")
+            return _error_response(400, "the path does not end with the id of a job")
         match request.method:
             case "POST":
                 return await self._submit(request, route, rest, config)
             case "GET":
-                return await self._ask(request, CallKind.STATE, route, rest)
+                return await self._forward(request, CallKind.STATE, route, rest)
             case "DELETE":
-                return await self._ask(request, CallKind.CANCEL, route, rest)
-        return _refusal(405, "use POST, GET or DELETE")
+                return await self._forward(request, CallKind.CANCEL, route, rest)
+        return _error_response(405, "use POST, GET or DELETE")
 
     async def _submit(
         self, request: web.BaseRequest, route: Route, job_id: str, config: QueueConfig
     ) -> web.Response:
         if config.body_bytes and (request.content_length or 0) > config.body_bytes:
-            return _refusal(413, f"the body is larger than {config.body_bytes} bytes")
+            return _error_response(413, f"the body is larger than {config.body_bytes} bytes")
         try:
             body = await request.read()
         except HTTPRequestEntityTooLarge:
-            return _refusal(413, "the body is too large")
+            return _error_response(413, "the body is too large")
         decoded = decode_job(body, job_id, route.queue, config, wall_ms())
         if isinstance(decoded, Err):
-            return _refusal(400, decoded.err_value)
+            return _error_response(400, decoded.err_value)
         job = encode_spec(decoded.ok_value)
-        return await self._ask(request, CallKind.SUBMIT, route, job_id, job)
+        return await self._forward(request, CallKind.SUBMIT, route, job_id, job)
 
-    async def _ask(
+    async def _forward(
         self, request: web.BaseRequest, kind: CallKind, route: Route, job_id: str, job: bytes = b""
     ) -> web.Response:
         deadline = _deadline_s(request)
         reply = await self._entry.call(kind, route.queue, job_id, job, deadline)
         if reply.kind is ReplyKind.OK:
-            return _json(_State(reply.state))
+            return _json_response(_State(reply.state))
         if kind is CallKind.STATE and reply.kind is ReplyKind.UNKNOWN:
             # Asking has no effect, so that "not run" is true of it.
-            return _refusal(503, reply.detail, reply.retry_after_s)
-        return _refused(reply)
+            return _error_response(503, reply.detail, reply.retry_after_s)
+        return _error_from_reply(reply)
 
-    async def _waiting(self, request: web.BaseRequest, route: Route) -> web.Response:
+    async def _count_waiting(self, request: web.BaseRequest, route: Route) -> web.Response:
         deadline = _deadline_s(request)
         reply = await self._entry.call(CallKind.WAITING, route.queue, "", b"", deadline)
         if reply.kind is ReplyKind.OK:
-            return _json(_Waiting(reply.waiting))
-        return _refused(reply)
+            return _json_response(_Waiting(reply.waiting))
+        return _error_from_reply(reply)
 
 
 def _deadline_s(request: web.BaseRequest) -> float:
     text = request.headers.get(DEADLINE_HEADER, "")
-    readable = text.isascii() and text.isdigit() and len(text) <= DEADLINE_DIGITS
+    readable = text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS
     deadline = int(text) if readable else DEFAULT_DEADLINE_MS
-    return min(deadline, LONGEST_DEADLINE_MS) / 1000
+    return min(deadline, MAX_DEADLINE_MS) / 1000
 
 
-def _json(body: msgspec.Struct) -> web.Response:
+def _json_response(body: msgspec.Struct) -> web.Response:
     return web.Response(body=_ENCODER.encode(body), content_type="application/json")
 
 
-def _refused(reply: Reply) -> web.Response:
-    return _refusal(_STATUS[reply.kind], reply.detail, reply.retry_after_s)
+def _error_from_reply(reply: Reply) -> web.Response:
+    return _error_response(_STATUS_BY_REPLY[reply.kind], reply.detail, reply.retry_after_s)
 
 
-def _refusal(status: int, reason: str, retry_after_s: float = 0.0) -> web.Response:
+def _error_response(status: int, reason: str, retry_after_s: float = 0.0) -> web.Response:
     headers = {}
     if retry_after_s:
         headers["Retry-After"] = str(math.ceil(retry_after_s))
--- a/sapphirelead/platform/local_advice.py
+++ b/sapphirelead/platform/local_advice.py
@@ -10,7 +10,7 @@
 from sapphirelead.node_ports import AdviceAnswer
 from sapphirelead.sched_spec import AdvicePolicy
 
-MARGIN_S: Final = 2.0
+TIMEOUT_MARGIN_S: Final = 2.0
 """Allowed beyond the service's own time: it answers one call after the other."""
 
 
@@ -32,7 +32,7 @@
     @classmethod
     def connect(cls, url: str) -> "HttpAdvice":
         """Return the service at ``url``; empty for none."""
-        return cls(HttpCaller.connect(url, MARGIN_S) if url else None)
+        return cls(HttpCaller.connect(url, TIMEOUT_MARGIN_S) if url else None)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -46,9 +46,11 @@
         if self._http is None:
             hint = "set fleet.advice_url at every entry, or leave out the queue's advice"
             return Err(Failure(Code.SETTINGS_INVALID, "no advice service is set", hint))
-        took_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
+        service_time_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
         body = msgspec.json.encode({"step": step, "workers": workers})
-        found = await self._http.call("POST", "/advice", body, JSON_HEADERS, took_s + MARGIN_S)
+        found = await self._http.call(
+            "POST", "/advice", body, JSON_HEADERS, service_time_s + TIMEOUT_MARGIN_S
+        )
         if isinstance(found, Err):
             return _unavailable(found.err_value.detail)
         if found.ok_value.status != 200:
--- a/sapphirelead/platform/local_runs.py
+++ b/sapphirelead/platform/local_runs.py
@@ -15,9 +15,9 @@
 """The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
 that a start carries."""
 
-LIST_MARGIN_S: Final = 0.6
+LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
-_FAILURE: Final = {409: CallFailure.FENCED, 421: CallFailure.OTHER_LIFE}
+_FAILURE_BY_STATUS: Final = {409: CallFailure.FENCED, 421: CallFailure.OTHER_LIFE}
 
 
 class _Clock(msgspec.Struct):
@@ -52,7 +52,7 @@
     ) -> Result[WorkerView, CallFailure]:
         """List runs and ends; see the protocol."""
         fields = {"fencing_token": fencing_token, "noted": noted, "lease_ms": lease_ms}
-        timeout_s = wait_ms / 1000 + LIST_MARGIN_S
+        timeout_s = wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S
         return await self._call("hold", WorkerView, timeout_s, wait_ms=wait_ms, **fields)
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
@@ -89,9 +89,9 @@
         if isinstance(found, Err):
             refused = found.err_value.refused
             return Err(CallFailure.REFUSED if refused else CallFailure.NO_ANSWER)
-        if found.ok_value.status in _FAILURE:
-            return Err(_FAILURE[found.ok_value.status])
-        return _decoded(verb, found.ok_value, kind)
+        if found.ok_value.status in _FAILURE_BY_STATUS:
+            return Err(_FAILURE_BY_STATUS[found.ok_value.status])
+        return _decode_reply(verb, found.ok_value, kind)
 
 
 async def read_life(http: HttpCaller) -> str:
@@ -105,7 +105,7 @@
         return ""
 
 
-def _decoded(verb: str, answer: Reply, kind: type[T]) -> Result[T, CallFailure]:
+def _decode_reply(verb: str, answer: Reply, kind: type[T]) -> Result[T, CallFailure]:
     if answer.status == 200:
         try:
             return Ok(msgspec.json.decode(answer.body, type=kind))
--- a/sapphirelead/platform/local_table.py
+++ b/sapphirelead/platform/local_table.py
@@ -15,7 +15,7 @@
 from sapphirelead.ports import Commit, CommitStatus, Row, Txn
 from sapphirelead.settings import PlatformSettings
 
-REFUSED: Final = frozenset({429, 503})
+NOT_APPLIED_STATUSES: Final = frozenset({429, 503})
 
 
 class _RowBody(msgspec.Struct):
@@ -57,9 +57,9 @@
         """Apply ``txn`` and say what its end proves."""
         match await self._http.call("POST", "/table/txn", msgspec.json.encode(txn)):
             case Ok(reply):
-                return _commit_of(reply)
+                return _commit_from_reply(reply)
             case Err(error):
-                return _commit_of_error(error)
+                return _commit_from_error(error)
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
         """Read rows; an absent one comes back with version 0."""
@@ -78,10 +78,10 @@
             case Err(error):
                 return _unavailable(error.detail)
             case Ok(reply):
-                return _rows_of(reply)
+                return _rows_from_reply(reply)
 
 
-def _commit_of(reply: Reply) -> Commit:
+def _commit_from_reply(reply: Reply) -> Commit:
     detail = f"status {reply.status}"
     try:
         if reply.status == 200:
@@ -92,18 +92,18 @@
             return Commit(CommitStatus.CONFLICT, 0, tuple(conflicts))
     except msgspec.DecodeError as exc:
         return Commit(CommitStatus.AMBIGUOUS, detail=f"{detail}, undecodable: {exc}")
-    proven = reply.status in REFUSED or 400 <= reply.status < 500
+    proven = reply.status in NOT_APPLIED_STATUSES or 400 <= reply.status < 500
     status = CommitStatus.REJECTED if proven else CommitStatus.AMBIGUOUS
     return Commit(status, detail=detail)
 
 
-def _commit_of_error(error: CallError) -> Commit:
+def _commit_from_error(error: CallError) -> Commit:
     not_sent = error.loss is Loss.NOT_SENT
     status = CommitStatus.REJECTED if not_sent else CommitStatus.AMBIGUOUS
     return Commit(status, detail=error.detail)
 
 
-def _rows_of(reply: Reply) -> Result[list[Row], Failure]:
+def _rows_from_reply(reply: Reply) -> Result[list[Row], Failure]:
     if reply.status != 200:
         return _unavailable(f"status {reply.status}")
     try:
--- a/sapphirelead/platform/local_worker.py
+++ b/sapphirelead/platform/local_worker.py
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 
-CODES: Final = {
+CODE_BY_STATUS: Final = {
     400: Code.BAD_REQUEST,
     404: Code.NOT_FOUND,
     409: Code.STORE_CONFLICT,
@@ -60,19 +60,19 @@
         ``LOST`` means that the start came after its lease and was refused.
         """
         path = f"/tasks/{encode_segment(spec.task_id)}"
-        return _done(await self._call("PUT", path, session=session, spec=spec))
+        return _discard_body(await self._call("PUT", path, session=session, spec=spec))
 
     async def renew(self, session: int, leases: dict[str, float]) -> Result[None, Failure]:
         """Move ``lease_until`` (worker-clock seconds) of the tasks named."""
-        return _done(await self._call("POST", "/renew", session=session, leases=leases))
+        return _discard_body(await self._call("POST", "/renew", session=session, leases=leases))
 
     async def throttle(self, session: int, task_id: str, share: float) -> Result[None, Failure]:
         """Limit the task to ``share`` (0 to 1) of its processors."""
-        return _done(await self._act(session, task_id, "throttle", share=share))
+        return _discard_body(await self._post_action(session, task_id, "throttle", share=share))
 
     async def checkpoint_stop(self, session: int, task_id: str) -> Result[str, Failure]:
         """Stop the task at an exact checkpoint and return its object key."""
-        match _decode(await self._act(session, task_id, "checkpoint"), _CheckpointBody):
+        match _decode(await self._post_action(session, task_id, "checkpoint"), _CheckpointBody):
             case Ok(body):
                 return Ok(body.checkpoint)
             case Err(failure):
@@ -80,13 +80,13 @@
 
     async def stop(self, session: int, task_id: str) -> Result[None, Failure]:
         """Stop the task where it is."""
-        return _done(await self._act(session, task_id, "stop"))
+        return _discard_body(await self._post_action(session, task_id, "stop"))
 
     async def remove(self, session: int, task_id: str) -> Result[None, Failure]:
         """Forget an ended task."""
-        return _done(await self._act(session, task_id, "remove"))
+        return _discard_body(await self._post_action(session, task_id, "remove"))
 
-    async def _act(
+    async def _post_action(
         self, session: int, task_id: str, verb: str, **fields: Any
     ) -> Result[bytes, Failure]:
         path = f"/tasks/{encode_segment(task_id)}/{verb}"
@@ -101,7 +101,7 @@
             case Ok(reply) if reply.status == 200:
                 return Ok(reply.body)
             case Ok(reply):
-                code = CODES.get(reply.status, Code.WORKER_UNAVAILABLE)
+                code = CODE_BY_STATUS.get(reply.status, Code.WORKER_UNAVAILABLE)
                 text = reply.body.decode(errors="replace")
                 return Err(Failure(code, f"worker refused {method} {path}: {text}"))
 
@@ -117,7 +117,7 @@
                 return Err(Failure(Code.WORKER_UNAVAILABLE, f"undecodable answer: {exc}"))
 
 
-def _done(reply: Result[bytes, Failure]) -> Result[None, Failure]:
+def _discard_body(reply: Result[bytes, Failure]) -> Result[None, Failure]:
     match reply:
         case Err(failure):
             return Err(failure)
--- a/sapphirelead/platform/main.py
+++ b/sapphirelead/platform/main.py
@@ -48,16 +48,16 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, _reloaded)
+    loop.add_signal_handler(signal.SIGHUP, _on_reload)
     log_event(
         "INFO",
         "process_started",
         node=settings.name,
         zone=settings.zone,
-        role="entry" if settings.takes_callers else "agent",
+        role="entry" if settings.is_entry else "agent",
         cores=settings.cores,
     )
-    if settings.takes_callers:
+    if settings.is_entry:
         await _run_entry(settings, stop)
     else:
         await _run_agent(settings, stop)
@@ -65,7 +65,7 @@
     return EXIT_OK
 
 
-def _reloaded() -> None:
+def _on_reload() -> None:
     """Answer SIGHUP: addresses and bounds do not change in the life of a process."""
     found = read_node_file()
     log_event("INFO", "settings_reread", valid=found.is_ok(), problem=str(found.err() or "-"))
@@ -89,14 +89,14 @@
     ingress = Ingress(entry)
     metrics = HttpServer(metrics_handler(entry.metrics))
     await entry.start()
-    following = spawn(follower.run(), "config")
+    follower_task = spawn(follower.run(), "config")
     assert settings.caller_address is not None and settings.ready_address is not None
     await ingress.start(settings.caller_address, settings.ready_address)
     await metrics.start(Address(settings.host, METRICS_PORT))
     await stop.wait()
     log_event("INFO", "process_leaving", node=settings.name)
     await leave(entry, ingress)
-    following.cancel()
+    follower_task.cancel()
     await entry.stop()
     await metrics.stop()
     await advice.close()
@@ -105,18 +105,18 @@
 
 
 async def _run_agent(settings: NodeSettings, stop: asyncio.Event) -> None:
-    from sapphirelead.platform.beats import WorkerSide
+    from sapphirelead.platform.heartbeats import WorkerRequestHandler
     from sapphirelead.platform.worker import PlatformWorker
     from sapphirelead.runner_service import Runner
 
     table = PlatformTable.connect(settings.store)
     context = make_context()
     runner = Runner(settings.name, settings.bounds, table, PlatformWorker.connect, context)
-    server = HttpServer(WorkerSide(runner, settings.service).handle)
+    server = HttpServer(WorkerRequestHandler(runner, settings.service).handle)
     metrics = HttpServer(metrics_handler(runner.metrics))
     runner.start()
-    assert settings.worker_side is not None
-    await server.start(settings.worker_side)
+    assert settings.control_address is not None
+    await server.start(settings.control_address)
     await metrics.start(Address(settings.host, METRICS_PORT))
     await stop.wait()
     log_event("INFO", "process_leaving", node=settings.name)
--- a/sapphirelead/platform/node_file.py
+++ b/sapphirelead/platform/node_file.py
@@ -92,10 +92,10 @@
 
     :ivar host: this machine's address.
     :ivar link_port: port for links between processes of the product.
-    :ivar takes_callers: whether callers connect here.
+    :ivar is_entry: whether callers connect here.
     :ivar caller_address: where callers connect; ``None`` beside a worker.
     :ivar ready_address: where the platform asks whether callers may connect.
-    :ivar worker_side: where the worker beside this process reports; ``None`` at an entry.
+    :ivar control_address: where the worker beside this process reports; ``None`` at an entry.
     :ivar store: address of the store.
     :ivar advice: address of the advice service; empty for none.
     :ivar service: service of the worker beside this process; empty at an entry.
@@ -106,10 +106,10 @@
     host: str
     zone: str
     link_port: int
-    takes_callers: bool
+    is_entry: bool
     caller_address: Address | None
     ready_address: Address | None
-    worker_side: Address | None
+    control_address: Address | None
     store: str
     advice: str
     service: str
@@ -145,10 +145,10 @@
         host=file.ip,
         zone=file.zone,
         link_port=file.port_range[0],
-        takes_callers="front" in file.serves,
+        is_entry="front" in file.serves,
         caller_address=Address.parse(listen.front) if listen.front else None,
         ready_address=Address.parse(listen.ready) if listen.ready else None,
-        worker_side=Address.parse(listen.control) if listen.control else None,
+        control_address=Address.parse(listen.control) if listen.control else None,
         store=file.platform.addr,
         advice=file.advice,
         service=file.service,
--- a/sapphirelead/platform/store.py
+++ b/sapphirelead/platform/store.py
@@ -26,8 +26,8 @@
 
 FEED_MARGIN_S: Final = 0.5
 
-_TX_STATUS: Final = {412: CommitStatus.CONFLICT}
-_REFUSED: Final = frozenset({400, 403, 404, 413, 429, 503, 507})
+_COMMIT_STATUS: Final = {412: CommitStatus.CONFLICT}
+_NOT_APPLIED_STATUSES: Final = frozenset({400, 403, 404, 413, 429, 503, 507})
 
 
 class _WireRow(msgspec.Struct):
@@ -93,13 +93,15 @@
     async def commit(self, txn: Txn) -> Commit:
         """Apply ``txn``."""
         body = {
-            "expected_rev": [{**_place(item.key), "ver": item.version} for item in txn.conditions],
+            "expected_rev": [
+                {**_row_address(item.key), "ver": item.version} for item in txn.conditions
+            ],
             "writes": [
-                {**_place(item.key), "value": _encode_value(item.value)}
+                {**_row_address(item.key), "value": _encode_value(item.value)}
                 for item in txn.writes
                 if item.value is not None
             ],
-            "remove": [_place(item.key) for item in txn.writes if item.value is None],
+            "remove": [_row_address(item.key) for item in txn.writes if item.value is None],
         }
         found = await self._http.call(
             "POST", "/rows-tx", msgspec.json.encode(body), JSON_HEADERS, CALL_TIMEOUT_S
@@ -108,19 +110,19 @@
             lost = found.err_value.loss is Loss.SENT
             status = CommitStatus.AMBIGUOUS if lost else CommitStatus.REJECTED
             return Commit(status, detail=found.err_value.detail)
-        return _commit_of(found.ok_value)
+        return _commit_from_reply(found.ok_value)
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
         """Read rows; an absent one comes back with version 0."""
         rows = []
         for key in keys:
-            place = _place(key)
+            place = _row_address(key)
             query = {"from": place["key"], "to": place["key"] + "\0", "limit": "1"}
             found = await self._get(place["table"], query)
             if isinstance(found, Err):
                 return found
             wire = next(found.ok_value.readable(), None)
-            rows.append(_row(key, wire) if wire else Row(key, 0, None))
+            rows.append(_decode_row(key, wire) if wire else Row(key, 0, None))
         return Ok(rows)
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
@@ -129,13 +131,13 @@
         query = {"limit": str(limit)}
         if rest:
             query["to"] = rest[:-1] + chr(ord(rest[-1]) + 1)
-        start = _place(after)["key"] + "\0" if after else rest
+        start = _row_address(after)["key"] + "\0" if after else rest
         if start:
             query["from"] = start
         found = await self._get(table, query)
         if isinstance(found, Err):
             return found
-        return Ok([_row(f"{table}/{row.key}", row) for row in found.ok_value.readable()])
+        return Ok([_decode_row(f"{table}/{row.key}", row) for row in found.ok_value.readable()])
 
     async def _get(self, table: str, query: dict[str, str]) -> Result[_WireRows, Failure]:
         fields = {"table": table, "part": "", **query}
@@ -162,7 +164,7 @@
         if isinstance(found, Err):
             return found
         row = next(found.ok_value.readable(), None)
-        return Ok((_raw(row) if row else None, found.ok_value.ver))
+        return Ok((_raw_value(row) if row else None, found.ok_value.ver))
 
     async def changes(
         self, table: str, after: int
@@ -175,32 +177,32 @@
         found = await self._read(path, FEED_WAIT_MS / 1000 + FEED_MARGIN_S)
         if isinstance(found, Err):
             return found
-        changed = {row.key: _raw(row) for row in found.ok_value.readable()}
+        changed = {row.key: _raw_value(row) for row in found.ok_value.readable()}
         return Ok((changed, max(after, found.ok_value.ver)))
 
 
-def _commit_of(answer: Reply) -> Commit:
+def _commit_from_reply(answer: Reply) -> Commit:
     if answer.status == 200:
         decoded = decode(_DECODER, answer.body)
         if isinstance(decoded, Err):
             detail = f"undecodable answer: {decoded.err_value}"
             return Commit(CommitStatus.AMBIGUOUS, detail=detail)
         return Commit(CommitStatus.COMMITTED, decoded.ok_value.ver)
-    if answer.status in _TX_STATUS:
-        return Commit(_TX_STATUS[answer.status])
-    if answer.status in _REFUSED:
+    if answer.status in _COMMIT_STATUS:
+        return Commit(_COMMIT_STATUS[answer.status])
+    if answer.status in _NOT_APPLIED_STATUSES:
         if answer.status not in (429, 503):
             log_event("ERROR", "transaction_refused", status=answer.status, body=answer.body[:200])
         return Commit(CommitStatus.REJECTED, detail=f"status {answer.status}")
     return Commit(CommitStatus.AMBIGUOUS, detail=f"status {answer.status}")
 
 
-def _place(key: str) -> dict[str, str]:
+def _row_address(key: str) -> dict[str, str]:
     table, _, rest = key.partition("/")
     return {"table": table, "part": "", "key": rest}
 
 
-def _row(key: str, wire: _WireRow) -> Row:
+def _decode_row(key: str, wire: _WireRow) -> Row:
     """Translate a row; one whose value cannot be read has a version but no value."""
     value = decode_map(wire.value)
     if isinstance(value, Err):
@@ -208,7 +210,7 @@
     return Row(key, wire.ver, value.ok())
 
 
-def _raw(wire: _WireRow) -> bytes | None:
+def _raw_value(wire: _WireRow) -> bytes | None:
     """Return the value of a row that others write; ``None`` where there is none to read."""
     if wire.tombstone:
         return None
--- a/sapphirelead/platform/worker.py
+++ b/sapphirelead/platform/worker.py
@@ -16,20 +16,20 @@
     WorkerRun,
     WorkerView,
 )
-from sapphirelead.platform.decoding import LARGEST, Count, Name, decode
+from sapphirelead.platform.decoding import MAX_NUMBER, Count, Name, decode
 
 CALL_TIMEOUT_S: Final = 0.5
 """The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
 that a start carries."""
 
-LIST_MARGIN_S: Final = 0.6
+LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
-CONNECTIONS: Final = 25
+MAX_CONNECTIONS: Final = 25
 """One for the list call, and one for each other call that an agent has in flight."""
 
 LIFE_HEADER: Final = "X-Target-Instance"
 
-_REASONS: Final = {
+_ANSWER_BY_REASON: Final = {
     "fence": StartAnswer.FENCED,
     "old": StartAnswer.OUTDATED,
     "late": StartAnswer.TOO_LATE,
@@ -51,8 +51,8 @@
     task: Name
     attempt: Count
     saved: str
-    percent: Annotated[float, msgspec.Meta(ge=0, le=LARGEST)]
-    figure: Annotated[float, msgspec.Meta(ge=-1, le=LARGEST)] = -1
+    percent: Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+    figure: Annotated[float, msgspec.Meta(ge=-1, le=MAX_NUMBER)] = -1
 
 
 class _Ended(msgspec.Struct, array_like=True):
@@ -94,7 +94,7 @@
     @classmethod
     def connect(cls, worker: str, address: str) -> "PlatformWorker":
         """Return the life named ``worker`` at ``address``."""
-        http = HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S, CONNECTIONS)
+        http = HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S, MAX_CONNECTIONS)
         return cls(http, worker)
 
     async def hold(
@@ -106,7 +106,7 @@
             body["deadline_ms"] = lease_ms
         if wait_ms:
             body["wait_ms"] = wait_ms
-        found = await self._call("/hold", body, wait_ms / 1000 + LIST_MARGIN_S)
+        found = await self._call("/hold", body, wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S)
         if isinstance(found, Err):
             return found
         answer = found.ok_value
@@ -119,7 +119,9 @@
             log_event("ERROR", "worker_list_undecodable", reason=decoded.err_value)
             return Err(CallFailure.NO_ANSWER)
         wire = decoded.ok_value
-        return Ok(WorkerView(wire.clock_ms, [_run(row) for row in wire.running], _ends(wire)))
+        return Ok(
+            WorkerView(wire.clock_ms, [_worker_run(row) for row in wire.running], _ended_runs(wire))
+        )
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
         """Start a run."""
@@ -141,8 +143,8 @@
         clock = _decode_clock(answer)
         if answer.status == 200:
             return Ok(StartResult(StartAnswer.STARTED, clock.clock_ms))
-        if answer.status == 409 and clock.reason in _REASONS:
-            return Ok(StartResult(_REASONS[clock.reason], clock.clock_ms))
+        if answer.status == 409 and clock.reason in _ANSWER_BY_REASON:
+            return Ok(StartResult(_ANSWER_BY_REASON[clock.reason], clock.clock_ms))
         if answer.status == 400:
             log_event("ERROR", "start_invalid", task=call.task, body=answer.body[:200])
             return Ok(StartResult(StartAnswer.INVALID, clock.clock_ms))
@@ -153,7 +155,7 @@
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
         """Stop a run."""
         body = {"task": task, "attempt": attempt, "fence_token": fencing_token}
-        return await self._order("/run-stop", body)
+        return await self._command("/run-stop", body)
 
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
@@ -165,9 +167,9 @@
             "percent": percent,
             "fence_token": fencing_token,
         }
-        return await self._order("/pace", body)
+        return await self._command("/pace", body)
 
-    async def _order(self, path: str, body: dict[str, Any]) -> Result[int, CallFailure]:
+    async def _command(self, path: str, body: dict[str, Any]) -> Result[int, CallFailure]:
         found = await self._call(path, body, CALL_TIMEOUT_S)
         if isinstance(found, Err):
             return found
@@ -186,7 +188,7 @@
             "POST", path, msgspec.json.encode(body), self._headers, timeout_s
         )
         if isinstance(found, Err):
-            return Err(_failure(found.err_value))
+            return Err(_call_failure(found.err_value))
         if found.ok_value.status == 421:
             return Err(CallFailure.OTHER_LIFE)
         return Ok(found.ok_value)
@@ -206,7 +208,7 @@
         await self._http.close()
 
 
-def _failure(error: CallError) -> CallFailure:
+def _call_failure(error: CallError) -> CallFailure:
     return CallFailure.REFUSED if error.refused else CallFailure.NO_ANSWER
 
 
@@ -221,9 +223,9 @@
     return _Clock()
 
 
-def _run(row: _Running) -> WorkerRun:
+def _worker_run(row: _Running) -> WorkerRun:
     return WorkerRun(row.task, row.attempt, row.saved, int(row.percent), int(row.figure))
 
 
-def _ends(wire: _List) -> list[WorkerEnd]:
+def _ended_runs(wire: _List) -> list[WorkerEnd]:
     return [WorkerEnd(row.number, row.task, row.attempt, row.kind, row.saved) for row in wire.ended]
--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -60,7 +60,7 @@
     def __init__(self, sched: Scheduler, epoch: int = 1) -> None:
         self.sched = sched
         self.epoch = epoch
-        self.beats: dict[str, int] = {}
+        self.heartbeats: dict[str, int] = {}
 
     def report(
         self,
@@ -75,14 +75,23 @@
         paced: int = 100,
     ) -> None:
         """Let ``agent`` report; a worker ``w-AGENT`` lives there where none is given."""
-        self.beats[agent] = self.beats.get(agent, 0) + 1
+        self.heartbeats[agent] = self.heartbeats.get(agent, 0) + 1
         statuses = [
             RunStatus(task, attempt, RunPhase.RUNNING, percent, paced=paced)
             for task, attempt in runs or []
         ]
         info = worker or worker_info(f"w-{agent}")
         report = AgentReport(
-            agent, boot, self.beats[agent], self.epoch, 1, info, True, statuses, ends or [], gone
+            agent,
+            boot,
+            self.heartbeats[agent],
+            self.epoch,
+            1,
+            info,
+            True,
+            statuses,
+            ends or [],
+            gone,
         )
         take_report(self.sched, report, self.epoch, at)
         self.sched.fleet.instance(agent).renewed_at = at
--- a/tests/sched/serving.py
+++ b/tests/sched/serving.py
@@ -16,7 +16,7 @@
 def report(agents: Agents, sched: Scheduler, agent: str, tail: int, at: float) -> None:
     """Report every run of an agent, serving ones with ``tail``."""
     instance = sched.fleet.instance(agent)
-    agents.beats[agent] = agents.beats.get(agent, 0) + 1
+    agents.heartbeats[agent] = agents.heartbeats.get(agent, 0) + 1
     statuses = [
         RunStatus(
             run.ref.text(),
@@ -29,7 +29,10 @@
     ]
     info = worker_info(f"w-{agent}", cpu=32_000)
     take_report(
-        sched, AgentReport(agent, "b", agents.beats[agent], 1, 1, info, True, statuses, []), 1, at
+        sched,
+        AgentReport(agent, "b", agents.heartbeats[agent], 1, 1, info, True, statuses, []),
+        1,
+        at,
     )
     instance.renewed_at = at
 
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -134,15 +134,15 @@
     """
     election = Election("e1")
     election.heard(1, "e2", True, 0.0)
-    at, beats = 0.0, 0
+    at, heartbeats = 0.0, 0
     for version in range(1, 40):
         at += 0.1
-        beats += election.beat_due(at)
+        heartbeats += election.beat_due(at)
         if election.next_move(at) is Move.READ:
             election.saw_head(HeadRow(version, 1, "e2", str(version)), at)
     assert at > 2 * LEADER_SILENCE_S
     assert not election.followed(at)
-    assert beats >= at / BEAT_S - 2
+    assert heartbeats >= at / BEAT_S - 2
     election.heard(1, "e2", True, at)
     assert election.followed(at)
 
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -19,7 +19,7 @@
 from sapphirelead.node_directory import read_entries
 from sapphirelead.node_messages import EntryAddress, RunEnded, WorkerInfo
 from sapphirelead.platform.advice import PlatformAdvice
-from sapphirelead.platform.beats import WorkerSide
+from sapphirelead.platform.heartbeats import WorkerRequestHandler
 from sapphirelead.platform.config import decode_config
 from sapphirelead.platform.decoding import decode_base64, decode_map
 from sapphirelead.platform.ingress import decode_job
@@ -95,7 +95,7 @@
 async def beat(body: bytes, worker: str = "w1") -> tuple[int, RunnerSpy]:
     """Send a heartbeat; return the answer's status and what the agent took of it."""
     spy = RunnerSpy()
-    side = WorkerSide(spy, "svc")  # type: ignore[arg-type]
+    side = WorkerRequestHandler(spy, "svc")  # type: ignore[arg-type]
     async with listening(side.handle) as address, ClientSession() as session:
         url = f"{address}/instances/{worker}/heartbeat"
         async with session.post(url, data=body) as response:
@@ -345,5 +345,5 @@
 @ANY_SPEED
 @given(st.sampled_from(sorted(BEAT)), JSON)
 def test_no_heartbeat_fails_the_agent(name: str, value: object) -> None:
-    side = WorkerSide(RunnerSpy(), "svc")  # type: ignore[arg-type]
+    side = WorkerRequestHandler(RunnerSpy(), "svc")  # type: ignore[arg-type]
     side._decode(json.dumps({**BEAT, name: value}).encode())
--- a/tests/sched/test_new_leader.py
+++ b/tests/sched/test_new_leader.py
@@ -22,9 +22,9 @@
 
 def short_report(agents: Agents, agent: str, at: float) -> None:
     """Report a worker, but none of its runs, as an agent does between two full reports."""
-    agents.beats[agent] = agents.beats.get(agent, 0) + 1
+    agents.heartbeats[agent] = agents.heartbeats.get(agent, 0) + 1
     info = worker_info(f"w-{agent}", cpu=32_000)
-    short = AgentReport(agent, "b", agents.beats[agent], 1, 1, info, False, [], [])
+    short = AgentReport(agent, "b", agents.heartbeats[agent], 1, 1, info, False, [], [])
     take_report(agents.sched, short, 1, at)
 
 
--- a/tests/sched/test_platform.py
+++ b/tests/sched/test_platform.py
@@ -33,26 +33,24 @@
 CONFIG = QueueConfig.from_routes(1, [], {"q1": QueuePolicy("svc")})
 
 
-def test_settings_are_translated_and_unknown_fields_ignored() -> None:
+def test_node_file_is_translated_and_unknown_fields_are_ignored() -> None:
     settings = parse_node_file(NODE).unwrap()
     assert settings.bounds.lease_max_s == 6.0
     assert settings.bounds.keep_ended_s == 60
     assert settings.link_port == 7000
-    assert settings.takes_callers
+    assert settings.is_entry
 
 
 @pytest.mark.parametrize(
     ("limits", "cores"),
     [({"cpu_share": 0.717, "cores": 3, "memory_mb": 552}, 2.151), ({}, 0.0), ({"cores": 2}, 0.0)],
 )
-def test_the_processors_of_a_process_are_its_share_of_a_fast_one(
-    limits: dict[str, float], cores: float
-) -> None:
+def test_cores_are_scaled_by_the_cpu_share(limits: dict[str, float], cores: float) -> None:
     settings = parse_node_file({**NODE, "limits": limits}).unwrap()
     assert settings.cores == pytest.approx(cores)
 
 
-def test_settings_without_a_needed_field_are_refused_with_its_name() -> None:
+def test_missing_setting_is_named_in_the_error() -> None:
     broken = {key: value for key, value in NODE.items() if key != "platform"}
     assert "platform" in str(parse_node_file(broken).unwrap_err())
 
@@ -68,7 +66,7 @@
     assert config.match("h", "/p/1") is not None
 
 
-def test_a_configuration_that_is_none_is_refused() -> None:
+def test_invalid_configuration_is_rejected() -> None:
     assert decode_config(b"[1]").is_err()
 
 
@@ -89,7 +87,7 @@
         (b'{"spec":"' + b"x" * 5000 + b'","steps":[{}]}', "longer"),
     ],
 )
-def test_a_submission_that_is_wrong_is_refused_with_the_reason(body: bytes, problem: str) -> None:
+def test_invalid_submission_is_rejected_with_the_reason(body: bytes, problem: str) -> None:
     refused = decode_job(body, "a1", "q1", CONFIG, 0)
     assert problem in refused.unwrap_err()
 
@@ -107,14 +105,14 @@
     def __init__(self, status: int, body: object) -> None:
         self.status = status
         self.body = body
-        self.asked: list[tuple[str, bytes, dict[str, str]]] = []
+        self.requests: list[tuple[str, bytes, dict[str, str]]] = []
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.asked.append((request.path_qs, await request.read(), dict(request.headers)))
+        self.requests.append((request.path_qs, await request.read(), dict(request.headers)))
         return web.Response(status=self.status, body=msgspec.json.encode(self.body))
 
 
-async def served(peer: Peer) -> TestServer:
+async def start_peer(peer: Peer) -> TestServer:
     """Start ``peer`` on loopback."""
     app = web.Application()
     app.router.add_route("*", "/{tail:.*}", peer.handle)
@@ -134,25 +132,25 @@
         (200, "broken", CommitStatus.AMBIGUOUS),
     ],
 )
-async def test_a_transaction_ends_as_its_status_proves(
+async def test_commit_status_follows_from_the_response(
     status: int, body: object, expected: CommitStatus
 ) -> None:
     peer = Peer(status, body)
-    server = await served(peer)
+    server = await start_peer(peer)
     table = PlatformTable(HttpCaller.connect(str(server.make_url("")), 1.0))
     txn = Txn("t", (Condition("fleet/head", 3),), (Write("run/a", {"data": b"x"}),))
     commit = await table.commit(txn)
     assert commit.status is expected
-    sent = json.loads(peer.asked[0][1])
+    sent = json.loads(peer.requests[0][1])
     assert sent["expected_rev"] == [{"table": "fleet", "part": "", "key": "head", "ver": 3}]
     assert sent["writes"][0]["table"] == "run"
     await table.close()
     await server.close()
 
 
-async def test_history_that_is_gone_is_told_from_an_absent_store() -> None:
+async def test_missing_feed_history_is_distinguished_from_an_unreachable_store() -> None:
     peer = Peer(410, {})
-    server = await served(peer)
+    server = await start_peer(peer)
     table = PlatformTable(HttpCaller.connect(str(server.make_url("")), 1.0))
     with pytest.raises(FeedGapError):
         await table.changes("op", 5)
@@ -175,21 +173,21 @@
         (400, {}, StartAnswer.INVALID),
     ],
 )
-async def test_a_start_is_answered_in_our_words(
+async def test_start_response_is_translated(
     status: int, body: object, expected: StartAnswer
 ) -> None:
     peer = Peer(status, body)
-    server = await served(peer)
+    server = await start_peer(peer)
     worker = PlatformWorker(HttpCaller.connect(str(server.make_url("")), 1.0), "w1")
     assert (await worker.start(START)).unwrap().answer is expected
-    assert peer.asked[0][2]["X-Target-Instance"] == "w1"
+    assert peer.requests[0][2]["X-Target-Instance"] == "w1"
     await worker.close()
     await server.close()
 
 
-async def test_another_life_and_a_missing_process_are_told_apart() -> None:
+async def test_replaced_worker_is_distinguished_from_a_refused_connection() -> None:
     peer = Peer(421, {})
-    server = await served(peer)
+    server = await start_peer(peer)
     worker = PlatformWorker(HttpCaller.connect(str(server.make_url("")), 1.0), "w1")
     assert (await worker.start(START)).unwrap_err() is CallFailure.OTHER_LIFE
     await server.close()
@@ -199,19 +197,19 @@
     await worker.close()
 
 
-async def test_the_worker_list_is_decoded_with_and_without_figures() -> None:
+async def test_worker_list_is_decoded_with_and_without_usage_figures() -> None:
     body = {
         "clock_ms": 5,
         "running": [["a.0.0.0", 1, "s", 40], ["b.0.0.0", 2, "", 100, 37]],
         "ended": [[3, "c.0.0.0", 1, "done", ""]],
     }
     peer = Peer(200, body)
-    server = await served(peer)
+    server = await start_peer(peer)
     worker = PlatformWorker(HttpCaller.connect(str(server.make_url("")), 1.0), "w1")
     view = (await worker.hold(7, 2, 0, 0)).unwrap()
     assert [run.figure for run in view.running] == [-1, 37]
     assert (view.ended[0].number, view.ended[0].kind) == (3, "done")
-    sent = json.loads(peer.asked[0][1])
+    sent = json.loads(peer.requests[0][1])
     assert "deadline_ms" not in sent
     await worker.close()
     await server.close()
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -15,7 +15,7 @@
     StopOrder,
 )
 from sapphirelead.node_ports import CallFailure, StartCall
-from sapphirelead.platform.worker import CONNECTIONS
+from sapphirelead.platform.worker import MAX_CONNECTIONS
 from sapphirelead.runner_life import RunnerLife
 from sapphirelead.runner_slots import Slots
 from sapphirelead.sched_timing import STALE_ORDER_S, Bounds
@@ -211,7 +211,7 @@
     """Guards against more calls to a worker than its client has connections."""
     worker = FakeWorker(work_s=60)
     most = 1 + runner_life.CALLS_AT_ONCE + runner_life.STOPS_AT_ONCE
-    assert most <= CONNECTIONS
+    assert most <= MAX_CONNECTIONS
     async with life_of(worker) as (life, _):
         worker.silent = True
         for number in range(40):
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -253,7 +253,7 @@
             info = worker_info(slot.worker_id, cpu=CPU)
             await slot.runner.worker_beat(info, "x", seq)
 
-    async def beats(self) -> None:
+    async def heartbeats(self) -> None:
         while True:
             for slot in self.slots:
                 slot.worker.advance()
@@ -307,7 +307,7 @@
             await self.start_agent(slot)
         tasks = [
             asyncio.create_task(work)
-            for work in (self.lead(), self.beats(), self.callers(), self.trouble())
+            for work in (self.lead(), self.heartbeats(), self.callers(), self.trouble())
         ]
         await asyncio.sleep(trouble_s)
         self.calm = True
