--- a/sapphirelead/platform/__init__.py
+++ b/sapphirelead/platform/__init__.py
@@ -1,8 +1,6 @@
-"""The users' platform: translates between the product's types and what the platform speaks.
+"""Adapters that translate between the product's types and the platform's wire formats.
 
-Nothing here decides or keeps state that outlives a call.  Each name of the platform is decoded
-once, into a type whose fields say what they hold; nothing outside this folder knows these names.
-
-The modules that begin with ``local_`` bind the project's own stand-ins of a platform, behind the
-same protocols.
+The package makes no scheduling decisions.  The platform's field names are decoded once, into typed
+values, and are not used outside this package.  The modules prefixed with ``local_`` connect to the
+project's own stand-ins for the platform.
 """
--- a/sapphirelead/platform/__main__.py
+++ b/sapphirelead/platform/__main__.py
@@ -5,9 +5,8 @@
 
 def main() -> int:
     """Run the process and return its exit code."""
-    # The platform may say that the settings have changed while the libraries are loading, and the
-    # signal ends a process that has no handler yet.  The file is read after this, so that nothing
-    # is missed.
+    # SIGHUP (settings changed) may arrive while the imports are running, and its default action
+    # terminates the process.  The settings file is read later, so no change is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from sapphirelead.platform.main import run
 
--- a/sapphirelead/platform/advice.py
+++ b/sapphirelead/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's advice service."""
+"""Client of the platform's advice service, which selects the workers that may run a step."""
 
 from typing import Final
 
@@ -13,11 +13,11 @@
 from sapphirelead.sched_spec import AdvicePolicy
 
 TIMEOUT_MARGIN_S: Final = 2.0
-"""Allowed beyond the service's own time: it answers one call after the other."""
+"""Added to the service time, because the service handles calls sequentially."""
 
 
 class _Answer(msgspec.Struct):
-    """``good`` holds rows of worker and ticket, each decoded by itself."""
+    """``good`` holds rows of worker and ticket, each decoded separately."""
 
     good: list[msgspec.Raw] = []
 
@@ -27,7 +27,7 @@
 
 
 class PlatformAdvice:
-    """Asks the service at one address."""
+    """Client of the advice service at one address."""
 
     _http: HttpCaller
 
@@ -36,7 +36,7 @@
 
     @classmethod
     def connect(cls, address: str) -> "PlatformAdvice":
-        """Return the service at ``address``."""
+        """Return a client of the service at ``address``."""
         return cls(HttpCaller.connect(f"http://{address}", TIMEOUT_MARGIN_S))
 
     async def close(self) -> None:
@@ -46,7 +46,7 @@
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
     ) -> Result[AdviceAnswer, Failure]:
-        """Ask about ``workers`` for the step named ``step``."""
+        """Request tickets for ``step`` on ``workers``."""
         service_time_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
         body = {"step": step, "workers": workers}
         found = await self._http.call(
@@ -63,13 +63,13 @@
             return Err(Failure(Code.OVERLOADED, text))
         answer = decode(_DECODER, found.ok_value.body)
         if isinstance(answer, Err):
-            text = f"advice service: undecodable answer: {answer.err_value}"
+            text = f"advice service: invalid response: {answer.err_value}"
             return Err(Failure(Code.NO_INSTANCE, text))
         return Ok(AdviceAnswer(_tickets(answer.ok_value)))
 
 
 def _tickets(answer: _Answer) -> dict[str, str]:
-    """Return the tickets by worker; a row that cannot be read names no worker."""
+    """Return the tickets by worker; rows that cannot be decoded are logged and skipped."""
     tickets = {}
     for raw in answer.good:
         row = decode(_ROW, bytes(raw))
--- a/sapphirelead/platform/config.py
+++ b/sapphirelead/platform/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: decodes it and follows its changes."""
+"""Decodes the operators' configuration and watches it for changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 
 
 class _Advice(msgspec.Struct):
-    """Times of the advice service.
+    """Latency of the advice service and lifetime of its tickets.
 
-    :ivar decide_ms: time of a call.
-    :ivar each_ms: further time for each worker named.
-    :ivar valid_ms: how long a ticket holds.
+    :ivar decide_ms: base latency of a call.
+    :ivar each_ms: additional latency per worker.
+    :ivar valid_ms: validity period of a ticket.
     """
 
     decide_ms: Count = 0
@@ -35,10 +35,10 @@
 
 
 class _Route(msgspec.Struct):
-    """A route is a queue.
+    """A route and the policy of its queue.
 
-    :ivar slo_ms: added to the objective of a job, not an objective by itself.
-    :ivar max_attempts: counts failed runs, not all runs.
+    :ivar slo_ms: slack added to a job's objective, not an objective by itself.
+    :ivar max_attempts: limit on failed runs, not on all runs.
     """
 
     name: Name
@@ -67,10 +67,10 @@
 
 
 def decode_config(data: bytes) -> Result[QueueConfig, Failure]:
-    """Translate the row that the operators write."""
+    """Decode the configuration row into a :class:`QueueConfig`."""
     decoded = decode(_DECODER, data)
     if isinstance(decoded, Err):
-        text = f"undecodable configuration: {decoded.err_value}"
+        text = f"invalid configuration: {decoded.err_value}"
         return Err(Failure(Code.CONFIG_INVALID, text))
     wire = decoded.ok_value
     readable = _readable_routes(wire)
@@ -80,7 +80,7 @@
 
 
 def _readable_routes(wire: _Config) -> list[_Route]:
-    """Return the routes that can be read: one that cannot be read must not keep out the others."""
+    """Return the routes that can be decoded; the others are logged and skipped."""
     routes = []
     for raw in wire.routes:
         route = decode(_ROUTE_DECODER, bytes(raw))
@@ -103,11 +103,11 @@
     )
 
 
-class ConfigFollower:
-    """Follows the configuration's row.
+class ConfigWatcher:
+    """Watches the configuration row.
 
-    The row is read as a whole at the start, after a gap in the history, and when another process
-    is known to have a newer version.
+    The whole row is read at the start, after a gap in the change feed, and when another process
+    has a newer version.
     """
 
     _table: PlatformTable
@@ -126,22 +126,22 @@
         self._report_store = report_store
         self._read_requested = asyncio.Event()
 
-    def read_now(self) -> None:
-        """Read the row at once: a newer version is known to exist."""
+    def request_read(self) -> None:
+        """Request an immediate read, because a newer version exists."""
         self._read_requested.set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the row until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._follow())
+            group.create_task(self._watch())
             group.create_task(self._read_on_demand())
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         after = -1
         delay_s = MIN_RETRY_DELAY_S
         while True:
             try:
-                after = await (self._read() if after < 0 else self._wait(after))
+                after = await (self._read() if after < 0 else self._wait_for_change(after))
                 delay_s = MIN_RETRY_DELAY_S
             except FeedGapError:
                 log_event("INFO", "config_history_gone", after=after)
@@ -161,7 +161,7 @@
         self._decode(data)
         return version
 
-    async def _wait(self, after: int) -> int:
+    async def _wait_for_change(self, after: int) -> int:
         found = await self._table.changes(CONFIG_TABLE, after)
         if isinstance(found, Err):
             self._raise_unreachable(found.err_value)
@@ -198,4 +198,4 @@
 
 
 class _StoreUnreachableError(Exception):
-    """A read got no answer."""
+    """The store did not answer a read."""
--- a/sapphirelead/platform/decoding.py
+++ b/sapphirelead/platform/decoding.py
@@ -1,9 +1,8 @@
-"""Decoding of what others send: no byte of theirs raises anything here.
+"""Decodes data of external writers without raising on invalid input.
 
-The failure: a row or a heartbeat of a foreign writer holds bytes that cannot be read, a field of
-another type, or a number that none of our own messages can carry.  It shows as a task that ends
-with an exception, and with it the process, again after each restart while the row stays.  Decoding
-therefore bounds every number and ends in a ``Result``; the caller leaves the item out and logs it.
+Rows and heartbeats of external writers may hold invalid bytes, fields of another type, or numbers
+outside the range of the product's own messages.  Every number is bounded, and errors are returned
+as a ``Result``, so that a caller can log and skip the item.
 """
 
 import base64
@@ -13,16 +12,16 @@
 from result import Err, Ok, Result
 
 MAX_NUMBER: Final = 2**53
-"""Largest number taken: milliseconds of 285,000 years, and exact in every JSON library."""
+"""Largest accepted number; exact in every JSON library."""
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
-"""A whole number that is not negative."""
+"""A non-negative integer."""
 
 Integer = Annotated[int, msgspec.Meta(ge=-MAX_NUMBER, le=MAX_NUMBER)]
-"""A whole number whose sign is checked elsewhere."""
+"""An integer whose sign is checked by the caller."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-"""A text that must not be empty."""
+"""A non-empty string."""
 
 SocketAddress = Annotated[str, msgspec.Meta(pattern=r"\A[][0-9A-Za-z._:-]+:[0-9]{1,5}\Z")]
 """``HOST:PORT``."""
@@ -31,33 +30,33 @@
 
 
 class Decoder(Protocol[T_co]):
-    """Decodes one kind of message; the decoders of msgspec are such."""
+    """Decodes one kind of message, as the decoders of msgspec do."""
 
     def decode(self, data: bytes, /) -> T_co:
         """Return the message in ``data``."""
 
 
 def decode(decoder: Decoder[T_co], data: bytes) -> Result[T_co, str]:
-    """Return what ``data`` holds, or why it cannot be read."""
+    """Return the decoded message, or the reason why ``data`` is invalid."""
     try:
         return Ok(decoder.decode(data))
     except (msgspec.DecodeError, RecursionError) as exc:
-        # Fields that are not known are skipped level by level, so deep nesting in one of them
-        # exhausts the stack.
+        # Unknown fields are skipped recursively, so deep nesting in one of them can raise
+        # RecursionError.
         return Err(str(exc))
 
 
 def decode_base64(text: str) -> Result[bytes, str]:
-    """Return the bytes that ``text`` encodes, or why there are none."""
+    """Return the decoded bytes, or the reason why ``text`` is invalid."""
     try:
         return Ok(base64.b64decode(text, validate=True))
     except ValueError as exc:
-        return Err(f"no base64: {exc}")
+        return Err(f"invalid base64: {exc}")
 
 
 _MAP: Final[Decoder[dict[str, Any]]] = msgspec.msgpack.Decoder(dict[str, Any])
 
 
 def decode_map(text: str) -> Result[dict[str, Any], str]:
-    """Return the fields of a row's value, which is a MessagePack map in base64."""
+    """Decode the value of a row, a MessagePack map in base64."""
     return decode_base64(text).and_then(lambda data: decode(_MAP, data))
--- a/sapphirelead/platform/heartbeats.py
+++ b/sapphirelead/platform/heartbeats.py
@@ -1,7 +1,7 @@
-"""What the worker beside an agent sends: its heartbeats, and its word that it ends.
+"""Handles the heartbeats and leave notifications of the worker beside an agent.
 
-A heartbeat that cannot be read, or that names a state or service that is not known, names no
-worker: it is refused and logged, and what is known of the worker beside this process holds.
+A heartbeat that cannot be decoded, or that names an unknown state or another service, is rejected
+and logged, and the agent's view of its worker does not change.
 """
 
 import re
@@ -18,11 +18,11 @@
 from sapphirelead.runner_service import Runner
 
 PATH: Final = re.compile(r"/instances/([!-.0-~]{1,200})/(heartbeat|leave)")
-"""The worker's id is printable ASCII without a slash: it goes into a header of each call."""
+"""The worker id is printable ASCII without a slash, because it is sent as a header value."""
 
 
 class _Capacity(msgspec.Struct):
-    """``cpu`` is in thousandths of a core."""
+    """``cpu`` is in millicores."""
 
     cpu: Count
     mem_mb: Count
@@ -32,9 +32,9 @@
 class _Beat(msgspec.Struct):
     """A heartbeat on the wire.
 
-    :ivar addr: where the worker takes calls.
-    :ivar remaining_ms: least time left, while ``state`` is ``draining``.
-    :ivar seq: grows with each heartbeat of one life.
+    :ivar addr: address of the worker's API.
+    :ivar remaining_ms: minimum time until the worker stops, while ``state`` is ``draining``.
+    :ivar seq: increases with each heartbeat of one incarnation of the worker.
     """
 
     service: Name
@@ -51,47 +51,55 @@
 
 
 class WorkerRequestHandler:
-    """Answers the worker on behalf of the agent."""
+    """Handles the worker's HTTP requests to the agent."""
 
     _runner: Runner
     _service: str
 
     def __init__(self, runner: Runner, service: str) -> None:
-        """Make the worker's counterpart.
+        """Create a handler that reports to ``runner``.
 
-        :param service: service of the worker beside this process; empty where it is not known.
+        :param service: service of the worker beside this process; empty if unknown.
         """
         self._runner = runner
         self._service = service
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request."""
         found = PATH.fullmatch(request.path)
         if found is None or request.method != "POST":
             return web.Response(status=404)
-        worker, what = found.groups()
-        if what == "leave":
+        worker, action = found.groups()
+        if action == "leave":
             await self._runner.worker_left(worker)
             return web.Response(status=200)
         decoded = self._decode(await request.read())
         if isinstance(decoded, Err):
             log_event("WARNING", "heartbeat_refused", worker=worker, reason=decoded.err_value)
             return web.Response(status=400)
-        beat = decoded.ok_value
-        await self._runner.worker_beat(_info(worker, beat), beat.addr, beat.seq)
+        heartbeat = decoded.ok_value
+        await self._runner.worker_beat(
+            _worker_info(worker, heartbeat), heartbeat.addr, heartbeat.seq
+        )
         return web.json_response({})
 
     def _decode(self, body: bytes) -> Result[_Beat, str]:
         decoded = decode(_DECODER, body)
         if isinstance(decoded, Ok) and self._service not in ("", decoded.ok_value.service):
-            return Err(f"service {decoded.ok_value.service!r} is not the one beside this process")
+            return Err(f"service {decoded.ok_value.service!r} is not the configured one")
         return decoded
 
 
-def _info(worker: str, beat: _Beat) -> WorkerInfo:
-    capacity = Resources(beat.capacity.cpu, beat.capacity.mem_mb, beat.capacity.gpu)
-    draining = beat.state == "draining"
-    remaining_ms = beat.remaining_ms if draining else 0
+def _worker_info(worker: str, heartbeat: _Beat) -> WorkerInfo:
+    capacity = Resources(heartbeat.capacity.cpu, heartbeat.capacity.mem_mb, heartbeat.capacity.gpu)
+    draining = heartbeat.state == "draining"
+    remaining_ms = heartbeat.remaining_ms if draining else 0
     return WorkerInfo(
-        worker, beat.service, beat.zone, capacity, beat.labels, draining, remaining_ms
+        worker,
+        heartbeat.service,
+        heartbeat.zone,
+        capacity,
+        heartbeat.labels,
+        draining,
+        remaining_ms,
     )
--- a/sapphirelead/platform/http_server.py
+++ b/sapphirelead/platform/http_server.py
@@ -1,4 +1,4 @@
-"""Listening for HTTP: what the servers of an entry and of an agent have in common."""
+"""HTTP server shared by the entry and the agent, and the metrics endpoint."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -12,25 +12,25 @@
 METRICS_PATH: Final = "/metrics"
 
 BACKLOG: Final = 512
-"""Connections that may wait to be accepted; a burst of clients beyond it waits for seconds."""
+"""Length of the queue of connections that have not been accepted."""
 
 SHUTDOWN_TIMEOUT_S: Final = 1.0
-"""Time for handlers that answer at once, such as those of readiness, heartbeats and metrics."""
+"""Default for handlers that do not wait, such as readiness, heartbeats and metrics."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class HttpServer:
-    """One handler on any number of addresses."""
+    """Serves one handler on one address."""
 
     _runner: web.ServerRunner
     _handler: Handler
     _shutdown_timeout_s: float
 
     def __init__(self, handler: Handler, shutdown_timeout_s: float = SHUTDOWN_TIMEOUT_S) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that is not listening yet.
 
-        :param shutdown_timeout_s: how long :meth:`stop` waits for handlers before it cancels them.
+        :param shutdown_timeout_s: time that :meth:`stop` waits for handlers before it cancels them.
         """
         self._handler = handler
         self._shutdown_timeout_s = shutdown_timeout_s
@@ -44,12 +44,12 @@
         await site.start()
 
     async def stop(self) -> None:
-        """Answer what has been read, then close."""
+        """Finish the requests in progress, then close the server."""
         await self._runner.cleanup()
 
 
 def metrics_handler(metrics: Metrics) -> Handler:
-    """Return the handler that exports ``metrics`` as text."""
+    """Return a handler that exports ``metrics`` as text."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != METRICS_PATH:
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests: decodes them, asks the product, encodes its answers."""
+"""HTTP API for callers: decodes requests, forwards them to the entry, encodes the responses."""
 
 import math
 import re
@@ -36,17 +36,18 @@
     ReplyKind.UNKNOWN: 504,
     ReplyKind.INVALID: 400,
 }
-"""503 is said only of what never runs; what is not known gets 504, and the caller may repeat it."""
+"""503 guarantees that the call had no effect; 504 means that the outcome is unknown and the caller
+may repeat the call."""
 
 
 class _Step(msgspec.Struct):
-    """A step on the wire; what is absent is 0, false or empty.
+    """A step on the wire.
 
     :ivar count: number of tasks.
     :ivar affinity: rack that holds the data.
-    :ivar anti_affinity: most tasks of the step on one worker.
-    :ivar requires: label of the worker.
-    :ivar may_miss: tasks that may be away at a time by the scheduler's doing.
+    :ivar anti_affinity: maximum number of the step's tasks on one worker.
+    :ivar requires: label that the worker must carry.
+    :ivar may_miss: maximum number of tasks that the scheduler may keep stopped at one time.
     """
 
     count: Integer = 1
@@ -69,7 +70,7 @@
     may_miss: Integer = 0
 
     def step(self) -> StepSpec:
-        """Return the step in the product's words."""
+        """Return the equivalent :class:`StepSpec`."""
         return StepSpec(
             tasks=self.count,
             cpu_millicores=self.cpu,
@@ -93,7 +94,7 @@
 
 
 class _Job(msgspec.Struct):
-    """A job on the wire; ``spec`` is handed to the tasks as it is."""
+    """A job on the wire; ``spec`` is passed to the tasks unchanged."""
 
     spec: str
     steps: list[_Step]
@@ -117,10 +118,10 @@
 def decode_job(
     body: bytes, job_id: str, queue: str, config: QueueConfig, accepted_ms: int
 ) -> Result[JobSpec, str]:
-    """Translate a submission; the error says what is wrong with it."""
+    """Decode and validate a submission; the error is the reason for its rejection."""
     decoded = decode(_DECODER, body)
     if isinstance(decoded, Err):
-        return Err(f"the body is no job: {decoded.err_value}")
+        return Err(f"the body is not a valid job: {decoded.err_value}")
     wire = decoded.ok_value
     spec = JobSpec(
         job_id=job_id,
@@ -138,7 +139,7 @@
 
 
 class Ingress:
-    """Answers callers on behalf of one entry."""
+    """Serves the callers of one entry."""
 
     _account: CallerAccount
     _entry: FleetEntry
@@ -147,37 +148,37 @@
     def __init__(self, entry: FleetEntry) -> None:
         self._account = CallerAccount(entry, EXPECTED_STATUSES)
         self._entry = entry
-        # Calls may be held for seconds.  The product gives each its answer in time before the kill;
-        # a server that gives up sooner cancels them, and callers see a closed connection.
+        # The entry answers pending calls within the grace period.  A shorter timeout would cancel
+        # them, and callers would see a closed connection.
         shutdown_timeout_s = entry.node.bounds.grace_s
         self._servers = [HttpServer(self.handle, shutdown_timeout_s), HttpServer(self.ready)]
 
     @property
     def in_progress(self) -> int:
-        """Number of requests that have been read and not been answered."""
+        """Number of requests that have been read but not answered."""
         return self._account.in_progress
 
     async def start(self, callers: Address, ready: Address) -> None:
-        """Listen for callers, and where the platform asks whether they may connect."""
+        """Listen for callers and for readiness probes."""
         for server, address in zip(self._servers, (callers, ready), strict=True):
             await server.start(address)
 
     def turn_away(self) -> None:
-        """Tell the balancer and callers with open connections to go elsewhere."""
+        """Fail the readiness probe and close callers' connections after their next response."""
         self._account.leaving = True
 
     async def close(self) -> None:
-        """Take no more connections, answer what has been read, and close."""
+        """Stop accepting connections, finish the requests in progress, and close."""
         for server in self._servers:
             await server.stop()
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Say whether callers may connect here."""
+        """Answer the readiness probe."""
         may_connect = self._entry.ready and not self._account.leaving
         return web.Response(status=200 if may_connect else 503)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request of a caller."""
         return await self._account.answer(request, self._answer)
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
@@ -191,7 +192,7 @@
         if not rest and request.method == "GET":
             return await self._count_waiting(request, route)
         if not JOB_ID.fullmatch(rest):
-            return _error_response(400, "the path does not end with the id of a job")
+            return _error_response(400, "the path does not end with a job id")
         match request.method:
             case "POST":
                 return await self._submit(request, route, rest, config)
@@ -224,7 +225,7 @@
         if reply.kind is ReplyKind.OK:
             return _json_response(_State(reply.state))
         if kind is CallKind.STATE and reply.kind is ReplyKind.UNKNOWN:
-            # Asking has no effect, so that "not run" is true of it.
+            # A state query has no effects, so 503 holds even if its outcome is unknown.
             return _error_response(503, reply.detail, reply.retry_after_s)
         return _error_from_reply(reply)
 
--- a/sapphirelead/platform/local_advice.py
+++ b/sapphirelead/platform/local_advice.py
@@ -1,4 +1,4 @@
-"""The platform's advice service over HTTP and JSON: which workers may run a step."""
+"""Client of the advice service over HTTP and JSON; it selects the workers that may run a step."""
 
 from typing import Final
 
@@ -11,7 +11,7 @@
 from sapphirelead.sched_spec import AdvicePolicy
 
 TIMEOUT_MARGIN_S: Final = 2.0
-"""Allowed beyond the service's own time: it answers one call after the other."""
+"""Added to the service time, because the service handles calls sequentially."""
 
 
 class _Answer(msgspec.Struct):
@@ -22,7 +22,7 @@
 
 
 class HttpAdvice:
-    """The service of one deployment; without an address every question fails."""
+    """Client of the advice service; without a URL every request fails."""
 
     _http: HttpCaller | None
 
@@ -31,7 +31,7 @@
 
     @classmethod
     def connect(cls, url: str) -> "HttpAdvice":
-        """Return the service at ``url``; empty for none."""
+        """Return a client of the service at ``url``; an empty URL means that there is none."""
         return cls(HttpCaller.connect(url, TIMEOUT_MARGIN_S) if url else None)
 
     async def close(self) -> None:
@@ -42,7 +42,7 @@
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
     ) -> Result[AdviceAnswer, Failure]:
-        """Ask about ``workers`` for the step named ``step``."""
+        """Request tickets for ``step`` on ``workers``."""
         if self._http is None:
             hint = "set fleet.advice_url at every entry, or leave out the queue's advice"
             return Err(Failure(Code.SETTINGS_INVALID, "no advice service is set", hint))
@@ -58,7 +58,7 @@
         try:
             return Ok(AdviceAnswer(_DECODER.decode(found.ok_value.body).tickets))
         except msgspec.DecodeError as exc:
-            return _unavailable(f"undecodable answer: {exc}")
+            return _unavailable(f"invalid response: {exc}")
 
 
 def _unavailable(detail: str) -> Err[Failure]:
--- a/sapphirelead/platform/local_objects.py
+++ b/sapphirelead/platform/local_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store over HTTP."""
+"""Client of the platform's object store over HTTP."""
 
 from result import Err, Ok, Result
 
@@ -8,7 +8,7 @@
 
 
 class HttpObjects:
-    """The object store of one platform."""
+    """Implements :class:`~sapphirelead.ports.ObjectStore`."""
 
     _http: HttpCaller
 
@@ -17,12 +17,12 @@
 
     @classmethod
     def connect(cls, url: str, timeout_s: float) -> "HttpObjects":
-        """Connect to the store at ``url``; ``timeout_s`` bounds each call, in seconds."""
+        """Return a client of the store at ``url`` with a timeout of ``timeout_s`` for each call."""
         return cls(HttpCaller.connect(url, timeout_s))
 
     @classmethod
     def from_settings(cls, cfg: PlatformSettings) -> "HttpObjects":
-        """Connect as the settings say; without a URL of its own it shares the table's."""
+        """Return a client for the configured URL, by default that of the table."""
         return cls.connect(cfg.objects_url or cfg.table_url, cfg.timeout_seconds)
 
     async def close(self) -> None:
@@ -30,7 +30,7 @@
         await self._http.close()
 
     async def put(self, key: str, data: bytes) -> Result[None, Failure]:
-        """Store ``data`` whole; repeating it is harmless."""
+        """Store ``data`` under ``key``; idempotent."""
         match await self._http.call("PUT", f"/objects/{encode_segment(key)}", data):
             case Err(error):
                 return _unavailable(key, error.detail)
@@ -39,7 +39,7 @@
         return Ok(None)
 
     async def get(self, key: str) -> Result[bytes | None, Failure]:
-        """Read an object, or ``None`` where there is none."""
+        """Return the object, or ``None`` if it does not exist."""
         match await self._http.call("GET", f"/objects/{encode_segment(key)}"):
             case Err(error):
                 return _unavailable(key, error.detail)
--- a/sapphirelead/platform/local_runs.py
+++ b/sapphirelead/platform/local_runs.py
@@ -1,4 +1,4 @@
-"""One life of the platform's worker, as a runner uses it, over HTTP and JSON."""
+"""Client of one incarnation (``life``) of the platform's worker, over HTTP and JSON."""
 
 from typing import Any, Final, TypeVar
 
@@ -12,8 +12,7 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S: Final = 0.5
-"""The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
-that a start carries."""
+"""Two tries fit within the deadline of a start."""
 
 LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
@@ -29,7 +28,7 @@
 
 
 class HttpRuns:
-    """Calls to one life of a worker; implements :class:`~sapphirelead.node_ports.RunWorker`."""
+    """Implements :class:`~sapphirelead.node_ports.RunWorker`."""
 
     _http: HttpCaller
     _life: str
@@ -40,7 +39,7 @@
 
     @classmethod
     def connect(cls, life: str, url: str) -> "HttpRuns":
-        """Return the life named ``life`` at ``url``."""
+        """Return a client of the incarnation ``life`` of the worker at ``url``."""
         return cls(HttpCaller.connect(url, CALL_TIMEOUT_S), life)
 
     async def close(self) -> None:
@@ -50,7 +49,7 @@
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
-        """List runs and ends; see the protocol."""
+        """List running and ended runs, and extend the lease."""
         fields = {"fencing_token": fencing_token, "noted": noted, "lease_ms": lease_ms}
         timeout_s = wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S
         return await self._call("hold", WorkerView, timeout_s, wait_ms=wait_ms, **fields)
@@ -61,7 +60,7 @@
         return await self._call("start", StartResult, start=call, fencing_token=token)
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        """Stop a run, or see to it that it never starts; return the worker's clock."""
+        """Stop a run, or prevent its start; return the worker's clock."""
         found = await self._call(
             "stop", _Clock, task=task, attempt=attempt, fencing_token=fencing_token
         )
@@ -70,7 +69,7 @@
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        """Let a run work at a share of its speed; return the worker's clock."""
+        """Throttle a run to ``percent`` of its speed; return the worker's clock."""
         found = await self._call(
             "pace",
             _Clock,
@@ -95,7 +94,7 @@
 
 
 async def read_life(http: HttpCaller) -> str:
-    """Return the life that answers now, or an empty text."""
+    """Return the worker's current incarnation, or an empty string if it does not answer."""
     found = await http.call("GET", "/runs/life")
     if isinstance(found, Err) or found.ok_value.status != 200:
         return ""
--- a/sapphirelead/platform/local_table.py
+++ b/sapphirelead/platform/local_table.py
@@ -1,8 +1,8 @@
-"""The platform's transactional table over HTTP and JSON.
+"""Client of the platform's transactional table over HTTP and JSON.
 
-What the end of a commit proves: a connection that was never made, 429 and 503 prove that nothing
-was applied; 409 names the rows in conflict; anything else that is not a 200 with a version leaves
-it open, and the transaction may yet take effect.
+A commit was not applied if no connection could be made or the status is 4xx or 503; a 409 lists the
+rows in conflict.  Any other failure and any invalid response body are ambiguous: the transaction
+may still take effect.
 """
 
 from typing import Any, Final
@@ -37,7 +37,7 @@
 
 
 class HttpTable:
-    """The table of one platform."""
+    """Implements :class:`~sapphirelead.ports.Table`."""
 
     _http: HttpCaller
 
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_settings(cls, cfg: PlatformSettings) -> "HttpTable":
-        """Connect as the settings say."""
+        """Return a client for the configured URL."""
         return cls(HttpCaller.connect(cfg.table_url, cfg.timeout_seconds))
 
     async def close(self) -> None:
@@ -54,7 +54,7 @@
         await self._http.close()
 
     async def commit(self, txn: Txn) -> Commit:
-        """Apply ``txn`` and say what its end proves."""
+        """Apply ``txn`` and classify its outcome."""
         match await self._http.call("POST", "/table/txn", msgspec.json.encode(txn)):
             case Ok(reply):
                 return _commit_from_reply(reply)
@@ -62,14 +62,14 @@
                 return _commit_from_error(error)
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
-        """Read rows; an absent one comes back with version 0."""
+        """Read rows; an absent row is returned with version 0."""
         if not keys:
             return Ok([])
         wanted = ",".join(encode_segment(key) for key in keys)
         return await self._read(f"/table/rows?keys={encode_segment(wanted)}")
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
-        """Read up to ``limit`` rows by key order."""
+        """Read up to ``limit`` rows in key order, after ``after`` and with ``prefix``."""
         query = f"prefix={encode_segment(prefix)}&after={encode_segment(after)}&limit={limit}"
         return await self._read(f"/table/scan?{query}")
 
@@ -91,9 +91,9 @@
             conflicts = msgspec.json.decode(reply.body, type=_ConflictBody).conflicts
             return Commit(CommitStatus.CONFLICT, 0, tuple(conflicts))
     except msgspec.DecodeError as exc:
-        return Commit(CommitStatus.AMBIGUOUS, detail=f"{detail}, undecodable: {exc}")
-    proven = reply.status in NOT_APPLIED_STATUSES or 400 <= reply.status < 500
-    status = CommitStatus.REJECTED if proven else CommitStatus.AMBIGUOUS
+        return Commit(CommitStatus.AMBIGUOUS, detail=f"{detail}, invalid response: {exc}")
+    rejected = reply.status in NOT_APPLIED_STATUSES or 400 <= reply.status < 500
+    status = CommitStatus.REJECTED if rejected else CommitStatus.AMBIGUOUS
     return Commit(status, detail=detail)
 
 
@@ -109,7 +109,7 @@
     try:
         body = msgspec.json.decode(reply.body, type=_RowsBody)
     except msgspec.DecodeError as exc:
-        return _unavailable(f"undecodable: {exc}")
+        return _unavailable(f"invalid response: {exc}")
     return Ok([Row(row.key, row.version, row.value) for row in body.rows])
 
 
--- a/sapphirelead/platform/local_target.py
+++ b/sapphirelead/platform/local_target.py
@@ -1,7 +1,7 @@
-"""The latency-critical back end beside an agent, over HTTP.
+"""Client of the latency-critical target beside an agent, over HTTP.
 
-Each service is one path; the request's body and the answer pass through unchanged.  Headers that
-belong to one connection only are dropped on both sides.
+Each service is one path.  Bodies are forwarded unchanged; hop-by-hop headers are dropped in both
+directions.
 """
 
 from result import Err, Ok, Result
@@ -14,7 +14,7 @@
 
 
 class HttpTarget:
-    """The target of one instance."""
+    """Implements :class:`~sapphirelead.ports.Target`."""
 
     _http: HttpCaller
 
@@ -23,7 +23,7 @@
 
     @classmethod
     def from_settings(cls, cfg: AgentSettings) -> "HttpTarget":
-        """Connect as the settings say, with no more connections than the target takes."""
+        """Return a client with the configured URL, timeout and connection limit."""
         http = HttpCaller.connect(cfg.target_url, cfg.target_timeout_seconds, cfg.connections)
         return cls(http)
 
@@ -34,12 +34,14 @@
     async def call(
         self, service: str, headers: dict[str, str], body: bytes, timeout_s: float
     ) -> Result[TargetAnswer, Failure]:
-        """Send one request and read the whole answer within ``timeout_s`` seconds."""
+        """Send one request and read the complete response within ``timeout_s`` seconds."""
         path = f"/{encode_segment(service)}"
         match await self._http.call("POST", path, body, end_to_end(headers), timeout_s):
             case Ok(reply):
                 return Ok(TargetAnswer(reply.status, end_to_end(reply.headers), reply.body))
             case Err(error) if error.loss is Loss.NOT_SENT:
-                return Err(Failure(Code.NO_INSTANCE, f"target not reached: {error.detail}"))
+                return Err(Failure(Code.NO_INSTANCE, f"cannot connect to target: {error.detail}"))
             case Err(error):
-                return Err(Failure(Code.TARGET_FAILED, f"no whole answer: {error.detail}"))
+                return Err(
+                    Failure(Code.TARGET_FAILED, f"no complete response from target: {error.detail}")
+                )
--- a/sapphirelead/platform/local_worker.py
+++ b/sapphirelead/platform/local_worker.py
@@ -1,8 +1,7 @@
-"""The platform's worker beside one instance, over HTTP and JSON.
+"""Client of the platform's worker beside one instance, over HTTP and JSON.
 
-Every changing call names its session; the worker answers 409 to a session that a newer one has
-replaced.  All calls are idempotent at the worker, so that the caller may repeat one whose answer
-was lost.
+Every call that changes state carries its session; the worker answers 409 if a newer session has
+replaced it.  All calls are idempotent, so a call whose response was lost may be repeated.
 """
 
 from typing import Any, Final, TypeVar
@@ -30,7 +29,7 @@
 
 
 class HttpWorker:
-    """The worker of one instance."""
+    """Implements :class:`~sapphirelead.ports.Worker`."""
 
     _http: HttpCaller
 
@@ -39,7 +38,7 @@
 
     @classmethod
     def from_settings(cls, cfg: AgentSettings) -> "HttpWorker":
-        """Connect as the settings say."""
+        """Return a client for the configured URL."""
         return cls(HttpCaller.connect(cfg.worker_url, cfg.worker_timeout_seconds))
 
     async def close(self) -> None:
@@ -47,27 +46,27 @@
         await self._http.close()
 
     async def open_session(self, incarnation: str) -> Result[WorkerView, Failure]:
-        """Take the worker over; every earlier session becomes invalid."""
+        """Open a new session, which invalidates all earlier ones."""
         return _decode(await self._call("POST", "/session", incarnation=incarnation), WorkerView)
 
     async def view(self) -> Result[WorkerView, Failure]:
-        """List tasks with usage, the worker's clock and its session."""
+        """Return the tasks with their usage, the worker's clock and its session."""
         return _decode(await self._call("GET", "/tasks"), WorkerView)
 
     async def start(self, session: int, spec: TaskSpec) -> Result[None, Failure]:
-        """Start a task; the same task at the same epoch twice starts it once.
+        """Start a task; idempotent for the same task and epoch.
 
-        ``LOST`` means that the start came after its lease and was refused.
+        ``LOST`` means that the start arrived after its lease had expired and was rejected.
         """
         path = f"/tasks/{encode_segment(spec.task_id)}"
         return _discard_body(await self._call("PUT", path, session=session, spec=spec))
 
     async def renew(self, session: int, leases: dict[str, float]) -> Result[None, Failure]:
-        """Move ``lease_until`` (worker-clock seconds) of the tasks named."""
+        """Set ``lease_until`` (worker-clock seconds) of each task in ``leases``."""
         return _discard_body(await self._call("POST", "/renew", session=session, leases=leases))
 
     async def throttle(self, session: int, task_id: str, share: float) -> Result[None, Failure]:
-        """Limit the task to ``share`` (0 to 1) of its processors."""
+        """Limit the task to ``share`` (0 to 1) of its CPU."""
         return _discard_body(await self._post_action(session, task_id, "throttle", share=share))
 
     async def checkpoint_stop(self, session: int, task_id: str) -> Result[str, Failure]:
@@ -79,11 +78,11 @@
                 return Err(failure)
 
     async def stop(self, session: int, task_id: str) -> Result[None, Failure]:
-        """Stop the task where it is."""
+        """Stop the task without a checkpoint."""
         return _discard_body(await self._post_action(session, task_id, "stop"))
 
     async def remove(self, session: int, task_id: str) -> Result[None, Failure]:
-        """Forget an ended task."""
+        """Remove an ended task from the worker's list."""
         return _discard_body(await self._post_action(session, task_id, "remove"))
 
     async def _post_action(
@@ -114,7 +113,7 @@
             try:
                 return Ok(msgspec.json.decode(body, type=kind))
             except msgspec.DecodeError as exc:
-                return Err(Failure(Code.WORKER_UNAVAILABLE, f"undecodable answer: {exc}"))
+                return Err(Failure(Code.WORKER_UNAVAILABLE, f"invalid response from worker: {exc}"))
 
 
 def _discard_body(reply: Result[bytes, Failure]) -> Result[None, Failure]:
--- a/sapphirelead/platform/main.py
+++ b/sapphirelead/platform/main.py
@@ -3,8 +3,8 @@
 Usage:
   python3 -m sapphirelead.platform
 
-The role follows from the settings file: a process that callers connect to is an entry, one beside a
-worker is an agent.
+The settings file determines the role: a process that serves callers is an entry, otherwise it is
+an agent beside a worker.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class _Level:
-    """Events from this level on are written."""
+    """Minimum level of the events that are logged."""
 
     level = "INFO"
 
@@ -66,7 +66,7 @@
 
 
 def _on_reload() -> None:
-    """Answer SIGHUP: addresses and bounds do not change in the life of a process."""
+    """Handle SIGHUP: validate the settings file; changes take effect only after a restart."""
     found = read_node_file()
     log_event("INFO", "settings_reread", valid=found.is_ok(), problem=str(found.err() or "-"))
 
@@ -75,7 +75,7 @@
     from sapphirelead.node_entry import EntryNode, FleetEntry
     from sapphirelead.node_leaving import leave
     from sapphirelead.platform.advice import PlatformAdvice
-    from sapphirelead.platform.config import ConfigFollower
+    from sapphirelead.platform.config import ConfigWatcher
     from sapphirelead.platform.ingress import Ingress
 
     table = PlatformTable.connect(settings.store)
@@ -84,19 +84,19 @@
     node = EntryNode(address, settings.zone, settings.bounds)
     context = make_context()
     entry = FleetEntry(node, table, advice, context)
-    follower = ConfigFollower(table, entry.set_config, entry.store_seen)
-    entry.on_newer_config = follower.read_now
+    watcher = ConfigWatcher(table, entry.set_config, entry.store_seen)
+    entry.on_newer_config = watcher.request_read
     ingress = Ingress(entry)
     metrics = HttpServer(metrics_handler(entry.metrics))
     await entry.start()
-    follower_task = spawn(follower.run(), "config")
+    watcher_task = spawn(watcher.run(), "config")
     assert settings.caller_address is not None and settings.ready_address is not None
     await ingress.start(settings.caller_address, settings.ready_address)
     await metrics.start(Address(settings.host, METRICS_PORT))
     await stop.wait()
     log_event("INFO", "process_leaving", node=settings.name)
     await leave(entry, ingress)
-    follower_task.cancel()
+    watcher_task.cancel()
     await entry.stop()
     await metrics.stop()
     await advice.close()
@@ -120,7 +120,7 @@
     await metrics.start(Address(settings.host, METRICS_PORT))
     await stop.wait()
     log_event("INFO", "process_leaving", node=settings.name)
-    # Nothing of the worker is acknowledged any more before the last report goes out.
+    # Stop accepting heartbeats before the runner sends its last report.
     await server.stop()
     await runner.stop()
     await metrics.stop()
--- a/sapphirelead/platform/node_file.py
+++ b/sapphirelead/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform places beside each process."""
+"""Reads the settings file that the platform provides to each process."""
 
 import os
 import tomllib
@@ -22,7 +22,7 @@
 
 
 class _Bounds(msgspec.Struct):
-    """Durations; the unit stands at the end of each name."""
+    """Durations in the unit that ends each name, and ``remote_factor``, a ratio."""
 
     hold_max_ms: float = 10_000
     kill_grace_ms: float = 900
@@ -43,10 +43,10 @@
 
 
 class _Limits(msgspec.Struct):
-    """What the process may use.
+    """CPU limits of the process.
 
-    :ivar cpu_share: share of the processor's time.
-    :ivar cores: how many times a usual core the processor is as fast.
+    :ivar cpu_share: share of the CPU's time.
+    :ivar cores: speed of the CPU, in multiples of a standard core.
     """
 
     cpu_share: float = 0.0
@@ -54,7 +54,7 @@
 
 
 class _NodeFile(msgspec.Struct):
-    """The file's own names; those not listed are not used."""
+    """The fields of the file that are used; others are ignored."""
 
     node_name: str
     ip: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An address to listen on or connect to."""
+    """A TCP address."""
 
     host: str
     port: int
@@ -88,18 +88,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The settings in the product's words.
+    """Settings of one process.
 
     :ivar host: this machine's address.
-    :ivar link_port: port for links between processes of the product.
-    :ivar is_entry: whether callers connect here.
-    :ivar caller_address: where callers connect; ``None`` beside a worker.
-    :ivar ready_address: where the platform asks whether callers may connect.
-    :ivar control_address: where the worker beside this process reports; ``None`` at an entry.
+    :ivar link_port: port for connections between the product's own processes.
+    :ivar is_entry: whether this process serves callers.
+    :ivar caller_address: listen address for callers; ``None`` at an agent.
+    :ivar ready_address: listen address of the readiness probe.
+    :ivar control_address: listen address for the worker beside this agent; ``None`` at an entry.
     :ivar store: address of the store.
     :ivar advice: address of the advice service; empty for none.
-    :ivar service: service of the worker beside this process; empty at an entry.
-    :ivar cores: processors that this process may use; 0 where the file does not say.
+    :ivar service: service of the worker beside this agent; empty at an entry.
+    :ivar cores: CPU limit of this process in cores; 0 if the file sets none.
     """
 
     name: str
@@ -118,10 +118,10 @@
 
 
 def read_node_file() -> Result[NodeSettings, Failure]:
-    """Read the file that the environment names."""
+    """Read the file whose path is in the environment variable ``SAPPHIRELEAD_NODE_FILE``."""
     path = os.environ.get(FILE_VARIABLE, "")
     if not path:
-        hint = "it holds the path of the settings file"
+        hint = "set it to the path of the settings file"
         return Err(Failure(Code.SETTINGS_INVALID, f"{FILE_VARIABLE} is not set", hint))
     try:
         return parse_node_file(tomllib.loads(Path(path).read_text(encoding="utf-8")))
@@ -130,12 +130,12 @@
 
 
 def parse_node_file(data: dict[str, Any]) -> Result[NodeSettings, Failure]:
-    """Check the file's content and translate it."""
+    """Validate the content of the file and return the settings."""
     try:
         file = msgspec.convert(data, _NodeFile)
         return Ok(_translate(file))
     except (msgspec.ValidationError, ValueError) as exc:
-        return Err(Failure(Code.SETTINGS_INVALID, f"settings file: {exc}"))
+        return Err(Failure(Code.SETTINGS_INVALID, f"invalid settings file: {exc}"))
 
 
 def _translate(file: _NodeFile) -> NodeSettings:
--- a/sapphirelead/platform/store.py
+++ b/sapphirelead/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's store as the product's :class:`~sapphirelead.ports.Table`.
+"""Client of the platform's store; implements :class:`~sapphirelead.ports.Table`.
 
-A key ``TABLE/REST`` is the row ``REST`` of that table; every row lies in the part with the empty
-name, so that any rows can change together.
+A key ``TABLE/REST`` is the row ``REST`` of ``TABLE``.  All rows are stored in the part with the
+empty name, so that a transaction can change any of them together.
 """
 
 import base64
@@ -18,11 +18,9 @@
 from sapphirelead.ports import Commit, CommitStatus, Row, Txn
 
 CALL_TIMEOUT_S: Final = 1.0
-"""A transaction takes 4 ms, a slow store sixty times as long; what takes longer has gone silent."""
-
 FEED_WAIT_MS: Final = 1_500
-"""How long one call for changes waits.  A connection that has gone silent is noticed after this
-and the margin, within the two seconds in which a configuration has to be in force."""
+"""Long-poll time of the change feed.  With the margin it bounds how long an unresponsive connection
+delays a configuration change."""
 
 FEED_MARGIN_S: Final = 0.5
 
@@ -33,8 +31,7 @@
 class _WireRow(msgspec.Struct):
     """A row on the wire.
 
-    :ivar ver: version of the row.
-    :ivar tombstone: the row has been dropped.
+    :ivar tombstone: the row has been deleted.
     """
 
     table: str = ""
@@ -46,16 +43,16 @@
 
 
 class _WireRows(msgspec.Struct):
-    """Rows of an answer; ``ver`` is the newest version of the whole store.
+    """Rows of a response; ``ver`` is the newest version of the whole store.
 
-    Each row is decoded by itself, so that one that cannot be read hides no other.
+    Each row is decoded separately, so that an invalid row does not hide the others.
     """
 
     rows: list[msgspec.Raw] = []
     ver: Count = 0
 
     def readable(self) -> Iterator[_WireRow]:
-        """Return the rows that can be read; the others are logged."""
+        """Yield the rows that can be decoded; the others are logged and skipped."""
         for raw in self.rows:
             row = decode(_ROW_DECODER, bytes(raw))
             if isinstance(row, Ok):
@@ -70,11 +67,11 @@
 
 
 class FeedGapError(Exception):
-    """The store no longer has the history that was asked for; the rows have to be read anew."""
+    """The store no longer has the requested history; the rows must be read again."""
 
 
 class PlatformTable:
-    """Transactions and reads on the platform's store."""
+    """Transactions, reads and the change feed of the platform's store."""
 
     _http: HttpCaller
 
@@ -83,7 +80,7 @@
 
     @classmethod
     def connect(cls, address: str) -> "PlatformTable":
-        """Return the table at ``address``."""
+        """Return a client of the store at ``address``."""
         return cls(HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S))
 
     async def close(self) -> None:
@@ -113,12 +110,12 @@
         return _commit_from_reply(found.ok_value)
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
-        """Read rows; an absent one comes back with version 0."""
+        """Read rows; an absent row is returned with version 0."""
         rows = []
         for key in keys:
-            place = _row_address(key)
-            query = {"from": place["key"], "to": place["key"] + "\0", "limit": "1"}
-            found = await self._get(place["table"], query)
+            address = _row_address(key)
+            query = {"from": address["key"], "to": address["key"] + "\0", "limit": "1"}
+            found = await self._get(address["table"], query)
             if isinstance(found, Err):
                 return found
             wire = next(found.ok_value.readable(), None)
@@ -126,7 +123,7 @@
         return Ok(rows)
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
-        """Read up to ``limit`` rows by key order, after ``after`` and with ``prefix``."""
+        """Read up to ``limit`` rows in key order, after ``after`` and with ``prefix``."""
         table, _, rest = prefix.partition("/")
         query = {"limit": str(limit)}
         if rest:
@@ -155,11 +152,11 @@
             return Err(Failure(Code.STORE_UNAVAILABLE, f"status {answer.status}"))
         decoded = decode(_DECODER, answer.body)
         return decoded.map_err(
-            lambda problem: Failure(Code.STORE_UNAVAILABLE, f"undecodable answer: {problem}")
+            lambda problem: Failure(Code.STORE_UNAVAILABLE, f"invalid response: {problem}")
         )
 
     async def raw_row(self, table: str, key: str) -> Result[tuple[bytes | None, int], Failure]:
-        """Read a row that others write, and the store's newest version."""
+        """Read a row of an external writer, and the store's newest version."""
         found = await self._get(table, {"from": key, "to": key + "\0", "limit": "1"})
         if isinstance(found, Err):
             return found
@@ -169,9 +166,10 @@
     async def changes(
         self, table: str, after: int
     ) -> Result[tuple[dict[str, bytes | None], int], Failure]:
-        """Wait for changes of a table after a version; return them and where to go on.
+        """Wait for changes of ``table`` after version ``after``.
 
-        :raises FeedGapError: where that history is gone.
+        :returns: the changed rows by key, and the version from which to continue.
+        :raises FeedGapError: if the store no longer has the history after ``after``.
         """
         path = f"/rows-feed?table={table}&after={after}&wait_ms={FEED_WAIT_MS}"
         found = await self._read(path, FEED_WAIT_MS / 1000 + FEED_MARGIN_S)
@@ -185,7 +183,7 @@
     if answer.status == 200:
         decoded = decode(_DECODER, answer.body)
         if isinstance(decoded, Err):
-            detail = f"undecodable answer: {decoded.err_value}"
+            detail = f"invalid response: {decoded.err_value}"
             return Commit(CommitStatus.AMBIGUOUS, detail=detail)
         return Commit(CommitStatus.COMMITTED, decoded.ok_value.ver)
     if answer.status in _COMMIT_STATUS:
@@ -203,7 +201,7 @@
 
 
 def _decode_row(key: str, wire: _WireRow) -> Row:
-    """Translate a row; one whose value cannot be read has a version but no value."""
+    """Decode a row; a row with an invalid value keeps its version and has no value."""
     value = decode_map(wire.value)
     if isinstance(value, Err):
         log_event("ERROR", "row_unreadable", row=key, reason=value.err_value)
@@ -211,7 +209,7 @@
 
 
 def _raw_value(wire: _WireRow) -> bytes | None:
-    """Return the value of a row that others write; ``None`` where there is none to read."""
+    """Return the value of a row of an external writer; ``None`` if it is deleted or invalid."""
     if wire.tombstone:
         return None
     value = decode_base64(wire.value)
--- a/sapphirelead/platform/worker.py
+++ b/sapphirelead/platform/worker.py
@@ -1,4 +1,4 @@
-"""One life of the platform's worker, as the product's agents use it."""
+"""Client of one incarnation of the platform's worker, used by the agents."""
 
 from typing import Annotated, Any, Final
 
@@ -19,13 +19,12 @@
 from sapphirelead.platform.decoding import MAX_NUMBER, Count, Name, decode
 
 CALL_TIMEOUT_S: Final = 0.5
-"""The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
-that a start carries."""
+"""Two tries fit within the deadline of a start."""
 
 LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
 MAX_CONNECTIONS: Final = 25
-"""One for the list call, and one for each other call that an agent has in flight."""
+"""One for the list call and one for each other concurrent call of an agent."""
 
 LIFE_HEADER: Final = "X-Target-Instance"
 
@@ -39,14 +38,14 @@
 
 
 class _Clock(msgspec.Struct):
-    """Part of every answer with a body; ``reason`` says why a call was refused."""
+    """Fields of every response body; ``reason`` is set if the call was rejected."""
 
     clock_ms: Count = 0
     reason: str = ""
 
 
 class _Running(msgspec.Struct, array_like=True):
-    """A row ``[task, run, saved, percent, figure]``; the last is not always there."""
+    """A row ``[task, run, saved, percent, figure]``; ``figure`` is optional."""
 
     task: Name
     attempt: Count
@@ -66,10 +65,10 @@
 
 
 class _List(msgspec.Struct):
-    """What runs and has ended.
+    """Running and ended runs of a worker.
 
-    A list with a row that cannot be read is taken as none: a run that is not listed counts as never
-    started once it has been stopped, so that a row left out could bring about a second run.
+    An invalid row makes the whole list invalid: a stopped run that is not listed counts as never
+    started, so skipping its row could cause a second run.
     """
 
     clock_ms: Count
@@ -82,7 +81,7 @@
 
 
 class PlatformWorker:
-    """Calls to one life of a worker."""
+    """Implements :class:`~sapphirelead.node_ports.RunWorker`."""
 
     _http: HttpCaller
     _headers: dict[str, str]
@@ -93,14 +92,14 @@
 
     @classmethod
     def connect(cls, worker: str, address: str) -> "PlatformWorker":
-        """Return the life named ``worker`` at ``address``."""
+        """Return a client of the incarnation ``worker`` at ``address``."""
         http = HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S, MAX_CONNECTIONS)
         return cls(http, worker)
 
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
-        """List runs and ends; see the protocol."""
+        """List running and ended runs, and extend the lease."""
         body: dict[str, Any] = {"fence_token": fencing_token, "seen_upto": noted}
         if lease_ms:
             body["deadline_ms"] = lease_ms
@@ -153,14 +152,14 @@
         return self._unexpected("/run-start", answer)
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        """Stop a run."""
+        """Stop a run, or prevent its start; return the worker's clock."""
         body = {"task": task, "attempt": attempt, "fence_token": fencing_token}
         return await self._command("/run-stop", body)
 
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        """Let a run work at a share of its speed."""
+        """Throttle a run to ``percent`` of its speed; return the worker's clock."""
         body = {
             "task": task,
             "attempt": attempt,
@@ -218,7 +217,7 @@
     decoded = decode(_CLOCK, answer.body)
     if isinstance(decoded, Ok):
         return decoded.ok_value
-    # An answer of something between; its status still counts.
+    # The response may come from an intermediary; its status is still used.
     log_event("INFO", "worker_body_undecodable", status=answer.status)
     return _Clock()
 
--- a/tests/sched/test_platform.py
+++ b/tests/sched/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: names on the wire are decoded once, into types that say what they hold."""
+"""Tests of the translation between the platform's wire formats and the product's types."""
 
 import json
 
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     ("body", "problem"),
     [
-        (b"not json", "no job"),
+        (b"not json", "not a valid job"),
         (b'{"spec":"x"}', "steps"),
         (b'{"spec":"x","steps":[]}', "at least one step"),
         (b'{"spec":"x","steps":[{"count":0}]}', "at least one task"),
@@ -100,7 +100,7 @@
 
 
 class Peer:
-    """A server that answers as told and remembers what it was asked."""
+    """A server that records requests and returns a fixed response."""
 
     def __init__(self, status: int, body: object) -> None:
         self.status = status
@@ -191,7 +191,7 @@
     worker = PlatformWorker(HttpCaller.connect(str(server.make_url("")), 1.0), "w1")
     assert (await worker.start(START)).unwrap_err() is CallFailure.OTHER_LIFE
     await server.close()
-    # The open connection ends without an answer; only a new one proves that nobody is there.
+    # The pooled connection fails without an answer; only a new connection is refused.
     assert (await worker.start(START)).unwrap_err() is CallFailure.NO_ANSWER
     assert (await worker.start(START)).unwrap_err() is CallFailure.REFUSED
     await worker.close()
