--- a/sapphirelead/wire_codec.py
+++ b/sapphirelead/wire_codec.py
@@ -1,7 +1,7 @@
-"""Encoding of messages, by the msgpack codec of msgspec.
+"""Encodes and decodes messages with the MessagePack codec of msgspec.
 
-A frame that does not decode is an ``Err``: a peer of another version, or a truncated frame, must
-never stop the process that receives it.
+An invalid frame decodes to an ``Err``, so that a truncated frame or a peer of another version
+cannot stop the receiving process.
 """
 
 from typing import Final
@@ -17,13 +17,13 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return the frame of ``message``."""
+    """Return ``message`` as a frame."""
     return _ENCODER.encode(message)
 
 
 def decode(frame: bytes) -> Result[AnyMessage, Failure]:
-    """Return the message in ``frame``, or why it is none."""
+    """Return the message in ``frame``, or a ``BAD_REQUEST`` failure if it is invalid."""
     try:
         return Ok(_DECODER.decode(frame))
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
-        return Err(Failure(Code.BAD_REQUEST, f"undecodable frame of {len(frame)} bytes: {exc}"))
+        return Err(Failure(Code.BAD_REQUEST, f"invalid frame of {len(frame)} bytes: {exc}"))
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -1,13 +1,13 @@
 """Messages between the system's own processes.
 
-Each message names its sender, the sender's incarnation (one run of that process) and the version
-of the operators' configuration that the sender decides by.  A receiver that sees a higher version
-than its own fetches it before it decides.
-
-Three lanes carry them, each a connection of its own, so that no large answer delays a beat or a
-quick answer: ``control`` (everything but requests and answers), ``data`` (service requests and
-answers up to ``BULK_THRESHOLD_BYTES``) and ``bulk`` (larger answers).  An agent connects to every entry in
-its settings; an entry connects to its peers' control lane.
+Each message names its sender, the sender's incarnation (one run of that process) and the sender's
+configuration version.  A receiver with an older version fetches the newer one before it makes
+decisions.
+
+Messages use three channels (lanes), each on its own connection, so that large answers do not delay
+heartbeats or small answers: ``control`` (all but requests and answers), ``data`` (service requests,
+and answers up to ``BULK_THRESHOLD_BYTES``) and ``bulk`` (larger answers).  An agent connects to all
+entries in its settings; an entry connects to the control channel of its peers.
 """
 
 from typing import Any, Final
@@ -20,7 +20,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, kw_only=True):
-    """What every message carries."""
+    """Fields of every message."""
 
     sender: str
     incarnation: str
@@ -40,15 +40,15 @@
         return cls(resources.cpu_millicores, resources.memory_mb, resources.accelerators)
 
     def to_resources(self) -> Resources:
-        """Return what the decisions compute with."""
+        """Return the equivalent :class:`~sapphirelead.model_resources.Resources`."""
         return Resources(self.cpu_millicores, self.memory_mb, self.accelerators)
 
 
-# Agent to entry, control lane.
+# Agent to entry, control channel.
 
 
 class Announce(Message, frozen=True, kw_only=True):
-    """An instance offers itself; sent on connect and until the first acknowledged beat."""
+    """Registers an instance; sent on connect and until its first heartbeat is acknowledged."""
 
     zone: str
     rack: str
@@ -70,7 +70,7 @@
 
 
 class ClassSample(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of one job class on one instance, with what the worker last measured of them."""
+    """Tasks of one job class on one instance, with the worker's latest measurements."""
 
     job_class: str
     tasks: int
@@ -79,9 +79,10 @@
 
 
 class Beat(Message, frozen=True, kw_only=True):
-    """Heartbeat, lease renewal request and load report in one.
+    """Heartbeat, lease renewal request and load report.
 
-    :ivar counter: grows with every beat of this incarnation; the lease is renewed by committing it.
+    :ivar counter: increases with every heartbeat of this incarnation; committing it renews the
+        lease.
     :ivar free: capacity that the ledger would still admit for batch and watches.
     """
 
@@ -99,13 +100,13 @@
 
 
 class Accepted(Message, frozen=True, kw_only=True):
-    """The ledger reserved room for an offer; the reservation lapses if no start follows."""
+    """The ledger reserved capacity for an offer; the reservation expires if no start follows."""
 
     offer_id: str
 
 
 class Refused(Message, frozen=True, kw_only=True):
-    """An offer or a start was refused; nothing was started under it."""
+    """An offer or a start was rejected, and nothing was started."""
 
     offer_id: str
     key: str
@@ -114,14 +115,14 @@
 
 
 class Started(Message, frozen=True, kw_only=True):
-    """The worker took the task."""
+    """The worker accepted the task."""
 
     key: str
     epoch: int
 
 
 class Completed(Message, frozen=True, kw_only=True):
-    """The task ended by itself; repeated until acknowledged."""
+    """The task ended without being stopped; repeated until acknowledged."""
 
     key: str
     epoch: int
@@ -133,7 +134,7 @@
 class Checkpointed(Message, frozen=True, kw_only=True):
     """The task was stopped; repeated until acknowledged.
 
-    :ivar checkpoint: object key of an exact checkpoint, or empty where there is none.
+    :ivar checkpoint: object key of an exact checkpoint, or empty if there is none.
     """
 
     key: str
@@ -152,10 +153,10 @@
 
 
 class FateAnswer(Message, frozen=True, kw_only=True):
-    """What the agent knows of a claim.
+    """Outcome of a claim, as known to the agent.
 
     :ivar fate: ``running``, ``completed`` or ``failed`` (a :class:`Completed` follows), ``stopped``
-        (a :class:`Checkpointed` follows), ``never_started`` (and a late start will be refused) or
+        (a :class:`Checkpointed` follows), ``never_started`` (a delayed start will be rejected) or
         ``lost``.
     """
 
@@ -164,15 +165,15 @@
     fate: str
 
 
-# Entry to agent, control lane.
+# Entry to agent, control channel.
 
 
 class BeatAck(Message, frozen=True, kw_only=True):
-    """The beat was received.
+    """Acknowledges a heartbeat.
 
     :ivar committed: highest counter of this incarnation that is committed in the table; only this
-        moves the lease.
-    :ivar fenced: the incarnation was fenced: stop everything and announce anew.
+        extends the lease.
+    :ivar fenced: the incarnation was fenced and must stop all tasks and announce itself again.
     """
 
     counter: int
@@ -181,7 +182,7 @@
 
 
 class Offer(Message, frozen=True, kw_only=True):
-    """Ask for room for a job before its claim is committed."""
+    """Requests capacity for a job before its claim is committed."""
 
     offer_id: str
     key: str
@@ -193,10 +194,10 @@
 
 
 class Start(Message, frozen=True, kw_only=True):
-    """Start the task of a committed claim, or confirm a claim that was moved to this incarnation.
+    """Starts the task of a committed claim, or confirms a claim that was moved to this incarnation.
 
-    :ivar claimed_by: incarnation that the committed claim names.  A start that was meant for an
-        earlier run of the agent is refused: that run may be fenced, and its claim taken over.
+    :ivar claimed_by: incarnation in the committed claim.  A start for an earlier incarnation is
+        rejected, because that one may be fenced and its claim taken over.
     """
 
     offer_id: str
@@ -214,9 +215,9 @@
 
 
 class Stop(Message, frozen=True, kw_only=True):
-    """Stop a task.
+    """Stops a task.
 
-    :ivar cancel: stop without a checkpoint; otherwise checkpoint exactly, then stop.
+    :ivar cancel: stop without a checkpoint; otherwise stop at an exact checkpoint.
     """
 
     key: str
@@ -226,17 +227,17 @@
 
 
 class EndAck(Message, frozen=True, kw_only=True):
-    """The end of a task (completed or checkpointed) is committed; the agent may forget it."""
+    """The outcome of a task (completed or checkpointed) is committed; the agent may discard it."""
 
     key: str
     epoch: int
 
 
 class Fate(Message, frozen=True, kw_only=True):
-    """Ask what became of a claim.
+    """Requests the outcome of a claim.
 
-    :ivar claimed_by: incarnation that the claim names.  Only that incarnation can know that the
-        claim was never started; any other one answers ``lost`` for a task it does not find.
+    :ivar claimed_by: incarnation in the claim.  Only that incarnation can know that the claim was
+        never started; any other one answers ``lost`` for a task that it does not find.
     """
 
     key: str
@@ -245,36 +246,36 @@
 
 
 class Drain(Message, frozen=True, kw_only=True):
-    """Leave: refuse new work, finish what runs, checkpoint batch, hand watches over."""
+    """Drains an instance: reject new work, finish requests, checkpoint batch, hand over watches."""
 
     reason: str
 
 
 class ConfigPush(Message, frozen=True, kw_only=True):
-    """A configuration version with its document; entries send it to agents and to peers."""
+    """A configuration version and its document; sent by entries to agents and peers."""
 
     version: int
     document: Any
 
 
-# Entry to entry, control lane.
+# Entry to entry, control channel.
 
 
 class Nudge(Message, frozen=True, kw_only=True):
-    """A job row of a shard that the receiver schedules was created or changed."""
+    """Notifies the scheduler of a shard that a job row was created or changed."""
 
     shard: int
     key: str
 
 
-# Data and bulk lanes.
+# Data and bulk channels.
 
 
 class ServiceRequest(Message, frozen=True, kw_only=True):
     """One attempt of a service request.
 
     :ivar attempt: number of the attempt within the request, from 1.
-    :ivar budget_ms: time left until the caller's deadline when this was sent.
+    :ivar budget_ms: time from sending until the caller's deadline.
     """
 
     request_id: str
@@ -286,11 +287,11 @@
 
 
 class ServiceAnswer(Message, frozen=True, kw_only=True):
-    """The end of one attempt.
+    """Outcome of one attempt.
 
-    :ivar ran: ``done`` (the target answered), ``not_run`` (refused before the target saw it) or
-        ``unknown`` (sent to the target, no whole answer came).
-    :ivar body_bytes: length of the whole body; a shorter one is never handed on.
+    :ivar ran: ``done`` (the target answered), ``not_run`` (rejected before it reached the target)
+        or ``unknown`` (sent to the target without a complete answer).
+    :ivar body_bytes: length of the complete body; a shorter body is never forwarded.
     """
 
     request_id: str
@@ -306,9 +307,9 @@
 
 
 class AttemptFate(Message, frozen=True, kw_only=True):
-    """Ask for the end of an attempt whose answer may have been lost with its connection.
+    """Requests the outcome of an attempt whose answer may have been lost with its connection.
 
-    :ivar sent_to: incarnation that the attempt was sent to.  Only that one can know that the
+    :ivar sent_to: incarnation to which the attempt was sent.  Only that one can know that the
         attempt never arrived; any other one answers ``unknown``.
     """
 
@@ -318,14 +319,14 @@
 
 
 class CancelAttempt(Message, frozen=True, kw_only=True):
-    """The answer is no longer wanted (another attempt won, or the caller left)."""
+    """Cancels an attempt (another attempt succeeded, or the caller disconnected)."""
 
     request_id: str
     attempt: int
 
 
 class LaneHello(Message, frozen=True, kw_only=True):
-    """First message and heartbeat of a data or bulk lane; the receiver answers with the same."""
+    """First message and heartbeat of a data or bulk channel; the receiver replies with one."""
 
     lane: str
 
--- a/sapphirelead/wire_sockets.py
+++ b/sapphirelead/wire_sockets.py
@@ -1,18 +1,11 @@
-"""ZeroMQ sockets as the product uses them.
-
-Two ends, three lanes.  An entry binds one ``ROUTER`` for each lane; an agent connects one
-``DEALER`` for each lane of each entry.
-
-- Heartbeats of the transport (``HEARTBEAT_*``) close a connection that went silent, at both ends,
-  and the connecting end opens a new one.  The failure: something between the ends forgets a
-  connection; no error ever arrives, while new connections work.  Only the dealer pings; each ping
-  tells the router after how much silence to give the connection up (``HEARTBEAT_TTL``).  With both
-  ends pinging, 100 agents cost an entry 2.32% of a core instead of 1.76%.
-- A dealer queues nothing while it is not connected (``IMMEDIATE``), and a router reports a peer
-  that is gone (``ROUTER_MANDATORY``): what could not be handed to a live connection is known at
-  once not to have been sent.
-- A peer that reconnects takes its identity over (``ROUTER_HANDOVER``), so that answers never go to
-  the dead connection.
+"""ZeroMQ sockets: an entry binds a ``ROUTER`` for each channel, an agent connects a ``DEALER``.
+
+- Transport heartbeats (``HEARTBEAT_*``) close unresponsive connections at both ends, and the dealer
+  reconnects.  Only the dealer pings; each ping carries the router's timeout (``HEARTBEAT_TTL``).
+- A dealer does not queue while disconnected (``IMMEDIATE``), and a router reports an unknown peer
+  (``ROUTER_MANDATORY``), so that a failed send proves that the message was not sent.
+- A reconnecting peer keeps its identity (``ROUTER_HANDOVER``), so that answers are not routed to
+  the old connection.
 """
 
 from typing import Final
@@ -32,14 +25,14 @@
 
 
 def make_context() -> zmq.asyncio.Context:
-    """Return the process's one context."""
+    """Return a new context; a process uses one."""
     return zmq.asyncio.Context()
 
 
 def bind_router(
     ctx: zmq.asyncio.Context, host: str, port: int, keys: Keys | None = None
 ) -> tuple[zmq.asyncio.Socket, int]:
-    """Bind a router and return it with its port (chosen by the system where ``port`` is 0)."""
+    """Bind a router and return it with its port; port 0 selects a free port."""
     sock = ctx.socket(zmq.ROUTER)
     sock.setsockopt(zmq.ROUTER_HANDOVER, 1)
     sock.setsockopt(zmq.ROUTER_MANDATORY, 1)
@@ -59,7 +52,10 @@
     timeout_s: float,
     keys: Keys | None = None,
 ) -> zmq.asyncio.Socket:
-    """Connect a dealer under ``identity``."""
+    """Connect a dealer under ``identity``.
+
+    :param timeout_s: time without traffic after which either end closes the connection.
+    """
     sock = ctx.socket(zmq.DEALER)
     sock.setsockopt(zmq.IDENTITY, identity.encode())
     sock.setsockopt(zmq.IMMEDIATE, 1)
@@ -83,12 +79,12 @@
 
 
 async def send(sock: zmq.asyncio.Socket, message: AnyMessage) -> bool:
-    """Send from a dealer; ``False`` means proven not sent."""
+    """Send from a dealer; ``False`` means that the message was not sent."""
     return await send_frame(sock, encode(message))
 
 
 async def send_frame(sock: zmq.asyncio.Socket, frame: bytes) -> bool:
-    """Send an encoded message from a dealer; ``False`` means proven not sent."""
+    """Send an encoded message from a dealer; ``False`` means that it was not sent."""
     try:
         await sock.send(frame, flags=zmq.NOBLOCK)
     except zmq.ZMQError:
