--- a/sapphirelead/http_client.py
+++ b/sapphirelead/http_client.py
@@ -1,17 +1,10 @@
-"""One HTTP call to the outside and what its end proves.
+"""HTTP client that tells whether a failed call may have had effects.
 
-Every call ends in one of three ways: a whole answer, :data:`Loss.NOT_SENT` (the connection was
-never made, so the other side cannot have acted) or :data:`Loss.SENT` (the request left, the answer
-did not come whole, so the other side may have acted).  A whole answer is one whose length the
-transport could check.
-
-Invariants:
-
-- Every call has a total timeout, and a connection on which a call timed out is never used again.
-- After a timeout the idle connections are abandoned with it.  The failure: something between the
-  two ends has lost track of all open connections at once.  It shows as one timeout for each pooled
-  connection, one after the other.  Calls after the first timeout go over a fresh pool, while calls
-  still in flight on the old one keep it open until they end.
+A call ends with a complete response, with :data:`Loss.NOT_SENT` (no connection was made, so the
+server cannot have acted) or with :data:`Loss.SENT` (the server may have acted).  A response is
+complete only if its length could be verified.  Every call has a total timeout.  A timeout replaces
+the whole connection pool, because its other connections may be unresponsive too; calls in flight
+keep the old pool open until they end.
 """
 
 import asyncio
@@ -32,7 +25,7 @@
 
 
 class Loss(StrEnum):
-    """What is known of a call that brought no whole answer."""
+    """Whether a call without a complete response may have been sent."""
 
     NOT_SENT = "not_sent"
     SENT = "sent"
@@ -40,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallError:
-    """A call without a whole answer.
+    """A call without a complete response.
 
-    :ivar refused: no process listens at the address.
+    :ivar refused: the connection was refused, so no process listens at the address.
     """
 
     loss: Loss
@@ -52,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: dict[str, str]
@@ -67,7 +60,7 @@
 
 
 class HttpCaller:
-    """Calls to one base URL over a pool of connections."""
+    """Makes calls to one base URL over a connection pool."""
 
     _base: str
     _timeout_s: float
@@ -86,7 +79,8 @@
     ) -> "HttpCaller":
         """Return a caller; the first call opens the first connection.
 
-        :param timeout_s: seconds from the call to the last byte of its answer.
+        :param timeout_s: total timeout of a call, up to the last byte of its response.
+        :param connections: maximum number of open connections.
         """
         return cls(base, timeout_s, connections)
 
@@ -104,17 +98,17 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 0.0,
     ) -> Result[Reply, CallError]:
-        """Make one call; it is never repeated here.
+        """Make one call without retries.
 
-        :param path: encoded path with its query; see :func:`encode_segment`.
-        :param timeout_s: total timeout in seconds, 0 for that of the caller.
+        :param path: percent-encoded path and query; see :func:`encode_segment`.
+        :param timeout_s: total timeout of this call; 0 for the default of this caller.
         """
         try:
             url = URL(self._base + path, encoded=True)
-            # The port is decoded only when it is asked for.
+            # yarl parses the port lazily; this raises ValueError if it is invalid.
             _ = url.port
         except ValueError as exc:
-            # An address that somebody else gave us, with a port that is none.
+            # The address was received from another process and is invalid.
             return Err(CallError(Loss.NOT_SENT, _describe(exc)))
         pool = self._open_pool()
         pool.in_flight += 1
@@ -172,7 +166,7 @@
 
 
 def encode_segment(text: str) -> str:
-    """Return ``text`` as one path segment or query value.
+    """Percent-encode ``text`` as one path segment or query value.
 
     >>> encode_segment("jobs/3/a b")
     'jobs%2F3%2Fa%20b'
@@ -181,13 +175,13 @@
 
 
 def _require_verifiable_length(response: aiohttp.ClientResponse) -> None:
-    # An answer that ends with its connection looks whole when the connection is cut in the middle,
-    # so it proves nothing.  With a length or chunks the transport itself raises on a short one.
+    # A response delimited by the end of its connection cannot be told from a truncated one.  With a
+    # length or chunked encoding, aiohttp raises on truncation.
     if response.status in STATUSES_WITHOUT_BODY or response.method == "HEAD":
         return
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     if "Content-Length" not in response.headers and not chunked:
-        raise aiohttp.ClientPayloadError("answer without a length cannot be checked")
+        raise aiohttp.ClientPayloadError("response has neither Content-Length nor chunked encoding")
 
 
 def _describe(exc: BaseException) -> str:
--- a/sapphirelead/http_headers.py
+++ b/sapphirelead/http_headers.py
@@ -1,7 +1,7 @@
-"""Headers that belong to one HTTP connection and are never passed on to the next.
+"""Filters out headers that are not forwarded to the next HTTP connection.
 
-They are the hop-by-hop fields of RFC 9110, section 7.6.1, with those that the next connection sets
-anew: ``Host`` and ``Content-Length``.
+These are the hop-by-hop fields of RFC 9110, section 7.6.1, and ``Host`` and ``Content-Length``,
+which the next connection sets itself.
 """
 
 from collections.abc import Mapping, Set
@@ -24,5 +24,5 @@
 
 
 def end_to_end(headers: Mapping[str, str], dropped: Set[str] = HOP_BY_HOP) -> dict[str, str]:
-    """Return ``headers`` without those of the lower-case names in ``dropped``."""
+    """Return ``headers`` without those in ``dropped``, a set of lower-case names."""
     return {name: value for name, value in headers.items() if name.lower() not in dropped}
--- a/sapphirelead/ports.py
+++ b/sapphirelead/ports.py
@@ -1,7 +1,7 @@
-"""What the product asks of the platform: one ``Protocol`` for each outside edge.
+"""Protocols of the platform's services: table, object store, worker and target.
 
-Another binding of the platform is one new module that provides these.  Adapters translate their
-transport's errors into the values below and never raise for them.
+Adapters implement these protocols and return transport errors as the values below instead of
+raising them.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 class Row:
     """A row of the table.
 
-    :ivar version: grows with every write of any row and is never used twice; 0 stands for absent.
+    :ivar version: increases with every write of any row and is never reused; 0 means absent.
     """
 
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The row must still be at ``version`` (0: absent) for the transaction to take effect."""
+    """Requires that the row is at ``version`` (0: absent) when the transaction is applied."""
 
     key: str
     version: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Set the row to ``value``, or delete it where that is ``None``."""
+    """Sets the row to ``value``, or deletes it if that is ``None``."""
 
     key: str
     value: dict[str, Any] | None
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
-    """Writes that take effect together, and only if every condition holds."""
+    """Writes that are applied atomically, and only if every condition holds."""
 
     op_id: str
     conditions: tuple[Condition, ...]
@@ -52,7 +52,7 @@
 
 
 class CommitStatus(StrEnum):
-    """How a transaction ended."""
+    """Outcome of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """The end of a transaction.
+    """Result of a commit.
 
-    :ivar status: ``REJECTED`` means proven not applied (refused, or over the rate); ``AMBIGUOUS``
-        means that the answer was lost and the transaction may yet take effect.
-    :ivar version: version of every written row when committed.
+    :ivar status: ``REJECTED`` means that the transaction was not applied (refused, or over the rate
+        limit); ``AMBIGUOUS`` means that the response was lost and it may still be applied.
+    :ivar version: version of all written rows if committed.
     :ivar conflicts: keys whose condition did not hold.
     """
 
@@ -83,24 +83,24 @@
         """Apply ``txn``."""
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
-        """Read rows; an absent one comes back with version 0."""
+        """Read rows; an absent row is returned with version 0."""
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
-        """Read up to ``limit`` rows by key order, after ``after`` and with ``prefix``."""
+        """Read up to ``limit`` rows in key order, after ``after`` and with ``prefix``."""
 
 
 class ObjectStore(Protocol):
     """The platform's object store."""
 
     async def put(self, key: str, data: bytes) -> Result[None, Failure]:
-        """Store ``data`` whole."""
+        """Store ``data`` under ``key``."""
 
     async def get(self, key: str) -> Result[bytes | None, Failure]:
-        """Read an object, or ``None`` where there is none."""
+        """Return the object, or ``None`` if it does not exist."""
 
 
 class TaskState(StrEnum):
-    """What the worker says of a task."""
+    """State of a task as reported by the worker."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -110,12 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """What the worker is to run.
+    """A task to be started by the worker.
 
     :ivar task_id: the job's key.
     :ivar epoch: epoch of the claim.
-    :ivar lease_until: worker-clock second after which the worker stops the task itself.  Absolute,
-        so that a start or renewal that was delayed past the lease has no effect.
+    :ivar lease_until: worker-clock time in seconds at which the worker stops the task itself.  It
+        is absolute, so that a start or renewal delayed past the lease has no effect.
     """
 
     task_id: str
@@ -130,11 +130,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskInfo:
-    """One task as the worker reports it.
+    """A task as reported by the worker.
 
-    :ivar usage: measured use, as of ``usage_age_s`` seconds ago.
-    :ivar checkpoint: object key of the checkpoint at which it was stopped, or empty.
-    :ivar events: events of a watch so far, newest last (the worker keeps a bounded tail).
+    :ivar usage: resource usage, measured ``usage_age_s`` seconds ago.
+    :ivar checkpoint: object key of the checkpoint at which the task was stopped, or empty.
+    :ivar events: most recent events of a watch, newest last; the worker keeps a bounded number.
     """
 
     task_id: str
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerView:
-    """All tasks of a worker, its clock, and the session that may change them."""
+    """All tasks of a worker, its clock, and the current session."""
 
     session: int
     clock: float
@@ -165,38 +165,38 @@
 class Worker(Protocol):
     """The platform's worker beside one instance.
 
-    ``open_session`` makes every earlier session invalid: calls under an older one fail.  This is
-    what keeps a paused agent, once a newer one runs beside the same worker, from acting.
+    ``open_session`` invalidates all earlier sessions, and calls with an older session fail.  This
+    fences an agent that resumes after a newer one has taken over its worker.
     """
 
     async def open_session(self, incarnation: str) -> Result[WorkerView, Failure]:
-        """Take the worker over."""
+        """Open a new session, which invalidates all earlier ones."""
 
     async def view(self) -> Result[WorkerView, Failure]:
-        """List tasks (running and ended, until removed) with usage."""
+        """Return running and ended tasks, until they are removed, with their usage."""
 
     async def start(self, session: int, spec: TaskSpec) -> Result[None, Failure]:
-        """Start a task; the same task at the same epoch twice starts it once."""
+        """Start a task; idempotent for the same task and epoch."""
 
     async def renew(self, session: int, leases: dict[str, float]) -> Result[None, Failure]:
-        """Move ``lease_until`` of the tasks named."""
+        """Set ``lease_until`` of each task in ``leases``."""
 
     async def throttle(self, session: int, task_id: str, share: float) -> Result[None, Failure]:
-        """Limit the task to ``share`` (0 to 1) of its processors."""
+        """Limit the task to ``share`` (0 to 1) of its CPU."""
 
     async def checkpoint_stop(self, session: int, task_id: str) -> Result[str, Failure]:
         """Stop the task at an exact checkpoint and return its object key; idempotent."""
 
     async def stop(self, session: int, task_id: str) -> Result[None, Failure]:
-        """Stop the task where it is; idempotent."""
+        """Stop the task without a checkpoint; idempotent."""
 
     async def remove(self, session: int, task_id: str) -> Result[None, Failure]:
-        """Forget an ended task; idempotent."""
+        """Remove an ended task from the worker's list; idempotent."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetAnswer:
-    """A target's whole answer."""
+    """A complete response of a target."""
 
     status: int
     headers: dict[str, str]
@@ -209,8 +209,8 @@
     async def call(
         self, service: str, headers: dict[str, str], body: bytes, timeout_s: float
     ) -> Result[TargetAnswer, Failure]:
-        """Send one request and read the whole answer.
+        """Send one request and read the complete response.
 
         An ``Err`` with :data:`~sapphirelead.errors.Code.TARGET_FAILED` may have had effects; one
-        with :data:`~sapphirelead.errors.Code.NO_INSTANCE` was refused before it was sent.
+        with :data:`~sapphirelead.errors.Code.NO_INSTANCE` was not sent.
         """
