--- a/tests/process/test_platform_process.py
+++ b/tests/process/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The program that the users' platform starts, as a process."""
+"""Tests of ``sapphirelead.platform`` as a process."""
 
 import asyncio
 import os
@@ -10,11 +10,9 @@
 
 
 async def test_sighup_during_startup_does_not_terminate_the_process(tmp_path: Path) -> None:
-    """A node is gone, with no line in its log, after a change of the settings files.
+    """Guards against SIGHUP ending a process that has not installed its signal handlers yet.
 
-    The signal that says so came while the process was still starting: its libraries take a part of
-    a second to load, more on a slow machine.  Until a handler stands the signal ends a process.
-    Here the start is held up where it reads its settings, which come through a pipe.
+    The settings file is a pipe, which blocks the start until the signal has been sent.
     """
     pipe = tmp_path / "node.toml"
     os.mkfifo(pipe)
@@ -27,5 +25,5 @@
     async def ended() -> bool:
         return not proc.running
 
-    await wait_until("the process refuses empty settings", ended)
+    await wait_until("the process rejects empty settings", ended)
     assert proc.code == EXIT_SETTINGS, proc.tail()
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -1,4 +1,4 @@
-"""What the end of a platform call proves, for each way in which the call can go wrong."""
+"""Tests that failed platform calls are classified by whether they may have had effects."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -64,7 +64,7 @@
     async def applied() -> bool:
         return standin.rows.get("a").version > 0
 
-    await wait_until("the held commit takes effect", applied)
+    await wait_until("the delayed commit is applied", applied)
     await table.close()
 
 
@@ -86,10 +86,9 @@
 
 
 async def test_unresponsive_connection_pool_costs_one_timeout(standin: StandInTable) -> None:
-    """A path forgets all open connections at once, while new ones work.
+    """Guards against one timeout per pooled connection when all of them stop responding.
 
-    Eight connections are pooled.  Without giving them all up on the first timeout, each later
-    read would take one of them and time out in turn.
+    The first timeout must discard the whole pool.
     """
     port = await standin.start("127.0.0.1", 0)
     proxy = await Proxy.start(port)
@@ -97,8 +96,8 @@
     table = HttpTable.from_settings(cfg)
     await asyncio.gather(*(table.rows(["a"]) for _ in range(8)))
     proxy.silence_existing()
-    ends = [(await table.rows(["a"])).is_ok() for _ in range(3)]
-    assert ends == [False, True, True]
+    results = [(await table.rows(["a"])).is_ok() for _ in range(3)]
+    assert results == [False, True, True]
     await table.close()
     await proxy.stop()
 
@@ -134,8 +133,8 @@
     server.close()
     await target.close()
     if name == "whole":
-        gone = HttpTarget(HttpCaller.connect(f"http://127.0.0.1:{port}", 1.0))
-        refused = await gone.call("svc", {}, b"body", 1.0)
+        unreachable = HttpTarget(HttpCaller.connect(f"http://127.0.0.1:{port}", 1.0))
+        refused = await unreachable.call("svc", {}, b"body", 1.0)
         assert refused.unwrap_err().code is Code.NO_INSTANCE
         assert not isinstance(refused, Ok)
-        await gone.close()
+        await unreachable.close()
