--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -121,7 +121,7 @@
     """Decode and validate a submission; the error is the reason for its rejection."""
     decoded = decode(_DECODER, body)
     if isinstance(decoded, Err):
-        return Err(f"the body is not a valid job: {decoded.err_value}")
+        return Err(f"the body is no job: {decoded.err_value}")
     wire = decoded.ok_value
     spec = JobSpec(
         job_id=job_id,
@@ -192,7 +192,7 @@
         if not rest and request.method == "GET":
             return await self._count_waiting(request, route)
         if not JOB_ID.fullmatch(rest):
-            return _error_response(400, "the path does not end with a job id")
+            return _error_response(400, "the path does not end with the id of a job")
         match request.method:
             case "POST":
                 return await self._submit(request, route, rest, config)
