--- a/sapphirelead/fleet_config.py
+++ b/sapphirelead/fleet_config.py
@@ -8,11 +8,11 @@
 
 def queue_config(config: Config) -> QueueConfig:
     """Return the queues of a version in force, under the same version."""
-    queues = {name: policy_of(queue) for name, queue in config.document.queues.items()}
+    queues = {name: queue_policy(queue) for name, queue in config.document.queues.items()}
     return QueueConfig(version=config.version, queues=queues)
 
 
-def policy_of(queue: QueueModel) -> QueuePolicy:
+def queue_policy(queue: QueueModel) -> QueuePolicy:
     """Return what a job of the queue keeps of its configuration."""
     advice = queue.advice
     return QueuePolicy(
@@ -29,20 +29,20 @@
     )
 
 
-def too_large(queue: QueueModel, job: JobSpec) -> str:
+def check_task_sizes(queue: QueueModel, job: JobSpec) -> str:
     """Return which step asks for more than the queue's largest task, or an empty text.
 
     >>> from sapphirelead.sched_spec import StepSpec
     >>> queue = QueueModel.model_validate({"service": "s", "largest_task": {"memory_mb": 10}})
-    >>> job = JobSpec("a", "q", "", (StepSpec(memory_mb=11),), policy_of(queue))
-    >>> too_large(queue, job)
+    >>> job = JobSpec("a", "q", "", (StepSpec(memory_mb=11),), queue_policy(queue))
+    >>> check_task_sizes(queue, job)
     'step 0 asks for memory_mb=11, the queue takes at most 10'
     """
     bounds = queue.largest_task
     for number, step in enumerate(job.steps):
-        asked = Resources(step.cpu_millicores, step.memory_mb, step.accelerators)
+        resources = Resources(step.cpu_millicores, step.memory_mb, step.accelerators)
         for name in ("cpu_millicores", "memory_mb", "accelerators"):
-            most, wanted = getattr(bounds, name), getattr(asked, name)
-            if most and wanted > most:
-                return f"step {number} asks for {name}={wanted}, the queue takes at most {most}"
+            limit, requested = getattr(bounds, name), getattr(resources, name)
+            if limit and requested > limit:
+                return f"step {number} asks for {name}={requested}, the queue takes at most {limit}"
     return ""
--- a/sapphirelead/fleet_entry.py
+++ b/sapphirelead/fleet_entry.py
@@ -25,7 +25,7 @@
 from sapphirelead.settings import EntrySettings, FleetSettings, FleetTimes
 from sapphirelead.wire_sockets import make_context
 
-LEAD_ON_S: Final = 10.0
+MAX_LEAVING_LEAD_S: Final = 10.0
 """Longest time that a leaving entry leads on while no other entry can: one that is restarted at the
 same time is back within seconds, and one that has no other entry must not wait its whole drain."""
 
@@ -51,7 +51,7 @@
         keys: Keys | None,
     ) -> None:
         address = EntryAddress(settings.id, settings.bind_host, fleet.link_port)
-        bounds = bounds_of(fleet.times, min(settings.drain_seconds, LEAD_ON_S))
+        bounds = timing_bounds(fleet.times, min(settings.drain_seconds, MAX_LEAVING_LEAD_S))
         node = EntryNode(address, settings.zone, bounds, keys)
         self._context = make_context()
         self._advice = HttpAdvice.connect(fleet.advice_url)
@@ -90,7 +90,7 @@
         self._context.destroy(linger=0)
 
 
-def bounds_of(times: FleetTimes, grace_s: float) -> Bounds:
+def timing_bounds(times: FleetTimes, grace_s: float) -> Bounds:
     """Return the fleet's bounds from the settings of a process.
 
     :param grace_s: time that the process has to end once it is told to leave.
--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -34,12 +34,12 @@
 from sapphirelead.settings import CallerLimits
 
 PREFIX: Final = "/v1/queues/"
-USUAL: Final = frozenset({200, 202, 404})
-RETRY_S: Final = 1.0
+EXPECTED_STATUSES: Final = frozenset({200, 202, 404})
+RETRY_AFTER_S: Final = 1.0
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-_CODE: Final = {
+_REPLY_CODE: Final = {
     ReplyKind.ABSENT: Code.NOT_FOUND,
     ReplyKind.NOT_RUN: Code.NO_LEADER,
     ReplyKind.NOT_LEADER: Code.NO_LEADER,
@@ -58,32 +58,36 @@
     _limits: CallerLimits
     _entry: FleetEntry
     _config: ConfigService
-    _advised: bool
+    _advice_configured: bool
     _account: CallerAccount
     _closed: bool
 
     def __init__(
-        self, limits: CallerLimits, entry: FleetEntry, config: ConfigService, advised: bool
+        self,
+        limits: CallerLimits,
+        entry: FleetEntry,
+        config: ConfigService,
+        advice_configured: bool,
     ) -> None:
         """Make the handlers of one entry.
 
-        :param advised: an advice service is set; without one, no ticket can ever be had.
+        :param advice_configured: an advice service is set; without one, no ticket can ever be had.
         """
         self._limits = limits
         self._entry = entry
         self._config = config
-        self._advised = advised
-        self._account = CallerAccount(entry, USUAL)
+        self._advice_configured = advice_configured
+        self._account = CallerAccount(entry, EXPECTED_STATUSES)
         self._closed = False
 
     def routes(self) -> list[web.AbstractRouteDef]:
         """Return the routes."""
         job = PREFIX + "{queue}/jobs/{id}"
         return [
-            web.get(PREFIX + "{queue}", self._counted(self._waiting)),
-            web.post(job, self._counted(self._submit)),
-            web.get(job, self._counted(self._state)),
-            web.delete(job, self._counted(self._cancel)),
+            web.get(PREFIX + "{queue}", self._tracked(self._waiting)),
+            web.post(job, self._tracked(self._submit)),
+            web.get(job, self._tracked(self._state)),
+            web.delete(job, self._tracked(self._cancel)),
         ]
 
     # The side of callers while the entry leaves.
@@ -104,21 +108,21 @@
 
     # Requests.
 
-    def _counted(self, handler: Handler) -> Handler:
+    def _tracked(self, handler: Handler) -> Handler:
         async def answer(request: web.Request) -> web.StreamResponse:
             return await self._account.answer(request, handler)
 
         return answer
 
     async def _submit(self, request: web.Request) -> web.Response:
-        named = self._named(request)
+        named = self._parse_job_request(request)
         if isinstance(named, Err):
             return rejected(named.err_value)
         queue, job_id, deadline_s = named.ok_value
         config = self._config.current.document.queues.get(queue)
         if config is None:
-            return self._no_queue(queue)
-        if config.advice.valid_ms and not self._advised:
+            return self._unknown_queue(queue)
+        if config.advice.valid_ms and not self._advice_configured:
             text = f"starts of queue {queue!r} need tickets, and no advice service is set here"
             return problem(Failure(Code.IMPOSSIBLE, text, "tell the operators: fleet.advice_url"))
         body = await read_body(request, self._limits)
@@ -131,30 +135,30 @@
             CallKind.SUBMIT, queue, job_id, deadline_s, encode_spec(parsed.ok_value)
         )
         if reply.kind is not ReplyKind.OK:
-            return _refused(reply, id=job_id)
+            return _error_response(reply, id=job_id)
         if reply.other:
             text = f"the id {job_id!r} names a job of other content"
             return problem(Failure(Code.KEY_REUSED, text, "use a new id"), id=job_id)
-        return _job(queue, job_id, reply, 202)
+        return _job_response(queue, job_id, reply, 202)
 
     async def _state(self, request: web.Request) -> web.Response:
-        return await self._ask(request, CallKind.STATE)
+        return await self._call_job(request, CallKind.STATE)
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        return await self._ask(request, CallKind.CANCEL)
+        return await self._call_job(request, CallKind.CANCEL)
 
-    async def _ask(self, request: web.Request, kind: CallKind) -> web.Response:
-        named = self._named(request)
+    async def _call_job(self, request: web.Request, kind: CallKind) -> web.Response:
+        named = self._parse_job_request(request)
         if isinstance(named, Err):
             return rejected(named.err_value)
         queue, job_id, deadline_s = named.ok_value
         reply = await self._call(kind, queue, job_id, deadline_s)
         if reply.kind is ReplyKind.OK:
-            return _job(queue, job_id, reply, 200)
+            return _job_response(queue, job_id, reply, 200)
         if kind is CallKind.CANCEL and reply.kind is ReplyKind.NOT_RUN and not self._closed:
             # The entry refuses a cancellation where it has too many in progress.
-            return _refused(reply, Outcome.UNKNOWN, id=job_id)
-        return _refused(reply, asked=kind is CallKind.STATE, id=job_id)
+            return _error_response(reply, Outcome.UNKNOWN, id=job_id)
+        return _error_response(reply, read_only=kind is CallKind.STATE, id=job_id)
 
     async def _waiting(self, request: web.Request) -> web.Response:
         queue = parse_name("queue", request.match_info["queue"])
@@ -164,22 +168,22 @@
         if isinstance(deadline, Err):
             return rejected(deadline.err_value)
         if queue.ok_value not in self._config.current.document.queues:
-            return self._no_queue(queue.ok_value)
+            return self._unknown_queue(queue.ok_value)
         reply = await self._call(CallKind.WAITING, queue.ok_value, "", deadline.ok_value)
         if reply.kind is ReplyKind.OK:
             return web.json_response({"queue": queue.ok_value, "waiting": reply.waiting})
-        return _refused(reply, asked=True)
+        return _error_response(reply, read_only=True)
 
     async def _call(
         self, kind: CallKind, queue: str, job_id: str, deadline_s: float, job: bytes = b""
     ) -> Reply:
         if self._closed:
             return Reply(
-                0, ReplyKind.NOT_RUN, retry_after_s=RETRY_S, detail="this entry is leaving"
+                0, ReplyKind.NOT_RUN, retry_after_s=RETRY_AFTER_S, detail="this entry is leaving"
             )
         return await self._entry.call(kind, queue, job_id, job, deadline_s)
 
-    def _named(self, request: web.Request) -> Result[tuple[str, str, float], Rejected]:
+    def _parse_job_request(self, request: web.Request) -> Result[tuple[str, str, float], Rejected]:
         """Return queue, id and deadline (seconds) of a request for one job."""
         queue = parse_name("queue", request.match_info["queue"])
         if isinstance(queue, Err):
@@ -198,31 +202,31 @@
         found = parse_deadline_ms(text, limits.default_deadline_ms, limits.max_deadline_ms)
         return found.map(lambda deadline_ms: deadline_ms / 1000)
 
-    def _no_queue(self, queue: str) -> web.Response:
+    def _unknown_queue(self, queue: str) -> web.Response:
         """Refuse a queue that is not there; which are there is not known before a version is."""
         if self._config.current.version == 0:
             failure = Failure(Code.NO_LEADER, "no configuration is in force yet", "ask again")
-            return problem(failure, retry_after_s=RETRY_S)
+            return problem(failure, retry_after_s=RETRY_AFTER_S)
         text = f"no queue is named {queue!r}"
         return problem(Failure(Code.NOT_FOUND, text, "see `sapphirelead config show`"))
 
 
-def _job(queue: str, job_id: str, reply: Reply, status: int) -> web.Response:
+def _job_response(queue: str, job_id: str, reply: Reply, status: int) -> web.Response:
     body = {"queue": queue, "id": job_id, "state": reply.state}
     headers = {"Location": f"{PREFIX}{queue}/jobs/{job_id}"} if status == 202 else {}
     return web.json_response(body, status=status, headers=headers)
 
 
-def _refused(
-    reply: Reply, outcome: Outcome = Outcome.NOT_RUN, asked: bool = False, **extra: Any
+def _error_response(
+    reply: Reply, outcome: Outcome = Outcome.NOT_RUN, read_only: bool = False, **extra: Any
 ) -> web.Response:
     """Return why a call was not carried out.
 
     :param outcome: what is known of its effect where the leader was not reached.
-    :param asked: the call changes nothing, so that "not run" is true of it however it ended.
+    :param read_only: the call changes nothing, so that "not run" is true of it however it ended.
     """
-    code = _CODE[reply.kind]
-    if code is Code.STORE_AMBIGUOUS and asked:
+    code = _REPLY_CODE[reply.kind]
+    if code is Code.STORE_AMBIGUOUS and read_only:
         code = Code.NO_LEADER
     elif code is Code.STORE_AMBIGUOUS or (code is Code.NOT_FOUND and "id" in extra):
         # A submission whose answer was lost may yet take effect.
--- a/sapphirelead/fleet_jobs.py
+++ b/sapphirelead/fleet_jobs.py
@@ -13,18 +13,18 @@
 from sapphirelead.entry_http_problem import BadField
 from sapphirelead.entry_http_requests import Rejected, reject
 from sapphirelead.errors import Code, Failure
-from sapphirelead.fleet_config import policy_of, too_large
+from sapphirelead.fleet_config import check_task_sizes, queue_policy
 from sapphirelead.model_config import QueueModel
 from sapphirelead.sched_spec import JobSpec, StepSpec, check_job
 
 JOB_ID_PATTERN: Final = r"[A-Za-z0-9_-]{1,64}"
 
-JOB_BYTES: Final = 40_000
+MAX_JOB_BYTES: Final = 40_000
 """Largest submission: a job is one row, the store takes rows of 64 KB, and packing makes a third
 more of its bytes."""
 
 _JOB_ID: Final = re.compile(JOB_ID_PATTERN)
-_FIELD: Final = re.compile(r"`\$\.?([^`]*)`")
+_FIELD_PATTERN: Final = re.compile(r"`\$\.?([^`]*)`")
 
 
 class StepBody(StepSpec, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
@@ -61,18 +61,18 @@
     raw: bytes, job_id: str, queue: str, config: QueueModel, accepted_ms: int
 ) -> Result[JobSpec, Rejected]:
     """Check a submission and return its job."""
-    if len(raw) > JOB_BYTES:
-        return Err(reject(Code.TOO_LARGE, "body", "is too large", JOB_BYTES, "bytes"))
+    if len(raw) > MAX_JOB_BYTES:
+        return Err(reject(Code.TOO_LARGE, "body", "is too large", MAX_JOB_BYTES, "bytes"))
     decoded = _decode(raw)
     if isinstance(decoded, Err):
         return decoded
     job = _job(decoded.ok_value, job_id, queue, config, accepted_ms)
-    problem = _negative(job) or check_job(job)
+    problem = _check_non_negative(job) or check_job(job)
     if problem:
-        return Err(Rejected(Failure(Code.UNPROCESSABLE, problem), BadField(_place(problem))))
-    if text := too_large(config, job):
+        return Err(Rejected(Failure(Code.UNPROCESSABLE, problem), BadField(_field_of(problem))))
+    if text := check_task_sizes(config, job):
         hint = "split the task, or use a queue of larger instances"
-        return Err(Rejected(Failure(Code.IMPOSSIBLE, text, hint), BadField(_place(text))))
+        return Err(Rejected(Failure(Code.IMPOSSIBLE, text, hint), BadField(_field_of(text))))
     return Ok(job)
 
 
@@ -80,7 +80,7 @@
     try:
         return Ok(_DECODER.decode(raw))
     except msgspec.ValidationError as exc:
-        found = _FIELD.search(str(exc))
+        found = _FIELD_PATTERN.search(str(exc))
         field = found[1] if found and found[1] else "body"
         failure = Failure(Code.UNPROCESSABLE, f"{field}: {exc}", "see docs/openapi.yaml")
         return Err(Rejected(failure, BadField(field)))
@@ -94,7 +94,7 @@
         queue=queue,
         payload=msgspec.json.format(bytes(body.input), indent=-1).decode(),
         steps=tuple(StepSpec(**msgspec.structs.asdict(step)) for step in body.steps),
-        policy=policy_of(config),
+        policy=queue_policy(config),
         accepted_ms=accepted_ms,
         first_due_ms=body.first_due_ms,
         interval_ms=body.interval_ms,
@@ -102,7 +102,7 @@
     )
 
 
-def _negative(job: JobSpec) -> str:
+def _check_non_negative(job: JobSpec) -> str:
     if job.first_due_ms < 0:
         return "first_due_ms must not be negative"
     for number, step in enumerate(job.steps):
@@ -111,10 +111,10 @@
     return ""
 
 
-def _place(problem: str) -> str:
+def _field_of(problem: str) -> str:
     """Return the field that a text of the check speaks of.
 
-    >>> _place("step 2: a step has at least one task"), _place("a job has at least one step")
+    >>> _field_of("step 2: a step has at least one task"), _field_of("a job has at least one step")
     ('steps[2]', 'steps')
     """
     found = re.match(r"step (\d+)", problem)
--- a/sapphirelead/fleet_table.py
+++ b/sapphirelead/fleet_table.py
@@ -17,13 +17,13 @@
 PACKED: Final = "packed"
 UNREADABLE: Final = "unreadable"
 
-READ_S: Final = 0.6
+READ_TIMEOUT_S: Final = 0.6
 """Longest wait for a read of single rows.  A follower reads the row of the leader between two of
 its heartbeats; while one read took the table's own timeout of 2 s it heard nothing of its leader
 for longer than 1.2 s, took it for silent, and refused callers whom the leader could have answered.
 """
 
-COMMIT_S: Final = 1.0
+COMMIT_TIMEOUT_S: Final = 1.0
 """Longest wait for a commit before it goes again under the same condition."""
 
 _ENCODER: Final = msgspec.msgpack.Encoder()
@@ -42,23 +42,23 @@
         """Apply ``txn``."""
         writes = tuple(Write(write.key, pack(write.value)) for write in txn.writes)
         try:
-            async with asyncio.timeout(COMMIT_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 return await self._table.commit(Txn(txn.op_id, txn.conditions, writes))
         except TimeoutError:
-            return Commit(CommitStatus.AMBIGUOUS, detail=f"no answer within {COMMIT_S:g} s")
+            return Commit(CommitStatus.AMBIGUOUS, detail=f"no answer within {COMMIT_TIMEOUT_S:g} s")
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
         """Read rows; an absent one comes back with version 0."""
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await self._table.rows(keys)
         except TimeoutError:
-            return Err(Failure(Code.STORE_UNAVAILABLE, f"no answer within {READ_S:g} s"))
-        return _readable(found)
+            return Err(Failure(Code.STORE_UNAVAILABLE, f"no answer within {READ_TIMEOUT_S:g} s"))
+        return _unpack_rows(found)
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
         """Read up to ``limit`` rows by key order, after ``after`` and with ``prefix``."""
-        return _readable(await self._table.scan(prefix, after, limit))
+        return _unpack_rows(await self._table.scan(prefix, after, limit))
 
 
 def pack(value: dict[str, Any] | None) -> dict[str, Any] | None:
@@ -88,7 +88,7 @@
         raise ValueError(f"no packed value: {exc!r}") from exc
 
 
-def _readable(found: Result[list[Row], Failure]) -> Result[list[Row], Failure]:
+def _unpack_rows(found: Result[list[Row], Failure]) -> Result[list[Row], Failure]:
     """Return rows with their values unpacked.
 
     An unreadable row must not hide the others.  It comes back with a value that no reader knows, so
@@ -96,10 +96,10 @@
     """
     if isinstance(found, Err):
         return found
-    return Ok([Row(row.key, row.version, _value(row)) for row in found.ok_value])
+    return Ok([Row(row.key, row.version, _unpack_value(row)) for row in found.ok_value])
 
 
-def _value(row: Row) -> dict[str, Any] | None:
+def _unpack_value(row: Row) -> dict[str, Any] | None:
     try:
         return unpack(row.value)
     except (ValueError, RecursionError) as exc:
--- a/sapphirelead/keys.py
+++ b/sapphirelead/keys.py
@@ -23,7 +23,7 @@
 from sapphirelead.errors import Code, Failure
 from sapphirelead.settings import Model
 
-PRIVATE: Final = 0o600
+PRIVATE_FILE_MODE: Final = 0o600
 KEY_CHARS: Final = 40
 ZAP_DOMAIN: Final = "sapphirelead"
 Role = Literal["entry", "agent"]
@@ -121,11 +121,11 @@
         return None
     authenticator = AsyncioAuthenticator(ctx)
     authenticator.start()
-    authenticator.configure_curve_callback(ZAP_DOMAIN, _Accepted(keys.peers))
+    authenticator.configure_curve_callback(ZAP_DOMAIN, _KeyAllowlist(keys.peers))
     return authenticator
 
 
-class _Accepted:
+class _KeyAllowlist:
     """Accepts the deployment's own public keys."""
 
     _peers: frozenset[bytes]
@@ -150,6 +150,6 @@
 def _write_private(path: Path, text: str) -> None:
     # Opened with its final mode: a file that is made readable first and restricted afterwards can
     # be opened by others in between.
-    fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE)
+    fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
     with os.fdopen(fd, "w", encoding="ascii") as file:
         file.write(text)
--- a/sapphirelead/runner_main.py
+++ b/sapphirelead/runner_main.py
@@ -14,7 +14,7 @@
 from sapphirelead.agent_http import AgentHttp
 from sapphirelead.background import spawn
 from sapphirelead.errors import Failure
-from sapphirelead.fleet_entry import bounds_of
+from sapphirelead.fleet_entry import timing_bounds
 from sapphirelead.fleet_table import PackedTable
 from sapphirelead.http_client import HttpCaller
 from sapphirelead.keys import Keys, read_keys
@@ -53,7 +53,7 @@
             HttpCaller.connect(settings.table_url, settings.table_timeout_seconds)
         )
         self._worker = HttpCaller.connect(settings.worker_url, LIFE_EVERY_S)
-        bounds = bounds_of(settings.times, GRACE_S)
+        bounds = timing_bounds(settings.times, GRACE_S)
         self.runner = Runner(
             settings.id, bounds, PackedTable(self._table), HttpRuns.connect, self._context, keys
         )
--- a/sapphirelead/standin_advice.py
+++ b/sapphirelead/standin_advice.py
@@ -34,12 +34,12 @@
     """The service."""
 
     _cfg: AdviceSettings
-    _turn: asyncio.Lock
+    _serial_lock: asyncio.Lock
 
     def __init__(self, history: History, cfg: AdviceSettings) -> None:
         super().__init__(history)
         self._cfg = cfg
-        self._turn = asyncio.Lock()
+        self._serial_lock = asyncio.Lock()
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInAdvice":
@@ -55,7 +55,7 @@
             asked = msgspec.json.decode(await request.read(), type=_Question)
         except msgspec.DecodeError as exc:
             return web.json_response({"error": str(exc)}, status=400)
-        async with self._turn:
+        async with self._serial_lock:
             wait_ms = self._cfg.base_ms + self._cfg.each_ms * len(asked.workers)
             await asyncio.sleep(wait_ms / 1000)
         self.history.record("advice", step=asked.step, workers=asked.workers)
@@ -68,10 +68,10 @@
     return f"{step}@{worker}"
 
 
-def allows(found: str, task: str, worker: str) -> bool:
+def ticket_matches(found: str, task: str, worker: str) -> bool:
     """Whether a ticket is good for a task on the life of a worker.
 
-    >>> allows(ticket("a1.0.2", "w"), "a1.0.2.7", "w"), allows("", "a1.0.2.7", "w")
+    >>> ticket_matches(ticket("a1.0.2", "w"), "a1.0.2.7", "w"), ticket_matches("", "a1.0.2.7", "w")
     (True, False)
     """
     return found == ticket(task.rpartition(".")[0], worker)
--- a/sapphirelead/standin_runs.py
+++ b/sapphirelead/standin_runs.py
@@ -23,15 +23,15 @@
     WorkerView,
 )
 from sapphirelead.ports import TaskSpec, TaskState
-from sapphirelead.standin_advice import allows
-from sapphirelead.standin_task import LAPSED, Progress, StandInTask
+from sapphirelead.standin_advice import ticket_matches
+from sapphirelead.standin_task import LEASE_EXPIRED_REASON, Progress, StandInTask
 
-LOOK_S: Final = 0.02
-CLASS: Final = "steps"
+POLL_INTERVAL_S: Final = 0.02
+JOB_CLASS: Final = "steps"
 
-_KIND: Final = {TaskState.SUCCEEDED: "done", TaskState.FAILED: "failed"}
+_END_KIND: Final = {TaskState.SUCCEEDED: "done", TaskState.FAILED: "failed"}
 
-Name = tuple[str, int]
+RunId = tuple[str, int]
 
 
 class TaskHost(Protocol):
@@ -73,10 +73,10 @@
 
     life: str
     _host: TaskHost
-    _runs: dict[Name, StandInTask]
+    _runs: dict[RunId, StandInTask]
     _ends: list[WorkerEnd]
-    _sealed: dict[str, int]
-    _numbers: int
+    _ended_attempts: dict[str, int]
+    _last_end_number: int
     _token: int
     _lease_until: float
     _wants_tickets: bool
@@ -91,8 +91,8 @@
         self._wants_tickets = wants_tickets
         self._runs = {}
         self._ends = []
-        self._sealed = {}
-        self._numbers = 0
+        self._ended_attempts = {}
+        self._last_end_number = 0
         self._token = 0
         self._lease_until = 0.0
 
@@ -110,50 +110,50 @@
         return web.json_response({"life": self.life})
 
     async def _hold(self, request: web.Request) -> web.Response:
-        call = await self._taken(request)
+        call = await self._accept_call(request)
         self._ends = [end for end in self._ends if end.number > call.noted]
         self._lease_until = max(self._lease_until, call.lease_ms / 1000)
         for task in self._runs.values():
             task.lease_until = max(task.lease_until, self._lease_until)
         until = now() + call.wait_ms / 1000
-        self._look()
+        self._collect_ends()
         while not self._ends and now() < until:
-            await asyncio.sleep(LOOK_S)
-            self._look()
-        running = [_listed(task) for task in self._runs.values()]
-        return _answer(WorkerView(_clock_ms(), running, self._ends))
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self._collect_ends()
+        running = [_run_view(task) for task in self._runs.values()]
+        return _response(WorkerView(_clock_ms(), running, self._ends))
 
     async def _start(self, request: web.Request) -> web.Response:
-        call = await self._taken(request)
+        call = await self._accept_call(request)
         if call.start is None:
             raise web.HTTPBadRequest(text="start is missing")
-        self._look()
-        return _answer(StartResult(self._begin(call.start), _clock_ms()))
+        self._collect_ends()
+        return _response(StartResult(self._begin(call.start), _clock_ms()))
 
     def _begin(self, start: StartCall) -> StartAnswer:
         if _clock_ms() > start.deadline_ms:
             return StartAnswer.TOO_LATE
         if (start.task, start.attempt) in self._runs:
             return StartAnswer.STARTED
-        if start.attempt <= self._sealed.get(start.task, 0):
+        if start.attempt <= self._ended_attempts.get(start.task, 0):
             return StartAnswer.OUTDATED
-        if self._wants_tickets and not allows(start.ticket, start.task, self.life):
+        if self._wants_tickets and not ticket_matches(start.ticket, start.task, self.life):
             return StartAnswer.NO_TICKET
         try:
-            task = self._task(start)
+            task = self._build_task(start)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return StartAnswer.INVALID
         self._runs[(start.task, start.attempt)] = task
         self._host.begin(task)
         return StartAnswer.STARTED
 
-    def _task(self, start: StartCall) -> StandInTask:
+    def _build_task(self, start: StartCall) -> StandInTask:
         progress = msgspec.json.decode(start.saved, type=Progress) if start.saved else Progress()
         spec = TaskSpec(
             task_id=start.task,
             epoch=start.attempt,
             kind="batch",
-            job_class=CLASS,
+            job_class=JOB_CLASS,
             resources=Resources(),
             input=msgspec.json.decode(start.payload),
             checkpoint=start.saved,
@@ -162,23 +162,23 @@
         return StandInTask.from_spec(spec, progress, now())
 
     async def _stop(self, request: web.Request) -> web.Response:
-        call = await self._taken(request)
-        self._sealed[call.task] = max(self._sealed.get(call.task, 0), call.attempt)
-        self._look()
+        call = await self._accept_call(request)
+        self._ended_attempts[call.task] = max(self._ended_attempts.get(call.task, 0), call.attempt)
+        self._collect_ends()
         task = self._runs.get((call.task, call.attempt))
         if task is not None:
             self._host.end(task, TaskState.STOPPED, "stopped")
-            self._look()
-        return _answer({"clock_ms": _clock_ms()})
+            self._collect_ends()
+        return _response({"clock_ms": _clock_ms()})
 
     async def _pace(self, request: web.Request) -> web.Response:
-        call = await self._taken(request)
+        call = await self._accept_call(request)
         task = self._runs.get((call.task, call.attempt))
         if task is not None:
             self._host.set_speed(task, call.percent / 100)
-        return _answer({"clock_ms": _clock_ms()})
+        return _response({"clock_ms": _clock_ms()})
 
-    async def _taken(self, request: web.Request) -> _Call:
+    async def _accept_call(self, request: web.Request) -> _Call:
         """Return a call that is meant for this life and not outdated."""
         try:
             call = msgspec.json.decode(await request.read(), type=_Call)
@@ -191,7 +191,7 @@
         self._token = call.fencing_token
         return call
 
-    def _look(self) -> None:
+    def _collect_ends(self) -> None:
         """Number the runs that have ended."""
         self._host.advance_all()
         for name, task in list(self._runs.items()):
@@ -199,31 +199,35 @@
                 continue
             del self._runs[name]
             self._host.drop(task)
-            self._numbers += 1
-            self._sealed[name[0]] = max(self._sealed.get(name[0], 0), name[1])
-            self._ends.append(WorkerEnd(self._numbers, *name, _kind(task), _saved(task)))
+            self._last_end_number += 1
+            self._ended_attempts[name[0]] = max(self._ended_attempts.get(name[0], 0), name[1])
+            self._ends.append(
+                WorkerEnd(self._last_end_number, *name, _end_kind(task), _encoded_progress(task))
+            )
 
 
-def _kind(task: StandInTask) -> str:
-    if task.reason == LAPSED:
+def _end_kind(task: StandInTask) -> str:
+    if task.reason == LEASE_EXPIRED_REASON:
         return "lapsed"
-    return _KIND.get(task.state, "stopped")
+    return _END_KIND.get(task.state, "stopped")
 
 
-def _saved(task: StandInTask) -> str:
+def _encoded_progress(task: StandInTask) -> str:
     return msgspec.json.encode(task.progress).decode()
 
 
-def _listed(task: StandInTask) -> WorkerRun:
+def _run_view(task: StandInTask) -> WorkerRun:
     lasts = task.total_ms == float("inf")
     percent = 100 if lasts else int(100 * task.progress.done_ms / max(task.total_ms, 1.0))
     spec = task.spec
-    return WorkerRun(spec.task_id, spec.epoch, _saved(task), percent, task.usage.cpu_millicores)
+    return WorkerRun(
+        spec.task_id, spec.epoch, _encoded_progress(task), percent, task.usage.cpu_millicores
+    )
 
 
 def _clock_ms() -> int:
     return int(now() * 1000)
 
 
-def _answer(body: Any) -> web.Response:
+def _response(body: Any) -> web.Response:
     return web.Response(body=msgspec.json.encode(body), content_type="application/json")
--- a/sapphirelead/standin_server.py
+++ b/sapphirelead/standin_server.py
@@ -12,7 +12,7 @@
 
 from sapphirelead.standin_history import History
 
-STOP_S: Final = 0.2
+SHUTDOWN_TIMEOUT_S: Final = 0.2
 
 
 class Faults(msgspec.Struct):
@@ -44,13 +44,13 @@
     history: History
     faults: Faults
     _runner: web.AppRunner | None
-    _mended: asyncio.Event
+    _fault_cleared: asyncio.Event
 
     def __init__(self, history: History) -> None:
         self.history = history
         self.faults = Faults()
         self._runner = None
-        self._mended = asyncio.Event()
+        self._fault_cleared = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes of this stand-in."""
@@ -58,9 +58,9 @@
 
     async def start(self, host: str, port: int) -> int:
         """Listen, and return the port (chosen by the system where ``port`` is 0)."""
-        app = web.Application(client_max_size=64 * 1024 * 1024, middlewares=[self._misbehave])
+        app = web.Application(client_max_size=64 * 1024 * 1024, middlewares=[self._inject_faults])
         app.add_routes([web.post("/faults", self._set_faults), *self.routes()])
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=STOP_S)
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
         await site.start()
@@ -68,12 +68,12 @@
 
     async def stop(self) -> None:
         """Stop listening and drop open requests."""
-        self._mended.set()
+        self._fault_cleared.set()
         if self._runner is not None:
             await self._runner.cleanup()
 
     @web.middleware
-    async def _misbehave(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         answer: web.StreamResponse
         if request.path in ("/faults", "/stats") or not request.path.startswith(self.faults.only):
             answer = await handler(request)
@@ -83,35 +83,35 @@
         if self.faults.down and not self.faults.hang:
             return web.json_response({"error": "down"}, status=503)
         if self.faults.down:
-            return await self._hold(request, handler)
-        if not await self._is_aimed_at(request):
+            return await self._hold_request(request, handler)
+        if not await self._matches_fault(request):
             answer = await handler(request)
         elif self.faults.drop_before:
             self.faults.drop_before -= 1
-            answer = _cut(request)
+            answer = _abort_connection(request)
         elif self.faults.lose_answers:
             self.faults.lose_answers -= 1
             await handler(request)
-            answer = _cut(request)
+            answer = _abort_connection(request)
         else:
             answer = await handler(request)
         return answer
 
-    async def _is_aimed_at(self, request: web.Request) -> bool:
+    async def _matches_fault(self, request: web.Request) -> bool:
         return request.method != "GET" and self.faults.match.encode() in await request.read()
 
-    async def _hold(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _hold_request(self, request: web.Request, handler: Any) -> web.StreamResponse:
         late_apply = self.faults.late_apply
         await request.read()
-        await self._mended.wait()
+        await self._fault_cleared.wait()
         if late_apply:
             await handler(request)
-        return _cut(request)
+        return _abort_connection(request)
 
     def set_faults(self, faults: Faults) -> None:
         """Misbehave as told from now on; requests held by an earlier fault are let go."""
         self.faults = faults
-        held, self._mended = self._mended, asyncio.Event()
+        held, self._fault_cleared = self._fault_cleared, asyncio.Event()
         held.set()
         self.history.record("faults", **msgspec.to_builtins(faults))
 
@@ -120,7 +120,7 @@
         return web.json_response({})
 
 
-def _cut(request: web.Request) -> web.Response:
+def _abort_connection(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/sapphirelead/standin_table.py
+++ b/sapphirelead/standin_table.py
@@ -19,7 +19,7 @@
 from sapphirelead.standin_objects import StandInObjects
 from sapphirelead.standin_server import StandIn
 
-WINDOW_S: Final = 1.0
+RATE_WINDOW_S: Final = 1.0
 
 
 class TableSettings(msgspec.Struct, forbid_unknown_fields=True):
@@ -45,7 +45,7 @@
 
     def admit(self, at: float) -> bool:
         """Count an event at ``at`` (loop time), unless it exceeds the rate."""
-        while self._times and self._times[0] <= at - WINDOW_S:
+        while self._times and self._times[0] <= at - RATE_WINDOW_S:
             self._times.popleft()
         if len(self._times) >= self._limit:
             self.refused += 1
--- a/sapphirelead/standin_target.py
+++ b/sapphirelead/standin_target.py
@@ -19,7 +19,7 @@
 from sapphirelead.standin_history import History
 from sapphirelead.standin_server import StandIn
 
-POLL_S: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 
 
 class TargetSettings(msgspec.Struct, forbid_unknown_fields=True):
@@ -101,7 +101,7 @@
                 match await http.call("GET", "/interference"):
                     case Ok(reply) if reply.status == 200:
                         self._load = float(msgspec.json.decode(reply.body)["load"])
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             await http.close()
 
@@ -110,43 +110,45 @@
         return web.json_response({})
 
     async def _serve(self, request: web.Request) -> web.Response:
-        manner = _manner_of(request, await request.read())
+        options = _request_options(request, await request.read())
         service = request.match_info["service"]
         if self._open >= self._cfg.connections:
-            self.history.record("over_connections", service=service, marker=manner.marker)
+            self.history.record("over_connections", service=service, marker=options.marker)
             return web.json_response({"error": "too many connections"}, status=503)
         self._open += 1
-        self.history.record("request_start", service=service, marker=manner.marker, open=self._open)
+        self.history.record(
+            "request_start", service=service, marker=options.marker, open=self._open
+        )
         try:
             async with self._slots:
-                return await self._answer(service, manner)
+                return await self._answer(service, options)
         finally:
             self._open -= 1
 
-    async def _answer(self, service: str, manner: _Manner) -> web.Response:
+    async def _answer(self, service: str, options: _Manner) -> web.Response:
         if self._control.hang:
             await asyncio.sleep(3600)
         if self._control.fail_all:
-            self.history.record("request_end", service=service, marker=manner.marker, status=500)
+            self.history.record("request_end", service=service, marker=options.marker, status=500)
             return web.json_response({"error": "failing"}, status=500)
-        await asyncio.sleep(self._service_ms(manner) / 1000)
-        self.history.record("request_end", service=service, marker=manner.marker, status=200)
-        body = {"service": service, "marker": manner.marker, "fill": "x" * manner.bytes}
+        await asyncio.sleep(self._service_ms(options) / 1000)
+        self.history.record("request_end", service=service, marker=options.marker, status=200)
+        body = {"service": service, "marker": options.marker, "fill": "x" * options.bytes}
         return web.json_response(body)
 
-    def _service_ms(self, manner: _Manner) -> float:
-        base_ms = self._cfg.base_ms if manner.delay_ms < 0 else manner.delay_ms
+    def _service_ms(self, options: _Manner) -> float:
+        base_ms = self._cfg.base_ms if options.delay_ms < 0 else options.delay_ms
         load = self._load if self._control.load is None else self._control.load
         return base_ms * self._control.slow * (1 + load * self._cfg.interference)
 
 
-def _manner_of(request: web.Request, body: bytes) -> _Manner:
-    manner = _Manner()
+def _request_options(request: web.Request, body: bytes) -> _Manner:
+    options = _Manner()
     with contextlib.suppress(msgspec.DecodeError, msgspec.ValidationError):
-        manner = msgspec.json.decode(body, type=_Manner)
+        options = msgspec.json.decode(body, type=_Manner)
     headers = request.headers
     return _Manner(
-        marker=headers.get("X-Standin-Marker", manner.marker),
-        delay_ms=float(headers.get("X-Standin-Delay-Ms", manner.delay_ms)),
-        bytes=int(headers.get("X-Standin-Bytes", manner.bytes)),
+        marker=headers.get("X-Standin-Marker", options.marker),
+        delay_ms=float(headers.get("X-Standin-Delay-Ms", options.delay_ms)),
+        bytes=int(headers.get("X-Standin-Bytes", options.bytes)),
     )
--- a/sapphirelead/standin_task.py
+++ b/sapphirelead/standin_task.py
@@ -13,8 +13,8 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.ports import TaskInfo, TaskSpec, TaskState
 
-EVENT_TAIL: Final = 256
-LAPSED: Final = "lease lapsed"
+MAX_BUFFERED_EVENTS: Final = 256
+LEASE_EXPIRED_REASON: Final = "lease lapsed"
 
 
 class Script(msgspec.Struct):
@@ -61,7 +61,7 @@
     throttle: float
     speed: float
     paused: bool
-    saving: asyncio.Lock
+    checkpoint_lock: asyncio.Lock
     started_at: float
     at: float
     checkpoint: str
@@ -78,7 +78,7 @@
         self.throttle = 1.0
         self.speed = 1.0
         self.paused = False
-        self.saving = asyncio.Lock()
+        self.checkpoint_lock = asyncio.Lock()
         self.started_at = at
         self.at = at
         self.checkpoint = ""
@@ -117,10 +117,10 @@
         if not self.running:
             return
         if at >= self.lease_until:
-            self._gain(self.lease_until)
-            self.end(TaskState.STOPPED, LAPSED)
+            self._add_progress(self.lease_until)
+            self.end(TaskState.STOPPED, LEASE_EXPIRED_REASON)
             return
-        self._gain(at)
+        self._add_progress(at)
         if self.progress.done_ms < self.total_ms - 1e-6:
             return
         if self.script.fail:
@@ -136,7 +136,7 @@
     def next_change(self) -> float:
         """Return the loop time of the next end or event at the present speed."""
         due_ms = self.total_ms - self.progress.done_ms
-        if self._emits():
+        if self._has_next_event():
             due_ms = min(due_ms, self._next_event_ms() - self.progress.done_ms)
         if self.speed <= 0:
             return self.lease_until
@@ -169,14 +169,14 @@
             return self.script.result
         return {"task": self.spec.task_id, "work_ms": self.progress.done_ms}
 
-    def _gain(self, at: float) -> None:
+    def _add_progress(self, at: float) -> None:
         gained_ms = max(0.0, at - self.at) * 1000 * self.speed
         self.at = max(self.at, at)
         self.progress.done_ms = min(self.total_ms, self.progress.done_ms + gained_ms)
-        while self._emits() and self.progress.done_ms >= self._next_event_ms() - 1e-6:
+        while self._has_next_event() and self.progress.done_ms >= self._next_event_ms() - 1e-6:
             self._emit()
 
-    def _emits(self) -> bool:
+    def _has_next_event(self) -> bool:
         bound = self.script.events
         return self.script.event_every_ms > 0 and (bound == 0 or self.progress.emitted < bound)
 
@@ -186,6 +186,6 @@
     def _emit(self) -> None:
         self.progress.emitted += 1
         self.events.append({"n": self.progress.emitted, "task": self.spec.task_id})
-        if len(self.events) > EVENT_TAIL:
+        if len(self.events) > MAX_BUFFERED_EVENTS:
             self.events.pop(0)
             self.first_event += 1
--- a/sapphirelead/standin_worker.py
+++ b/sapphirelead/standin_worker.py
@@ -62,12 +62,12 @@
     tasks: dict[tuple[str, int], StandInTask]
     runs: StandInRuns
     _cfg: WorkerSettings
-    _size: Resources
+    _capacity: Resources
     _session: int
     _fail_all: bool
     _objects: HttpObjects | None
-    _kept: dict[str, bytes]
-    _changed: asyncio.Event
+    _local_checkpoints: dict[str, bytes]
+    _wakeup: asyncio.Event
     _runner_task: asyncio.Task[None] | None
 
     def __init__(self, history: History, cfg: WorkerSettings) -> None:
@@ -75,12 +75,12 @@
         self.tasks = {}
         self.runs = StandInRuns(self, cfg.wants_tickets)
         self._cfg = cfg
-        self._size = Resources(cfg.cpu_millicores, cfg.memory_mb, cfg.accelerators)
+        self._capacity = Resources(cfg.cpu_millicores, cfg.memory_mb, cfg.accelerators)
         self._session = 0
         self._fail_all = cfg.fail_all
         self._objects = HttpObjects.connect(cfg.objects_url, 2.0) if cfg.objects_url else None
-        self._kept = {}
-        self._changed = asyncio.Event()
+        self._local_checkpoints = {}
+        self._wakeup = asyncio.Event()
         self._runner_task = None
 
     @classmethod
@@ -90,7 +90,7 @@
 
     async def start(self, host: str, port: int) -> int:
         """Listen and run tasks."""
-        self.history.record("worker_up", size=msgspec.to_builtins(self._size))
+        self.history.record("worker_up", size=msgspec.to_builtins(self._capacity))
         self._runner_task = asyncio.create_task(self._run())
         return await super().start(host, port)
 
@@ -126,10 +126,10 @@
         while True:
             self.advance_all()
             due = min((task.next_change() for task in self._running()), default=now() + 60)
-            self._changed.clear()
+            self._wakeup.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout_at(due):
-                    await self._changed.wait()
+                    await self._wakeup.wait()
 
     def advance_all(self) -> None:
         """Work out what has happened up to now."""
@@ -138,13 +138,13 @@
             task.advance(at)
             if not task.running:
                 self._record_end(task)
-        share = self._contention()
+        share = self._cpu_share()
         for task in self._running():
             task.speed = 0.0 if task.paused else task.throttle * share
 
-    def _contention(self) -> float:
+    def _cpu_share(self) -> float:
         wanted = sum(task.usage.cpu_millicores for task in self._running())
-        return min(1.0, self._size.cpu_millicores / wanted) if wanted else 1.0
+        return min(1.0, self._capacity.cpu_millicores / wanted) if wanted else 1.0
 
     def _running(self) -> list[StandInTask]:
         return [task for task in self.tasks.values() if task.running]
@@ -167,9 +167,9 @@
             "emitted": task.progress.emitted,
         }
         clock = task.lease_until if lapsed else None
-        self.history.record("task_end", clock, **_name(task), **fields)
+        self.history.record("task_end", clock, **_task_key(task), **fields)
         if task.state is TaskState.SUCCEEDED:
-            self.history.record("effect", **_name(task))
+            self.history.record("effect", **_task_key(task))
 
     # Calls.
 
@@ -189,33 +189,33 @@
         return web.Response(body=msgspec.json.encode(view), content_type="application/json")
 
     async def _interference(self, _request: web.Request) -> web.Response:
-        return web.json_response({"load": sum(map(self._noise, self._running()))})
+        return web.json_response({"load": sum(map(self._interference_load, self._running()))})
 
-    def _noise(self, task: StandInTask) -> float:
+    def _interference_load(self, task: StandInTask) -> float:
         if task.script.noise is not None:
             return task.script.noise * task.throttle
-        return task.usage.cpu_millicores / self._size.cpu_millicores
+        return task.usage.cpu_millicores / self._capacity.cpu_millicores
 
     async def _start_task(self, request: web.Request) -> web.Response:
         call = await _decode(request)
         spec = call.spec
         if spec is None or spec.task_id != request.match_info["task"]:
-            return _refuse(400, "spec missing or of another task")
+            return _error_response(400, "spec missing or of another task")
         if (spec.task_id, spec.epoch) in self.tasks:
             self.history.record("start_repeated", task=spec.task_id, epoch=spec.epoch)
-            return self._checked(call) or web.json_response({})
+            return self._check_session(call) or web.json_response({})
         match await self._load(spec.checkpoint):
             case None:
-                return _refuse(400, f"checkpoint {spec.checkpoint!r} cannot be read")
+                return _error_response(400, f"checkpoint {spec.checkpoint!r} cannot be read")
             case progress:
                 # Checked after the read of the checkpoint, which takes time: a session or lease
                 # that ended meanwhile must not start anything.
-                return self._checked(call) or self._begin(spec, progress)
+                return self._check_session(call) or self._begin(spec, progress)
 
     def _begin(self, spec: TaskSpec, progress: Progress) -> web.Response:
         if now() >= spec.lease_until:
             self.history.record("start_refused", task=spec.task_id, epoch=spec.epoch)
-            return _refuse(410, "the lease passed before the start")
+            return _error_response(410, "the lease passed before the start")
         if (spec.task_id, spec.epoch) in self.tasks:
             return web.json_response({})
         self.advance_all()
@@ -228,7 +228,7 @@
         self.tasks[(spec.task_id, spec.epoch)] = task
         self.history.record(
             "task_start",
-            **_name(task),
+            **_task_key(task),
             session=self._session,
             kind=spec.kind,
             job_class=spec.job_class,
@@ -239,14 +239,14 @@
         )
         if self._fail_all:
             self.end(task, TaskState.FAILED, "everything fails here")
-        self._changed.set()
+        self._wakeup.set()
 
     def set_speed(self, task: StandInTask, share: float) -> None:
         """Let a task use a share of its processors."""
         self.advance_all()
         task.throttle = min(1.0, max(0.0, share))
-        self.history.record("throttle", **_name(task), share=task.throttle)
-        self._changed.set()
+        self.history.record("throttle", **_task_key(task), share=task.throttle)
+        self._wakeup.set()
 
     def drop(self, task: StandInTask) -> None:
         """Forget an ended task."""
@@ -254,41 +254,41 @@
 
     async def _renew(self, request: web.Request) -> web.Response:
         call = await _decode(request)
-        if refusal := self._checked(call):
+        if refusal := self._check_session(call):
             return refusal
         self.advance_all()
         for task in self._running():
             until = call.leases.get(task.spec.task_id, 0.0)
             task.lease_until = max(task.lease_until, until)
-        self._changed.set()
+        self._wakeup.set()
         return web.json_response({})
 
     async def _throttle(self, request: web.Request) -> web.Response:
         call = await _decode(request)
-        if refusal := self._checked(call):
+        if refusal := self._check_session(call):
             return refusal
-        for task in self._named(request):
+        for task in self._tasks_named(request):
             self.set_speed(task, call.share)
         return web.json_response({})
 
     async def _checkpoint(self, request: web.Request) -> web.Response:
         call = await _decode(request)
-        if refusal := self._checked(call):
+        if refusal := self._check_session(call):
             return refusal
-        named = self._named(request)
+        named = self._tasks_named(request)
         if not named:
-            return _refuse(404, "no such task")
+            return _error_response(404, "no such task")
         task = named[-1]
         if task.running and not await self._checkpoint_task(task):
-            return _refuse(503, "the checkpoint could not be stored; the task goes on")
+            return _error_response(503, "the checkpoint could not be stored; the task goes on")
         if not task.checkpoint:
-            return _refuse(410, f"ended without a checkpoint: {task.state} {task.reason}")
+            return _error_response(410, f"ended without a checkpoint: {task.state} {task.reason}")
         return web.json_response({"checkpoint": task.checkpoint})
 
     async def _checkpoint_task(self, task: StandInTask) -> bool:
         # A caller that gave up waiting asks again.  Where the first try then failed, it let the
         # task run on while the second was still storing progress from before.
-        async with task.saving:
+        async with task.checkpoint_lock:
             return not task.running or await self._store_and_end(task)
 
     async def _store_and_end(self, task: StandInTask) -> bool:
@@ -303,26 +303,26 @@
         if stored and task.running:
             task.checkpoint = key
             done_ms = task.progress.done_ms
-            self.history.record("checkpoint", **_name(task), key=key, done_ms=done_ms)
+            self.history.record("checkpoint", **_task_key(task), key=key, done_ms=done_ms)
             self.end(task, TaskState.STOPPED, "checkpointed")
-        self._changed.set()
+        self._wakeup.set()
         return stored
 
     async def _stop_task(self, request: web.Request) -> web.Response:
         call = await _decode(request)
-        if refusal := self._checked(call):
+        if refusal := self._check_session(call):
             return refusal
-        for task in self._named(request):
+        for task in self._tasks_named(request):
             if task.running:
                 self.end(task, TaskState.STOPPED, "stopped")
-        self._changed.set()
+        self._wakeup.set()
         return web.json_response({})
 
     async def _remove(self, request: web.Request) -> web.Response:
         call = await _decode(request)
-        if refusal := self._checked(call):
+        if refusal := self._check_session(call):
             return refusal
-        for task in self._named(request):
+        for task in self._tasks_named(request):
             if not task.running:
                 self.drop(task)
         return web.json_response({})
@@ -332,13 +332,13 @@
         self._fail_all = control.fail_all
         return web.json_response({})
 
-    def _named(self, request: web.Request) -> list[StandInTask]:
+    def _tasks_named(self, request: web.Request) -> list[StandInTask]:
         name = request.match_info["task"]
         return [task for (task_id, _), task in self.tasks.items() if task_id == name]
 
-    def _checked(self, call: _Call) -> web.Response | None:
+    def _check_session(self, call: _Call) -> web.Response | None:
         if call.session != self._session:
-            return _refuse(409, f"session {call.session} was replaced by {self._session}")
+            return _error_response(409, f"session {call.session} was replaced by {self._session}")
         return None
 
     # Checkpoints.
@@ -350,17 +350,17 @@
         if self._objects is not None:
             data = (await self._objects.get(key)).unwrap_or(None)
         else:
-            data = self._kept.get(key)
+            data = self._local_checkpoints.get(key)
         return msgspec.json.decode(data, type=Progress) if data else None
 
     async def _store(self, key: str, data: bytes) -> bool:
         if self._objects is not None:
             return (await self._objects.put(key, data)).is_ok()
-        self._kept[key] = data
+        self._local_checkpoints[key] = data
         return True
 
 
-def _name(task: StandInTask) -> dict[str, Any]:
+def _task_key(task: StandInTask) -> dict[str, Any]:
     return {"task": task.spec.task_id, "epoch": task.spec.epoch}
 
 
@@ -371,5 +371,5 @@
         raise web.HTTPBadRequest(text=str(exc)) from exc
 
 
-def _refuse(status: int, text: str) -> web.Response:
+def _error_response(status: int, text: str) -> web.Response:
     return web.Response(status=status, text=text)
--- a/tests/unit/test_fleet_config.py
+++ b/tests/unit/test_fleet_config.py
@@ -25,7 +25,7 @@
 QUEUE = {"service": "checks"}
 
 
-def test_queues_become_the_policies_that_the_fleet_decides_by() -> None:
+def test_queue_settings_map_to_scheduling_policies() -> None:
     advice = {"base_ms": 5, "each_ms": 1, "valid_ms": 400}
     raw = {
         "queues": {
@@ -65,19 +65,21 @@
         ),
     ],
 )
-def test_a_queue_that_is_wrong_is_named(raw: Any, path: tuple[str, ...], said: str) -> None:
+def test_invalid_queue_field_is_reported_with_its_path(
+    raw: Any, path: tuple[str, ...], said: str
+) -> None:
     (problem,) = check_document(raw).unwrap_err()
     assert problem.path == path
     assert said in problem.message
 
 
-def test_the_audit_trail_says_what_changed_of_a_queue() -> None:
+def test_audit_trail_lists_changed_queue_fields() -> None:
     before = ConfigDocument.model_validate({"queues": {"q": QUEUE}})
     after = ConfigDocument.model_validate({"queues": {"q": {**QUEUE, "priority": 2}}})
     assert describe_changes(before, after) == ("queues.q.priority: unset -> 2",)
 
 
-async def test_rows_come_back_as_they_were_stored() -> None:
+async def test_stored_rows_are_read_back_unchanged() -> None:
     plain = MemoryTable()
     table = PackedTable(plain)
     writes = (Write("job/a", {"data": b"\x00\xff"}), Write("job/b", {"data": b"", "seq": 3}))
@@ -93,7 +95,7 @@
     assert isinstance(((await plain.rows(["job/a"])).unwrap()[0].value or {})[PACKED], str)
 
 
-class SilentTable(MemoryTable):
+class UnresponsiveTable(MemoryTable):
     """A table to which connections hang."""
 
     async def commit(self, txn: Txn) -> Commit:
@@ -105,8 +107,8 @@
         return await super().rows(keys)
 
 
-async def test_a_silent_table_is_given_up_before_a_heartbeat_is_missed() -> None:
-    table = PackedTable(SilentTable())
+async def test_unresponsive_table_times_out_before_a_heartbeat_is_missed() -> None:
+    table = PackedTable(UnresponsiveTable())
     began = now()
     assert (await table.rows(["fleet/head"])).unwrap_err().code is Code.STORE_UNAVAILABLE
     assert now() - began < LEADER_SILENCE_S - BEAT_S
@@ -114,7 +116,7 @@
     assert commit.status is CommitStatus.AMBIGUOUS
 
 
-async def test_one_unreadable_row_hides_no_other_and_is_never_taken_for_an_absent_one() -> None:
+async def test_unreadable_row_neither_hides_others_nor_counts_as_absent() -> None:
     """A row was damaged, or written by something else under a key of the fleet.
 
     The other jobs are there.  The job of a damaged snapshot is left out: begun anew, it would run
@@ -135,7 +137,7 @@
     assert list(jobs) == ["c"]
 
 
-async def test_an_unreadable_head_row_is_succeeded() -> None:
+async def test_unreadable_head_row_counts_as_no_leader() -> None:
     plain = MemoryTable()
     await plain.commit(Txn("t1", (), (Write("fleet/head", {"other": 1}),)))
     head = (await read_head(PackedTable(plain))).unwrap()
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -11,7 +11,7 @@
 
 from sapphirelead.entry_http import CallerApi, CallerPorts
 from sapphirelead.fleet_http import PREFIX, QueueRoutes
-from sapphirelead.fleet_jobs import JOB_BYTES
+from sapphirelead.fleet_jobs import MAX_JOB_BYTES
 from sapphirelead.metrics import Metrics
 from sapphirelead.model_config import Config
 from sapphirelead.node_messages import CallKind, Reply, ReplyKind
@@ -43,18 +43,18 @@
         self.config = QueueConfig(version=1)
         self.reply = Reply(1, ReplyKind.OK, "queued", waiting=7)
         self.calls: list[tuple[CallKind, str, str, bytes, float]] = []
-        self.go_on = asyncio.Event()
-        self.go_on.set()
+        self.may_reply = asyncio.Event()
+        self.may_reply.set()
 
     async def call(
         self, kind: CallKind, queue: str, job_id: str, job: bytes, deadline_s: float
     ) -> Reply:
         self.calls.append((kind, queue, job_id, job, deadline_s))
-        await self.go_on.wait()
+        await self.may_reply.wait()
         return self.reply
 
 
-class Served:
+class ApiHarness:
     """The caller API of an entry with a fleet behind it."""
 
     def __init__(self, version: int = 1) -> None:
@@ -67,12 +67,12 @@
                 "zone": "z0",
                 "http_port": 0,
                 "platform": {"table_url": "http://127.0.0.1:1"},
-                "limits": {"body_bytes": 2 * JOB_BYTES},
+                "limits": {"body_bytes": 2 * MAX_JOB_BYTES},
             }
         )
         fleet: Any = self.fleet
         fake: Any = self.back
-        self.routes = QueueRoutes(self.settings.limits, fleet, fake, advised=False)
+        self.routes = QueueRoutes(self.settings.limits, fleet, fake, advice_configured=False)
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[aiohttp.ClientSession]:
@@ -85,7 +85,7 @@
             async with aiohttp.ClientSession(f"http://127.0.0.1:{self.api.port}") as http:
                 yield http
         finally:
-            self.fleet.go_on.set()
+            self.fleet.may_reply.set()
             await self.api.stop()
 
 
@@ -94,7 +94,7 @@
 
 
 # What is submitted, and the status, code and field that come back.
-BAD: dict[str, tuple[str, dict[str, Any], tuple[int, str, str]]] = {
+BAD_SUBMISSIONS: dict[str, tuple[str, dict[str, Any], tuple[int, str, str]]] = {
     "no JSON": (JOB, {"data": b"{"}, (400, "SL-100", "body")),
     "not UTF-8": (JOB, {"data": b'{"steps":[{"label":"\xff"}]}'}, (400, "SL-100", "body")),
     "no object": (JOB, {"json": [1]}, (422, "SL-102", "body")),
@@ -117,8 +117,8 @@
         JOB, steps(STEP, input="x" * MAX_PAYLOAD_BYTES), (422, "SL-102", "steps"),
     ),
     "impossible size": (JOB, steps({"cpu_millicores": 4001}), (422, "SL-305", "steps[0]")),
-    "large body": (JOB, {"data": b" " * (JOB_BYTES + 1)}, (413, "SL-101", "body")),
-    "larger body": (JOB, {"data": b" " * (2 * JOB_BYTES + 1)}, (413, "SL-101", "body")),
+    "large body": (JOB, {"data": b" " * (MAX_JOB_BYTES + 1)}, (413, "SL-101", "body")),
+    "larger body": (JOB, {"data": b" " * (2 * MAX_JOB_BYTES + 1)}, (413, "SL-101", "body")),
     "id": (f"{NIGHTLY}/jobs/a.b", steps(STEP), (400, "SL-100", "id")),
     "long id": (f"{NIGHTLY}/jobs/{'a' * 65}", steps(STEP), (400, "SL-100", "id")),
     "queue's name": ("/v1/queues/a%2Fb/jobs/a1", steps(STEP), (400, "SL-100", "queue")),
@@ -131,20 +131,20 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
-async def test_bad_submission_is_named_and_never_reaches_a_leader(name: str) -> None:
-    path, options, expected = BAD[name]
-    served = Served()
-    async with served.running() as http:
+@pytest.mark.parametrize("name", BAD_SUBMISSIONS)
+async def test_invalid_submission_is_rejected_before_reaching_a_leader(name: str) -> None:
+    path, options, expected = BAD_SUBMISSIONS[name]
+    harness = ApiHarness()
+    async with harness.running() as http:
         status, body, headers = await ask(http, "POST", path, **options)
     assert (status, body["code"], body.get("field", "")) == expected
     assert body["outcome"] == "not_run" and body["detail"]
     assert "Retry-After" not in headers
-    assert not served.fleet.calls
+    assert not harness.fleet.calls
 
 
-async def test_submission_becomes_the_job_that_it_describes() -> None:
-    served = Served()
+async def test_submission_is_converted_to_the_stored_job() -> None:
+    harness = ApiHarness()
     second = {"tasks": 2, "after": [0], "saves": True, "label": "ssd", "per_worker": 1}
     body = {
         "input": {"n": [1, 2]},
@@ -153,12 +153,12 @@
         "interval_ms": 6,
         "occurrences": 7,
     }
-    async with served.running() as http:
+    async with harness.running() as http:
         headers = {"X-Request-Deadline-Ms": "2500"}
         status, told, got = await ask(http, "POST", JOB, json=body, headers=headers)
     assert (status, told) == (202, {"queue": "nightly", "id": "a1", "state": "queued"})
     assert got["Location"] == JOB
-    ((kind, queue, job_id, stored, deadline_s),) = served.fleet.calls
+    ((kind, queue, job_id, stored, deadline_s),) = harness.fleet.calls
     assert (kind, queue, job_id, deadline_s) == (CallKind.SUBMIT, "nightly", "a1", 2.5)
     job = decode_spec(stored)
     assert job.payload == '{"n":[1,2]}'
@@ -172,7 +172,7 @@
 
 CALLS = {"submit": ("POST", JOB), "ask": ("GET", JOB), "cancel": ("DELETE", JOB)}
 # Call, how it ended; status, code, outcome.
-ENDS: dict[str, tuple[str, Reply, tuple[int, str, str]]] = {
+CALL_OUTCOMES: dict[str, tuple[str, Reply, tuple[int, str, str]]] = {
     "not stored": (
         "submit", Reply(1, ReplyKind.NOT_RUN, retry_after_s=1.2), (503, "SL-307", "not_run"),
     ),
@@ -196,13 +196,13 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", ENDS)
-async def test_refusal_says_what_is_known(name: str) -> None:
-    call, reply, expected = ENDS[name]
+@pytest.mark.parametrize("name", CALL_OUTCOMES)
+async def test_error_response_reports_code_and_outcome(name: str) -> None:
+    call, reply, expected = CALL_OUTCOMES[name]
     method, path = CALLS[call]
-    served = Served()
-    served.fleet.reply = reply
-    async with served.running() as http:
+    harness = ApiHarness()
+    harness.fleet.reply = reply
+    async with harness.running() as http:
         options = steps(STEP) if method == "POST" else {}
         status, body, headers = await ask(http, method, path, **options)
     assert (status, body["code"], body["outcome"]) == expected
@@ -214,10 +214,10 @@
         assert "Retry-After" not in headers
 
 
-async def test_state_cancel_and_waiting_are_answered() -> None:
-    served = Served()
-    async with served.running() as http:
-        served.fleet.reply = Reply(1, ReplyKind.OK, "running", waiting=7)
+async def test_state_cancel_and_waiting_return_the_leaders_reply() -> None:
+    harness = ApiHarness()
+    async with harness.running() as http:
+        harness.fleet.reply = Reply(1, ReplyKind.OK, "running", waiting=7)
         shown = await ask(http, "GET", JOB)
         cancelled = await ask(http, "DELETE", JOB)
         waiting = await ask(http, "GET", NIGHTLY)
@@ -226,39 +226,39 @@
     assert cancelled[0] == 200
     assert waiting[:2] == (200, {"queue": "nightly", "waiting": 7})
     assert (missing[0], missing[1]["code"]) == (404, "SL-103")
-    assert [call[0] for call in served.fleet.calls] == ["state", "cancel", "waiting"]
+    assert [call[0] for call in harness.fleet.calls] == ["state", "cancel", "waiting"]
 
 
-async def test_an_entry_without_a_configuration_says_so_and_when_to_come_back() -> None:
-    served = Served(version=0)
-    async with served.running() as http:
+async def test_entry_without_configuration_returns_retry_after() -> None:
+    harness = ApiHarness(version=0)
+    async with harness.running() as http:
         status, body, headers = await ask(http, "POST", JOB, **steps(STEP))
     assert (status, body["code"], body["outcome"]) == (503, "SL-307", "not_run")
     assert headers["Retry-After"] == "1"
 
 
-async def test_a_leaving_entry_answers_what_it_has_read_and_refuses_what_comes_later() -> None:
+async def test_leaving_entry_answers_pending_requests_and_rejects_later_ones() -> None:
     """An entry is told to stop while a submission waits for the leader.
 
     The submission gets its answer.  Until the balancer has turned elsewhere others are served too,
     each with the word to use another connection; what still comes after that is refused as not run.
     """
-    served = Served()
-    async with served.running() as http:
-        served.fleet.go_on.clear()
+    harness = ApiHarness()
+    async with harness.running() as http:
+        harness.fleet.may_reply.clear()
         held = asyncio.create_task(ask(http, "POST", JOB, **steps(STEP)))
-        while not served.fleet.calls:
+        while not harness.fleet.calls:
             await asyncio.sleep(0.01)
-        served.routes.turn_away()
-        draining = asyncio.create_task(served.api.drain(5.0))
-        closing = asyncio.create_task(_close_later(served.routes))
-        assert served.routes.in_progress == 1
+        harness.routes.turn_away()
+        draining = asyncio.create_task(harness.api.drain(5.0))
+        closing = asyncio.create_task(_close_later(harness.routes))
+        assert harness.routes.in_progress == 1
         meanwhile = asyncio.create_task(ask(http, "POST", f"{NIGHTLY}/jobs/a2", **steps(STEP)))
         await asyncio.sleep(0.1)
-        assert len(served.fleet.calls) == 2 and not closing.done()
+        assert len(harness.fleet.calls) == 2 and not closing.done()
         await asyncio.sleep(0.2)
         late = await ask(http, "GET", JOB)
-        served.fleet.go_on.set()
+        harness.fleet.may_reply.set()
         assert [(await held)[0], (await meanwhile)[0]] == [202, 202]
         assert (await held)[2]["Connection"] == "close"
         assert (late[0], late[1]["code"], late[1]["outcome"]) == (503, "SL-307", "not_run")
@@ -270,13 +270,13 @@
     await routes.close()
 
 
-def test_every_field_of_a_step_is_in_the_callers_page() -> None:
+def test_openapi_page_lists_every_step_field() -> None:
     step = page("openapi.yaml").partition("\n    Step:\n")[2].partition("\n    Problem:\n")[0]
     for field in StepSpec.__struct_fields__:
         assert f"\n        {field}: {{" in step, field
 
 
-def test_every_route_is_in_the_callers_page() -> None:
+def test_openapi_page_lists_every_queue_route() -> None:
     paths = {route.resource.canonical for route in _router().routes() if route.resource}
     assert len(paths) == 2
     assert not {path for path in paths if f"\n  {path}:\n" not in page("openapi.yaml")}
@@ -284,5 +284,5 @@
 
 def _router() -> web.UrlDispatcher:
     app = web.Application()
-    app.add_routes(Served().routes.routes())
+    app.add_routes(ApiHarness().routes.routes())
     return app.router
--- a/tests/unit/test_keys.py
+++ b/tests/unit/test_keys.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     ("client", "accepted"), [("own", True), ("foreign", False), ("none", False)]
 )
-async def test_only_holders_of_the_deployments_keys_are_heard(
+async def test_only_peers_with_the_deployments_keys_are_accepted(
     tmp_path: Path, client: str, accepted: bool
 ) -> None:
     """A process with another deployment's keys, or none, reaches an entry's port.
@@ -76,7 +76,7 @@
         ctx.term()
 
 
-async def test_worked_example_ends_as_promised_over_protected_connections(tmp_path: Path) -> None:
+async def test_worked_example_completes_over_curve_connections(tmp_path: Path) -> None:
     write_keys(str(tmp_path)).unwrap()
     stack = DevStack(str(tmp_path))
     try:
--- a/tests/unit/test_platform_standin_store.py
+++ b/tests/unit/test_platform_standin_store.py
@@ -15,7 +15,7 @@
 from sapphirelead.standin_server import Faults
 
 OTHER_HOST = "127.0.0.77"
-FIRST = Txn("one", (Condition("t/a", 0),), (Write("t/a", {"x": 1}),))
+FIRST_TXN = Txn("one", (Condition("t/a", 0),), (Write("t/a", {"x": 1}),))
 
 
 class Store:
@@ -47,9 +47,9 @@
 
 
 async def test_a_condition_that_does_not_hold_changes_nothing(store: Store) -> None:
-    first = await store.table.commit(FIRST)
+    first = await store.table.commit(FIRST_TXN)
     assert first.status is CommitStatus.COMMITTED
-    assert (await store.table.commit(FIRST)).status is CommitStatus.CONFLICT
+    assert (await store.table.commit(FIRST_TXN)).status is CommitStatus.CONFLICT
     later = Txn("two", (Condition("t/a", first.version),), (Write("t/b", {"y": 2}),))
     assert (await store.other.commit(later)).status is CommitStatus.COMMITTED
     rows = (await store.table.rows(["t/a", "t/b", "t/c"])).unwrap()
@@ -66,7 +66,7 @@
     store: Store,
 ) -> None:
     store.standin.set_faults(Faults(down=True, hang=True, late_apply=True, only="/rows"))
-    assert (await store.table.commit(FIRST)).status is CommitStatus.AMBIGUOUS
+    assert (await store.table.commit(FIRST_TXN)).status is CommitStatus.AMBIGUOUS
     store.standin.set_faults(Faults())
 
     async def performed() -> bool:
@@ -75,15 +75,15 @@
     await wait_until("the held transaction is performed", performed, 5)
 
 
-async def test_one_caller_is_turned_away_while_another_is_served(store: Store) -> None:
+async def test_one_host_is_refused_while_another_is_served(store: Store) -> None:
     await store.post("/refuse", [Refusal(OTHER_HOST, 429)])
-    assert (await store.other.commit(FIRST)).status is CommitStatus.REJECTED
-    assert (await store.table.commit(FIRST)).status is CommitStatus.COMMITTED
+    assert (await store.other.commit(FIRST_TXN)).status is CommitStatus.REJECTED
+    assert (await store.table.commit(FIRST_TXN)).status is CommitStatus.COMMITTED
     await store.post("/refuse", [Refusal(OTHER_HOST, 0)])
     assert (await store.other.rows(["t/a"])).is_err()
 
 
-async def test_changes_are_followed_until_the_history_is_forgotten(store: Store) -> None:
+async def test_change_feed_reports_changes_and_raises_on_a_gap(store: Store) -> None:
     waiting = asyncio.create_task(store.table.changes("op", 0))
     row = {"table": "op", "key": "config", "value": "eA=="}
     await store.post("/operator", msgspec.convert({"writes": [row]}, WireTransaction))
--- a/tests/unit/test_platform_standin_worker.py
+++ b/tests/unit/test_platform_standin_worker.py
@@ -16,7 +16,7 @@
 LONG = '{"work_ms": 60000, "saves": true}'
 
 
-class Site:
+class WorkerHarness:
     """A worker with the client that an agent has of it."""
 
     async def start(self) -> None:
@@ -41,38 +41,41 @@
 
 
 @pytest.fixture
-async def site() -> AsyncIterator[Site]:
-    made = Site()
+async def harness() -> AsyncIterator[WorkerHarness]:
+    made = WorkerHarness()
     await made.start()
     yield made
     await made.client.close()
     await made.standin.stop()
 
 
-async def test_an_end_is_listed_until_it_is_noted(site: Site) -> None:
-    assert await site.start_run(site.call("a.0.0.0")) is StartAnswer.STARTED
-    view = (await site.client.hold(5, 0, 0, 1_000)).unwrap()
+async def test_ended_run_is_listed_until_acknowledged(harness: WorkerHarness) -> None:
+    assert await harness.start_run(harness.call("a.0.0.0")) is StartAnswer.STARTED
+    view = (await harness.client.hold(5, 0, 0, 1_000)).unwrap()
     assert [(end.number, end.task, end.kind) for end in view.ended] == [(1, "a.0.0.0", "done")]
-    assert (await site.client.hold(5, 1, 0, 0)).unwrap().ended == []
-    assert await site.start_run(site.call("a.0.0.0")) is StartAnswer.OUTDATED
-    assert await site.start_run(site.call("a.0.0.0", attempt=2)) is StartAnswer.STARTED
+    assert (await harness.client.hold(5, 1, 0, 0)).unwrap().ended == []
+    assert await harness.start_run(harness.call("a.0.0.0")) is StartAnswer.OUTDATED
+    assert await harness.start_run(harness.call("a.0.0.0", attempt=2)) is StartAnswer.STARTED
 
 
-async def test_a_lower_token_and_a_late_start_are_refused(site: Site) -> None:
-    assert await site.start_run(site.call("a.0.0.0")) is StartAnswer.STARTED
-    assert (await site.client.hold(4, 0, 0, 0)).err() is CallFailure.FENCED
-    assert await site.start_run(site.call("b.0.0.0", within_ms=-1)) is StartAnswer.TOO_LATE
+async def test_a_lower_token_and_a_late_start_are_refused(harness: WorkerHarness) -> None:
+    assert await harness.start_run(harness.call("a.0.0.0")) is StartAnswer.STARTED
+    assert (await harness.client.hold(4, 0, 0, 0)).err() is CallFailure.FENCED
+    assert await harness.start_run(harness.call("b.0.0.0", within_ms=-1)) is StartAnswer.TOO_LATE
 
 
-async def test_a_late_stop_is_carried_out_after_the_caller_has_given_up(site: Site) -> None:
-    assert await site.start_run(site.call("a.0.0.0", LONG, within_ms=9_000)) is StartAnswer.STARTED
-    await site.behave(Behaviour(late_orders=1, late_s=0.6))
-    assert (await site.client.stop("a.0.0.0", 1, 5)).err() is CallFailure.NO_ANSWER
-    view = (await site.client.hold(5, 0, 0, 1_500)).unwrap()
+async def test_late_stop_is_carried_out_after_the_caller_timed_out(harness: WorkerHarness) -> None:
+    assert (
+        await harness.start_run(harness.call("a.0.0.0", LONG, within_ms=9_000))
+        is StartAnswer.STARTED
+    )
+    await harness.behave(Behaviour(late_orders=1, late_s=0.6))
+    assert (await harness.client.stop("a.0.0.0", 1, 5)).err() is CallFailure.NO_ANSWER
+    view = (await harness.client.hold(5, 0, 0, 1_500)).unwrap()
     assert [(end.kind, end.saved != "") for end in view.ended] == [("stopped", True)]
 
 
-def test_what_came_due_during_a_pause_ends_in_its_order_and_at_its_time() -> None:
+def test_runs_due_during_a_pause_end_in_order_at_their_due_times() -> None:
     life = Life(stop_s=1.0, lease_until=13.0)
     for task, work_ms in (("a", 5_000), ("b", 1_000), ("c", 2_000)):
         life.start(Run(task, 1, Script(work_ms), 10.0))
--- a/tests/unit/test_standin_runs.py
+++ b/tests/unit/test_standin_runs.py
@@ -22,7 +22,7 @@
 TOKEN = 100
 
 
-class Side:
+class WorkerHarness:
     """A worker and a runner's calls to it."""
 
     def __init__(self, worker: StandInWorker, url: str) -> None:
@@ -52,48 +52,48 @@
 
 
 @asynccontextmanager
-async def beside_worker(wants_tickets: bool = False) -> AsyncIterator[Side]:
+async def running_worker(wants_tickets: bool = False) -> AsyncIterator[WorkerHarness]:
     worker = StandInWorker(History.open("w"), WorkerSettings(wants_tickets=wants_tickets))
     port = await worker.start("127.0.0.1", 0)
-    side = Side(worker, f"http://127.0.0.1:{port}")
+    harness = WorkerHarness(worker, f"http://127.0.0.1:{port}")
     try:
-        yield side
+        yield harness
     finally:
-        await side.runs.close()
+        await harness.runs.close()
         await worker.stop()
 
 
-async def test_a_run_is_started_once_and_its_end_is_listed_until_noted() -> None:
-    async with beside_worker() as side:
-        await side.lease()
-        answers = [await side.start(payload='{"work_ms":80}') for _ in range(2)]
+async def test_run_starts_once_and_its_end_is_listed_until_acknowledged() -> None:
+    async with running_worker() as harness:
+        await harness.lease()
+        answers = [await harness.start(payload='{"work_ms":80}') for _ in range(2)]
         assert answers == [StartAnswer.STARTED] * 2
-        (end,) = await side.ends(wait_ms=1000)
+        (end,) = await harness.ends(wait_ms=1000)
         assert (end.number, end.task, end.attempt, end.kind) == (1, "a1.0.0.0", 1, "done")
-        assert await side.ends() == [end]
-        assert await side.ends(noted=1) == []
-        assert await side.start(payload='{"work_ms":80}') is StartAnswer.OUTDATED
-        assert sum(line["event"] == "effect" for line in side.worker.history.events) == 1
+        assert await harness.ends() == [end]
+        assert await harness.ends(noted=1) == []
+        assert await harness.start(payload='{"work_ms":80}') is StartAnswer.OUTDATED
+        assert sum(line["event"] == "effect" for line in harness.worker.history.events) == 1
 
 
-async def test_a_stopped_run_never_starts_and_its_successor_goes_on_where_it_was() -> None:
-    async with beside_worker() as side:
-        await side.lease()
-        (await side.runs.stop("a1.0.0.0", 1, TOKEN)).unwrap()
-        assert await side.start(attempt=1) is StartAnswer.OUTDATED
+async def test_stopped_attempt_never_starts_and_next_attempt_resumes_its_progress() -> None:
+    async with running_worker() as harness:
+        await harness.lease()
+        (await harness.runs.stop("a1.0.0.0", 1, TOKEN)).unwrap()
+        assert await harness.start(attempt=1) is StartAnswer.OUTDATED
         saved = msgspec.json.encode(Progress(done_ms=900)).decode()
-        assert await side.start(attempt=2, saved=saved) is StartAnswer.STARTED
-        (await side.runs.stop("a1.0.0.0", 2, TOKEN)).unwrap()
-        (end,) = await side.ends()
+        assert await harness.start(attempt=2, saved=saved) is StartAnswer.STARTED
+        (await harness.runs.stop("a1.0.0.0", 2, TOKEN)).unwrap()
+        (end,) = await harness.ends()
         assert (end.attempt, end.kind) == (2, "stopped")
         assert msgspec.json.decode(end.saved, type=Progress).done_ms >= 900
 
 
-async def test_what_runs_ends_with_the_lease() -> None:
-    async with beside_worker() as side:
-        await side.lease(0.2)
-        assert await side.start(deadline_s=0.1) is StartAnswer.STARTED
-        (end,) = await side.ends(wait_ms=1000)
+async def test_running_task_ends_when_the_lease_expires() -> None:
+    async with running_worker() as harness:
+        await harness.lease(0.2)
+        assert await harness.start(deadline_s=0.1) is StartAnswer.STARTED
+        (end,) = await harness.ends(wait_ms=1000)
         assert end.kind == "lapsed"
 
 
@@ -105,43 +105,43 @@
         ("{}", -0.1, StartAnswer.TOO_LATE),
     ],
 )
-async def test_a_start_that_cannot_be_carried_out_is_refused(
+async def test_invalid_or_late_start_is_rejected(
     payload: str, deadline_s: float, answer: StartAnswer
 ) -> None:
-    async with beside_worker() as side:
-        assert await side.start(payload=payload, deadline_s=deadline_s) is answer
-        assert (await side.runs.hold(TOKEN, 0, 0, 0)).unwrap().running == []
+    async with running_worker() as harness:
+        assert await harness.start(payload=payload, deadline_s=deadline_s) is answer
+        assert (await harness.runs.hold(TOKEN, 0, 0, 0)).unwrap().running == []
 
 
-async def test_an_older_token_and_another_life_are_told() -> None:
-    async with beside_worker() as side:
-        await side.lease()
-        assert await side.start(token=TOKEN - 1) is CallFailure.FENCED
-        earlier = HttpRuns.connect("gone", side.url)
+async def test_stale_token_and_wrong_life_are_rejected() -> None:
+    async with running_worker() as harness:
+        await harness.lease()
+        assert await harness.start(token=TOKEN - 1) is CallFailure.FENCED
+        earlier = HttpRuns.connect("gone", harness.url)
         assert (await earlier.hold(TOKEN, 0, 0, 0)).unwrap_err() is CallFailure.OTHER_LIFE
         await earlier.close()
-        http = HttpCaller.connect(side.url, 1.0)
-        assert await read_life(http) == side.worker.runs.life
+        http = HttpCaller.connect(harness.url, 1.0)
+        assert await read_life(http) == harness.worker.runs.life
         await http.close()
 
 
-async def test_a_start_wants_the_ticket_that_the_advice_service_gave() -> None:
+async def test_start_requires_the_ticket_from_the_advice_service() -> None:
     advice = StandInAdvice(History.open("a"), AdviceSettings())
     port = await advice.start("127.0.0.1", 0)
     client = HttpAdvice.connect(f"http://127.0.0.1:{port}")
     policy = AdvicePolicy(base_ms=5, each_ms=1, valid_ms=1000)
-    async with beside_worker(wants_tickets=True) as side:
-        life = side.worker.runs.life
+    async with running_worker(wants_tickets=True) as harness:
+        life = harness.worker.runs.life
         tickets = (await client.ask("a1.0.0", [life, "other"], policy)).unwrap().tickets
         for wrong in ("", tickets["other"]):
-            assert await side.start(ticket=wrong) is StartAnswer.NO_TICKET
-        assert await side.start(ticket=tickets[life]) is StartAnswer.STARTED
+            assert await harness.start(ticket=wrong) is StartAnswer.NO_TICKET
+        assert await harness.start(ticket=tickets[life]) is StartAnswer.STARTED
     await client.close()
     await advice.stop()
 
 
 @pytest.mark.parametrize(("url", "code"), [("", "SL-202"), ("http://127.0.0.1:9", "SL-301")])
-async def test_advice_that_is_not_there_is_a_failure(url: str, code: str) -> None:
+async def test_unavailable_advice_service_returns_a_failure(url: str, code: str) -> None:
     client = HttpAdvice.connect(url)
     found = await client.ask("a1.0.0", ["w"], AdvicePolicy())
     assert found.unwrap_err().code == code
@@ -149,11 +149,11 @@
 
 
 async def test_a_slower_pace_lengthens_a_run() -> None:
-    async with beside_worker() as side:
-        await side.lease()
-        assert await side.start(payload='{"work_ms":200}') is StartAnswer.STARTED
+    async with running_worker() as harness:
+        await harness.lease()
+        assert await harness.start(payload='{"work_ms":200}') is StartAnswer.STARTED
         began = now()
-        (await side.runs.pace("a1.0.0.0", 1, 25, TOKEN)).unwrap()
+        (await harness.runs.pace("a1.0.0.0", 1, 25, TOKEN)).unwrap()
         await asyncio.sleep(0)
-        (end,) = await side.ends(wait_ms=3000)
+        (end,) = await harness.ends(wait_ms=3000)
         assert (end.kind, now() - began > 0.6) == ("done", True)
--- a/tests/unit/test_standin_worker.py
+++ b/tests/unit/test_standin_worker.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("name", PROGRESS)
-def test_progress_follows_speed_and_stops_with_the_lease(name: str) -> None:
+def test_progress_follows_speed_and_stops_at_lease_expiry(name: str) -> None:
     script, moments, state, done_ms, events = PROGRESS[name]
     task = StandInTask.from_spec(spec(lease=5.0, **script), Progress(), 0.0)
     for at, speed in moments:
@@ -75,7 +75,7 @@
     return [event for event in standin.history.events if event["event"] == kind]
 
 
-async def test_older_session_and_lapsed_lease_start_nothing(pair: Pair) -> None:
+async def test_stale_session_or_expired_lease_starts_no_task(pair: Pair) -> None:
     standin, worker = pair
     old = (await worker.open_session("a")).unwrap().session
     session = (await worker.open_session("b")).unwrap().session
@@ -94,7 +94,7 @@
     assert [event["epoch"] for event in events(standin, "task_start")] == [1, 2]
 
 
-async def test_task_resumes_where_its_checkpoint_stopped_it(pair: Pair) -> None:
+async def test_task_resumes_from_its_checkpoint(pair: Pair) -> None:
     standin, worker = pair
     session = (await worker.open_session("a")).unwrap().session
     await worker.start(session, spec(1, now() + 9, work_ms=60))
@@ -113,7 +113,7 @@
     assert (ended[1].state, ended[2].state) == (TaskState.STOPPED, TaskState.SUCCEEDED)
 
 
-async def test_a_checkpoint_asked_for_twice_is_exact() -> None:
+async def test_repeated_checkpoint_request_stores_exact_progress() -> None:
     """A non-idempotent task resumes before the point at which it was stopped.
 
     The object store hangs; the agent gives its first call up and asks again.  When the first try
