--- a/sapphirelead/standin_advice.py
+++ b/sapphirelead/standin_advice.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's advice service, and the tickets that it gives.
+"""Stand-in for the platform's advice service and its tickets.
 
-It answers one question after the other, as slowly as it is told to.  A ticket names the step and
-the life of the worker that it is good for, so that a worker can tell a wrong one without asking.
+Requests are served one at a time, each with a configured delay.  A ticket names the step and the
+life of the worker for which it is valid, so a worker checks it without calling the service.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 
 
 class AdviceSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The service's manner.
+    """Delays of the service.
 
-    :ivar base_ms: time of one call, in milliseconds.
-    :ivar each_ms: further time for each worker asked about, in milliseconds.
+    :ivar base_ms: duration of one call, in milliseconds.
+    :ivar each_ms: additional duration for each worker in the call, in milliseconds.
     """
 
     base_ms: float = 5.0
@@ -31,7 +31,7 @@
 
 
 class StandInAdvice(StandIn):
-    """The service."""
+    """Advice service that issues a ticket for every requested worker."""
 
     _cfg: AdviceSettings
     _serial_lock: asyncio.Lock
@@ -43,33 +43,33 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInAdvice":
-        """Build from checked settings; see :class:`AdviceSettings`."""
+        """Build from validated settings; see :class:`AdviceSettings`."""
         return cls(history, msgspec.convert(raw, AdviceSettings))
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the service's route."""
+        """Return the HTTP routes of the service."""
         return [web.post("/advice", self._advise)]
 
     async def _advise(self, request: web.Request) -> web.Response:
         try:
-            asked = msgspec.json.decode(await request.read(), type=_Question)
+            call = msgspec.json.decode(await request.read(), type=_Question)
         except msgspec.DecodeError as exc:
             return web.json_response({"error": str(exc)}, status=400)
         async with self._serial_lock:
-            wait_ms = self._cfg.base_ms + self._cfg.each_ms * len(asked.workers)
+            wait_ms = self._cfg.base_ms + self._cfg.each_ms * len(call.workers)
             await asyncio.sleep(wait_ms / 1000)
-        self.history.record("advice", step=asked.step, workers=asked.workers)
-        tickets = {worker: ticket(asked.step, worker) for worker in asked.workers}
+        self.history.record("advice", step=call.step, workers=call.workers)
+        tickets = {worker: ticket(call.step, worker) for worker in call.workers}
         return web.json_response({"tickets": tickets})
 
 
 def ticket(step: str, worker: str) -> str:
-    """Return the ticket of a step for the life of a worker."""
+    """Return the ticket of a step for one life of a worker."""
     return f"{step}@{worker}"
 
 
 def ticket_matches(found: str, task: str, worker: str) -> bool:
-    """Whether a ticket is good for a task on the life of a worker.
+    """Return whether a ticket is valid for a task on one life of a worker.
 
     >>> ticket_matches(ticket("a1.0.2", "w"), "a1.0.2.7", "w"), ticket_matches("", "a1.0.2.7", "w")
     (True, False)
--- a/sapphirelead/standin_history.py
+++ b/sapphirelead/standin_history.py
@@ -1,9 +1,8 @@
-"""What the stand-ins saw, as JSON lines.
+"""Event log of the stand-ins, as JSON lines.
 
 Each line holds ``event``, ``source`` (the stand-in's name) and ``clock`` (loop time in seconds).
-On Linux the loop's clock is one clock for all processes of a machine, so that a checker can merge
-the histories of several stand-ins.  A line is flushed before the event is acted upon further, so
-that a killed process leaves everything it did.
+On Linux all processes of a machine share the loop's clock, so a checker can merge the histories of
+several stand-ins.  Each line is flushed as it is recorded, so a killed process loses none.
 """
 
 from pathlib import Path
@@ -15,7 +14,7 @@
 
 
 class History:
-    """An append-only list of events, kept in memory and, where a path is given, in a file."""
+    """Append-only event log, kept in a file if one is given and in memory otherwise."""
 
     source: str
     events: list[dict[str, Any]]
@@ -28,13 +27,13 @@
 
     @classmethod
     def open(cls, source: str, path: str = "") -> "History":
-        """Start a history; ``path`` is appended to, an empty one keeps it in memory only."""
+        """Open a history that appends to ``path``; an empty path keeps it in memory."""
         return cls(source, Path(path).open("ab") if path else None)
 
     def record(self, event: str, /, clock: float | None = None, **fields: Any) -> None:
         """Append one event.
 
-        :param clock: loop time at which it counts as having happened, now by default.
+        :param clock: loop time of the event in seconds; now by default.
         """
         line = {
             "event": event,
@@ -49,6 +48,6 @@
         self._file.flush()
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file, if any."""
         if self._file is not None:
             self._file.close()
--- a/sapphirelead/standin_main.py
+++ b/sapphirelead/standin_main.py
@@ -44,7 +44,7 @@
     """Run one stand-in until SIGTERM or SIGINT and return the exit code.
 
     :param ident: name of this stand-in in the history.
-    :param history: path of the history's file, or empty.
+    :param history: path of the history file; empty to keep the history in memory.
     """
     events = History.open(ident, history)
     standin = ROLES[role](events, settings)
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    """Run the stand-in that the command line names."""
+    """Run the stand-in selected on the command line."""
     args = docopt(__doc__)
     role = next(name for name in ROLES if args[name])
     settings = json.loads(args["--settings"])
--- a/sapphirelead/standin_objects.py
+++ b/sapphirelead/standin_objects.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's object store, in memory, served beside the table."""
+"""In-memory stand-in for the platform's object store, served by the table stand-in."""
 
 from aiohttp import web
 
@@ -6,7 +6,7 @@
 
 
 class StandInObjects:
-    """Whole objects by key; an object is replaced at once or not at all."""
+    """Objects by key; a put replaces the whole object atomically."""
 
     objects: dict[str, bytes]
     _history: History
@@ -16,7 +16,7 @@
         self._history = history
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of the store."""
+        """Return the HTTP routes of the store."""
         return [web.put("/objects/{key}", self._put), web.get("/objects/{key}", self._get)]
 
     async def _put(self, request: web.Request) -> web.Response:
--- a/sapphirelead/standin_runs.py
+++ b/sapphirelead/standin_runs.py
@@ -1,8 +1,9 @@
-"""The part of the stand-in worker that runs tasks of jobs of steps.
+"""Runs the tasks of jobs of steps in the stand-in worker.
 
-It enforces what a runner relies on: every call names the life that is meant, the highest fencing
-token counts, one lease bounds all runs, a start has a deadline of its own, and a run that was
-stopped or has ended never starts again.  Ends are listed until they have been noted.
+Enforces the worker contract that a runner depends on: every call names the life of the worker, a
+call with an older fencing token is rejected, one lease bounds all runs, each start has its own
+deadline, and a run that was stopped or has ended never starts again.  An ended run is listed until
+the runner acknowledges it.
 """
 
 import asyncio
@@ -35,22 +36,22 @@
 
 
 class TaskHost(Protocol):
-    """The worker that these runs share their processors with."""
+    """The worker whose processors the runs use."""
 
     def advance_all(self) -> None:
-        """Work out what has happened up to now."""
+        """Advance all tasks to the current time."""
 
     def begin(self, task: StandInTask) -> None:
-        """Run a task."""
+        """Start running a task."""
 
     def end(self, task: StandInTask, state: TaskState, reason: str) -> None:
         """End a task."""
 
     def set_speed(self, task: StandInTask, share: float) -> None:
-        """Let a task use a share of its processors."""
+        """Throttle a task to a share of its processors."""
 
     def drop(self, task: StandInTask) -> None:
-        """Forget an ended task."""
+        """Remove an ended task."""
 
 
 class _Call(msgspec.Struct):
@@ -68,13 +69,13 @@
 class StandInRuns:
     """The runs of one life of the worker.
 
-    :ivar life: id of this life, new with each start of the process.
+    :ivar life: id of this life; each start of the process generates a new one.
     """
 
     life: str
     _host: TaskHost
     _runs: dict[RunId, StandInTask]
-    _ends: list[WorkerEnd]
+    _ended_runs: list[WorkerEnd]
     _ended_attempts: dict[str, int]
     _last_end_number: int
     _token: int
@@ -82,22 +83,22 @@
     _wants_tickets: bool
 
     def __init__(self, host: TaskHost, wants_tickets: bool) -> None:
-        """Begin a life.
+        """Start a new life.
 
-        :param wants_tickets: a start needs a ticket of the advice service.
+        :param wants_tickets: a start requires a ticket from the advice service.
         """
         self.life = secrets.token_hex(4)
         self._host = host
         self._wants_tickets = wants_tickets
         self._runs = {}
-        self._ends = []
+        self._ended_runs = []
         self._ended_attempts = {}
         self._last_end_number = 0
         self._token = 0
         self._lease_until = 0.0
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of jobs of steps."""
+        """Return the HTTP routes for jobs of steps."""
         return [
             web.get("/runs/life", self._life),
             web.post("/runs/hold", self._hold),
@@ -111,23 +112,23 @@
 
     async def _hold(self, request: web.Request) -> web.Response:
         call = await self._accept_call(request)
-        self._ends = [end for end in self._ends if end.number > call.noted]
+        self._ended_runs = [end for end in self._ended_runs if end.number > call.noted]
         self._lease_until = max(self._lease_until, call.lease_ms / 1000)
         for task in self._runs.values():
             task.lease_until = max(task.lease_until, self._lease_until)
         until = now() + call.wait_ms / 1000
-        self._collect_ends()
-        while not self._ends and now() < until:
+        self._collect_ended_runs()
+        while not self._ended_runs and now() < until:
             await asyncio.sleep(POLL_INTERVAL_S)
-            self._collect_ends()
+            self._collect_ended_runs()
         running = [_run_view(task) for task in self._runs.values()]
-        return _response(WorkerView(_clock_ms(), running, self._ends))
+        return _response(WorkerView(_clock_ms(), running, self._ended_runs))
 
     async def _start(self, request: web.Request) -> web.Response:
         call = await self._accept_call(request)
         if call.start is None:
             raise web.HTTPBadRequest(text="start is missing")
-        self._collect_ends()
+        self._collect_ended_runs()
         return _response(StartResult(self._begin(call.start), _clock_ms()))
 
     def _begin(self, start: StartCall) -> StartAnswer:
@@ -164,11 +165,11 @@
     async def _stop(self, request: web.Request) -> web.Response:
         call = await self._accept_call(request)
         self._ended_attempts[call.task] = max(self._ended_attempts.get(call.task, 0), call.attempt)
-        self._collect_ends()
+        self._collect_ended_runs()
         task = self._runs.get((call.task, call.attempt))
         if task is not None:
             self._host.end(task, TaskState.STOPPED, "stopped")
-            self._collect_ends()
+            self._collect_ended_runs()
         return _response({"clock_ms": _clock_ms()})
 
     async def _pace(self, request: web.Request) -> web.Response:
@@ -179,20 +180,20 @@
         return _response({"clock_ms": _clock_ms()})
 
     async def _accept_call(self, request: web.Request) -> _Call:
-        """Return a call that is meant for this life and not outdated."""
+        """Decode a call; reject one for another life or with an older fencing token."""
         try:
             call = msgspec.json.decode(await request.read(), type=_Call)
         except msgspec.DecodeError as exc:
             raise web.HTTPBadRequest(text=str(exc)) from exc
         if call.life != self.life:
-            raise web.HTTPMisdirectedRequest(text=f"this life is {self.life}")
+            raise web.HTTPMisdirectedRequest(text=f"wrong life; this life is {self.life}")
         if call.fencing_token < self._token:
-            raise web.HTTPConflict(text=f"a token of {self._token} has been seen")
+            raise web.HTTPConflict(text=f"fencing token is older than {self._token}")
         self._token = call.fencing_token
         return call
 
-    def _collect_ends(self) -> None:
-        """Number the runs that have ended."""
+    def _collect_ended_runs(self) -> None:
+        """Number the runs that have ended and list them as ended."""
         self._host.advance_all()
         for name, task in list(self._runs.items()):
             if task.running:
@@ -201,7 +202,7 @@
             self._host.drop(task)
             self._last_end_number += 1
             self._ended_attempts[name[0]] = max(self._ended_attempts.get(name[0], 0), name[1])
-            self._ends.append(
+            self._ended_runs.append(
                 WorkerEnd(self._last_end_number, *name, _end_kind(task), _encoded_progress(task))
             )
 
@@ -217,8 +218,8 @@
 
 
 def _run_view(task: StandInTask) -> WorkerRun:
-    lasts = task.total_ms == float("inf")
-    percent = 100 if lasts else int(100 * task.progress.done_ms / max(task.total_ms, 1.0))
+    unbounded = task.total_ms == float("inf")
+    percent = 100 if unbounded else int(100 * task.progress.done_ms / max(task.total_ms, 1.0))
     spec = task.spec
     return WorkerRun(
         spec.task_id, spec.epoch, _encoded_progress(task), percent, task.usage.cpu_millicores
--- a/sapphirelead/standin_server.py
+++ b/sapphirelead/standin_server.py
@@ -1,7 +1,7 @@
-"""What the stand-ins of the platform share: an HTTP server, its faults and its history.
+"""HTTP server with fault injection and a history, the base of the platform's stand-ins.
 
-A stand-in runs inside ``sapphirelead dev`` or as a process of its own in tests.  Faults are set
-over HTTP while it runs, so that a test can break the platform and mend it again.
+A stand-in runs inside ``sapphirelead dev`` or, in tests, as a separate process.  Tests inject and
+clear faults over HTTP while it runs.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 
 
 class Faults(msgspec.Struct):
-    """How the stand-in misbehaves.
-
-    :ivar down: answer 503 to everything.
-    :ivar hang: while down, hold requests instead and drop them once it ends.
-    :ivar late_apply: let requests that were held take effect once the fault ends.
-    :ivar delay_ms: added to every request.
-    :ivar lose_answers: so many further changes take effect without an answer.
-    :ivar drop_before: so many further changes are dropped before they take effect.
-    :ivar only: prefix of the paths that misbehave; all others work.
-    :ivar match: the two counts are for changes whose body contains this text only.
+    """Faults that the stand-in injects.
+
+    :ivar down: respond with 503 to every request.
+    :ivar hang: while down, hold requests instead and abort them when the fault is cleared.
+    :ivar late_apply: apply held requests when the fault is cleared.
+    :ivar delay_ms: delay of every request, in milliseconds.
+    :ivar lose_answers: number of further writes that are applied but not answered.
+    :ivar drop_before: number of further writes that are dropped before they are applied.
+    :ivar only: prefix of the paths that are affected.
+    :ivar match: text that the body of a write contains for the two counts to apply to it.
     """
 
     down: bool = False
@@ -39,7 +39,7 @@
 
 
 class StandIn:
-    """An HTTP server with faults; subclasses add routes in :meth:`routes`."""
+    """HTTP server with fault injection; subclasses add routes in :meth:`routes`."""
 
     history: History
     faults: Faults
@@ -53,11 +53,11 @@
         self._fault_cleared = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of this stand-in."""
+        """Return the HTTP routes of this stand-in."""
         raise NotImplementedError
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and return the port (chosen by the system where ``port`` is 0)."""
+        """Listen and return the port, which the system chooses if ``port`` is 0."""
         app = web.Application(client_max_size=64 * 1024 * 1024, middlewares=[self._inject_faults])
         app.add_routes([web.post("/faults", self._set_faults), *self.routes()])
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
@@ -109,7 +109,7 @@
         return _abort_connection(request)
 
     def set_faults(self, faults: Faults) -> None:
-        """Misbehave as told from now on; requests held by an earlier fault are let go."""
+        """Replace the injected faults and release the requests held by earlier ones."""
         self.faults = faults
         held, self._fault_cleared = self._fault_cleared, asyncio.Event()
         held.set()
--- a/sapphirelead/standin_table.py
+++ b/sapphirelead/standin_table.py
@@ -1,8 +1,8 @@
-"""Stand-in of the platform's table service and object store, in memory.
+"""In-memory stand-in for the platform's table service and object store.
 
-One version counter serves the whole table: it grows with every transaction and is never used
-twice, also not for a row that was deleted and made again.  The rates of the real service are
-enforced over a sliding second; what exceeds them gets 429 and has no effect.
+One version counter covers the whole table.  It grows with every transaction, so a row that is
+deleted and created again never reuses a version.  Rate limits apply over a sliding window of one
+second; a request over the limit gets 429 and has no effect.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -23,14 +23,14 @@
 
 
 class TableSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Rates of the service, in transactions and reads a second."""
+    """Rate limits of the service, in transactions and reads per second."""
 
     writes_per_second: int = 400
     reads_per_second: int = 2_000
 
 
 class RateLimit:
-    """At most ``limit`` events in any one second."""
+    """Sliding-window limit of ``limit`` events per second."""
 
     total: int
     refused: int
@@ -44,7 +44,7 @@
         self._times = deque()
 
     def admit(self, at: float) -> bool:
-        """Count an event at ``at`` (loop time), unless it exceeds the rate."""
+        """Count an event at ``at`` (loop time) and return whether it is within the limit."""
         while self._times and self._times[0] <= at - RATE_WINDOW_S:
             self._times.popleft()
         if len(self._times) >= self._limit:
@@ -56,7 +56,7 @@
 
 
 class Rows:
-    """The rows, ordered by key, under one growing version."""
+    """Rows ordered by key, with one version counter for all of them."""
 
     _rows: dict[str, Row]
     _keys: list[str]
@@ -68,7 +68,7 @@
         self._version = 0
 
     def get(self, key: str) -> Row:
-        """Return a row, at version 0 where it is absent."""
+        """Return a row; an absent row has version 0."""
         return self._rows.get(key, Row(key, 0, None))
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
@@ -82,11 +82,11 @@
         return found
 
     def conflicts(self, txn: Txn) -> list[str]:
-        """Return the keys whose condition does not hold."""
+        """Return the keys whose condition fails."""
         return [cond.key for cond in txn.conditions if self.get(cond.key).version != cond.version]
 
     def apply(self, txn: Txn) -> int:
-        """Apply every write and return the version they share."""
+        """Apply all writes under one new version and return it."""
         self._version += 1
         for write in txn.writes:
             self._set(write.key, write.value)
@@ -103,7 +103,7 @@
 
 
 class StandInTable(StandIn):
-    """The table service; it serves the object store too, as one platform."""
+    """Table service that also serves the object store."""
 
     rows: Rows
     objects: StandInObjects
@@ -119,11 +119,11 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInTable":
-        """Build from checked settings; see :class:`TableSettings`."""
+        """Build from validated settings; see :class:`TableSettings`."""
         return cls(history, msgspec.convert(raw, TableSettings))
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of the table and the object store."""
+        """Return the HTTP routes of the table and the object store."""
         return [
             web.post("/table/txn", self._txn),
             web.get("/table/rows", self._get_rows),
@@ -138,7 +138,7 @@
         except msgspec.DecodeError as exc:
             return web.json_response({"error": str(exc)}, status=400)
         if not self._writes.admit(now()):
-            return web.json_response({"error": "writes over the rate"}, status=429)
+            return web.json_response({"error": "write rate limit exceeded"}, status=429)
         if conflicts := self.rows.conflicts(txn):
             return web.json_response({"conflicts": conflicts}, status=409)
         version = self.rows.apply(txn)
@@ -149,13 +149,13 @@
     async def _get_rows(self, request: web.Request) -> web.Response:
         keys = [unquote(key) for key in request.query.get("keys", "").split(",") if key]
         if not self._reads.admit(now()):
-            return web.json_response({"error": "reads over the rate"}, status=429)
+            return web.json_response({"error": "read rate limit exceeded"}, status=429)
         return _rows_response([self.rows.get(key) for key in keys])
 
     async def _scan(self, request: web.Request) -> web.Response:
         query = request.query
         if not self._reads.admit(now()):
-            return web.json_response({"error": "reads over the rate"}, status=429)
+            return web.json_response({"error": "read rate limit exceeded"}, status=429)
         limit = int(query.get("limit", "100"))
         return _rows_response(
             self.rows.scan(query.get("prefix", ""), query.get("after", ""), limit)
@@ -177,6 +177,6 @@
 
 
 def _summary(key: str, value: dict[str, Any] | None) -> dict[str, Any]:
-    # The checker needs what tells one move of a row from another, not the caller's payload.
+    # Only the fields that the history checker reads, without the caller's payload.
     fields = ("state", "epoch", "holder", "version", "checkpoint", "fenced", "incarnation")
     return {"key": key, **{name: value[name] for name in fields if value and name in value}}
--- a/sapphirelead/standin_target.py
+++ b/sapphirelead/standin_target.py
@@ -1,10 +1,11 @@
-"""Stand-in of a latency-critical target beside an agent.
+"""Stand-in for a latency-critical target colocated with an agent.
 
-It answers each request with the request's own marker, so that a caller can tell whether the answer
-is whole and its own.  Its service time grows with what runs on the worker beside it.
+Each response echoes the request's marker, so a caller can check that the response is complete and
+belongs to its request.  The service time grows with the load of the colocated worker.
 
-A request's manner is chosen by its headers (``X-Standin-Marker``, ``X-Standin-Delay-Ms``,
-``X-Standin-Bytes``) or by the fields ``marker``, ``delay_ms`` and ``bytes`` of a JSON body.
+A request sets its marker, delay and response size by headers (``X-Standin-Marker``,
+``X-Standin-Delay-Ms``, ``X-Standin-Bytes``) or by the fields ``marker``, ``delay_ms`` and ``bytes``
+of a JSON body.
 """
 
 import asyncio
@@ -23,13 +24,13 @@
 
 
 class TargetSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The target's manner.
+    """Latency and capacity of the target.
 
-    :ivar base_ms: service time of a request on an otherwise idle instance.
-    :ivar interference: added share of the service time when the worker beside it is full.
-    :ivar slots: requests served at once; more wait in line.
-    :ivar connections: open requests; more are refused and recorded.
-    :ivar worker_url: worker beside it, asked how busy it is.
+    :ivar base_ms: service time of a request on an otherwise idle instance, in milliseconds.
+    :ivar interference: relative increase of the service time when the colocated worker is full.
+    :ivar slots: maximum number of requests served concurrently; further ones are queued.
+    :ivar connections: maximum number of open requests; further ones are refused and recorded.
+    :ivar worker_url: colocated worker whose load is polled; empty for none.
     """
 
     base_ms: float = 2.0
@@ -53,7 +54,7 @@
 
 
 class StandInTarget(StandIn):
-    """The target."""
+    """Target whose latency depends on the load of the colocated worker."""
 
     _cfg: TargetSettings
     _control: _Control
@@ -73,17 +74,17 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInTarget":
-        """Build from checked settings; see :class:`TargetSettings`."""
+        """Build from validated settings; see :class:`TargetSettings`."""
         return cls(history, msgspec.convert(raw, TargetSettings))
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and follow the load of the worker beside it."""
+        """Start listening and polling the load of the colocated worker."""
         if self._cfg.worker_url:
             self._poller = asyncio.create_task(self._follow_load(self._cfg.worker_url))
         return await super().start(host, port)
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop polling and listening."""
         if self._poller is not None:
             self._poller.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -91,7 +92,7 @@
         await super().stop()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of the target."""
+        """Return the HTTP routes of the target."""
         return [web.post("/control", self._set_control), web.post("/{service}", self._serve)]
 
     async def _follow_load(self, url: str) -> None:
--- a/sapphirelead/standin_task.py
+++ b/sapphirelead/standin_task.py
@@ -1,8 +1,8 @@
-"""One task of the stand-in worker, free of I/O.
+"""A task of the stand-in worker, without I/O.
 
-Progress is worked out from the clock: between two moments at which its speed changes (throttle,
-contention), a task gains ``elapsed * speed``.  Work after ``lease_until`` never counts: a worker
-that was itself paused past a lease finds the lease lapsed first and stops the task there.
+Progress is computed from the clock: while its speed (throttle, contention) is constant, a task
+gains ``elapsed * speed``.  Work after ``lease_until`` never counts: when a task is advanced past
+its lease, it stops at the lease's end, also if the worker process itself was paused.
 """
 
 import asyncio
@@ -18,16 +18,17 @@
 
 
 class Script(msgspec.Struct):
-    """What a task does, read from its ``input``; unknown fields are left to the caller.
-
-    :ivar work_ms: run time at full speed; absent for a watch means that it runs until stopped.
-    :ivar lasts: run until stopped.
-    :ivar fail: end as failed.
-    :ivar events: most events to emit, 0 for no bound.
-    :ivar event_every_ms: run time between events, 0 for none.
-    :ivar usage: true use, where the declared one is wrong.
-    :ivar noise: how much the task disturbs the target beside it; absent means its processors.
-    :ivar result: the result; the task's name and progress where absent.
+    """Behaviour of a task, read from its ``input``; unknown fields are ignored.
+
+    :ivar work_ms: run time at full speed, in milliseconds; a watch without it runs until stopped.
+    :ivar lasts: run until stopped, if ``work_ms`` is absent.
+    :ivar fail: fail at the end of the run time.
+    :ivar events: maximum number of events to emit; 0 for no limit.
+    :ivar event_every_ms: run time between events, in milliseconds; 0 for no events.
+    :ivar usage: actual resource usage, if it differs from the declared one.
+    :ivar noise: interference load on the colocated target; defaults to the share of the worker's
+        processors in use.
+    :ivar result: result of the task; defaults to its id and progress.
     """
 
     work_ms: float | None = None
@@ -41,7 +42,7 @@
 
 
 class Progress(msgspec.Struct):
-    """What a checkpoint holds."""
+    """Progress of a task, the content of a checkpoint."""
 
     done_ms: float = 0.0
     emitted: int = 0
@@ -50,7 +51,8 @@
 class StandInTask:
     """A task under a lease, with its progress.
 
-    :ivar at: loop time up to which the progress is worked out.
+    :ivar at: loop time up to which the progress has been computed, in seconds.
+    :ivar speed: progress per elapsed time, from throttle and contention.
     """
 
     spec: TaskSpec
@@ -88,32 +90,32 @@
 
     @classmethod
     def from_spec(cls, spec: TaskSpec, progress: Progress, at: float) -> "StandInTask":
-        """Build a task that starts at ``at`` with ``progress`` from a checkpoint."""
+        """Build a task that starts at ``at`` (loop time) from the progress of a checkpoint."""
         raw = spec.input if isinstance(spec.input, dict) else {}
         return cls(spec, msgspec.convert(raw, Script), progress, at)
 
     @property
     def running(self) -> bool:
-        """Whether the task still uses the worker."""
+        """Return whether the task is running."""
         return self.state is TaskState.RUNNING
 
     @property
     def total_ms(self) -> float:
-        """Run time at full speed."""
+        """Return the run time at full speed, in milliseconds."""
         if self.script.work_ms is not None:
             return self.script.work_ms
         return float("inf") if self.script.lasts or self.spec.kind == "watch" else 0.0
 
     @property
     def usage(self) -> Resources:
-        """True use now."""
+        """Return the actual resource usage at the current throttle."""
         full = self.script.usage or self.spec.resources
         return Resources(
             int(full.cpu_millicores * self.throttle), full.memory_mb, full.accelerators
         )
 
     def advance(self, at: float) -> None:
-        """Work the progress out up to ``at`` (loop time) and end the task if it is due."""
+        """Compute the progress up to ``at`` (loop time) and end the task if it is due."""
         if not self.running:
             return
         if at >= self.lease_until:
@@ -129,12 +131,12 @@
             self.end(TaskState.SUCCEEDED, "")
 
     def end(self, state: TaskState, reason: str) -> None:
-        """End the task."""
+        """Set the final state and reason of the task."""
         self.state = state
         self.reason = reason
 
     def next_change(self) -> float:
-        """Return the loop time of the next end or event at the present speed."""
+        """Return the loop time of the next event or end at the current speed."""
         due_ms = self.total_ms - self.progress.done_ms
         if self._has_next_event():
             due_ms = min(due_ms, self._next_event_ms() - self.progress.done_ms)
@@ -143,7 +145,7 @@
         return min(self.lease_until, self.at + max(0.0, due_ms) / 1000 / self.speed)
 
     def info(self, usage_lag_s: float, at: float) -> TaskInfo:
-        """Return the task as the worker reports it; use is reported with a lag."""
+        """Return the task as the worker reports it, with usage delayed by ``usage_lag_s``."""
         known = at - self.started_at >= usage_lag_s
         return TaskInfo(
             self.spec.task_id,
--- a/sapphirelead/standin_worker.py
+++ b/sapphirelead/standin_worker.py
@@ -1,11 +1,11 @@
-"""Stand-in of the platform's worker beside one instance.
+"""Stand-in for the platform's worker on one instance.
 
-It enforces what the contract of a worker promises and nothing more: sessions, absolute leases and
-one start for a task at one epoch.  A second epoch of a running task, and more work than the worker
-has room for, are let through and recorded, so that a checker can see the product's mistakes.
+Enforces only the contract of a worker: sessions, absolute leases and one start per task and epoch.
+A second epoch of a running task and work beyond the worker's capacity are accepted and recorded, so
+that a checker can detect scheduling errors.
 
-One task of the loop owns the running of all tasks: it sleeps until the next end, event or lapse and
-is woken by every call that changes something.
+One asyncio task advances all tasks when they are due.  It sleeps until the next end, event or lease
+expiry, and every call that changes a task wakes it.
 """
 
 import asyncio
@@ -26,12 +26,13 @@
 
 
 class WorkerSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The worker's size and manner.
+    """Capacity and behaviour of the worker.
 
-    :ivar objects_url: object store for checkpoints; without one they stay in this process.
-    :ivar usage_lag_s: age of the measured use in every answer.
-    :ivar fail_all: everything started fails at once.
-    :ivar wants_tickets: tasks of jobs of steps start with a ticket of the advice service only.
+    :ivar objects_url: object store for checkpoints; empty to keep them in this process.
+    :ivar usage_lag_s: age of the reported usage, in seconds.
+    :ivar checkpoint_ms: duration of a checkpoint before it is stored, in milliseconds.
+    :ivar fail_all: every started task fails immediately.
+    :ivar wants_tickets: starts of tasks of jobs of steps require a ticket from the advice service.
     """
 
     cpu_millicores: int = 32_000
@@ -57,7 +58,7 @@
 
 
 class StandInWorker(StandIn):
-    """The worker: tasks by (task, epoch), the newest epoch of a task answers for its name."""
+    """Worker that holds its tasks by (task id, epoch)."""
 
     tasks: dict[tuple[str, int], StandInTask]
     runs: StandInRuns
@@ -85,17 +86,17 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInWorker":
-        """Build from checked settings; see :class:`WorkerSettings`."""
+        """Build from validated settings; see :class:`WorkerSettings`."""
         return cls(history, msgspec.convert(raw, WorkerSettings))
 
     async def start(self, host: str, port: int) -> int:
-        """Listen and run tasks."""
+        """Start listening and running tasks."""
         self.history.record("worker_up", size=msgspec.to_builtins(self._capacity))
         self._runner_task = asyncio.create_task(self._run())
         return await super().start(host, port)
 
     async def stop(self) -> None:
-        """Stop listening; running tasks end with the worker."""
+        """End the running tasks and stop listening."""
         for task in self._running():
             self.end(task, TaskState.STOPPED, "worker stopped")
         if self._runner_task is not None:
@@ -105,7 +106,7 @@
         await super().stop()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of the worker."""
+        """Return the HTTP routes of the worker."""
         return [
             web.post("/session", self._open_session),
             web.get("/tasks", self._view),
@@ -120,7 +121,7 @@
             *self.runs.routes(),
         ]
 
-    # Running of tasks.
+    # Task execution.
 
     async def _run(self) -> None:
         while True:
@@ -132,7 +133,7 @@
                     await self._wakeup.wait()
 
     def advance_all(self) -> None:
-        """Work out what has happened up to now."""
+        """Advance all running tasks to the current time."""
         at = now()
         for task in self._running():
             task.advance(at)
@@ -157,8 +158,8 @@
         self._record_end(task)
 
     def _record_end(self, task: StandInTask) -> None:
-        # A lapse counts from the lease, also when this process was paused and notices it late: no
-        # work after it was counted.
+        # An expired lease ends the task at the lease's end, even if a paused process detects it
+        # later: no work after that time was counted.
         lapsed = task.state is TaskState.STOPPED and task.at >= task.lease_until
         fields = {
             "state": task.state,
@@ -171,7 +172,7 @@
         if task.state is TaskState.SUCCEEDED:
             self.history.record("effect", **_task_key(task))
 
-    # Calls.
+    # HTTP handlers.
 
     async def _open_session(self, request: web.Request) -> web.Response:
         call = await _decode(request)
@@ -200,7 +201,7 @@
         call = await _decode(request)
         spec = call.spec
         if spec is None or spec.task_id != request.match_info["task"]:
-            return _error_response(400, "spec missing or of another task")
+            return _error_response(400, "spec is missing or names another task")
         if (spec.task_id, spec.epoch) in self.tasks:
             self.history.record("start_repeated", task=spec.task_id, epoch=spec.epoch)
             return self._check_session(call) or web.json_response({})
@@ -208,14 +209,14 @@
             case None:
                 return _error_response(400, f"checkpoint {spec.checkpoint!r} cannot be read")
             case progress:
-                # Checked after the read of the checkpoint, which takes time: a session or lease
-                # that ended meanwhile must not start anything.
+                # Checked only after the checkpoint is read: the session or lease may have ended in
+                # the meantime.
                 return self._check_session(call) or self._begin(spec, progress)
 
     def _begin(self, spec: TaskSpec, progress: Progress) -> web.Response:
         if now() >= spec.lease_until:
             self.history.record("start_refused", task=spec.task_id, epoch=spec.epoch)
-            return _error_response(410, "the lease passed before the start")
+            return _error_response(410, "lease expired before the start")
         if (spec.task_id, spec.epoch) in self.tasks:
             return web.json_response({})
         self.advance_all()
@@ -223,7 +224,7 @@
         return web.json_response({})
 
     def begin(self, task: StandInTask) -> None:
-        """Run a task."""
+        """Start running a task."""
         spec = task.spec
         self.tasks[(spec.task_id, spec.epoch)] = task
         self.history.record(
@@ -238,18 +239,18 @@
             done_ms=task.progress.done_ms,
         )
         if self._fail_all:
-            self.end(task, TaskState.FAILED, "everything fails here")
+            self.end(task, TaskState.FAILED, "fail_all is set")
         self._wakeup.set()
 
     def set_speed(self, task: StandInTask, share: float) -> None:
-        """Let a task use a share of its processors."""
+        """Throttle a task to a share of its processors, between 0 and 1."""
         self.advance_all()
         task.throttle = min(1.0, max(0.0, share))
         self.history.record("throttle", **_task_key(task), share=task.throttle)
         self._wakeup.set()
 
     def drop(self, task: StandInTask) -> None:
-        """Forget an ended task."""
+        """Remove an ended task."""
         self.tasks.pop((task.spec.task_id, task.spec.epoch), None)
 
     async def _renew(self, request: web.Request) -> web.Response:
@@ -280,14 +281,16 @@
             return _error_response(404, "no such task")
         task = named[-1]
         if task.running and not await self._checkpoint_task(task):
-            return _error_response(503, "the checkpoint could not be stored; the task goes on")
+            return _error_response(503, "checkpoint could not be stored; the task continues")
         if not task.checkpoint:
-            return _error_response(410, f"ended without a checkpoint: {task.state} {task.reason}")
+            return _error_response(
+                410, f"task ended without a checkpoint: {task.state} {task.reason}"
+            )
         return web.json_response({"checkpoint": task.checkpoint})
 
     async def _checkpoint_task(self, task: StandInTask) -> bool:
-        # A caller that gave up waiting asks again.  Where the first try then failed, it let the
-        # task run on while the second was still storing progress from before.
+        # A caller that timed out retries.  The lock keeps a failed first attempt from resuming the
+        # task while the retry is still storing the progress of the paused task.
         async with task.checkpoint_lock:
             return not task.running or await self._store_and_end(task)
 
