--- a/sapphirelead/fleet_config.py
+++ b/sapphirelead/fleet_config.py
@@ -1,4 +1,4 @@
-"""The queues of the operators' configuration, as the fleet decides by them."""
+"""Converts the queues of the operators' configuration to scheduling policies."""
 
 from sapphirelead.model_config import Config, QueueModel
 from sapphirelead.model_resources import Resources
@@ -7,13 +7,13 @@
 
 
 def queue_config(config: Config) -> QueueConfig:
-    """Return the queues of a version in force, under the same version."""
+    """Return the policies of all queues, under the version of the configuration."""
     queues = {name: queue_policy(queue) for name, queue in config.document.queues.items()}
     return QueueConfig(version=config.version, queues=queues)
 
 
 def queue_policy(queue: QueueModel) -> QueuePolicy:
-    """Return what a job of the queue keeps of its configuration."""
+    """Return the policy that each job of the queue is stored with."""
     advice = queue.advice
     return QueuePolicy(
         service=queue.service,
@@ -30,13 +30,13 @@
 
 
 def check_task_sizes(queue: QueueModel, job: JobSpec) -> str:
-    """Return which step asks for more than the queue's largest task, or an empty text.
+    """Return an error if a step exceeds the queue's largest task, otherwise an empty string.
 
     >>> from sapphirelead.sched_spec import StepSpec
     >>> queue = QueueModel.model_validate({"service": "s", "largest_task": {"memory_mb": 10}})
     >>> job = JobSpec("a", "q", "", (StepSpec(memory_mb=11),), queue_policy(queue))
     >>> check_task_sizes(queue, job)
-    'step 0 asks for memory_mb=11, the queue takes at most 10'
+    'step 0 requests memory_mb=11; the queue allows at most 10'
     """
     bounds = queue.largest_task
     for number, step in enumerate(job.steps):
@@ -44,5 +44,7 @@
         for name in ("cpu_millicores", "memory_mb", "accelerators"):
             limit, requested = getattr(bounds, name), getattr(resources, name)
             if limit and requested > limit:
-                return f"step {number} asks for {name}={requested}, the queue takes at most {limit}"
+                return (
+                    f"step {number} requests {name}={requested}; the queue allows at most {limit}"
+                )
     return ""
--- a/sapphirelead/fleet_entry.py
+++ b/sapphirelead/fleet_entry.py
@@ -1,7 +1,7 @@
-"""The fleet's part of an entry: takes jobs of steps, follows the leader or leads.
+"""The fleet node of an entry: accepts jobs of steps and acts as leader or follower.
 
-It shares the entry's port, configuration, metrics and table; what it adds is one port for links to
-runners and to other entries.
+It shares the entry's HTTP port, configuration, metrics and table, and adds one port for links to
+runners and other entries.
 """
 
 from typing import Final
@@ -26,14 +26,13 @@
 from sapphirelead.wire_sockets import make_context
 
 MAX_LEAVING_LEAD_S: Final = 10.0
-"""Longest time that a leaving entry leads on while no other entry can: one that is restarted at the
-same time is back within seconds, and one that has no other entry must not wait its whole drain."""
+"""Maximum time that a leaving leader keeps leading while no other entry can take over."""
 
 
 class EntryFleet:
-    """One entry of the fleet, in the process of an entry.
+    """The fleet node that runs in the process of an entry.
 
-    :ivar routes: the callers' side.
+    :ivar routes: HTTP handlers of the caller API.
     """
 
     entry: FleetEntry
@@ -63,37 +62,37 @@
             self.entry.set_config(queue_config(config.current))
 
     def app_routes(self) -> list[web.AbstractRouteDef]:
-        """Return the routes of jobs of steps."""
+        """Return the HTTP routes for jobs of steps."""
         return self.routes.routes()
 
     async def start(self) -> None:
-        """Listen for runners and entries, and look for them.
+        """Listen for runners and other entries and start discovering them.
 
-        :raises zmq.ZMQError: where the port is taken.
+        :raises zmq.ZMQError: if the port is in use.
         """
         try:
             await self.entry.start()
         except zmq.ZMQError:
-            # An open socket of the context would hold the process up at its end.
+            # An open socket would block the termination of the context at process exit.
             await self._advice.close()
             self._context.destroy(linger=0)
             raise
 
     async def leave(self) -> None:
-        """Serve on until callers have gone elsewhere, and let another entry lead."""
+        """Drain callers and hand leadership over to another entry."""
         await leave(self.entry, self.routes)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the node and close its connections."""
         await self.entry.stop()
         await self._advice.close()
         self._context.destroy(linger=0)
 
 
 def timing_bounds(times: FleetTimes, grace_s: float) -> Bounds:
-    """Return the fleet's bounds from the settings of a process.
+    """Return the timing bounds for the settings of a process.
 
-    :param grace_s: time that the process has to end once it is told to leave.
+    :param grace_s: time that a leaving process has until it must exit, in seconds.
     """
     return Bounds(
         lease_max_s=times.lease_seconds,
--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -1,11 +1,11 @@
-"""Jobs of steps in the caller API: submit, ask and cancel at any entry.
+"""Caller API for jobs of steps: submit, query and cancel through any entry.
 
-An entry passes each call to the leader and answers with what is known in the end: ``not_run`` only
-where no leader can have stored it, ``unknown`` where one may have.  A submission is answered once
-the job is stored; a repeat of the same id and content joins the job that is there.
+An entry forwards each call to the leader.  An error reports the outcome ``not_run`` only if no
+leader can have stored the call, and ``unknown`` if one may have.  A submission is answered once the
+job is stored; repeating it with the same id and content returns the existing job.
 
-While the entry leaves, calls are served on until the balancer has turned elsewhere
-(:mod:`sapphirelead.node_leaving`); what comes after that is refused as not run.
+A leaving entry serves calls until the load balancer has stopped routing to it
+(:mod:`sapphirelead.node_leaving`); later calls are rejected as not run.
 """
 
 from collections.abc import Awaitable, Callable
@@ -47,19 +47,19 @@
     ReplyKind.INVALID: Code.BAD_REQUEST,
 }
 _HINT: Final = {
-    Code.NO_LEADER: "ask again after Retry-After, at any entry",
-    Code.STORE_AMBIGUOUS: "send it again with the same id, at any entry",
+    Code.NO_LEADER: "retry after Retry-After, through any entry",
+    Code.STORE_AMBIGUOUS: "retry with the same id, through any entry",
 }
 
 
 class QueueRoutes:
-    """Handlers of ``/v1/queues``; the callers' side of a leaving entry of the fleet."""
+    """HTTP handlers of ``/v1/queues``, including the draining of callers on shutdown."""
 
     _limits: CallerLimits
     _entry: FleetEntry
     _config: ConfigService
     _advice_configured: bool
-    _account: CallerAccount
+    _call_tracker: CallerAccount
     _closed: bool
 
     def __init__(
@@ -69,19 +69,19 @@
         config: ConfigService,
         advice_configured: bool,
     ) -> None:
-        """Make the handlers of one entry.
+        """Create the handlers of one entry.
 
-        :param advice_configured: an advice service is set; without one, no ticket can ever be had.
+        :param advice_configured: whether an advice service, which issues tickets, is configured.
         """
         self._limits = limits
         self._entry = entry
         self._config = config
         self._advice_configured = advice_configured
-        self._account = CallerAccount(entry, EXPECTED_STATUSES)
+        self._call_tracker = CallerAccount(entry, EXPECTED_STATUSES)
         self._closed = False
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the routes."""
+        """Return the HTTP routes."""
         job = PREFIX + "{queue}/jobs/{id}"
         return [
             web.get(PREFIX + "{queue}", self._tracked(self._waiting)),
@@ -90,27 +90,27 @@
             web.delete(job, self._tracked(self._cancel)),
         ]
 
-    # The side of callers while the entry leaves.
+    # Draining of callers.
 
     @property
     def in_progress(self) -> int:
-        """Number of requests that have been read and not been answered."""
-        return self._account.in_progress
+        """Number of requests that were read but not yet answered."""
+        return self._call_tracker.in_progress
 
     def turn_away(self) -> None:
-        """Tell callers with open connections to go elsewhere, after each answer."""
-        self._account.leaving = True
+        """Close each connection after its next response, so that callers reconnect elsewhere."""
+        self._call_tracker.leaving = True
 
     async def close(self) -> None:
-        """Refuse what comes from now on, and answer what has been read."""
+        """Reject new requests and wait until the pending ones are answered."""
         self._closed = True
-        await self._account.until_answered()
+        await self._call_tracker.until_answered()
 
-    # Requests.
+    # Request handlers.
 
     def _tracked(self, handler: Handler) -> Handler:
         async def answer(request: web.Request) -> web.StreamResponse:
-            return await self._account.answer(request, handler)
+            return await self._call_tracker.answer(request, handler)
 
         return answer
 
@@ -123,8 +123,10 @@
         if config is None:
             return self._unknown_queue(queue)
         if config.advice.valid_ms and not self._advice_configured:
-            text = f"starts of queue {queue!r} need tickets, and no advice service is set here"
-            return problem(Failure(Code.IMPOSSIBLE, text, "tell the operators: fleet.advice_url"))
+            text = f"queue {queue!r} requires start tickets, but no advice service is configured"
+            return problem(
+                Failure(Code.IMPOSSIBLE, text, "ask the operators to set fleet.advice_url")
+            )
         body = await read_body(request, self._limits)
         if isinstance(body, Err):
             return rejected(body.err_value)
@@ -137,7 +139,7 @@
         if reply.kind is not ReplyKind.OK:
             return _error_response(reply, id=job_id)
         if reply.other:
-            text = f"the id {job_id!r} names a job of other content"
+            text = f"id {job_id!r} is already used by a job with different content"
             return problem(Failure(Code.KEY_REUSED, text, "use a new id"), id=job_id)
         return _job_response(queue, job_id, reply, 202)
 
@@ -156,7 +158,7 @@
         if reply.kind is ReplyKind.OK:
             return _job_response(queue, job_id, reply, 200)
         if kind is CallKind.CANCEL and reply.kind is ReplyKind.NOT_RUN and not self._closed:
-            # The entry refuses a cancellation where it has too many in progress.
+            # The entry rejects a cancellation if too many are in progress.
             return _error_response(reply, Outcome.UNKNOWN, id=job_id)
         return _error_response(reply, read_only=kind is CallKind.STATE, id=job_id)
 
@@ -184,7 +186,7 @@
         return await self._entry.call(kind, queue, job_id, job, deadline_s)
 
     def _parse_job_request(self, request: web.Request) -> Result[tuple[str, str, float], Rejected]:
-        """Return queue, id and deadline (seconds) of a request for one job."""
+        """Return queue, job id and deadline (in seconds) of a request for one job."""
         queue = parse_name("queue", request.match_info["queue"])
         if isinstance(queue, Err):
             return queue
@@ -203,11 +205,11 @@
         return found.map(lambda deadline_ms: deadline_ms / 1000)
 
     def _unknown_queue(self, queue: str) -> web.Response:
-        """Refuse a queue that is not there; which are there is not known before a version is."""
+        """Return the error for an unknown queue, or for a configuration that is not loaded yet."""
         if self._config.current.version == 0:
-            failure = Failure(Code.NO_LEADER, "no configuration is in force yet", "ask again")
+            failure = Failure(Code.NO_LEADER, "no configuration is loaded yet", "retry later")
             return problem(failure, retry_after_s=RETRY_AFTER_S)
-        text = f"no queue is named {queue!r}"
+        text = f"unknown queue {queue!r}"
         return problem(Failure(Code.NOT_FOUND, text, "see `sapphirelead config show`"))
 
 
@@ -220,17 +222,19 @@
 def _error_response(
     reply: Reply, outcome: Outcome = Outcome.NOT_RUN, read_only: bool = False, **extra: Any
 ) -> web.Response:
-    """Return why a call was not carried out.
+    """Return the error response for a call that failed.
 
-    :param outcome: what is known of its effect where the leader was not reached.
-    :param read_only: the call changes nothing, so that "not run" is true of it however it ended.
+    :param outcome: outcome to report unless the reply leaves it unknown.
+    :param read_only: the call has no effect, so an ambiguous reply is reported as not run.
     """
     code = _REPLY_CODE[reply.kind]
     if code is Code.STORE_AMBIGUOUS and read_only:
         code = Code.NO_LEADER
     elif code is Code.STORE_AMBIGUOUS or (code is Code.NOT_FOUND and "id" in extra):
-        # A submission whose answer was lost may yet take effect.
+        # A submission whose response was lost may still take effect.
         outcome = Outcome.UNKNOWN
-    text = reply.detail or ("no such job" if code is Code.NOT_FOUND else "not carried out")
+    text = reply.detail or (
+        "no such job" if code is Code.NOT_FOUND else "the call was not executed"
+    )
     failure = Failure(code, text, _HINT.get(code, ""))
     return problem(failure, outcome, reply.retry_after_s, **extra)
--- a/sapphirelead/fleet_jobs.py
+++ b/sapphirelead/fleet_jobs.py
@@ -1,7 +1,7 @@
-"""What callers send for a job of steps, checked at the border and made into a job.
+"""Validates submissions of jobs of steps and converts them to :class:`JobSpec`.
 
-Every field of a step is that of :class:`~sapphirelead.sched_spec.StepSpec`; there is no second
-model.  Nothing of a submission that is refused here has been stored anywhere.
+The fields of a submitted step are those of :class:`~sapphirelead.sched_spec.StepSpec`.  A rejected
+submission has not been stored.
 """
 
 import re
@@ -20,24 +20,23 @@
 JOB_ID_PATTERN: Final = r"[A-Za-z0-9_-]{1,64}"
 
 MAX_JOB_BYTES: Final = 40_000
-"""Largest submission: a job is one row, the store takes rows of 64 KB, and packing makes a third
-more of its bytes."""
+"""Maximum size of a submission; with the overhead of Base64 it fits in one row of 64 KB."""
 
 _JOB_ID: Final = re.compile(JOB_ID_PATTERN)
 _FIELD_PATTERN: Final = re.compile(r"`\$\.?([^`]*)`")
 
 
 class StepBody(StepSpec, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """A step as callers send it; an unknown field is an error, not a default."""
+    """A submitted step; unknown fields are rejected."""
 
 
 class JobBody(msgspec.Struct, forbid_unknown_fields=True):
     """Body of a submission.
 
-    :ivar input: handed to every task as it is.
-    :ivar first_due_ms: time of day of the first occurrence, in milliseconds since 1970.
-    :ivar interval_ms: time between two occurrences.
-    :ivar occurrences: how often the steps run; 0 for a job that runs once, at once.
+    :ivar input: JSON value that is passed to every task.
+    :ivar first_due_ms: wall-clock time of the first occurrence, in milliseconds since 1970.
+    :ivar interval_ms: interval between occurrences, in milliseconds.
+    :ivar occurrences: number of occurrences; 0 for a job that runs once, immediately.
     """
 
     steps: tuple[StepBody, ...]
@@ -51,7 +50,7 @@
 
 
 def parse_job_id(text: str) -> Result[str, Rejected]:
-    """Check the id of a job."""
+    """Validate a job id."""
     if _JOB_ID.fullmatch(text):
         return Ok(text)
     return Err(reject(Code.BAD_REQUEST, "id", "is wrong", JOB_ID_PATTERN))
@@ -60,7 +59,7 @@
 def parse_job_of_steps(
     raw: bytes, job_id: str, queue: str, config: QueueModel, accepted_ms: int
 ) -> Result[JobSpec, Rejected]:
-    """Check a submission and return its job."""
+    """Validate a submission and return its job."""
     if len(raw) > MAX_JOB_BYTES:
         return Err(reject(Code.TOO_LARGE, "body", "is too large", MAX_JOB_BYTES, "bytes"))
     decoded = _decode(raw)
@@ -112,7 +111,7 @@
 
 
 def _field_of(problem: str) -> str:
-    """Return the field that a text of the check speaks of.
+    """Return the field that a validation error refers to.
 
     >>> _field_of("step 2: a step has at least one task"), _field_of("a job has at least one step")
     ('steps[2]', 'steps')
--- a/sapphirelead/fleet_table.py
+++ b/sapphirelead/fleet_table.py
@@ -1,7 +1,7 @@
-"""The fleet's rows in the product's table.
+"""Stores the fleet's rows, whose values may hold bytes, in the table of JSON values.
 
-The fleet stores bytes and the product's table stores JSON, so that a row's value is packed into one
-text.  Versions, conditions and what the end of a commit proves are the table's own.
+Each value is encoded as MessagePack and Base64 in one string field.  Versions, conditions and
+commit results are those of the underlying table.
 """
 
 import asyncio
@@ -18,20 +18,18 @@
 UNREADABLE: Final = "unreadable"
 
 READ_TIMEOUT_S: Final = 0.6
-"""Longest wait for a read of single rows.  A follower reads the row of the leader between two of
-its heartbeats; while one read took the table's own timeout of 2 s it heard nothing of its leader
-for longer than 1.2 s, took it for silent, and refused callers whom the leader could have answered.
-"""
+"""Timeout of a read of single rows.  A follower reads the leader's row between heartbeats, so the
+timeout is shorter than the one after which it considers the leader unresponsive."""
 
 COMMIT_TIMEOUT_S: Final = 1.0
-"""Longest wait for a commit before it goes again under the same condition."""
+"""Timeout after which a commit is reported as ambiguous, to be retried under its condition."""
 
 _ENCODER: Final = msgspec.msgpack.Encoder()
 _DECODER: Final = msgspec.msgpack.Decoder(dict[str, Any])
 
 
 class PackedTable:
-    """A table whose values may hold bytes, on one whose values may not."""
+    """Adapter that stores values with bytes in a table of JSON values."""
 
     _table: Table
 
@@ -39,30 +37,37 @@
         self._table = table
 
     async def commit(self, txn: Txn) -> Commit:
-        """Apply ``txn``."""
+        """Apply ``txn``; a timeout is reported as ambiguous."""
         writes = tuple(Write(write.key, pack(write.value)) for write in txn.writes)
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 return await self._table.commit(Txn(txn.op_id, txn.conditions, writes))
         except TimeoutError:
-            return Commit(CommitStatus.AMBIGUOUS, detail=f"no answer within {COMMIT_TIMEOUT_S:g} s")
+            return Commit(
+                CommitStatus.AMBIGUOUS,
+                detail=f"table did not respond within {COMMIT_TIMEOUT_S:g} s",
+            )
 
     async def rows(self, keys: list[str]) -> Result[list[Row], Failure]:
-        """Read rows; an absent one comes back with version 0."""
+        """Read rows; an absent row has version 0."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 found = await self._table.rows(keys)
         except TimeoutError:
-            return Err(Failure(Code.STORE_UNAVAILABLE, f"no answer within {READ_TIMEOUT_S:g} s"))
+            return Err(
+                Failure(
+                    Code.STORE_UNAVAILABLE, f"table did not respond within {READ_TIMEOUT_S:g} s"
+                )
+            )
         return _unpack_rows(found)
 
     async def scan(self, prefix: str, after: str, limit: int) -> Result[list[Row], Failure]:
-        """Read up to ``limit`` rows by key order, after ``after`` and with ``prefix``."""
+        """Read up to ``limit`` rows with ``prefix``, in key order, after ``after``."""
         return _unpack_rows(await self._table.scan(prefix, after, limit))
 
 
 def pack(value: dict[str, Any] | None) -> dict[str, Any] | None:
-    """Return a value as the table stores it.
+    """Return a value in its stored form.
 
     >>> unpack(pack({"data": b"x", "seq": 3}))
     {'data': b'x', 'seq': 3}
@@ -75,9 +80,9 @@
 
 
 def unpack(value: dict[str, Any] | None) -> dict[str, Any] | None:
-    """Return what was packed.
+    """Return the value packed by :func:`pack`.
 
-    :raises ValueError: where nothing was.
+    :raises ValueError: if the value was not packed.
     """
     if value is None:
         return None
@@ -91,8 +96,8 @@
 def _unpack_rows(found: Result[list[Row], Failure]) -> Result[list[Row], Failure]:
     """Return rows with their values unpacked.
 
-    An unreadable row must not hide the others.  It comes back with a value that no reader knows, so
-    that each logs it.  As an empty one a snapshot would count as absent, and its job begin anew.
+    An unreadable row does not fail the read.  Its value becomes a marker that readers log as
+    unknown, since an empty value would count as an absent row and restart its job.
     """
     if isinstance(found, Err):
         return found
--- a/sapphirelead/keys.py
+++ b/sapphirelead/keys.py
@@ -1,11 +1,9 @@
 """CURVE keys for the sockets between the system's own processes.
 
-A deployment has one key pair for its entries and one for its agents.  Each side proves that it
-holds its pair: an entry accepts only agents (and entries) whose public key it was given, an agent
-sends only to entries that hold the entries' secret key.  ``sapphirelead keys new DIR`` writes one
-file for each role; a process reads the file named by ``security.keys_file``.
-
-The public keys of both roles are in each file, the secret key only in that of its own role.
+A deployment has one key pair for its entries and one for its agents.  Both sides authenticate: an
+entry accepts only peers with one of the two public keys, an agent connects only to entries that
+hold the entries' secret key.  ``sapphirelead keys new DIR`` writes one file per role, with both
+public keys and that role's secret key; a process reads the file named by ``security.keys_file``.
 """
 
 import os
@@ -43,7 +41,7 @@
 class Keys:
     """Keys of one process.
 
-    :ivar peers: public keys that this process accepts where it listens.
+    :ivar peers: public keys that the listening sockets of this process accept.
     """
 
     public: bytes
@@ -53,7 +51,7 @@
 
 
 def write_keys(directory: str) -> Result[list[str], Failure]:
-    """Make new key pairs and write one file for each role; existing files are never replaced."""
+    """Generate key pairs and write one file per role; existing files are never replaced."""
     pairs = {role: zmq.curve_keypair() for role in ROLES}
     written: list[str] = []
     try:
@@ -63,35 +61,35 @@
             _write_private(path, _key_text(role, pairs))
             written.append(str(path))
     except OSError as exc:
-        hint = "name a directory without key files that you may write to"
+        hint = "choose a writable directory without key files"
         return Err(Failure(Code.SETTINGS_INVALID, f"cannot write keys: {exc}", hint))
     return Ok(written)
 
 
 def read_keys(path: str) -> Result[Keys | None, Failure]:
-    """Read a key file; no file named means that connections are not protected."""
+    """Read a key file; an empty path means that connections are not protected."""
     if not path:
         return Ok(None)
-    hint = "write one with `sapphirelead keys new`"
+    hint = "create one with `sapphirelead keys new`"
     try:
         text = Path(path).read_text(encoding="ascii")
         file = KeyFile.model_validate(tomllib.loads(text))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as exc:
         return Err(Failure(Code.SETTINGS_INVALID, f"cannot read {path}: {exc}", hint))
     except ValidationError as exc:
-        # The error's text holds the input, which may be the secret key; only names are shown.
+        # The error text contains the input, which may be the secret key; only report field names.
         wrong = ", ".join(str(error["loc"][0]) for error in exc.errors())
-        return Err(Failure(Code.SETTINGS_INVALID, f"{path}: wrong or missing: {wrong}", hint))
+        return Err(Failure(Code.SETTINGS_INVALID, f"{path}: invalid or missing: {wrong}", hint))
     own = file.entry_public_key if file.role == "entry" else file.agent_public_key
     peers = frozenset({file.entry_public_key.encode(), file.agent_public_key.encode()})
     return Ok(Keys(own.encode(), file.secret_key.encode(), file.entry_public_key.encode(), peers))
 
 
 def secure_server(sock: zmq.asyncio.Socket, keys: Keys | None) -> None:
-    """Make a listening socket accept only peers that hold one of the deployment's keys.
+    """Require that peers of a listening socket hold one of the deployment's keys.
 
-    Call it before the socket is bound.  The check of the peer's key is done by the authenticator
-    that :func:`start_authenticator` starts for the context.
+    Call it before bind.  The authenticator of the context, started by :func:`start_authenticator`,
+    checks the peer's key.
     """
     if keys is None:
         return
@@ -102,7 +100,7 @@
 
 
 def secure_client(sock: zmq.asyncio.Socket, keys: Keys | None) -> None:
-    """Make a connecting socket prove its key and accept only an entry; call it before connect."""
+    """Authenticate a connecting socket and accept only an entry; call it before connect."""
     if keys is None:
         return
     sock.curve_publickey = keys.public
@@ -113,7 +111,7 @@
 def start_authenticator(ctx: zmq.asyncio.Context, keys: Keys | None) -> AsyncioAuthenticator | None:
     """Check the key of every peer that connects to a listening socket of ``ctx``.
 
-    Without it CURVE encrypts, but accepts any client that knows the server's public key.
+    Without it, CURVE accepts any client that knows the server's public key.
 
     :returns: the running authenticator, to be stopped with ``stop()``; ``None`` without keys.
     """
@@ -126,7 +124,7 @@
 
 
 class _KeyAllowlist:
-    """Accepts the deployment's own public keys."""
+    """Allowlist of public keys for the authenticator."""
 
     _peers: frozenset[bytes]
 
@@ -148,8 +146,7 @@
 
 
 def _write_private(path: Path, text: str) -> None:
-    # Opened with its final mode: a file that is made readable first and restricted afterwards can
-    # be opened by others in between.
+    # Created with its final mode, so that other users cannot open it before it is restricted.
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_FILE_MODE)
     with os.fdopen(fd, "w", encoding="ascii") as file:
         file.write(text)
