--- a/tests/unit/test_fleet_config.py
+++ b/tests/unit/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""Queues in the operators' configuration, and the fleet's rows in the product's table."""
+"""Queue configuration of the fleet, and its rows in the packed table."""
 
 import asyncio
 from typing import Any
@@ -96,7 +96,7 @@
 
 
 class UnresponsiveTable(MemoryTable):
-    """A table to which connections hang."""
+    """A table that responds late to every call."""
 
     async def commit(self, txn: Txn) -> Commit:
         await asyncio.sleep(2)
@@ -117,10 +117,9 @@
 
 
 async def test_unreadable_row_neither_hides_others_nor_counts_as_absent() -> None:
-    """A row was damaged, or written by something else under a key of the fleet.
+    """Guards against losing other jobs to a corrupt or foreign row.
 
-    The other jobs are there.  The job of a damaged snapshot is left out: begun anew, it would run
-    again what was done.
+    A job with an unreadable snapshot is not loaded, since a restart would repeat completed work.
     """
     plain = MemoryTable()
     table = PackedTable(plain)
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -1,4 +1,4 @@
-"""Jobs of steps in the caller API over real HTTP on loopback, with a small fake of the fleet."""
+"""Caller API for jobs of steps, over HTTP on loopback with a fake fleet entry."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -36,7 +36,7 @@
 
 
 class FakeFleet:
-    """An entry of the fleet that answers as told and remembers what it was asked."""
+    """Fleet entry that returns a preset reply and records its calls."""
 
     def __init__(self) -> None:
         self.metrics = Metrics()
@@ -55,7 +55,7 @@
 
 
 class ApiHarness:
-    """The caller API of an entry with a fleet behind it."""
+    """The caller API of an entry with a fake fleet."""
 
     def __init__(self, version: int = 1) -> None:
         self.fleet = FakeFleet()
@@ -93,7 +93,7 @@
     return {"json": {"steps": list(found), **more}}
 
 
-# What is submitted, and the status, code and field that come back.
+# Path and body of the submission; status, code and field of the error.
 BAD_SUBMISSIONS: dict[str, tuple[str, dict[str, Any], tuple[int, str, str]]] = {
     "no JSON": (JOB, {"data": b"{"}, (400, "SL-100", "body")),
     "not UTF-8": (JOB, {"data": b'{"steps":[{"label":"\xff"}]}'}, (400, "SL-100", "body")),
@@ -155,8 +155,8 @@
     }
     async with harness.running() as http:
         headers = {"X-Request-Deadline-Ms": "2500"}
-        status, told, got = await ask(http, "POST", JOB, json=body, headers=headers)
-    assert (status, told) == (202, {"queue": "nightly", "id": "a1", "state": "queued"})
+        status, reply_body, got = await ask(http, "POST", JOB, json=body, headers=headers)
+    assert (status, reply_body) == (202, {"queue": "nightly", "id": "a1", "state": "queued"})
     assert got["Location"] == JOB
     ((kind, queue, job_id, stored, deadline_s),) = harness.fleet.calls
     assert (kind, queue, job_id, deadline_s) == (CallKind.SUBMIT, "nightly", "a1", 2.5)
@@ -171,7 +171,7 @@
 
 
 CALLS = {"submit": ("POST", JOB), "ask": ("GET", JOB), "cancel": ("DELETE", JOB)}
-# Call, how it ended; status, code, outcome.
+# Call and reply of the fleet; status, code and outcome of the response.
 CALL_OUTCOMES: dict[str, tuple[str, Reply, tuple[int, str, str]]] = {
     "not stored": (
         "submit", Reply(1, ReplyKind.NOT_RUN, retry_after_s=1.2), (503, "SL-307", "not_run"),
@@ -183,7 +183,7 @@
         "submit", Reply(1, ReplyKind.OK, "running", other=True), (422, "SL-105", "not_run"),
     ),
     "no such job": ("ask", Reply(1, ReplyKind.ABSENT), (404, "SL-103", "unknown")),
-    "asked in vain": (
+    "state unknown": (
         "ask", Reply(1, ReplyKind.UNKNOWN, retry_after_s=2), (503, "SL-307", "not_run"),
     ),
     "no such job to cancel": ("cancel", Reply(1, ReplyKind.ABSENT), (404, "SL-103", "unknown")),
@@ -238,10 +238,9 @@
 
 
 async def test_leaving_entry_answers_pending_requests_and_rejects_later_ones() -> None:
-    """An entry is told to stop while a submission waits for the leader.
+    """Guards against dropping a submission that waits for the leader when its entry drains.
 
-    The submission gets its answer.  Until the balancer has turned elsewhere others are served too,
-    each with the word to use another connection; what still comes after that is refused as not run.
+    Requests before the close are served with ``Connection: close``; later ones are not run.
     """
     harness = ApiHarness()
     async with harness.running() as http:
--- a/tests/unit/test_keys.py
+++ b/tests/unit/test_keys.py
@@ -1,4 +1,4 @@
-"""Only holders of the deployment's keys may connect, and key files are private."""
+"""Access control by CURVE keys, and permissions of key files."""
 
 import asyncio
 from pathlib import Path
@@ -45,11 +45,7 @@
 async def test_only_peers_with_the_deployments_keys_are_accepted(
     tmp_path: Path, client: str, accepted: bool
 ) -> None:
-    """A process with another deployment's keys, or none, reaches an entry's port.
-
-    It knows the entry's public key, so that encryption alone would let it in; the check of its own
-    key must keep every message of it out.
-    """
+    """Guards against accepting a client that knows the entry's public key but has a foreign key."""
     write_keys(str(tmp_path / "own")).unwrap()
     write_keys(str(tmp_path / "foreign")).unwrap()
     entry = keys_of(tmp_path / "own", "entry")
--- a/tests/unit/test_platform_standin_store.py
+++ b/tests/unit/test_platform_standin_store.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's store does what the platform's store is said to do."""
+"""The stand-in of the platform's store follows the contract of that store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,7 +19,7 @@
 
 
 class Store:
-    """A stand-in with a table that reaches it, and one that does so at another address."""
+    """A stand-in with two table clients at different addresses."""
 
     def __init__(self) -> None:
         settings = StoreSettings(hosts=[OTHER_HOST])
@@ -38,12 +38,12 @@
 
 @pytest.fixture
 async def store() -> AsyncIterator[Store]:
-    made = Store()
-    await made.start()
-    yield made
-    await made.table.close()
-    await made.other.close()
-    await made.standin.stop()
+    created = Store()
+    await created.start()
+    yield created
+    await created.table.close()
+    await created.other.close()
+    await created.standin.stop()
 
 
 async def test_a_condition_that_does_not_hold_changes_nothing(store: Store) -> None:
--- a/tests/unit/test_platform_standin_worker.py
+++ b/tests/unit/test_platform_standin_worker.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's worker does what the platform's worker is said to do."""
+"""The stand-in of the platform's worker follows the contract of that worker."""
 
 from collections.abc import AsyncIterator
 
@@ -17,7 +17,7 @@
 
 
 class WorkerHarness:
-    """A worker with the client that an agent has of it."""
+    """A stand-in worker and an agent's client for it."""
 
     async def start(self) -> None:
         settings = WorkerSettings("127.0.0.1", 0, "", "")
@@ -42,11 +42,11 @@
 
 @pytest.fixture
 async def harness() -> AsyncIterator[WorkerHarness]:
-    made = WorkerHarness()
-    await made.start()
-    yield made
-    await made.client.close()
-    await made.standin.stop()
+    created = WorkerHarness()
+    await created.start()
+    yield created
+    await created.client.close()
+    await created.standin.stop()
 
 
 async def test_ended_run_is_listed_until_acknowledged(harness: WorkerHarness) -> None:
--- a/tests/unit/test_standin_runs.py
+++ b/tests/unit/test_standin_runs.py
@@ -1,4 +1,4 @@
-"""The stand-in worker keeps the promises that a runner relies on."""
+"""The stand-in worker follows the run contract that a runner depends on."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,7 +23,7 @@
 
 
 class WorkerHarness:
-    """A worker and a runner's calls to it."""
+    """A stand-in worker and a runner's client for it."""
 
     def __init__(self, worker: StandInWorker, url: str) -> None:
         self.worker = worker
--- a/tests/unit/test_standin_worker.py
+++ b/tests/unit/test_standin_worker.py
@@ -1,4 +1,4 @@
-"""The stand-in worker keeps a worker's promises and hides none of the product's mistakes."""
+"""The stand-in worker follows the worker contract and records scheduling errors."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,7 +25,7 @@
 
 
 PROGRESS: dict[str, tuple[dict[str, Any], list[tuple[float, float]], TaskState, float, int]] = {
-    # script; (time, speed from then on); state, done_ms and events at the last time
+    # script; (time, speed from that time); state, done_ms and events at the last time
     "runs to its end": ({"work_ms": 300}, [(0, 1), (0.3, 1)], TaskState.SUCCEEDED, 300, 0),
     "half speed": ({"work_ms": 300}, [(0, 0.5), (0.3, 1)], TaskState.RUNNING, 150, 0),
     "changed speed": (
@@ -36,8 +36,8 @@
         0,
     ),
     "fails": ({"work_ms": 10, "fail": True}, [(0, 1), (1, 1)], TaskState.FAILED, 10, 0),
-    "lapses": ({"work_ms": 9000}, [(0, 1), (7, 1)], TaskState.STOPPED, 5000, 0),
-    "seen late": ({"work_ms": 4000}, [(0, 1), (7, 1)], TaskState.STOPPED, 4000, 0),
+    "lease expires": ({"work_ms": 9000}, [(0, 1), (7, 1)], TaskState.STOPPED, 5000, 0),
+    "ends before lease expiry": ({"work_ms": 4000}, [(0, 1), (7, 1)], TaskState.STOPPED, 4000, 0),
     "emits": (
         {"work_ms": 900, "event_every_ms": 100, "events": 3},
         [(0, 1), (0.7, 1)],
@@ -114,10 +114,9 @@
 
 
 async def test_repeated_checkpoint_request_stores_exact_progress() -> None:
-    """A non-idempotent task resumes before the point at which it was stopped.
+    """Guards against storing outdated progress when a timed-out checkpoint call is retried.
 
-    The object store hangs; the agent gives its first call up and asks again.  When the first try
-    failed it let the task run on, while the second was still storing what it had taken before.
+    The failed first attempt must not resume the task while the second one stores its progress.
     """
     worker = StandInWorker(History("w", None), WorkerSettings(checkpoint_ms=0.0))
     task = StandInTask.from_spec(spec(lease=now() + 100, work_ms=60_000), Progress(), now())
