--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -115,10 +115,10 @@
         return answer
 
     async def _submit(self, request: web.Request) -> web.Response:
-        named = self._parse_job_request(request)
-        if isinstance(named, Err):
-            return rejected(named.err_value)
-        queue, job_id, deadline_s = named.ok_value
+        job_request = self._parse_job_request(request)
+        if isinstance(job_request, Err):
+            return rejected(job_request.err_value)
+        queue, job_id, deadline_s = job_request.ok_value
         config = self._config.current.document.queues.get(queue)
         if config is None:
             return self._unknown_queue(queue)
@@ -150,10 +150,10 @@
         return await self._call_job(request, CallKind.CANCEL)
 
     async def _call_job(self, request: web.Request, kind: CallKind) -> web.Response:
-        named = self._parse_job_request(request)
-        if isinstance(named, Err):
-            return rejected(named.err_value)
-        queue, job_id, deadline_s = named.ok_value
+        job_request = self._parse_job_request(request)
+        if isinstance(job_request, Err):
+            return rejected(job_request.err_value)
+        queue, job_id, deadline_s = job_request.ok_value
         reply = await self._call(kind, queue, job_id, deadline_s)
         if reply.kind is ReplyKind.OK:
             return _job_response(queue, job_id, reply, 200)
--- a/sapphirelead/keys.py
+++ b/sapphirelead/keys.py
@@ -78,8 +78,10 @@
         return Err(Failure(Code.SETTINGS_INVALID, f"cannot read {path}: {exc}", hint))
     except ValidationError as exc:
         # The error text contains the input, which may be the secret key; only report field names.
-        wrong = ", ".join(str(error["loc"][0]) for error in exc.errors())
-        return Err(Failure(Code.SETTINGS_INVALID, f"{path}: invalid or missing: {wrong}", hint))
+        invalid_fields = ", ".join(str(error["loc"][0]) for error in exc.errors())
+        return Err(
+            Failure(Code.SETTINGS_INVALID, f"{path}: invalid or missing: {invalid_fields}", hint)
+        )
     own = file.entry_public_key if file.role == "entry" else file.agent_public_key
     peers = frozenset({file.entry_public_key.encode(), file.agent_public_key.encode()})
     return Ok(Keys(own.encode(), file.secret_key.encode(), file.entry_public_key.encode(), peers))
--- a/sapphirelead/standin_runs.py
+++ b/sapphirelead/standin_runs.py
@@ -195,15 +195,15 @@
     def _collect_ended_runs(self) -> None:
         """Number the runs that have ended and list them as ended."""
         self._host.advance_all()
-        for name, task in list(self._runs.items()):
+        for run_id, task in list(self._runs.items()):
             if task.running:
                 continue
-            del self._runs[name]
+            del self._runs[run_id]
             self._host.drop(task)
             self._last_end_number += 1
-            self._ended_attempts[name[0]] = max(self._ended_attempts.get(name[0], 0), name[1])
+            self._ended_attempts[run_id[0]] = max(self._ended_attempts.get(run_id[0], 0), run_id[1])
             self._ended_runs.append(
-                WorkerEnd(self._last_end_number, *name, _end_kind(task), _encoded_progress(task))
+                WorkerEnd(self._last_end_number, *run_id, _end_kind(task), _encoded_progress(task))
             )
 
 
--- a/sapphirelead/standin_server.py
+++ b/sapphirelead/standin_server.py
@@ -74,10 +74,10 @@
 
     @web.middleware
     async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        answer: web.StreamResponse
+        response: web.StreamResponse
         if request.path in ("/faults", "/stats") or not request.path.startswith(self.faults.only):
-            answer = await handler(request)
-            return answer
+            response = await handler(request)
+            return response
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
         if self.faults.down and not self.faults.hang:
@@ -85,17 +85,17 @@
         if self.faults.down:
             return await self._hold_request(request, handler)
         if not await self._matches_fault(request):
-            answer = await handler(request)
+            response = await handler(request)
         elif self.faults.drop_before:
             self.faults.drop_before -= 1
-            answer = _abort_connection(request)
+            response = _abort_connection(request)
         elif self.faults.lose_answers:
             self.faults.lose_answers -= 1
             await handler(request)
-            answer = _abort_connection(request)
+            response = _abort_connection(request)
         else:
-            answer = await handler(request)
-        return answer
+            response = await handler(request)
+        return response
 
     async def _matches_fault(self, request: web.Request) -> bool:
         return request.method != "GET" and self.faults.match.encode() in await request.read()
--- a/sapphirelead/standin_task.py
+++ b/sapphirelead/standin_task.py
@@ -146,7 +146,7 @@
 
     def info(self, usage_lag_s: float, at: float) -> TaskInfo:
         """Return the task as the worker reports it, with usage delayed by ``usage_lag_s``."""
-        known = at - self.started_at >= usage_lag_s
+        usage_known = at - self.started_at >= usage_lag_s
         return TaskInfo(
             self.spec.task_id,
             self.spec.epoch,
@@ -154,7 +154,7 @@
             self.spec.kind,
             self.spec.job_class,
             self.spec.resources,
-            usage=self.usage if known else Resources(),
+            usage=self.usage if usage_known else Resources(),
             usage_age_s=usage_lag_s,
             throttle=self.throttle,
             checkpoint=self.checkpoint,
@@ -179,8 +179,10 @@
             self._emit()
 
     def _has_next_event(self) -> bool:
-        bound = self.script.events
-        return self.script.event_every_ms > 0 and (bound == 0 or self.progress.emitted < bound)
+        max_events = self.script.events
+        return self.script.event_every_ms > 0 and (
+            max_events == 0 or self.progress.emitted < max_events
+        )
 
     def _next_event_ms(self) -> float:
         return (self.progress.emitted + 1) * self.script.event_every_ms
--- a/sapphirelead/standin_worker.py
+++ b/sapphirelead/standin_worker.py
@@ -144,8 +144,8 @@
             task.speed = 0.0 if task.paused else task.throttle * share
 
     def _cpu_share(self) -> float:
-        wanted = sum(task.usage.cpu_millicores for task in self._running())
-        return min(1.0, self._capacity.cpu_millicores / wanted) if wanted else 1.0
+        demand = sum(task.usage.cpu_millicores for task in self._running())
+        return min(1.0, self._capacity.cpu_millicores / demand) if demand else 1.0
 
     def _running(self) -> list[StandInTask]:
         return [task for task in self.tasks.values() if task.running]
@@ -160,14 +160,14 @@
     def _record_end(self, task: StandInTask) -> None:
         # An expired lease ends the task at the lease's end, even if a paused process detects it
         # later: no work after that time was counted.
-        lapsed = task.state is TaskState.STOPPED and task.at >= task.lease_until
+        lease_expired = task.state is TaskState.STOPPED and task.at >= task.lease_until
         fields = {
             "state": task.state,
             "reason": task.reason,
             "done_ms": task.progress.done_ms,
             "emitted": task.progress.emitted,
         }
-        clock = task.lease_until if lapsed else None
+        clock = task.lease_until if lease_expired else None
         self.history.record("task_end", clock, **_task_key(task), **fields)
         if task.state is TaskState.SUCCEEDED:
             self.history.record("effect", **_task_key(task))
@@ -268,7 +268,7 @@
         call = await _decode(request)
         if refusal := self._check_session(call):
             return refusal
-        for task in self._tasks_named(request):
+        for task in self._tasks_by_id(request):
             self.set_speed(task, call.share)
         return web.json_response({})
 
@@ -276,10 +276,10 @@
         call = await _decode(request)
         if refusal := self._check_session(call):
             return refusal
-        named = self._tasks_named(request)
-        if not named:
+        matching = self._tasks_by_id(request)
+        if not matching:
             return _error_response(404, "no such task")
-        task = named[-1]
+        task = matching[-1]
         if task.running and not await self._checkpoint_task(task):
             return _error_response(503, "checkpoint could not be stored; the task continues")
         if not task.checkpoint:
@@ -315,7 +315,7 @@
         call = await _decode(request)
         if refusal := self._check_session(call):
             return refusal
-        for task in self._tasks_named(request):
+        for task in self._tasks_by_id(request):
             if task.running:
                 self.end(task, TaskState.STOPPED, "stopped")
         self._wakeup.set()
@@ -325,7 +325,7 @@
         call = await _decode(request)
         if refusal := self._check_session(call):
             return refusal
-        for task in self._tasks_named(request):
+        for task in self._tasks_by_id(request):
             if not task.running:
                 self.drop(task)
         return web.json_response({})
@@ -335,7 +335,7 @@
         self._fail_all = control.fail_all
         return web.json_response({})
 
-    def _tasks_named(self, request: web.Request) -> list[StandInTask]:
+    def _tasks_by_id(self, request: web.Request) -> list[StandInTask]:
         name = request.match_info["task"]
         return [task for (task_id, _), task in self.tasks.items() if task_id == name]
 
--- a/tests/unit/test_standin_runs.py
+++ b/tests/unit/test_standin_runs.py
@@ -47,8 +47,8 @@
     async def lease(self, seconds: float = 10.0) -> None:
         (await self.runs.hold(TOKEN, 0, int((now() + seconds) * 1000), 0)).unwrap()
 
-    async def ends(self, noted: int = 0, wait_ms: int = 0) -> list[WorkerEnd]:
-        return (await self.runs.hold(TOKEN, noted, 0, wait_ms)).unwrap().ended
+    async def ended_runs(self, acknowledged: int = 0, wait_ms: int = 0) -> list[WorkerEnd]:
+        return (await self.runs.hold(TOKEN, acknowledged, 0, wait_ms)).unwrap().ended
 
 
 @asynccontextmanager
@@ -68,10 +68,10 @@
         await harness.lease()
         answers = [await harness.start(payload='{"work_ms":80}') for _ in range(2)]
         assert answers == [StartAnswer.STARTED] * 2
-        (end,) = await harness.ends(wait_ms=1000)
+        (end,) = await harness.ended_runs(wait_ms=1000)
         assert (end.number, end.task, end.attempt, end.kind) == (1, "a1.0.0.0", 1, "done")
-        assert await harness.ends() == [end]
-        assert await harness.ends(noted=1) == []
+        assert await harness.ended_runs() == [end]
+        assert await harness.ended_runs(acknowledged=1) == []
         assert await harness.start(payload='{"work_ms":80}') is StartAnswer.OUTDATED
         assert sum(line["event"] == "effect" for line in harness.worker.history.events) == 1
 
@@ -84,7 +84,7 @@
         saved = msgspec.json.encode(Progress(done_ms=900)).decode()
         assert await harness.start(attempt=2, saved=saved) is StartAnswer.STARTED
         (await harness.runs.stop("a1.0.0.0", 2, TOKEN)).unwrap()
-        (end,) = await harness.ends()
+        (end,) = await harness.ended_runs()
         assert (end.attempt, end.kind) == (2, "stopped")
         assert msgspec.json.decode(end.saved, type=Progress).done_ms >= 900
 
@@ -93,7 +93,7 @@
     async with running_worker() as harness:
         await harness.lease(0.2)
         assert await harness.start(deadline_s=0.1) is StartAnswer.STARTED
-        (end,) = await harness.ends(wait_ms=1000)
+        (end,) = await harness.ended_runs(wait_ms=1000)
         assert end.kind == "lapsed"
 
 
@@ -155,5 +155,5 @@
         began = now()
         (await harness.runs.pace("a1.0.0.0", 1, 25, TOKEN)).unwrap()
         await asyncio.sleep(0)
-        (end,) = await harness.ends(wait_ms=3000)
+        (end,) = await harness.ended_runs(wait_ms=3000)
         assert (end.kind, now() - began > 0.6) == ("done", True)
--- a/tests/unit/test_standin_worker.py
+++ b/tests/unit/test_standin_worker.py
@@ -36,7 +36,7 @@
         0,
     ),
     "fails": ({"work_ms": 10, "fail": True}, [(0, 1), (1, 1)], TaskState.FAILED, 10, 0),
-    "lease expires": ({"work_ms": 9000}, [(0, 1), (7, 1)], TaskState.STOPPED, 5000, 0),
+    "lapses": ({"work_ms": 9000}, [(0, 1), (7, 1)], TaskState.STOPPED, 5000, 0),
     "ends before lease expiry": ({"work_ms": 4000}, [(0, 1), (7, 1)], TaskState.STOPPED, 4000, 0),
     "emits": (
         {"work_ms": 900, "event_every_ms": 100, "events": 3},
