--- a/sapphirelead/account.py
+++ b/sapphirelead/account.py
@@ -14,8 +14,8 @@
 from enum import StrEnum
 from typing import Final
 
-FIELD: Final = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-FULL: Final = 100
+LOG_FIELD: Final = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+FULL_PACE_PERCENT: Final = 100
 
 
 class Spent(StrEnum):
@@ -37,18 +37,18 @@
     reason: str = ""
     paces: list[tuple[float, int]] = field(default_factory=list)
 
-    def held_s(self) -> float:
+    def throttled_s(self) -> float:
         """Return the time that its pace took from it."""
-        points = [(self.started_at, FULL), *sorted(self.paces), (self.ended_at, FULL)]
+        points = [(self.started_at, FULL_PACE_PERCENT), *sorted(self.paces), (self.ended_at, FULL_PACE_PERCENT)]
         lost = 0.0
         for (begin, percent), (end, _) in itertools.pairwise(points):
             begin, end = max(begin, self.started_at), min(end, self.ended_at)
-            lost += max(0.0, end - begin) * (FULL - percent) / FULL
+            lost += max(0.0, end - begin) * (FULL_PACE_PERCENT - percent) / FULL_PACE_PERCENT
         return lost
 
 
 @dataclass(slots=True)
-class StepAccount:
+class CriticalPath:
     """The critical path of one step.
 
     :ivar slack_s: how long the step could still wait when it was ready.
@@ -64,20 +64,20 @@
 
 
 @dataclass(slots=True)
-class _Lines:
+class _ParsedEvents:
     """What the lines tell, before it is added up."""
 
-    steps: dict[str, StepAccount] = field(default_factory=dict)
+    steps: dict[str, CriticalPath] = field(default_factory=dict)
     attempts: dict[str, dict[int, _Attempt]] = field(default_factory=dict)
     paces: dict[tuple[str, int], list[tuple[float, int]]] = field(default_factory=dict)
 
-    def take(self, fields: dict[str, str], at: float) -> None:
+    def add(self, fields: dict[str, str], at: float) -> None:
         """Take one event."""
         match fields.get("event"):
             case "step_ready" if fields.get("fills") == "true":
                 slack_s, tasks = float(fields["slack_s"]), int(fields["tasks"])
                 self.steps.setdefault(
-                    fields["step"], StepAccount(fields["step"], at, tasks, slack_s)
+                    fields["step"], CriticalPath(fields["step"], at, tasks, slack_s)
                 )
             case "start_sent":
                 runs = self.attempts.setdefault(fields["task"], {})
@@ -91,11 +91,11 @@
                 self.paces.setdefault(key, []).append((at, int(fields["percent"])))
 
 
-def account(lines: Iterable[str]) -> list[StepAccount]:
+def account(lines: Iterable[str]) -> list[CriticalPath]:
     """Return the critical path of each filling step that ended, in the order of their ends."""
-    seen = _Lines()
+    seen = _ParsedEvents()
     for at, fields in sorted(_parse(lines), key=lambda item: item[0]):
-        seen.take(fields, at)
+        seen.add(fields, at)
     for (task, attempt), paces in seen.paces.items():
         run = seen.attempts.get(task, {}).get(attempt)
         if run is not None:
@@ -123,9 +123,9 @@
         spent[waiting] += max(0.0, run.started_at - free_at)
         took_s = max(0.0, run.ended_at - run.started_at)
         if run.how == "done":
-            held_s = run.held_s()
-            spent[Spent.HELD] += held_s
-            spent[Spent.WORKED] += took_s - held_s
+            throttled_s = run.throttled_s()
+            spent[Spent.HELD] += throttled_s
+            spent[Spent.WORKED] += took_s - throttled_s
         elif run.how == "stopped":
             spent[Spent.MOVED] += took_s
         else:
@@ -134,7 +134,7 @@
     return spent
 
 
-def total(steps: Iterable[StepAccount]) -> dict[Spent, float]:
+def total(steps: Iterable[CriticalPath]) -> dict[Spent, float]:
     """Return the seconds of all critical paths by what they went into."""
     found = dict.fromkeys(Spent, 0.0)
     for step in steps:
@@ -148,7 +148,7 @@
         begin = line.find("at=")
         if begin < 0:
             continue
-        fields = {key: value.strip('"') for key, value in FIELD.findall(line[begin:])}
+        fields = {key: value.strip('"') for key, value in LOG_FIELD.findall(line[begin:])}
         if "event" not in fields:
             continue
         try:
--- a/sapphirelead/operator_account.py
+++ b/sapphirelead/operator_account.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 from typing import Final
 
-from sapphirelead.account import Spent, StepAccount, account, total
+from sapphirelead.account import Spent, CriticalPath, account, total
 from sapphirelead.operator_print import print_json, print_rows
 from sapphirelead.options import Exit, Options
 
-BAR: Final = 40
+MAX_BAR_CHARS: Final = 40
 """Width of the longest bar of the plot."""
 
-PERIOD_S: Final = 5.0
+PLOT_PERIOD_S: Final = 5.0
 """Time over which the plot sums up the steps that ended."""
 
 
@@ -52,7 +52,7 @@
             yield from file
 
 
-def _as_json(step: StepAccount) -> dict[str, object]:
+def _as_json(step: CriticalPath) -> dict[str, object]:
     return {
         "step": step.name,
         "ready_at": step.ready_at,
@@ -62,12 +62,12 @@
     }
 
 
-def _plot(steps: list[StepAccount]) -> list[dict[str, object]]:
+def _plot(steps: list[CriticalPath]) -> list[dict[str, object]]:
     """Return a row a period: what the steps that ended in it spent most on, and a bar."""
     begin = steps[0].ended_at
-    periods: dict[int, list[StepAccount]] = {}
+    periods: dict[int, list[CriticalPath]] = {}
     for step in steps:
-        periods.setdefault(int((step.ended_at - begin) // PERIOD_S), []).append(step)
+        periods.setdefault(int((step.ended_at - begin) // PLOT_PERIOD_S), []).append(step)
     means = {period: sum(total(ended).values()) / len(ended) for period, ended in periods.items()}
     longest = max(max(means.values()), 1e-9)
     rows: list[dict[str, object]] = []
@@ -75,11 +75,11 @@
         spent = total(ended)
         rows.append(
             {
-                "from_s": round(period * PERIOD_S),
+                "from_s": round(period * PLOT_PERIOD_S),
                 "steps": len(ended),
                 "mean_s": round(means[period], 1),
                 "most": max(spent, key=lambda what: spent[what]),
-                "plot": "#" * round(means[period] / longest * BAR),
+                "plot": "#" * round(means[period] / longest * MAX_BAR_CHARS),
             }
         )
     return rows
