--- a/sapphirelead/background.py
+++ b/sapphirelead/background.py
@@ -49,15 +49,15 @@
             self._on_crash(exc)
 
 
-EXIT_BROKEN: Final = 70
+EXIT_INVARIANT_VIOLATED: Final = 70
 """Exit code of a process that met a broken invariant."""
 
 
 def _end_process(exc: BaseException) -> None:
-    os._exit(EXIT_BROKEN)
+    os._exit(EXIT_INVARIANT_VIOLATED)
 
 
-_VITAL: Final = Background(_end_process)
+_CRITICAL_TASKS: Final = Background(_end_process)
 
 
 def spawn(work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
@@ -66,4 +66,4 @@
     Otherwise the process would look alive and do nothing: it listens, but no message is handled
     any more.  After its restart it begins from what is stored.
     """
-    return _VITAL.spawn(work, name)
+    return _CRITICAL_TASKS.spawn(work, name)
