--- a/sapphirelead/dev.py
+++ b/sapphirelead/dev.py
@@ -47,14 +47,14 @@
 
 HOST: Final = "127.0.0.1"
 ZONE: Final = "dev-1"
-ENTRIES: Final = 2
-INSTANCES: Final = 3
-RUNNERS: Final = 2
+ENTRY_COUNT: Final = 2
+INSTANCE_COUNT: Final = 3
+RUNNER_COUNT: Final = 2
 SERVICE: Final = "maturity-check"
 CPU_MILLICORES: Final = 8_000
 MEMORY_MB: Final = 16_000
-READY_LIMIT_S: Final = 15.0
-READY_POLL_S: Final = 0.05
+READY_TIMEOUT_S: Final = 15.0
+READY_POLL_INTERVAL_S: Final = 0.05
 LEASE: Final = LeaseSettings(
     lease_seconds=6.0,
     margin_seconds=2.0,
@@ -94,12 +94,12 @@
         """Start everything; the first entry listens on ``first_port`` where it is not 0."""
         table = StandInTable(_history("table"), TableSettings())
         self._table_url = await self._start_standin(table)
-        for number in range(ENTRIES):
+        for number in range(ENTRY_COUNT):
             port = first_port + number if first_port else 0
             await self._start_entry(f"entry-{number + 1}", port)
-        for number in range(INSTANCES):
+        for number in range(INSTANCE_COUNT):
             await self._start_instance(f"instance-{number + 1}", number + 1)
-        for number in range(RUNNERS):
+        for number in range(RUNNER_COUNT):
             await self._start_runner(f"runner-{number + 1}", number + 1)
         await self._wait_ready()
 
@@ -205,15 +205,15 @@
         return SecuritySettings(keys_file=f"{self._keys}/{role}.keys" if self._keys else "")
 
     async def _wait_ready(self) -> None:
-        deadline = now() + READY_LIMIT_S
+        deadline = now() + READY_TIMEOUT_S
         while not all(self._is_ready(entry) for entry in self._entries):
             if now() > deadline:
-                raise TimeoutError(f"not ready after {READY_LIMIT_S:g} s")
-            await asyncio.sleep(READY_POLL_S)
+                raise TimeoutError(f"not ready after {READY_TIMEOUT_S:g} s")
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def _is_ready(self, entry: Entry) -> bool:
         led = entry.fleet is not None and entry.fleet.entry.leader_known
-        return led and entry.core.config.ready.is_set() and len(entry.members.live()) == INSTANCES
+        return led and entry.core.config.ready.is_set() and len(entry.members.live()) == INSTANCE_COUNT
 
 
 async def run_dev(options: Options) -> int:
@@ -227,7 +227,7 @@
     started_at = now()
     try:
         await stack.start(options.port)
-        print(f"{ENTRIES} entries and {INSTANCES} instances up in {now() - started_at:.1f} s")
+        print(f"{ENTRY_COUNT} entries and {INSTANCE_COUNT} instances up in {now() - started_at:.1f} s")
         kept = await run_example(stack.urls)
         if not options.once:
             _print_urls(stack.urls)
