--- a/tests/unit/test_logs_bounded.py
+++ b/tests/unit/test_logs_bounded.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sapphirelead.logs_bounded import BURST_LINES, KEPT_LINES, LINES_PER_S, BoundedSink
+from sapphirelead.logs_bounded import BURST_LINES, RESERVED_LINES, LINES_PER_S, BoundedSink
 
 
 @dataclass
@@ -49,13 +49,13 @@
     on changes of the lead were dropped with them.
     """
     starts = sum(1 for _ in range(int(BURST_LINES)) if log.write("start_sent"))
-    assert starts == int(BURST_LINES - KEPT_LINES)
+    assert starts == int(BURST_LINES - RESERVED_LINES)
     calls = sum(1 for _ in range(int(BURST_LINES)) if log.write("call_ended"))
-    assert calls == int(KEPT_LINES)
+    assert calls == int(RESERVED_LINES)
 
 
 def test_what_was_dropped_is_told_by_event(log: Log) -> None:
-    for _ in range(int(BURST_LINES - KEPT_LINES) + 7):
+    for _ in range(int(BURST_LINES - RESERVED_LINES) + 7):
         log.write("run_ended")
     assert "event=log_lines_dropped lines=7 of=run_ended:7" in log.write("call_ended")
     assert "log_lines_dropped" not in log.write("call_ended")
