--- a/sapphirelead/main.py
+++ b/sapphirelead/main.py
@@ -77,7 +77,7 @@
 from sapphirelead.settings import AgentSettings, EntrySettings, RunnerSettings
 
 PACKAGE: Final = "sapphirelead"
-WORDS: Final = (
+COMMANDS: Final = (
     ("entry",),
     ("agent",),
     ("runner",),
@@ -144,7 +144,7 @@
     :raises ValueError: where a number is none.
     """
     return Options(
-        command=next(words for words in WORDS if all(args[word] for word in words)),
+        command=next(words for words in COMMANDS if all(args[word] for word in words)),
         config=args["--config"] or "",
         file=args["FILE"] or args["--file"] or "",
         name=args["KEY"] or args["ID"] or args["DIR"] or (args["--id"] if args["standin"] else ""),
@@ -158,12 +158,12 @@
         after=args["--after"] or "",
         pairs=tuple(args["PAIR"]),
         logs=tuple(args["LOG"]),
-        base=_base(args["--base"]),
+        base=_parse_base(args["--base"]),
         author=args["--author"] or "",
         reason=args["--reason"] or "",
-        limit=_number("--limit", args["--limit"]),
+        limit=_parse_number("--limit", args["--limit"]),
         host=args["--host"],
-        port=_number("--port", args["--port"]),
+        port=_parse_number("--port", args["--port"]),
         history=args["--history"] or "",
         settings=args["--settings"],
     )
@@ -200,7 +200,7 @@
 
     settings = load_settings(options.config, EntrySettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_entry(settings.ok_value))
 
 
@@ -210,7 +210,7 @@
 
     settings = load_settings(options.config, AgentSettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_agent(settings.ok_value))
 
 
@@ -220,7 +220,7 @@
 
     settings = load_settings(options.config, RunnerSettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_runner(settings.ok_value))
 
 
@@ -237,22 +237,22 @@
     )
 
 
-def _refuse(error: Result[Any, Failure]) -> int:
+def _print_refusal(error: Result[Any, Failure]) -> int:
     print(error.err(), file=sys.stderr)
     return Exit.REFUSED
 
 
-def _number(option: str, text: str) -> int:
+def _parse_number(option: str, text: str) -> int:
     try:
         return int(text)
     except ValueError:
         raise ValueError(f"{option} wants a whole number, not {text!r}") from None
 
 
-def _base(text: str | None) -> int:
+def _parse_base(text: str | None) -> int:
     if text is None:
         return BASE_UNSET
-    return BASE_CURRENT if text == "current" else _number("--base", text)
+    return BASE_CURRENT if text == "current" else _parse_number("--base", text)
 
 
 def _version() -> str:
