--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -51,7 +51,7 @@
         config = ConfigKeeper(stamp, settings.zone, store, members, links, leases)
         rows = JobRows(store, settings.shards)
         if metrics is not None:
-            rows.on_move = JobMeter(metrics).moved
+            rows.on_move = JobMeter(metrics).count_transition
         board = JobBoard()
         moves = JobMoves(rows, board, links, config, stamp)
         starter = JobStarter(stamp, rows, board, moves, leases, links, config)
--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -20,13 +20,13 @@
 from sapphirelead.clock import now
 
 WINDOW_S: Final = 30.0
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 3_600_000_000
+MIN_LATENCY_US: Final = 1
+MAX_LATENCY_US: Final = 3_600_000_000
 SIGNIFICANT_DIGITS: Final = 2
 PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9)
 MAX_SERIES: Final = 500
 PREFIX: Final = "sapphirelead_"
-OTHER: Final = "other"
+OVERFLOW_LABEL: Final = "other"
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -38,25 +38,25 @@
     total_ms: float
     _current: HdrHistogram
     _previous: HdrHistogram
-    _turned_at: float
+    _rotated_at: float
 
     def __init__(self, at: float) -> None:
         self.count = 0
         self.total_ms = 0.0
         self._current = _histogram()
         self._previous = _histogram()
-        self._turned_at = at
+        self._rotated_at = at
 
     def record(self, at: float, latency_ms: float) -> None:
         """Record one latency, in milliseconds, at loop time ``at``."""
-        self._turn(at)
+        self._rotate(at)
         self.count += 1
         self.total_ms += latency_ms
-        self._current.record_value(min(max(int(latency_ms * 1000), LOWEST_US), HIGHEST_US))
+        self._current.record_value(min(max(int(latency_ms * 1000), MIN_LATENCY_US), MAX_LATENCY_US))
 
     def percentiles_ms(self, at: float) -> dict[float, float]:
         """Return each of :data:`PERCENTILES` in milliseconds; empty where nothing was recorded."""
-        self._turn(at)
+        self._rotate(at)
         merged = _histogram()
         merged.add(self._previous)
         merged.add(self._current)
@@ -64,13 +64,13 @@
             return {}
         return {q: merged.get_value_at_percentile(q) / 1000 for q in PERCENTILES}
 
-    def _turn(self, at: float) -> None:
-        elapsed = at - self._turned_at
+    def _rotate(self, at: float) -> None:
+        elapsed = at - self._rotated_at
         if elapsed < WINDOW_S:
             return
         self._previous = self._current if elapsed < 2 * WINDOW_S else _histogram()
         self._current = _histogram()
-        self._turned_at = at
+        self._rotated_at = at
 
 
 class Metrics(Collector):
@@ -93,18 +93,18 @@
     def count(self, name: str, amount: float = 1.0, /, **labels: str) -> None:
         """Add to a counter, whose name ends with ``_total``."""
         series = self._counters.setdefault(name, {})
-        key = _bounded(series, labels)
+        key = _bounded_key(series, labels)
         series[key] = series.get(key, 0.0) + amount
 
     def gauge(self, name: str, read: Callable[[], float], /, **labels: str) -> None:
         """Export what ``read`` returns at each export; registering again replaces it."""
         series = self._gauges.setdefault(name, {})
-        series[_bounded(series, labels)] = read
+        series[_bounded_key(series, labels)] = read
 
     def latency(self, name: str, latency_ms: float, /, **labels: str) -> None:
         """Record a latency in milliseconds; the name ends with ``_ms``."""
         series = self._latencies.setdefault(name, {})
-        key = _bounded(series, labels)
+        key = _bounded_key(series, labels)
         window = series.get(key)
         if window is None:
             window = series[key] = LatencyWindow(self._clock())
@@ -148,18 +148,18 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def _labels(labels: dict[str, str]) -> Labels:
     return tuple(sorted(labels.items()))
 
 
-def _bounded(series: Mapping[Labels, object], labels: dict[str, str]) -> Labels:
+def _bounded_key(series: Mapping[Labels, object], labels: dict[str, str]) -> Labels:
     key = _labels(labels)
     if key in series or len(series) < MAX_SERIES:
         return key
-    return tuple((name, OTHER) for name, _ in key)
+    return tuple((name, OVERFLOW_LABEL) for name, _ in key)
 
 
 def _counter(name: str, counted: dict[Labels, float]) -> Metric:
--- a/sapphirelead/metrics_jobs.py
+++ b/sapphirelead/metrics_jobs.py
@@ -26,7 +26,7 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def moved(self, before: Job, after: Job) -> None:
+    def count_transition(self, before: Job, after: Job) -> None:
         """Count one committed move."""
         spec = after.spec
         if after.epoch > before.epoch:
@@ -36,12 +36,12 @@
             self._metrics.count(
                 "jobs_ended_total", kind=spec.kind.value, job_class=spec.job_class, state=state
             )
-        cause = requeue_of(before, after)
+        cause = requeue_cause(before, after)
         if cause is not None:
             self._metrics.count("jobs_requeued_total", job_class=spec.job_class, cause=cause.value)
 
 
-def requeue_of(before: Job, after: Job) -> Requeue | None:
+def requeue_cause(before: Job, after: Job) -> Requeue | None:
     """Return why a move queued a claimed job again, ``None`` where it did not."""
     if before.state is not JobState.CLAIMED or after.state is not JobState.QUEUED:
         return None
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -100,7 +100,7 @@
     meter = JobMeter(metrics)
     queued = Job(JobSpec("k", Kind.BATCH, "rollover", "t", Resources(1), idempotent=True))
     claimed = queued.claim(Holder("i1", "a")).unwrap()
-    meter.moved(queued, claimed)
-    meter.moved(claimed, move(claimed).unwrap())
+    meter.count_transition(queued, claimed)
+    meter.count_transition(claimed, move(claimed).unwrap())
     assert metrics.value("jobs_claimed_total", kind="batch") == 1
     assert metrics.value(name, **labels) == 1
