--- a/sapphirelead/operator_client.py
+++ b/sapphirelead/operator_client.py
@@ -63,14 +63,14 @@
             async with self._session.request(
                 method, self._url + path, json=body, params=query, headers=headers
             ) as response:
-                return _ended(response.status, await response.read())
+                return _to_result(response.status, await response.read())
         except (aiohttp.ClientError, TimeoutError, ValueError) as exc:
             hint = "name a live entry with --url"
             text = f"no answer from {self._url}: {exc or type(exc).__name__}"
             return Err(ApiError(0, Failure(Code.NO_INSTANCE, text, hint), {}))
 
 
-def _ended(status: int, raw: bytes) -> Result[Any, ApiError]:
+def _to_result(status: int, raw: bytes) -> Result[Any, ApiError]:
     try:
         body = json.loads(raw) if raw else {}
     except ValueError:
--- a/sapphirelead/operator_commands.py
+++ b/sapphirelead/operator_commands.py
@@ -37,27 +37,27 @@
 from sapphirelead.settings_load import read_token
 from sapphirelead.settings_toml import TomlFile, read_toml
 
-ADMIN: Final = "/v1/admin"
+ADMIN_PATH: Final = "/v1/admin"
 CONFLICT_STATUS: Final = 409
-WAIT_LIMIT_S: Final = 30.0
-WAIT_STEP_S: Final = 0.5
+WAIT_TIMEOUT_S: Final = 30.0
+WAIT_POLL_INTERVAL_S: Final = 0.5
 
 
-Remote = Callable[[OperatorClient, Options], Awaitable[int]]
+RemoteCommand = Callable[[OperatorClient, Options], Awaitable[int]]
 
 
 def run_command(options: Options) -> int:
     """Run a command and return its exit code."""
-    local = LOCAL.get(options.command)
+    local = LOCAL_COMMANDS.get(options.command)
     if local is not None:
         return local(options)
-    return asyncio.run(_run_remote(REMOTE[options.command], options))
+    return asyncio.run(_run_remote(REMOTE_COMMANDS[options.command], options))
 
 
-async def _run_remote(command: Remote, options: Options) -> int:
+async def _run_remote(command: RemoteCommand, options: Options) -> int:
     token = read_token(options.token_file)
     if isinstance(token, Err):
-        return fail(token.err_value, options)
+        return report_failure(token.err_value, options)
     async with OperatorClient(options.url, token.ok_value) as client:
         return await command(client, options)
 
@@ -89,7 +89,7 @@
     """``keys new``."""
     written = write_keys(options.name)
     if isinstance(written, Err):
-        return fail(written.err_value, options)
+        return report_failure(written.err_value, options)
     for path in written.ok_value:
         print(path)
     return Exit.OK
@@ -106,18 +106,18 @@
     file, _ = loaded
     base = await _choose_base(client, options)
     if isinstance(base, Err):
-        return fail_api(base.err_value, options)
+        return report_api_error(base.err_value, options)
     body = {
         "document": file.data,
         "base_version": base.ok_value,
         "author": options.author or getpass.getuser(),
         "reason": options.reason,
     }
-    applied = await client.post(f"{ADMIN}/config", body)
+    applied = await client.post(f"{ADMIN_PATH}/config", body)
     if isinstance(applied, Err):
-        return fail_api(applied.err_value, options)
+        return report_api_error(applied.err_value, options)
     version: int = applied.ok_value["version"]
-    behind = await _wait_in_force(client, version) if options.wait else None
+    behind = await _wait_until_in_force(client, version) if options.wait else None
     if options.json:
         print_json({"version": version, "behind": behind})
     else:
@@ -127,18 +127,18 @@
 
 async def show_config(client: OperatorClient, options: Options) -> int:
     """``config show``."""
-    return _print_answer(await client.get(f"{ADMIN}/config"), options, print_json)
+    return _print_answer(await client.get(f"{ADMIN_PATH}/config"), options, print_json)
 
 
 async def config_status(client: OperatorClient, options: Options) -> int:
     """``config status``."""
-    answer = await client.get(f"{ADMIN}/config/status")
+    answer = await client.get(f"{ADMIN_PATH}/config/status")
     return _print_answer(answer, options, lambda body: print_rows(body["processes"]))
 
 
 async def show_audit(client: OperatorClient, options: Options) -> int:
     """``audit`` and ``config history``."""
-    answer = await client.get(f"{ADMIN}/audit", limit=options.limit)
+    answer = await client.get(f"{ADMIN_PATH}/audit", limit=options.limit)
     return _print_answer(answer, options, lambda body: print_audit(body["records"]))
 
 
@@ -146,14 +146,14 @@
     """``rules explain``; with ``--file`` no entry is asked."""
     situation = _read_pairs(options.pairs)
     if isinstance(situation, Err):
-        return fail(situation.err_value, options)
+        return report_failure(situation.err_value, options)
     if not options.file:
         body = {"situation": situation.ok_value}
-        answer = await client.post(f"{ADMIN}/rules/explain", body)
+        answer = await client.post(f"{ADMIN_PATH}/rules/explain", body)
         return _print_answer(answer, options, print_explanation)
     parsed = parse_situation(situation.ok_value)
     if isinstance(parsed, Err):
-        return fail(parsed.err_value, options)
+        return report_failure(parsed.err_value, options)
     loaded = _load_document(options)
     if loaded is None:
         return Exit.REFUSED
@@ -165,7 +165,7 @@
     """``jobs submit``: the file holds the request's JSON."""
     body = _read_json(options.file)
     if isinstance(body, Err):
-        return fail(body.err_value, options)
+        return report_failure(body.err_value, options)
     return _print_answer(await client.post("/v1/jobs", body.ok_value), options, print_record)
 
 
@@ -173,7 +173,7 @@
     """``jobs list``."""
     ended = "true" if options.ended else "false"
     answer = await client.get(
-        f"{ADMIN}/jobs", ended=ended, after=options.after, limit=options.limit
+        f"{ADMIN_PATH}/jobs", ended=ended, after=options.after, limit=options.limit
     )
     return _print_answer(
         answer, options, lambda body: print_rows([_job_row(job) for job in body["jobs"]])
@@ -202,7 +202,7 @@
     """``queues submit``: the file holds the request's JSON."""
     body = _read_json(options.file)
     if isinstance(body, Err):
-        return fail(body.err_value, options)
+        return report_failure(body.err_value, options)
     answer = await client.post(_job_path(options), body.ok_value)
     return _print_answer(answer, options, print_record)
 
@@ -218,7 +218,7 @@
 
 async def list_instances(client: OperatorClient, options: Options) -> int:
     """``instances list``."""
-    answer = await client.get(f"{ADMIN}/instances")
+    answer = await client.get(f"{ADMIN_PATH}/instances")
     return _print_answer(
         answer,
         options,
@@ -228,24 +228,24 @@
 
 async def drain_instance(client: OperatorClient, options: Options) -> int:
     """``instances drain``."""
-    path = f"{ADMIN}/instances/{quote(options.name, safe='')}/drain"
+    path = f"{ADMIN_PATH}/instances/{quote(options.name, safe='')}/drain"
     answer = await client.post(path, reason=options.reason)
     return _print_answer(answer, options, print_record)
 
 
 async def show_status(client: OperatorClient, options: Options) -> int:
     """``status``."""
-    return _print_answer(await client.get(f"{ADMIN}/status"), options, print_record)
+    return _print_answer(await client.get(f"{ADMIN_PATH}/status"), options, print_record)
 
 
-LOCAL: Final[dict[tuple[str, ...], Callable[[Options], int]]] = {
+LOCAL_COMMANDS: Final[dict[tuple[str, ...], Callable[[Options], int]]] = {
     ("config", "check"): check_config,
     ("rules", "check"): check_config,
     ("config", "reference"): show_reference,
     ("keys", "new"): new_keys,
     ("account",): show_account,
 }
-REMOTE: Final[dict[tuple[str, ...], Remote]] = {
+REMOTE_COMMANDS: Final[dict[tuple[str, ...], RemoteCommand]] = {
     ("config", "apply"): apply_config,
     ("config", "show"): show_config,
     ("config", "status"): config_status,
@@ -265,13 +265,13 @@
 }
 
 
-def fail(failure: Failure, options: Options) -> int:
+def report_failure(failure: Failure, options: Options) -> int:
     """Print a failure and return the exit code of a refusal."""
     print_failure(failure, {}, options.json)
     return Exit.REFUSED
 
 
-def fail_api(error: ApiError, options: Options) -> int:
+def report_api_error(error: ApiError, options: Options) -> int:
     """Print the failure of a request and return its exit code."""
     print_failure(error.failure, error.body, options.json)
     if error.status == 0:
@@ -287,7 +287,7 @@
     answer: Result[Any, ApiError], options: Options, show: Callable[[Any], None]
 ) -> int:
     if isinstance(answer, Err):
-        return fail_api(answer.err_value, options)
+        return report_api_error(answer.err_value, options)
     (print_json if options.json else show)(answer.ok_value)
     return Exit.OK
 
@@ -296,7 +296,7 @@
     """Read and check a document; problems are printed."""
     file = read_toml(options.file)
     if isinstance(file, Err):
-        fail(file.err_value, options)
+        report_failure(file.err_value, options)
         return None
     checked = check_document(file.ok_value.data)
     if isinstance(checked, Err):
@@ -333,7 +333,7 @@
     """
     if options.base >= 0:
         return Ok(options.base)
-    shown = await client.get(f"{ADMIN}/config")
+    shown = await client.get(f"{ADMIN_PATH}/config")
     if isinstance(shown, Err):
         return shown
     version: int = shown.ok_value["version"]
@@ -344,15 +344,15 @@
     return Err(ApiError(CONFLICT_STATUS, Failure(Code.CONFIG_CONFLICT, text, hint), {}))
 
 
-async def _wait_in_force(client: OperatorClient, version: int) -> list[str]:
+async def _wait_until_in_force(client: OperatorClient, version: int) -> list[str]:
     """Wait until every live process decides by ``version``; return those that still do not."""
-    deadline = asyncio.get_running_loop().time() + WAIT_LIMIT_S
+    deadline = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
     while True:
-        status = await client.get(f"{ADMIN}/config/status")
+        status = await client.get(f"{ADMIN_PATH}/config/status")
         behind = _behind(status, version)
         if not behind or asyncio.get_running_loop().time() > deadline:
             return behind
-        await asyncio.sleep(WAIT_STEP_S)
+        await asyncio.sleep(WAIT_POLL_INTERVAL_S)
 
 
 def _behind(status: Result[Any, ApiError], version: int) -> list[str]:
--- a/sapphirelead/operator_print.py
+++ b/sapphirelead/operator_print.py
@@ -10,8 +10,8 @@
 from sapphirelead.settings_toml import TomlFile
 
 COLUMN_GAP: Final = "  "
-CHANGES: Final = "changes"
-TIMES: Final = {"at_ms": "at", "submitted_ms": "submitted"}
+CHANGES_FIELD: Final = "changes"
+TIME_FIELDS: Final = {"at_ms": "at", "submitted_ms": "submitted"}
 
 
 def print_json(value: Any) -> None:
@@ -47,12 +47,12 @@
 
 def print_audit(records: list[dict[str, Any]]) -> None:
     """Print accepted changes, each with what it changed below it."""
-    rows = [{key: record[key] for key in record if key != CHANGES} for record in records]
+    rows = [{key: record[key] for key in record if key != CHANGES_FIELD} for record in records]
     head, *lines = table_lines([_readable(row) for row in rows])
     print(head)
     for line, record in zip(lines, records, strict=False):
         print(line)
-        for change in record.get(CHANGES, ()):
+        for change in record.get(CHANGES_FIELD, ()):
             print(f"    {change}")
 
 
@@ -103,7 +103,7 @@
     {'key': 'a', 'at': '2026-12-02T19:31:36+00:00'}
     """
     readable = dict(record)
-    for field, name in TIMES.items():
+    for field, name in TIME_FIELDS.items():
         if field in readable:
             at = datetime.fromtimestamp(readable[field] / 1000, UTC)
             readable[field] = at.isoformat(timespec="seconds")
--- a/sapphirelead/operator_reference.py
+++ b/sapphirelead/operator_reference.py
@@ -41,7 +41,7 @@
     return "\n\n".join(parts)
 
 
-def described(model: type[BaseModel]) -> dict[str, str]:
+def field_meanings(model: type[BaseModel]) -> dict[str, str]:
     """Return what each key of a model means, from the ``:ivar`` fields of its doc comment."""
     text = inspect.cleandoc(model.__doc__ or "")
     fields = {name: " ".join(body.split()) for name, body in IVAR.findall(text)}
@@ -54,7 +54,7 @@
 
 
 def _rows(model: type[BaseModel], prefix: str) -> Iterator[str]:
-    meanings = described(model)
+    meanings = field_meanings(model)
     for name, field in model.model_fields.items():
         key = prefix + (field.alias or name)
         nested, suffix = _nested(field.annotation)
