--- a/sapphirelead/settings.py
+++ b/sapphirelead/settings.py
@@ -13,9 +13,9 @@
 Positive = Annotated[float, Field(gt=0)]
 Count = Annotated[int, Field(ge=1)]
 
-LEASE_RENEWALS: Final = 3
-SILENCE_BEATS: Final = 2
-FLEET_LEAVE_S: Final = 4.0
+MIN_LEASE_RENEWALS: Final = 3
+MIN_TIMEOUT_HEARTBEATS: Final = 2
+MIN_FLEET_DRAIN_S: Final = 4.0
 """Least time in which an entry of the fleet can leave: 2.5 s in which the balancer turns elsewhere,
 and 1.5 s for the last answers."""
 UNPROTECTED: Final = "I accept unprotected listening beyond loopback"
@@ -50,13 +50,13 @@
     def _check_order(self) -> "LeaseSettings":
         # A lease that one or two lost renewals use up fences healthy instances, and with them
         # every job that is not idempotent ends as unknown.
-        if self.lease_seconds < LEASE_RENEWALS * self.renew_interval_seconds:
+        if self.lease_seconds < MIN_LEASE_RENEWALS * self.renew_interval_seconds:
             raise ValueError(
-                f"lease_seconds must be at least {LEASE_RENEWALS} times renew_interval_seconds"
+                f"lease_seconds must be at least {MIN_LEASE_RENEWALS} times renew_interval_seconds"
             )
-        if self.silence_seconds < SILENCE_BEATS * self.beat_interval_seconds:
+        if self.silence_seconds < MIN_TIMEOUT_HEARTBEATS * self.beat_interval_seconds:
             raise ValueError(
-                f"silence_seconds must be at least {SILENCE_BEATS} times beat_interval_seconds"
+                f"silence_seconds must be at least {MIN_TIMEOUT_HEARTBEATS} times beat_interval_seconds"
             )
         return self
 
@@ -224,8 +224,8 @@
 
     @model_validator(mode="after")
     def _check_fleet(self) -> "EntrySettings":
-        if self.fleet is not None and self.drain_seconds < FLEET_LEAVE_S:
-            raise ValueError(f"drain_seconds must be at least {FLEET_LEAVE_S:g} with a fleet")
+        if self.fleet is not None and self.drain_seconds < MIN_FLEET_DRAIN_S:
+            raise ValueError(f"drain_seconds must be at least {MIN_FLEET_DRAIN_S:g} with a fleet")
         return self
 
 
