--- a/sapphirelead/account.py
+++ b/sapphirelead/account.py
@@ -39,7 +39,11 @@
 
     def throttled_s(self) -> float:
         """Return the time that its pace took from it."""
-        points = [(self.started_at, FULL_PACE_PERCENT), *sorted(self.paces), (self.ended_at, FULL_PACE_PERCENT)]
+        points = [
+            (self.started_at, FULL_PACE_PERCENT),
+            *sorted(self.paces),
+            (self.ended_at, FULL_PACE_PERCENT),
+        ]
         lost = 0.0
         for (begin, percent), (end, _) in itertools.pairwise(points):
             begin, end = max(begin, self.started_at), min(end, self.ended_at)
--- a/sapphirelead/dev.py
+++ b/sapphirelead/dev.py
@@ -213,7 +213,9 @@
 
     def _is_ready(self, entry: Entry) -> bool:
         led = entry.fleet is not None and entry.fleet.entry.leader_known
-        return led and entry.core.config.ready.is_set() and len(entry.members.live()) == INSTANCE_COUNT
+        return (
+            led and entry.core.config.ready.is_set() and len(entry.members.live()) == INSTANCE_COUNT
+        )
 
 
 async def run_dev(options: Options) -> int:
@@ -227,7 +229,9 @@
     started_at = now()
     try:
         await stack.start(options.port)
-        print(f"{ENTRY_COUNT} entries and {INSTANCE_COUNT} instances up in {now() - started_at:.1f} s")
+        print(
+            f"{ENTRY_COUNT} entries and {INSTANCE_COUNT} instances up in {now() - started_at:.1f} s"
+        )
         kept = await run_example(stack.urls)
         if not options.once:
             _print_urls(stack.urls)
--- a/sapphirelead/dev_example.py
+++ b/sapphirelead/dev_example.py
@@ -87,7 +87,9 @@
             raw = await response.read()
             answer = Answer(response.status, _decoded(raw))
         taken_ms = (now() - started_at) * 1000
-        _print_line(f"{method} {path} at entry {entry + 1}" + (f"  {_shortened(body)}" if body else ""))
+        _print_line(
+            f"{method} {path} at entry {entry + 1}" + (f"  {_shortened(body)}" if body else "")
+        )
         retry = response.headers.get("Retry-After")
         after = f"  Retry-After: {retry}" if retry else ""
         _print_line(f"  -> {answer.status} in {taken_ms:.0f} ms{after}  {_shortened(answer.body)}")
@@ -126,7 +128,9 @@
             await _run_step(client, title, step)
     _print_line("")
     if client.failed_checks:
-        _print_line(f"{len(client.failed_checks)} not as promised: {'; '.join(client.failed_checks)}")
+        _print_line(
+            f"{len(client.failed_checks)} not as promised: {'; '.join(client.failed_checks)}"
+        )
     else:
         _print_line("every request ended as promised")
     return not client.failed_checks
@@ -145,7 +149,9 @@
     shown = await client.send("GET", f"{ADMIN}/config")
     applied = await _apply(client, DOCUMENT, shown.body["version"], "first configuration")
     client.check("the change is accepted", applied.status == 200)
-    client.check("it is in force everywhere", await _wait_until_in_force(client, applied.body["version"]))
+    client.check(
+        "it is in force everywhere", await _wait_until_in_force(client, applied.body["version"])
+    )
 
 
 async def check_maturity(client: ExampleClient) -> None:
@@ -232,14 +238,20 @@
     client.check("the change is accepted", applied.status == 200)
     raced = await _apply(client, DOCUMENT, base, "made against the version before")
     client.check("a change against the version before gets 409", raced.status == 409)
-    client.check("it is in force everywhere", await _wait_until_in_force(client, applied.body["version"]))
-    refused = await client.send("POST", CHECK_SERVICE, {"marker": "v2"}, entry=1, x_request_team="visitors")
+    client.check(
+        "it is in force everywhere", await _wait_until_in_force(client, applied.body["version"])
+    )
+    refused = await client.send(
+        "POST", CHECK_SERVICE, {"marker": "v2"}, entry=1, x_request_team="visitors"
+    )
     told = (refused.status, refused.body["outcome"], refused.body["rule"])
     client.check(
         "visitors are refused as not_run by that rule",
         before.status == 200 and told == (503, "not_run", "no checks for visitors"),
     )
-    others = await client.send("POST", CHECK_SERVICE, {"marker": "m"}, x_request_team="cooperative-banks")
+    others = await client.send(
+        "POST", CHECK_SERVICE, {"marker": "m"}, x_request_team="cooperative-banks"
+    )
     client.check("members are still served", others.status == 200)
 
 
--- a/sapphirelead/operator_account.py
+++ b/sapphirelead/operator_account.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Final
 
-from sapphirelead.account import Spent, CriticalPath, account, total
+from sapphirelead.account import CriticalPath, Spent, account, total
 from sapphirelead.operator_print import print_json, print_rows
 from sapphirelead.options import Exit, Options
 
--- a/sapphirelead/settings.py
+++ b/sapphirelead/settings.py
@@ -14,7 +14,7 @@
 Count = Annotated[int, Field(ge=1)]
 
 MIN_LEASE_RENEWALS: Final = 3
-MIN_TIMEOUT_HEARTBEATS: Final = 2
+MIN_HEARTBEATS: Final = 2
 MIN_FLEET_DRAIN_S: Final = 4.0
 """Least time in which an entry of the fleet can leave: 2.5 s in which the balancer turns elsewhere,
 and 1.5 s for the last answers."""
@@ -54,9 +54,9 @@
             raise ValueError(
                 f"lease_seconds must be at least {MIN_LEASE_RENEWALS} times renew_interval_seconds"
             )
-        if self.silence_seconds < MIN_TIMEOUT_HEARTBEATS * self.beat_interval_seconds:
+        if self.silence_seconds < MIN_HEARTBEATS * self.beat_interval_seconds:
             raise ValueError(
-                f"silence_seconds must be at least {MIN_TIMEOUT_HEARTBEATS} times beat_interval_seconds"
+                f"silence_seconds must be at least {MIN_HEARTBEATS} times beat_interval_seconds"
             )
         return self
 
--- a/tests/unit/test_logs_bounded.py
+++ b/tests/unit/test_logs_bounded.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sapphirelead.logs_bounded import BURST_LINES, RESERVED_LINES, LINES_PER_S, BoundedSink
+from sapphirelead.logs_bounded import BURST_LINES, LINES_PER_S, RESERVED_LINES, BoundedSink
 
 
 @dataclass
--- a/tests/unit/test_operator.py
+++ b/tests/unit/test_operator.py
@@ -93,7 +93,7 @@
 
 
 @dataclass
-class Desk:
+class Shell:
     """An entry's operator API and what an operator types."""
 
     url: str
@@ -101,13 +101,13 @@
     config: FakeConfig
     links: FakeLinks
 
-    async def type(self, line: str) -> int:
+    async def run(self, line: str) -> int:
         argv = [*line.split(), f"--url={self.url}", f"--token-file={self.token_file}"]
         return await asyncio.to_thread(run_with, argv)
 
 
 @pytest.fixture
-async def desk(tmp_path: Path) -> AsyncIterator[Desk]:
+async def shell(tmp_path: Path) -> AsyncIterator[Shell]:
     config, links = FakeConfig(), FakeLinks()
     ports = AdminPorts(
         stamp=Stamp("e1", "x"),
@@ -127,7 +127,7 @@
     (tmp_path / "rules.toml").write_text(RULES)
     (tmp_path / "far.toml").write_text(RULES + 'then.zones = ["z9"]\n')
     async with TestServer(app) as server:
-        yield Desk(str(server.make_url("/")), str(tmp_path / "token"), config, links)
+        yield Shell(str(server.make_url("/")), str(tmp_path / "token"), config, links)
 
 
 @pytest.mark.parametrize(
@@ -157,30 +157,30 @@
     ],
 )
 async def test_command_prints_and_exits(
-    desk: Desk,
+    shell: Shell,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     line: str,
     code: int,
     printed: str,
 ) -> None:
-    assert await desk.type(line.format(dir=tmp_path)) == code
+    assert await shell.run(line.format(dir=tmp_path)) == code
     out, err = capsys.readouterr()
     assert printed in out + err
 
 
 async def test_losing_operator_learns_the_version_that_won(
-    desk: Desk, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    shell: Shell, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Two operators change the configuration that both read at version 4.
 
     The second to commit must be told that version 5 won, by an exit code of its own, and its
     change must not be in force.
     """
-    desk.config.winner = 5
-    assert await desk.type(f"config apply {tmp_path}/rules.toml --base=4") == 3
+    shell.config.winner = 5
+    assert await shell.run(f"config apply {tmp_path}/rules.toml --base=4") == 3
     assert "version 5 is in force" in capsys.readouterr().err
-    assert desk.config.current.document.rules == []
+    assert shell.config.current.document.rules == []
 
 
 @pytest.mark.parametrize(
@@ -188,16 +188,16 @@
     [(False, "token", 1, "the table is down"), (True, "wrong", 5, "no valid operator token")],
 )
 async def test_refused_apply_says_why(
-    desk: Desk, tmp_path: Path, capsys: pytest.CaptureFixture[str], store_up: bool, token: str,
+    shell: Shell, tmp_path: Path, capsys: pytest.CaptureFixture[str], store_up: bool, token: str,
     code: int, printed: str,
 ) -> None:  # fmt: skip
-    desk.config.store_up = store_up
-    desk.token_file = str(tmp_path / token)
-    assert await desk.type(f"config apply {tmp_path}/rules.toml --base=4") == code
+    shell.config.store_up = store_up
+    shell.token_file = str(tmp_path / token)
+    assert await shell.run(f"config apply {tmp_path}/rules.toml --base=4") == code
     assert printed in capsys.readouterr().err
 
 
-async def test_document_is_checked_by_the_entry_too(desk: Desk) -> None:
+async def test_document_is_checked_by_the_entry_too(shell: Shell) -> None:
     """An operator's own script posts rules without checking them first.
 
     The entry must refuse rules that can never decide, and name the rule and the key.
@@ -208,7 +208,7 @@
         "author": "script",
     }
     headers = {"Authorization": f"Bearer {TOKEN}"}
-    url = f"{desk.url}v1/admin/config"
+    url = f"{shell.url}v1/admin/config"
     async with aiohttp.ClientSession() as session:
         response = await session.post(url, json=body, headers=headers)
         problem = json.loads(await response.read())
@@ -218,21 +218,21 @@
         assert no_token.status == 401
         not_json = await session.post(url, data=b"{", headers=headers)
         assert not_json.status == 400
-        metrics = await session.get(f"{desk.url}metrics")
+        metrics = await session.get(f"{shell.url}metrics")
         assert metrics.status == 200
 
 
-async def test_drain_reaches_the_agent(desk: Desk) -> None:
-    await desk.type("instances drain i1 --reason=disk")
-    instance, message = desk.links.sent[0]
+async def test_drain_reaches_the_agent(shell: Shell) -> None:
+    await shell.run("instances drain i1 --reason=disk")
+    instance, message = shell.links.sent[0]
     assert instance == "i1"
     assert isinstance(message, Drain)
     assert message.reason == "disk"
 
 
 async def test_no_entry_has_an_exit_code_of_its_own(
-    desk: Desk, capsys: pytest.CaptureFixture[str]
+    shell: Shell, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    desk.url = "http://127.0.0.1:1"
-    assert await desk.type("status") == 4
+    shell.url = "http://127.0.0.1:1"
+    assert await shell.run("status") == 4
     assert "name a live entry" in capsys.readouterr().err
