--- a/sapphirelead/__main__.py
+++ b/sapphirelead/__main__.py
@@ -1,4 +1,4 @@
-"""Allow ``python -m sapphirelead``."""
+"""Entry point of ``python -m sapphirelead``."""
 
 from sapphirelead.main import run
 
--- a/sapphirelead/account.py
+++ b/sapphirelead/account.py
@@ -1,9 +1,8 @@
-"""Where filling jobs lost their time, added up from the logs of a fleet.  No I/O.
+"""Breaks down the critical paths of best-effort (fill) jobs from log lines.  No I/O.
 
-A job ends with the last task of its last step, so what counts is the critical path: for each step
-from the moment it was ready, the task that ended last.  Its time is split into what it was spent on
-(:class:`Spent`); the sum over the steps tells what to work on first.  Lines of all processes go in
-together, in any order, with whatever a collector has put in front of ``at=``.
+The critical path of a step runs from the moment the step is ready to the end of its last task.
+Its time is split into the categories of :class:`Spent`.  Lines of several processes may be mixed,
+in any order; text before ``at=``, such as a log collector's prefix, is ignored.
 """
 
 import itertools
@@ -19,7 +18,7 @@
 
 
 class Spent(StrEnum):
-    """What the time of a critical path was spent on."""
+    """Categories of time on a critical path."""
 
     FIRST_PLACE = "waiting for a first place"
     AGAIN = "waiting again after a run"
@@ -38,7 +37,7 @@
     paces: list[tuple[float, int]] = field(default_factory=list)
 
     def throttled_s(self) -> float:
-        """Return the time that its pace took from it."""
+        """Return the seconds lost to throttling, from the pace changes of this attempt."""
         points = [
             (self.started_at, FULL_PACE_PERCENT),
             *sorted(self.paces),
@@ -55,8 +54,8 @@
 class CriticalPath:
     """The critical path of one step.
 
-    :ivar slack_s: how long the step could still wait when it was ready.
-    :ivar spent: seconds of its critical path by what they went into.
+    :ivar slack_s: seconds by which the step could be delayed, at the time it became ready.
+    :ivar spent: seconds of the critical path by category.
     """
 
     name: str
@@ -69,14 +68,14 @@
 
 @dataclass(slots=True)
 class _ParsedEvents:
-    """What the lines tell, before it is added up."""
+    """Steps, attempts and pace changes parsed from log lines."""
 
     steps: dict[str, CriticalPath] = field(default_factory=dict)
     attempts: dict[str, dict[int, _Attempt]] = field(default_factory=dict)
     paces: dict[tuple[str, int], list[tuple[float, int]]] = field(default_factory=dict)
 
     def add(self, fields: dict[str, str], at: float) -> None:
-        """Take one event."""
+        """Add one event, logged at ``at`` seconds since 1970."""
         match fields.get("event"):
             case "step_ready" if fields.get("fills") == "true":
                 slack_s, tasks = float(fields["slack_s"]), int(fields["tasks"])
@@ -96,7 +95,7 @@
 
 
 def account(lines: Iterable[str]) -> list[CriticalPath]:
-    """Return the critical path of each filling step that ended, in the order of their ends."""
+    """Return the critical path of each best-effort step that ended, ordered by end time."""
     seen = _ParsedEvents()
     for at, fields in sorted(_parse(lines), key=lambda item: item[0]):
         seen.add(fields, at)
@@ -139,7 +138,7 @@
 
 
 def total(steps: Iterable[CriticalPath]) -> dict[Spent, float]:
-    """Return the seconds of all critical paths by what they went into."""
+    """Return the seconds of all critical paths by category."""
     found = dict.fromkeys(Spent, 0.0)
     for step in steps:
         for what, seconds in step.spent.items():
@@ -158,5 +157,5 @@
         try:
             yield datetime.fromisoformat(fields["at"]).timestamp(), fields
         except (KeyError, ValueError):
-            # A line that was cut at its start by a rotation of the logs tells no time.
+            # Log rotation may truncate a line, which then has no valid timestamp.
             continue
--- a/sapphirelead/background.py
+++ b/sapphirelead/background.py
@@ -1,4 +1,4 @@
-"""Background tasks: kept referenced, ended together, never failing in silence."""
+"""Background tasks: strong references, joint cancellation, and reporting of exceptions."""
 
 import asyncio
 import os
@@ -10,10 +10,10 @@
 
 
 class Background:
-    """Tasks of one owner.
+    """A group of background tasks with one owner.
 
-    An exception that escapes a task is a broken invariant: it is logged and handed to ``on_crash``,
-    because a loop that has ended unseen (beats, lease checks) is worse than a stopped process.
+    An exception that escapes a task is logged and passed to ``on_crash``, so that loops such as
+    heartbeats and lease checks cannot stop unnoticed.
     """
 
     _tasks: set[asyncio.Task[None]]
@@ -24,14 +24,14 @@
         self._on_crash = on_crash
 
     def spawn(self, work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-        """Run ``work`` until it ends or :meth:`close` is called."""
+        """Run ``work`` as a task until it ends or :meth:`close` cancels it."""
         task = asyncio.create_task(work, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
         return task
 
     async def close(self) -> None:
-        """Cancel what still runs and wait for its end."""
+        """Cancel the running tasks, except the current one, and wait for them to end."""
         tasks = [task for task in self._tasks if task is not asyncio.current_task()]
         for task in tasks:
             task.cancel()
@@ -50,7 +50,7 @@
 
 
 EXIT_INVARIANT_VIOLATED: Final = 70
-"""Exit code of a process that met a broken invariant."""
+"""Exit code after an unhandled exception in a task started by :func:`spawn`."""
 
 
 def _end_process(exc: BaseException) -> None:
@@ -61,9 +61,9 @@
 
 
 def spawn(work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-    """Run a task without which the process is of no use; an exception in it ends the process.
+    """Run a task that the process cannot work without; an exception in it ends the process.
 
-    Otherwise the process would look alive and do nothing: it listens, but no message is handled
-    any more.  After its restart it begins from what is stored.
+    Otherwise the process would keep listening but no longer handle messages.  After a restart it
+    recovers from the stored state.
     """
     return _CRITICAL_TASKS.spawn(work, name)
--- a/sapphirelead/clock.py
+++ b/sapphirelead/clock.py
@@ -1,7 +1,7 @@
-"""The loop's clock.
+"""Clocks.
 
-Every duration in the product is measured on the running event loop's monotonic clock, which tests
-pause and advance.  Time of day serves only for what callers date by it.
+Durations are measured on the running event loop's monotonic clock, which tests can control.
+Wall-clock time is used only for timestamps; leases use a clock that includes system suspend.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 
 
 def wall_ms() -> int:
-    """Return the time of day in milliseconds since 1970, for what callers date by the calendar."""
+    """Return the wall-clock time in milliseconds since 1970, for timestamps only."""
     return int(datetime.now(UTC).timestamp() * 1000)
 
 
 def awake_now() -> float:
-    """Return a steady time in seconds that also counts while the machine is suspended.
+    """Return a monotonic time in seconds that includes system suspend.
 
-    Leases are measured on it: the loop's clock stands still during a suspension, so that a lease
-    which had run out meanwhile would still look valid afterwards.
+    Leases are measured on it: the loop's clock stops during a suspend, so a lease that expired
+    meanwhile would still look valid afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/sapphirelead/dev.py
+++ b/sapphirelead/dev.py
@@ -1,11 +1,11 @@
 """``sapphirelead dev``: a whole deployment on loopback in one process.
 
-The platform's stand-in (table and objects), two entries and three instances, each with its agent,
-a stand-in worker and a stand-in target.  They talk over the same sockets as in a deployment; only
-the process is shared.  The table is kept in memory and is gone at the end.
+Runs the platform's stand-in (table and objects), two entries, three instances, each with its
+agent, a stand-in worker and a stand-in target, and two runners, each with a stand-in worker.  All
+communicate over sockets as in a real deployment.  The table is in memory and is lost at exit.
 
-With ``--once`` the worked example (:mod:`sapphirelead.dev_example`) runs and decides the exit code;
-otherwise the deployment stays up after it, until SIGINT or SIGTERM.
+Runs the worked example (:mod:`sapphirelead.dev_example`), whose result is the exit code.  Without
+``--once`` the deployment stays up afterwards until SIGINT or SIGTERM.
 """
 
 import asyncio
@@ -67,10 +67,10 @@
 
 
 class DevStack:
-    """The deployment.
+    """All processes of the deployment, run in the current event loop.
 
-    :param keys: folder of ``sapphirelead keys new``; empty leaves connections unprotected.
-    :ivar urls: base URL of each entry's HTTP side.
+    :param keys: directory written by ``sapphirelead keys new``; empty disables encryption.
+    :ivar urls: base URL of each entry's HTTP API.
     """
 
     urls: list[str]
@@ -91,7 +91,11 @@
         self._keys = keys
 
     async def start(self, first_port: int) -> None:
-        """Start everything; the first entry listens on ``first_port`` where it is not 0."""
+        """Start all processes and wait until they are ready.
+
+        :param first_port: HTTP port of the first entry, the next entries taking the ports after
+            it; 0 lets the system choose.
+        """
         table = StandInTable(_history("table"), TableSettings())
         self._table_url = await self._start_standin(table)
         for number in range(ENTRY_COUNT):
@@ -104,13 +108,13 @@
         await self._wait_ready()
 
     async def stop(self) -> None:
-        """Let agents and entries leave, then stop everything."""
+        """Drain agents and entries, then stop everything."""
         for agent in self._agents:
             agent.drain()
         for agent in self._agents:
             await agent.stopped.wait()
             await agent.stop()
-        # All at once: each waits as long as callers need to go elsewhere.
+        # Drain concurrently: each entry waits for its callers to move to another one.
         await asyncio.gather(*(entry.drain() for entry in self._entries))
         for entry in self._entries:
             await entry.stop()
@@ -143,8 +147,8 @@
         table = HttpTable.from_settings(platform)
         self._closers.append(table.close)
         entry = Entry.from_settings(settings, table).unwrap()
-        # Listed before it is started: an entry whose port is taken has open sockets already, and
-        # the process would wait for them for good when it ends.
+        # Registered before start(), which may fail on a used port: stop() must close the sockets
+        # that the entry has already opened, or the process cannot exit.
         self._entries.append(entry)
         await entry.start()
         self.urls.append(f"http://{HOST}:{entry.api.port}")
@@ -212,19 +216,21 @@
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def _is_ready(self, entry: Entry) -> bool:
-        led = entry.fleet is not None and entry.fleet.entry.leader_known
+        has_leader = entry.fleet is not None and entry.fleet.entry.leader_known
         return (
-            led and entry.core.config.ready.is_set() and len(entry.members.live()) == INSTANCE_COUNT
+            has_leader
+            and entry.core.config.ready.is_set()
+            and len(entry.members.live()) == INSTANCE_COUNT
         )
 
 
 async def run_dev(options: Options) -> int:
-    """Run the deployment and its worked example; return the exit code."""
+    """Run the deployment and the worked example; return the exit code."""
     setup_logs(LogSettings(level="WARNING"))
-    leave = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, leave.set)
+        loop.add_signal_handler(signum, stop_requested.set)
     stack = DevStack()
     started_at = now()
     try:
@@ -232,16 +238,16 @@
         print(
             f"{ENTRY_COUNT} entries and {INSTANCE_COUNT} instances up in {now() - started_at:.1f} s"
         )
-        kept = await run_example(stack.urls)
+        passed = await run_example(stack.urls)
         if not options.once:
             _print_urls(stack.urls)
-            await leave.wait()
+            await stop_requested.wait()
     except (OSError, TimeoutError) as exc:
         print(f"the deployment did not come up: {exc}; give another --port, or 0")
-        kept = False
+        passed = False
     finally:
         await stack.stop()
-    return Exit.OK if kept else Exit.REFUSED
+    return Exit.OK if passed else Exit.REFUSED
 
 
 def _print_urls(urls: list[str]) -> None:
@@ -270,5 +276,5 @@
 
 
 def _history(name: str) -> History:
-    # Kept in memory it would grow for as long as the deployment stays up.
+    # Discards the history: in memory it would grow without bound.
     return History.open(name, os.devnull)
