--- a/sapphirelead/dev_example.py
+++ b/sapphirelead/dev_example.py
@@ -1,7 +1,7 @@
-"""The worked example of ``sapphirelead dev``: real requests, printed as they happen.
+"""The worked example of ``sapphirelead dev``.
 
-Each step makes requests as a caller or an operator would, prints what came back and checks it
-against what the system promises for that request.
+Each step sends requests as a caller or an operator would, prints the responses and checks them
+against the documented behaviour.
 """
 
 import asyncio
@@ -55,16 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came back."""
+    """Status and decoded body of a response."""
 
     status: int
     body: Any
 
 
 class ExampleClient:
-    """Makes requests, prints them and notes what was not as promised.
+    """Sends requests, prints them with their responses, and collects failed checks.
 
-    :ivar failed_checks: promises that did not hold.
+    :ivar failed_checks: descriptions of the checks that failed.
     """
 
     failed_checks: list[str]
@@ -79,7 +79,7 @@
     async def send(
         self, method: str, path: str, body: Any = None, entry: int = 0, **headers: str
     ) -> Answer:
-        """Make one request and print it with its answer."""
+        """Send one request and print it with its response."""
         started_at = now()
         async with self._session.request(
             method, self._urls[entry] + path, json=body, headers=_header_names(headers)
@@ -96,7 +96,7 @@
         return answer
 
     async def stream(self, path: str, count: int) -> list[dict[str, Any]]:
-        """Follow a stream of JSON lines until ``count`` events came."""
+        """Read a stream of JSON lines up to ``count`` events or the first line of another kind."""
         _print_line(f"GET {path} at entry 2")
         found: list[dict[str, Any]] = []
         async with self._session.get(self._urls[1] + path) as response:
@@ -112,14 +112,14 @@
         return found
 
     def check(self, expectation: str, met: bool) -> None:
-        """Print and note whether a promise held."""
+        """Print the result of a check and record it if it failed."""
         _print_line(f"  {'as promised' if met else 'NOT AS PROMISED'}: {expectation}")
         if not met:
             self.failed_checks.append(expectation)
 
 
 async def run_example(urls: list[str]) -> bool:
-    """Run every step; return whether each request ended as promised."""
+    """Run every step; return whether all checks passed."""
     timeout = aiohttp.ClientTimeout(total=STEP_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         client = ExampleClient(urls, session)
@@ -155,15 +155,15 @@
 
 
 async def check_maturity(client: ExampleClient) -> None:
-    """Three maturity checks; each gets the whole answer to its own request."""
+    """Send three maturity checks, each of which gets the complete response to its own request."""
     for name in ("fd-1001", "fd-1002", "fd-1003"):
         answer = await client.send("POST", CHECK_SERVICE, {"marker": name, "bytes": 40})
-        own = answer.status == 200 and answer.body["marker"] == name
-        client.check(f"{name} has its own whole answer", own and len(answer.body["fill"]) == 40)
+        matches = answer.status == 200 and answer.body["marker"] == name
+        client.check(f"{name} has its own whole answer", matches and len(answer.body["fill"]) == 40)
 
 
 async def roll_over(client: ExampleClient) -> None:
-    """A rollover batch, repeated through the other entry, runs once."""
+    """Submit a rollover batch through both entries; it runs once."""
     body = {
         "key": ROLLOVER_KEY,
         "job_class": "rollover",
@@ -175,15 +175,15 @@
     client.check("both are accepted", (first.status, repeat.status) == (202, 202))
     done = await client.send("GET", f"/v1/jobs/{ROLLOVER_KEY}?wait_ms={JOB_WAIT_MS}", entry=1)
     client.check("it is done, once", (done.body["outcome"], done.body["epoch"]) == ("done", 1))
-    late = await client.send("POST", "/v1/jobs", body)
-    client.check("a late repeat finds the result", late.body["result"] == {"rolled": 212})
+    late_repeat = await client.send("POST", "/v1/jobs", body)
+    client.check("a late repeat finds the result", late_repeat.body["result"] == {"rolled": 212})
     other = await client.send("POST", "/v1/jobs", {**body, "input": {"work_ms": 1}})
     reused = (other.status, other.body["outcome"]) == (422, "not_run")
     client.check("the same key with other content is refused", reused)
 
 
 async def watch_renewals(client: ExampleClient) -> None:
-    """A standing watch streams events until it is cancelled."""
+    """Submit a watch, which streams events until it is cancelled."""
     body = {
         "key": WATCH_KEY,
         "job_class": "renewal-watch",
@@ -199,7 +199,7 @@
 
 
 async def run_steps(client: ExampleClient) -> None:
-    """A job of two steps is shown and a lasting one cancelled at the entry that did not take it."""
+    """Submit a two-step and a long-running job; read and cancel them at the other entry."""
     read = {"tasks": 3, "cpu_millicores": 1000, "memory_mb": 500, "estimate_ms": 300}
     body = {
         "input": {"work_ms": 300},
@@ -210,8 +210,8 @@
     client.check("both are accepted", (first.status, repeat.status) == (202, 202))
     state = await _wait_until_ended(client, f"{NIGHTLY_QUEUE}/jobs/interest-17", entry=1)
     client.check("it is completed, as the other entry shows", state == "completed")
-    lasting = {"input": {"lasts": True}, "steps": [{"cpu_millicores": 500, "lasting": True}]}
-    accepted = await client.send("POST", f"{NIGHTLY_QUEUE}/jobs/mirror-3", lasting)
+    long_running = {"input": {"lasts": True}, "steps": [{"cpu_millicores": 500, "lasting": True}]}
+    accepted = await client.send("POST", f"{NIGHTLY_QUEUE}/jobs/mirror-3", long_running)
     client.check("the lasting job is accepted", accepted.status == 202)
     cancelled = await client.send("DELETE", f"{NIGHTLY_QUEUE}/jobs/mirror-3", entry=1)
     client.check("it is cancelled at the other entry", cancelled.body["state"] == "cancelled")
@@ -230,24 +230,24 @@
 
 
 async def change_rule(client: ExampleClient) -> None:
-    """A rule in front of the others refuses visitors at once; an operator who raced loses."""
+    """Add a rule that refuses visitors; a concurrent configuration change is rejected."""
     before = await client.send("POST", CHECK_SERVICE, {"marker": "v1"}, x_request_team="visitors")
     shown = await client.send("GET", f"{ADMIN}/config")
     base = shown.body["version"]
     applied = await _apply(client, DOCUMENT_REFUSING_VISITORS, base, "audit week: no visitors")
     client.check("the change is accepted", applied.status == 200)
-    raced = await _apply(client, DOCUMENT, base, "made against the version before")
-    client.check("a change against the version before gets 409", raced.status == 409)
+    conflicting = await _apply(client, DOCUMENT, base, "made against the version before")
+    client.check("a change against the version before gets 409", conflicting.status == 409)
     client.check(
         "it is in force everywhere", await _wait_until_in_force(client, applied.body["version"])
     )
     refused = await client.send(
         "POST", CHECK_SERVICE, {"marker": "v2"}, entry=1, x_request_team="visitors"
     )
-    told = (refused.status, refused.body["outcome"], refused.body["rule"])
+    reported = (refused.status, refused.body["outcome"], refused.body["rule"])
     client.check(
         "visitors are refused as not_run by that rule",
-        before.status == 200 and told == (503, "not_run", "no checks for visitors"),
+        before.status == 200 and reported == (503, "not_run", "no checks for visitors"),
     )
     others = await client.send(
         "POST", CHECK_SERVICE, {"marker": "m"}, x_request_team="cooperative-banks"
@@ -256,24 +256,24 @@
 
 
 async def submit_impossible(client: ExampleClient) -> None:
-    """A job larger than any instance is refused with the reason."""
+    """Submit a job larger than any instance; it is refused with the reason."""
     body = {
         "key": "rollover-too-large",
         "job_class": "rollover",
         "resources": {"cpu_millicores": 1_000_000},
     }
     answer = await client.send("POST", "/v1/jobs", body)
-    told = (answer.status, answer.body["code"], answer.body["outcome"])
-    client.check("it is refused as impossible and not_run", told == (422, "SL-305", "not_run"))
+    reported = (answer.status, answer.body["code"], answer.body["outcome"])
+    client.check("it is refused as impossible and not_run", reported == (422, "SL-305", "not_run"))
 
 
 async def read_audit(client: ExampleClient) -> None:
-    """The audit trail holds both accepted changes and not the refused one."""
+    """Read the audit trail; it holds both accepted changes and not the rejected one."""
     answer = await client.send("GET", f"{ADMIN}/audit", entry=1)
-    own = [record["reason"] for record in answer.body["records"] if record["author"] == AUTHOR]
+    reasons = [record["reason"] for record in answer.body["records"] if record["author"] == AUTHOR]
     client.check(
         "both accepted changes are in it, newest first",
-        own[:2] == ["audit week: no visitors", "first configuration"],
+        reasons[:2] == ["audit week: no visitors", "first configuration"],
     )
 
 
@@ -306,8 +306,8 @@
 
 
 def _in_order(events: list[dict[str, Any]]) -> bool:
-    marks = [tuple(map(int, event["id"].split("."))) for event in events]
-    return len(marks) == STREAMED_EVENTS and marks == sorted(set(marks))
+    ids = [tuple(map(int, event["id"].split("."))) for event in events]
+    return len(ids) == STREAMED_EVENTS and ids == sorted(set(ids))
 
 
 def _header_names(headers: dict[str, str]) -> dict[str, str]:
