--- a/sapphirelead/errors.py
+++ b/sapphirelead/errors.py
@@ -1,8 +1,8 @@
 """Errors as values.
 
-An outcome that a caller or operator may meet is a :class:`Failure` carried in ``result.Err``.  The
-code is stable across versions: scripts and alerts may match it.  Exceptions are left for broken
-invariants, which stop the process.
+Errors that are reported to a caller or operator are :class:`Failure` values in ``result.Err``.
+Their codes are stable across versions, so scripts and alerts may match them.  Exceptions are
+reserved for violated invariants, which stop the process.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Code(StrEnum):
-    """Stable identifiers of failures; see docs/OPERATIONS.md for what to do about each."""
+    """Stable identifiers of failures; docs/OPERATIONS.md describes how to resolve each."""
 
     BAD_REQUEST = "SL-100"
     TOO_LARGE = "SL-101"
@@ -39,7 +39,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known about the effect of a request once it has its final answer."""
+    """What is known about the effect of a request after its final response."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A failure and what its reader can do about it.
+    """A failure, with a hint for resolving it.
 
     :ivar code: stable identifier.
-    :ivar message: what happened, naming the field or object concerned.
+    :ivar message: what happened, with the field or object concerned.
     :ivar hint: what to do next, or empty.
     """
 
--- a/sapphirelead/logs.py
+++ b/sapphirelead/logs.py
@@ -1,14 +1,14 @@
-"""Logs: one line of ``key=value`` pairs for each event.
+"""Structured logs: one line of ``key=value`` pairs for each event.
 
-A line is ``at=<UTC> level=<level> event=<event> key=value ...``.  A value is written bare only if
-it consists of characters that cannot be confused with the line's own syntax; anything else is
-written as a JSON string in ASCII, in which line ends, quotes and control characters are escaped.
+A line is ``at=<UTC> level=<level> event=<event> key=value ...``.  A value is left
+unquoted only if all its characters match ``BARE``; any other value is written as an ASCII JSON
+string, in which line ends, quotes and control characters are escaped.
 
 Invariants:
 
-- One event is one line, whatever the values are.
-- Splitting a line at unquoted blanks gives back exactly the keys that the caller passed, so that no
-  input can add a field or forge a second event.
+- One event is one line, whatever its values contain.
+- Splitting a line at unquoted spaces yields exactly the keys that the caller passed, so input
+  cannot inject a field or forge an event.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 class LogLevel(Protocol):
-    """Whatever says from which level events are written."""
+    """Settings with a minimum log level."""
 
     @property
     def level(self) -> str:
@@ -35,29 +35,29 @@
 
 
 class LogSink(Protocol):
-    """Whatever takes lines: an open text file, or a sink with a bound."""
+    """Destination of log lines, for example a text file or a rate-limited sink."""
 
     def write(self, text: str, /) -> object:
-        """Take one line with its line end."""
+        """Write one line, including its line end."""
 
     def flush(self) -> object:
-        """Pass on what is buffered."""
+        """Write out buffered data."""
 
 
 def log_event(level: str, event: str, /, **fields: object) -> None:
-    """Write one event.
+    """Log one event.
 
     :param level: ``DEBUG``, ``INFO``, ``WARNING`` or ``ERROR``.
-    :param event: stable name of the event, in snake case; docs/OPERATIONS.md lists them.
-    :param fields: what the reader needs; a field that is ``None`` is written as ``null``.
+    :param event: stable event name in snake case; docs/OPERATIONS.md lists them.
+    :param fields: values of the event; ``None`` is written as ``null``.
     """
-    # The text goes in as an argument, because loguru treats braces and markup in the message itself
-    # as its own syntax; lazily, so that an event below the level set is not formatted.
+    # Passed as an argument because loguru interprets braces and markup in the message itself, and
+    # lazily so that an event below the configured level is not formatted.
     _LAZY.log(level, "{}", lambda: format_pairs({"event": event, **fields}))
 
 
 def setup_logs(settings: LogLevel, sink: LogSink | None = None) -> None:
-    """Send every log line to ``sink`` (standard output by default) from the level set."""
+    """Send log lines of at least the configured level to ``sink``, by default standard output."""
     logger.remove()
     out: LogSink = sys.stdout if sink is None else sink
 
@@ -70,7 +70,7 @@
 
 
 def format_pairs(fields: dict[str, object]) -> str:
-    """Write fields as ``key=value`` pairs.
+    """Format fields as ``key=value`` pairs.
 
     >>> format_pairs({"event": "job_done", "key": "a b", "tries": 2})
     'event=job_done key="a b" tries=2'
@@ -81,7 +81,7 @@
 
 
 def quote(value: object) -> str:
-    """Write one value so that it ends where it seems to end.
+    """Format one value, as a JSON string unless it matches ``BARE``.
 
     >>> quote("a=b"), quote(True), quote(0.123456789), quote("")
     ('"a=b"', 'true', '0.123457', '""')
@@ -91,7 +91,7 @@
         text = text[:MAX_VALUE_CHARS] + "..."
     if BARE.fullmatch(text):
         return text
-    # JSON leaves DEL as it is, and a terminal obeys it.
+    # json.dumps does not escape DEL, a terminal control character.
     return json.dumps(text).replace("\x7f", "\\u007f")
 
 
--- a/sapphirelead/logs_bounded.py
+++ b/sapphirelead/logs_bounded.py
@@ -1,12 +1,8 @@
-"""A sink for log lines that neither blocks nor grows without bound.
+"""A non-blocking, rate-limited sink for log lines.
 
-A reader that stops reading, or a burst of events, must not hold the process up: lines beyond the
-rate, and lines that the descriptor does not take at once, are dropped and counted.  The counts of
-each event go out with the next line that gets through.
-
-The pattern that this answers: a leader of hundreds of workers starts and ends hundreds of tasks a
-second, and a line for each of them uses up the rate.  A part of the rate is kept for all other
-events: what became of a caller's request, and what the process believes.
+A token bucket limits the rate.  Lines beyond it, and lines that cannot be written without blocking,
+are dropped and counted; the counts for each event are logged with the next line that is written.
+Part of the bucket is reserved for events other than the frequent ones of single tasks.
 """
 
 import os
@@ -18,22 +14,22 @@
 from sapphirelead.clock import awake_now
 
 LINES_PER_S: Final = 600.0
-"""Lasting rate; bounds what logging costs to about 3% of a core."""
+"""Sustained rate."""
 
 BURST_LINES: Final = 6_000.0
-"""Lines that may go at once: ten seconds of the rate, for the events of a fault."""
+"""Capacity of the token bucket."""
 
 RESERVED_LINES: Final = 2_000.0
-"""Of these, lines that are kept for events that are not frequent."""
+"""Part of the burst that is reserved for events other than :data:`FREQUENT_EVENTS`."""
 
 FREQUENT_EVENTS: Final = frozenset({"start_sent", "start_sent_again", "run_ended", "pace"})
-"""Events of single tasks, dropped first."""
+"""Events of single tasks, which are dropped first."""
 
 EVENT: Final = re.compile(r" event=([a-z_]+)")
 
 
 class BoundedSink:
-    """Writes lines to a descriptor.
+    """Writes lines to a file descriptor, which it makes non-blocking.
 
     :ivar dropped: lines dropped since the start.
     """
@@ -57,7 +53,7 @@
         os.set_blocking(fd, False)
 
     def write(self, text: str) -> None:
-        """Write a line, or drop and count it."""
+        """Write a line, or drop and count it if it exceeds the rate or would block."""
         found = EVENT.search(text)
         event = found[1] if found else "unknown"
         if not self._take_token(RESERVED_LINES if event in FREQUENT_EVENTS else 0.0):
@@ -69,11 +65,11 @@
         try:
             written = os.write(self._fd, data)
         except OSError:
-            # The reader is slow, or gone for good; the process goes on without this line.
+            # The pipe is full or its reader is gone: drop the line rather than block or fail.
             self._drop(event)
             return
         self._unreported.clear()
-        # A line that went out in part has to be completed before the next one.
+        # A partial write is completed before the next line.
         self._partial_line = data[written:]
 
     def _drop_report(self) -> str:
@@ -81,7 +77,7 @@
         return f"event=log_lines_dropped lines={self._unreported.total()} of={events}\n"
 
     def _take_token(self, reserved: float) -> bool:
-        """Count a line; ``False`` where no more than ``reserved`` lines would be left."""
+        """Take a token; return ``False`` if fewer than ``reserved`` would remain."""
         at = self._clock()
         self._tokens = min(BURST_LINES, self._tokens + (at - self._at) * LINES_PER_S)
         self._at = at
@@ -95,4 +91,4 @@
         self._unreported[event] += 1
 
     def flush(self) -> None:
-        """Nothing is buffered but the rest of a line."""
+        """Do nothing: only the remainder of a partially written line is buffered."""
