--- a/sapphirelead/main.py
+++ b/sapphirelead/main.py
@@ -111,13 +111,13 @@
 
 
 def run() -> None:
-    """Entry point of the program."""
+    """Run the command line of this process and exit with its exit code."""
     try:
         code = run_with(sys.argv[1:])
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader of a pipe (``| head``) has seen enough.  Without another standard output the
-        # interpreter would meet the same error again when it flushes at its end.
+        # The reader of the pipe (``| head``) has exited.  Redirect standard output, or the
+        # interpreter raises the same error when it flushes at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = Exit.OK
     raise SystemExit(code)
@@ -139,9 +139,9 @@
 
 
 def parse_options(args: dict[str, Any]) -> Options:
-    """Turn docopt's answer into typed options.
+    """Convert docopt's result to typed options.
 
-    :raises ValueError: where a number is none.
+    :raises ValueError: if a numeric option is not a number.
     """
     return Options(
         command=next(words for words in COMMANDS if all(args[word] for word in words)),
@@ -190,8 +190,7 @@
             return run_command(options)
 
 
-# Each role imports only its own modules: an agent beside a target starts in half the time and
-# memory without the entry's and the operators' code.
+# Each role imports only its own modules, to keep the start-up time and memory of agents low.
 
 
 def _run_entry(options: Options) -> int:
