--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -1,12 +1,11 @@
 """Metrics of one process, exported as Prometheus text.
 
-Latencies are recorded in HDR histograms and exported as percentiles.  Two histograms are kept for
-each series: the current window and the one before.  An export reads both, so that it always covers
-between one and two windows, never the whole life of the process, in which a bad minute would
-disappear.
+Latencies are recorded in HDR histograms and exported as percentiles.  Each series keeps two
+histograms, for the current and the previous window; an export merges both, so it covers the last
+one to two windows rather than the lifetime of the process.
 
-The number of series of one metric is bounded.  Label values may come from callers (a team, say);
-past the bound they share the series ``other``, so that memory does not grow with what callers send.
+The number of series of one metric is bounded, because label values may come from callers.  Beyond
+the bound, new label values share the series ``other``.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -48,14 +47,14 @@
         self._rotated_at = at
 
     def record(self, at: float, latency_ms: float) -> None:
-        """Record one latency, in milliseconds, at loop time ``at``."""
+        """Record one latency in milliseconds, measured at loop time ``at``."""
         self._rotate(at)
         self.count += 1
         self.total_ms += latency_ms
         self._current.record_value(min(max(int(latency_ms * 1000), MIN_LATENCY_US), MAX_LATENCY_US))
 
     def percentiles_ms(self, at: float) -> dict[float, float]:
-        """Return each of :data:`PERCENTILES` in milliseconds; empty where nothing was recorded."""
+        """Return :data:`PERCENTILES` in milliseconds; empty if no latency was recorded."""
         self._rotate(at)
         merged = _histogram()
         merged.add(self._previous)
@@ -74,9 +73,9 @@
 
 
 class Metrics(Collector):
-    """Counters, gauges and latencies of one process; handed to whoever measures.
+    """Counters, gauges and latencies of one process.
 
-    Names are given without the common prefix; docs/OPERATIONS.md lists them all.
+    Names are given without the common prefix; docs/OPERATIONS.md lists all of them.
     """
 
     _clock: Callable[[], float]
@@ -91,18 +90,18 @@
         self._latencies = {}
 
     def count(self, name: str, amount: float = 1.0, /, **labels: str) -> None:
-        """Add to a counter, whose name ends with ``_total``."""
+        """Add to a counter; its name ends with ``_total``."""
         series = self._counters.setdefault(name, {})
         key = _bounded_key(series, labels)
         series[key] = series.get(key, 0.0) + amount
 
     def gauge(self, name: str, read: Callable[[], float], /, **labels: str) -> None:
-        """Export what ``read`` returns at each export; registering again replaces it."""
+        """Register a gauge that is read at each export, replacing an earlier registration."""
         series = self._gauges.setdefault(name, {})
         series[_bounded_key(series, labels)] = read
 
     def latency(self, name: str, latency_ms: float, /, **labels: str) -> None:
-        """Record a latency in milliseconds; the name ends with ``_ms``."""
+        """Record a latency in milliseconds; its name ends with ``_ms``."""
         series = self._latencies.setdefault(name, {})
         key = _bounded_key(series, labels)
         window = series.get(key)
@@ -111,16 +110,16 @@
         window.record(self._clock(), latency_ms)
 
     def value(self, name: str, /, **labels: str) -> float:
-        """Return a counter's value, 0 where it was never counted."""
+        """Return the value of a counter, 0 if it was never incremented."""
         return self._counters.get(name, {}).get(_labels(labels), 0.0)
 
     def percentiles_ms(self, name: str, /, **labels: str) -> dict[float, float]:
-        """Return the recent percentiles of a latency series."""
+        """Return the percentiles of a latency series over the last one to two windows."""
         window = self._latencies.get(name, {}).get(_labels(labels))
         return window.percentiles_ms(self._clock()) if window else {}
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric in the exporter's form."""
+        """Yield all metrics, as the Prometheus registry requires."""
         for name, counted in self._counters.items():
             yield _counter(name, counted)
         for name, read in self._gauges.items():
@@ -129,8 +128,8 @@
             yield self._summary(name, windows)
 
     def render(self) -> bytes:
-        """Return the export as text."""
-        # A registry for each export: registering once would need the metrics' names in advance.
+        """Return all metrics in the Prometheus text format."""
+        # A new registry for each export: a single registration would need all names in advance.
         registry = CollectorRegistry()
         registry.register(self)
         return generate_latest(registry)
--- a/sapphirelead/metrics_jobs.py
+++ b/sapphirelead/metrics_jobs.py
@@ -1,7 +1,7 @@
-"""Metrics of durable jobs, counted where their rows move.
+"""Metrics of state transitions of durable jobs.
 
-A move is counted by the entry that committed it, so that the sum over all entries counts each move
-once, whichever entry a report reached and however often it was repeated.
+A transition is counted only by the entry that commits it, so the sum over all entries counts each
+one once, even if reports are repeated or reach several entries.
 """
 
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class Requeue(StrEnum):
-    """Why a claimed job was queued again."""
+    """Reason why a claimed job was queued again."""
 
     CHECKPOINTED = "checkpointed"
     ATTEMPT_FAILED = "attempt_failed"
@@ -19,7 +19,7 @@
 
 
 class JobMeter:
-    """Counts committed moves of jobs."""
+    """Counts committed state transitions of jobs."""
 
     _metrics: Metrics
 
@@ -27,7 +27,7 @@
         self._metrics = metrics
 
     def count_transition(self, before: Job, after: Job) -> None:
-        """Count one committed move."""
+        """Count one committed transition."""
         spec = after.spec
         if after.epoch > before.epoch:
             self._metrics.count("jobs_claimed_total", kind=spec.kind.value)
@@ -42,7 +42,7 @@
 
 
 def requeue_cause(before: Job, after: Job) -> Requeue | None:
-    """Return why a move queued a claimed job again, ``None`` where it did not."""
+    """Return why a transition queued a claimed job again, ``None`` if it did not."""
     if before.state is not JobState.CLAIMED or after.state is not JobState.QUEUED:
         return None
     if after.attempts > before.attempts:
