--- a/sapphirelead/operator_account.py
+++ b/sapphirelead/operator_account.py
@@ -1,4 +1,4 @@
-"""The command ``sapphirelead account``: where filling jobs lost their time, from log files."""
+"""The command ``sapphirelead account``, which reports critical paths from log files."""
 
 import sys
 from collections.abc import Iterator
@@ -10,14 +10,12 @@
 from sapphirelead.options import Exit, Options
 
 MAX_BAR_CHARS: Final = 40
-"""Width of the longest bar of the plot."""
-
 PLOT_PERIOD_S: Final = 5.0
-"""Time over which the plot sums up the steps that ended."""
+"""Time covered by one row of the plot."""
 
 
 def show_account(options: Options) -> int:
-    """Print the critical paths of the filling steps in log files."""
+    """Print the critical paths of the best-effort steps in log files."""
     missing = [name for name in options.logs if name != "-" and not Path(name).is_file()]
     if missing:
         print(f"no such file: {', '.join(missing)}", file=sys.stderr)
@@ -63,7 +61,7 @@
 
 
 def _plot(steps: list[CriticalPath]) -> list[dict[str, object]]:
-    """Return a row a period: what the steps that ended in it spent most on, and a bar."""
+    """Return a row for each period: its steps, their mean and largest category, and a bar."""
     begin = steps[0].ended_at
     periods: dict[int, list[CriticalPath]] = {}
     for step in steps:
--- a/sapphirelead/operator_client.py
+++ b/sapphirelead/operator_client.py
@@ -1,4 +1,4 @@
-"""The operators' client: one request to an entry's HTTP API, and its end as a value."""
+"""The operators' client of an entry's HTTP API, which returns failures as values."""
 
 import json
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiError:
-    """A request that did not succeed.
+    """A failed request.
 
-    :ivar status: HTTP status, or 0 where no entry answered.
-    :ivar body: the entry's problem details.
+    :ivar status: HTTP status, or 0 without a response.
+    :ivar body: problem details of the response.
     """
 
     status: int
@@ -26,7 +26,7 @@
 
 
 class OperatorClient:
-    """Requests to one entry."""
+    """HTTP client of one entry; an asynchronous context manager."""
 
     _url: str
     _token: str
@@ -86,5 +86,5 @@
         code = Code(details.get("code", ""))
     except ValueError:
         code = Code.BAD_REQUEST
-    text = str(details.get("detail") or details.get("title") or "the entry refused")
+    text = str(details.get("detail") or details.get("title") or "the entry refused the request")
     return Failure(code, text, str(details.get("hint", "")))
--- a/sapphirelead/operator_commands.py
+++ b/sapphirelead/operator_commands.py
@@ -1,7 +1,7 @@
-"""The operators' commands: what ``sapphirelead config``, ``rules``, ``jobs`` and the rest do.
+"""Implementation of the operators' commands, such as ``sapphirelead config`` and ``jobs``.
 
-Each command makes its requests, prints text (or JSON with ``--json``) on standard output and
-returns an exit code.  Errors go to standard error with what to do about them.
+Each command prints its result on standard output, as text or with ``--json`` as JSON, and returns
+an exit code.  Without ``--json``, errors are printed with a hint on standard error.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
         return await command(client, options)
 
 
-# Commands that need no entry.
+# Commands that send no requests.
 
 
 def check_config(options: Options) -> int:
@@ -95,7 +95,7 @@
     return Exit.OK
 
 
-# Commands that ask an entry.
+# Commands that send requests to an entry.
 
 
 async def apply_config(client: OperatorClient, options: Options) -> int:
@@ -143,7 +143,7 @@
 
 
 async def explain_rules(client: OperatorClient, options: Options) -> int:
-    """``rules explain``; with ``--file`` no entry is asked."""
+    """``rules explain``; with ``--file`` it sends no request."""
     situation = _read_pairs(options.pairs)
     if isinstance(situation, Err):
         return report_failure(situation.err_value, options)
@@ -162,7 +162,7 @@
 
 
 async def submit_job(client: OperatorClient, options: Options) -> int:
-    """``jobs submit``: the file holds the request's JSON."""
+    """``jobs submit``: sends the JSON of the file."""
     body = _read_json(options.file)
     if isinstance(body, Err):
         return report_failure(body.err_value, options)
@@ -193,13 +193,13 @@
 
 
 async def show_queue(client: OperatorClient, options: Options) -> int:
-    """``queues show``: a job of the queue, or how many wait there."""
+    """``queues show``: one job of the queue, or its number of waiting jobs."""
     path = _job_path(options) if options.name else f"/v1/queues/{quote(options.queue, safe='')}"
     return _print_answer(await client.get(path), options, print_record)
 
 
 async def submit_to_queue(client: OperatorClient, options: Options) -> int:
-    """``queues submit``: the file holds the request's JSON."""
+    """``queues submit``: sends the JSON of the file."""
     body = _read_json(options.file)
     if isinstance(body, Err):
         return report_failure(body.err_value, options)
@@ -266,13 +266,13 @@
 
 
 def report_failure(failure: Failure, options: Options) -> int:
-    """Print a failure and return the exit code of a refusal."""
+    """Print a failure and return :attr:`Exit.REFUSED`."""
     print_failure(failure, {}, options.json)
     return Exit.REFUSED
 
 
 def report_api_error(error: ApiError, options: Options) -> int:
-    """Print the failure of a request and return its exit code."""
+    """Print a failed request and return the matching exit code."""
     print_failure(error.failure, error.body, options.json)
     if error.status == 0:
         return Exit.UNREACHABLE
@@ -293,7 +293,7 @@
 
 
 def _load_document(options: Options) -> tuple[TomlFile, ConfigDocument] | None:
-    """Read and check a document; problems are printed."""
+    """Read and check a document; print its problems and return ``None`` if it has any."""
     file = read_toml(options.file)
     if isinstance(file, Err):
         report_failure(file.err_value, options)
@@ -326,10 +326,10 @@
 
 
 async def _choose_base(client: OperatorClient, options: Options) -> Result[int, ApiError]:
-    """Return the version that the change is made from.
+    """Return the version that the change is based on.
 
-    Taking the version in force where none is given would undo what another operator changed after
-    this one's file was written: that change would be lost, and nobody be told.
+    The version in force is not a default: that would silently overwrite changes that another
+    operator made after the file was written.
     """
     if options.base >= 0:
         return Ok(options.base)
@@ -345,7 +345,7 @@
 
 
 async def _wait_until_in_force(client: OperatorClient, version: int) -> list[str]:
-    """Wait until every live process decides by ``version``; return those that still do not."""
+    """Wait until every live process uses ``version``; return those that do not at the timeout."""
     deadline = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
     while True:
         status = await client.get(f"{ADMIN_PATH}/config/status")
--- a/sapphirelead/operator_print.py
+++ b/sapphirelead/operator_print.py
@@ -1,4 +1,4 @@
-"""How the operators' commands print."""
+"""Output formats of the operators' commands."""
 
 import json
 import sys
@@ -20,19 +20,19 @@
 
 
 def print_record(record: dict[str, Any]) -> None:
-    """Print one ``name: value`` line a field."""
+    """Print a ``name: value`` line for each field."""
     for name, value in _readable(record).items():
         print(f"{name}: {_cell(value)}")
 
 
 def print_rows(rows: list[dict[str, Any]]) -> None:
-    """Print rows that have the same fields as aligned columns."""
+    """Print rows, which have the same fields, as aligned columns."""
     for line in table_lines([_readable(row) for row in rows]):
         print(line)
 
 
 def table_lines(rows: list[dict[str, Any]]) -> list[str]:
-    """Return rows as aligned lines under a head.
+    """Return rows as aligned lines below a header.
 
     >>> table_lines([{"id": "a", "tasks": 10}, {"id": "bcd", "tasks": 2}])
     ['id   tasks', 'a    10', 'bcd  2']
@@ -46,7 +46,7 @@
 
 
 def print_audit(records: list[dict[str, Any]]) -> None:
-    """Print accepted changes, each with what it changed below it."""
+    """Print accepted configuration changes, each followed by its list of changes."""
     rows = [{key: record[key] for key in record if key != CHANGES_FIELD} for record in records]
     head, *lines = table_lines([_readable(row) for row in rows])
     print(head)
@@ -57,7 +57,7 @@
 
 
 def print_problems(file: TomlFile, problems: tuple[Problem, ...], as_json: bool) -> None:
-    """Print what is wrong with a file, each with its line."""
+    """Print the problems of a file with their lines."""
     if as_json:
         found = [
             {
@@ -76,7 +76,7 @@
 
 
 def print_failure(failure: Failure, details: dict[str, Any], as_json: bool) -> None:
-    """Print a failure with the details that an entry gave, if any."""
+    """Print a failure with the problem details of the response, if any."""
     if as_json:
         own = {"code": failure.code, "detail": failure.message, "hint": failure.hint}
         print_json({"ok": False, **own, **details})
@@ -88,7 +88,7 @@
 
 
 def print_explanation(explained: dict[str, Any]) -> None:
-    """Print why a rule decides."""
+    """Print each rule that was evaluated with the reason for its result, and the decision."""
     for step in explained["steps"]:
         mark = "=>" if step["matched"] else "  "
         print(f"{mark} {step['rule']}: {step['because']}")
@@ -97,7 +97,7 @@
 
 
 def _readable(record: dict[str, Any]) -> dict[str, Any]:
-    """Return a record with wall-clock times in words.
+    """Return a record with its wall-clock times in ISO format.
 
     >>> _readable({"key": "a", "at_ms": 1_796_239_896_642})
     {'key': 'a', 'at': '2026-12-02T19:31:36+00:00'}
--- a/sapphirelead/operator_reference.py
+++ b/sapphirelead/operator_reference.py
@@ -1,7 +1,6 @@
-"""The reference of every setting and configuration key, made from the models themselves.
+"""Generates the reference of all settings and configuration keys from their models.
 
-``docs/CONFIGURATION.md`` holds this text between two markers; a test compares them, so that a
-default cannot change in the code alone.
+``docs/CONFIGURATION.md`` contains this text after a marker, and a test compares the two.
 """
 
 import inspect
@@ -42,7 +41,7 @@
 
 
 def field_meanings(model: type[BaseModel]) -> dict[str, str]:
-    """Return what each key of a model means, from the ``:ivar`` fields of its doc comment."""
+    """Return the meaning of each key of a model, from the ``:ivar`` fields of its docstring."""
     text = inspect.cleandoc(model.__doc__ or "")
     fields = {name: " ".join(body.split()) for name, body in IVAR.findall(text)}
     return {name: body.replace("``", "`").rstrip(".") for name, body in fields.items()}
@@ -74,7 +73,7 @@
 
 
 def _nested(annotation: Any) -> tuple[type[BaseModel] | None, str]:
-    """Return the table that a key holds, and how its name continues."""
+    """Return the model nested under a key, and the suffix of the key's name."""
     origin = get_origin(annotation)
     if origin is Annotated:
         return _nested(get_args(annotation)[0])
