--- a/sapphirelead/options.py
+++ b/sapphirelead/options.py
@@ -1,4 +1,4 @@
-"""The options that the command line hands down, and the exit codes that come back."""
+"""Parsed command-line options and exit codes."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class Exit(IntEnum):
-    """Exit codes; scripts may match them."""
+    """Exit codes, which are stable because scripts may match them."""
 
     OK = 0
     REFUSED = 1
@@ -25,10 +25,10 @@
 
     :ivar command: words of the subcommand, for instance ``("config", "apply")``.
     :ivar file: a file to read, ``-`` for standard input.
-    :ivar name: the key, id or directory that the command is about.
-    :ivar pairs: ``field=value`` words of ``rules explain``.
-    :ivar logs: files of log lines.
-    :ivar base: version that a change was made from, or one of the constants above.
+    :ivar name: key, id or directory that the command refers to.
+    :ivar pairs: ``field=value`` arguments of ``rules explain``.
+    :ivar logs: paths of log files.
+    :ivar base: version that a change is based on, ``BASE_UNSET`` or ``BASE_CURRENT``.
     """
 
     command: tuple[str, ...]
--- a/sapphirelead/settings.py
+++ b/sapphirelead/settings.py
@@ -1,8 +1,8 @@
-"""Settings of one process, validated at the border.
+"""Settings of one process, validated when they are loaded.
 
-Settings say where a process is and whom it talks to; they are read once, at start.  What operators
-change while the system runs is the configuration (:mod:`sapphirelead.model_config`).  Units are
-part of each key's name.
+Settings hold the location of a process and the addresses of its peers, and are read once at
+start-up.  Operators change the behaviour of a running system by its configuration instead
+(:mod:`sapphirelead.model_config`).  Key names include their units.
 """
 
 from typing import Annotated, Final, Literal
@@ -16,8 +16,8 @@
 MIN_LEASE_RENEWALS: Final = 3
 MIN_HEARTBEATS: Final = 2
 MIN_FLEET_DRAIN_S: Final = 4.0
-"""Least time in which an entry of the fleet can leave: 2.5 s in which the balancer turns elsewhere,
-and 1.5 s for the last answers."""
+"""Minimum drain time of an entry with a fleet, in which the load balancer stops sending requests and
+the last responses are delivered."""
 UNPROTECTED: Final = "I accept unprotected listening beyond loopback"
 
 
@@ -48,8 +48,8 @@
 
     @model_validator(mode="after")
     def _check_order(self) -> "LeaseSettings":
-        # A lease that one or two lost renewals use up fences healthy instances, and with them
-        # every job that is not idempotent ends as unknown.
+        # A shorter lease would expire after one or two lost renewals and fence healthy instances,
+        # whose jobs that are not idempotent would end as unknown.
         if self.lease_seconds < MIN_LEASE_RENEWALS * self.renew_interval_seconds:
             raise ValueError(
                 f"lease_seconds must be at least {MIN_LEASE_RENEWALS} times renew_interval_seconds"
--- a/sapphirelead/settings_load.py
+++ b/sapphirelead/settings_load.py
@@ -1,8 +1,7 @@
-"""Reading a process's settings: TOML file, checked model, then the files that it names.
+"""Loads and validates the settings of a process.
 
-Each failure names the file, the key and, where it can be found, the line.  A process that would
-listen beyond loopback without a token and keys is refused, unless its settings accept that in
-words: a port left open by oversight looks exactly like one left open on purpose.
+Each failure names the file, the key and, if known, the line.  Listening on a non-loopback address
+without a token and keys is refused unless ``security.unprotected`` explicitly allows it.
 """
 
 import ipaddress
@@ -34,7 +33,7 @@
 
 
 def check_settings(file: TomlFile, model: type[M]) -> Result[M, Failure]:
-    """Check decoded settings; the failure lists every wrong key."""
+    """Validate decoded settings; the failure lists all invalid keys."""
     try:
         return Ok(model.model_validate(file.data))
     except ValidationError as exc:
@@ -44,26 +43,26 @@
 
 
 def prepare(settings: S) -> Result[S, Failure]:
-    """Check what needs more than the file itself, and set up logs."""
+    """Set up logging and check that the listening address is protected."""
     setup_logs(settings.log)
     host = settings.bind_host if isinstance(settings, EntrySettings) else "127.0.0.1"
     return check_exposure(host, settings.security).map(lambda _: settings)
 
 
 def check_exposure(host: str, security: SecuritySettings) -> Result[None, Failure]:
-    """Refuse to listen beyond loopback without a token and keys."""
+    """Refuse a non-loopback address without a token and keys."""
     if is_loopback(host) or security.unprotected == UNPROTECTED:
         return Ok(None)
     missing = [key for key in ("operator_token_file", "keys_file") if not getattr(security, key)]
     if not missing:
         return Ok(None)
-    text = f"bind_host {host} is beyond loopback, but security.{' and security.'.join(missing)} "
+    text = f"bind_host {host} is not loopback, but security.{' and security.'.join(missing)} "
     hint = f'set them (`sapphirelead keys new`), or security.unprotected = "{UNPROTECTED}"'
     return Err(Failure(Code.SETTINGS_INVALID, f"{text}not set", hint))
 
 
 def is_loopback(host: str) -> bool:
-    """Return whether only this machine can reach ``host``.
+    """Return whether ``host`` is a loopback address.
 
     >>> is_loopback("127.0.0.2"), is_loopback("::1"), is_loopback("0.0.0.0"), is_loopback("a.b")
     (True, True, False, False)
@@ -75,16 +74,18 @@
 
 
 def read_token(path: str) -> Result[str, Failure]:
-    """Read a token file; no file named means that no token is wanted."""
+    """Read a token file; return an empty token for an empty path."""
     if not path:
         return Ok("")
     try:
         token = Path(path).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as exc:
-        hint = "write the operators' token into it, readable by this process only"
-        return Err(Failure(Code.SETTINGS_INVALID, f"cannot read the token: {exc}", hint))
+        hint = "write the operators' token into it, readable only by this process"
+        return Err(Failure(Code.SETTINGS_INVALID, f"cannot read the token file: {exc}", hint))
     if not token:
-        return Err(Failure(Code.SETTINGS_INVALID, f"{path} is empty", "write a token into it"))
+        return Err(
+            Failure(Code.SETTINGS_INVALID, f"token file {path} is empty", "write a token into it")
+        )
     return Ok(token)
 
 
--- a/sapphirelead/settings_toml.py
+++ b/sapphirelead/settings_toml.py
@@ -1,8 +1,8 @@
-"""TOML files with the line of each key, so that an error can say where to look.
+"""TOML files with the line of each key, for error messages.
 
-The parser of the standard library gives no positions, so that a second pass over the text notes
-the line of each header and key.  It is used for messages only: a key that it misses (inside a
-multi-line value, say) is reported at the line of the nearest table or key around it.
+``tomllib`` returns no positions, so a second pass over the text records the line of each header and
+key.  A key that it does not recognise, for example inside a multi-line value, is reported at the
+line of the nearest enclosing key or table.
 """
 
 import re
@@ -26,7 +26,7 @@
 class TomlFile:
     """A decoded file.
 
-    :ivar lines: line of each header and key, by its path.
+    :ivar lines: line number of each header and key, by its path.
     """
 
     name: str
@@ -34,14 +34,14 @@
     lines: dict[KeyPath, int]
 
     def line_of(self, path: KeyPath) -> int:
-        """Return the line of ``path`` or of the nearest table around it; 0 where there is none."""
+        """Return the line of ``path`` or its nearest enclosing key or table; 0 if unknown."""
         for end in range(len(path), 0, -1):
             if path[:end] in self.lines:
                 return self.lines[path[:end]]
         return 0
 
     def where(self, path: KeyPath) -> str:
-        """Return ``file:line`` of ``path``."""
+        """Return ``file:line`` of ``path``, or only the file if the line is unknown."""
         line = self.line_of(path)
         return f"{self.name}:{line}" if line else self.name
 
@@ -51,22 +51,24 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
-        hint = "name a readable UTF-8 file"
+        hint = "specify a readable UTF-8 file"
         return Err(Failure(Code.SETTINGS_INVALID, f"cannot read {path}: {exc}", hint))
     return parse_toml(path, text)
 
 
 def parse_toml(name: str, text: str) -> Result[TomlFile, Failure]:
-    """Decode ``text``."""
+    """Decode ``text``, the content of the file ``name``."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
-        return Err(Failure(Code.SETTINGS_INVALID, f"{name}: {exc}", "mend the TOML at that place"))
+        return Err(
+            Failure(Code.SETTINGS_INVALID, f"{name}: {exc}", "fix the TOML syntax at that position")
+        )
     return Ok(TomlFile(name, data, find_lines(text)))
 
 
 def find_lines(text: str) -> dict[KeyPath, int]:
-    """Return the line of each header and key.
+    """Return the line number of each header and key.
 
     >>> find_lines("a = 1\\n[[rules]]\\nname = 'x'\\n[rules.when]\\nload = { below = 1 }")
     ... # doctest: +NORMALIZE_WHITESPACE
