--- a/tests/unit/test_account.py
+++ b/tests/unit/test_account.py
@@ -1,4 +1,4 @@
-"""Critical paths of filling jobs, added up from log lines."""
+"""Critical paths of best-effort jobs, computed from log lines."""
 
 from pathlib import Path
 
@@ -21,7 +21,7 @@
 """  # noqa: E501
 
 
-def test_the_task_that_ended_last_tells_where_the_time_went() -> None:
+def test_critical_path_follows_last_task_of_step() -> None:
     (step,) = account(reversed(LINES.splitlines()))
     assert step.name == "a.0.0"
     assert step.spent == {
@@ -35,12 +35,12 @@
     assert sum(total([step]).values()) == step.ended_at - step.ready_at
 
 
-def test_a_step_that_has_not_ended_is_left_out() -> None:
+def test_unfinished_step_is_omitted() -> None:
     unfinished = [line for line in LINES.splitlines() if "attempt=2 how=done" not in line]
     assert account(unfinished) == []
 
 
-def test_the_command_prints_what_the_time_was_spent_on(
+def test_command_prints_time_by_category(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "front.log"
--- a/tests/unit/test_binary.py
+++ b/tests/unit/test_binary.py
@@ -1,4 +1,4 @@
-"""One file starts as one process, without children, and ends when it is told to."""
+"""The zipapp runs as a single process without children and stops on SIGTERM."""
 
 import zipapp
 from pathlib import Path
@@ -8,12 +8,8 @@
 PACKAGE = Path(__file__).parents[2] / "sapphirelead"
 
 
-async def test_one_file_is_one_process(tmp_path: Path) -> None:
-    """The platform starts the file, counts processes, and stops it with SIGTERM.
-
-    A loader that stays as a parent would take the signal, and the entry would be killed with
-    requests in progress.
-    """
+async def test_zipapp_runs_as_single_process(tmp_path: Path) -> None:
+    """Guards against a parent loader process, which would receive SIGTERM instead of the entry."""
     source = tmp_path / "source"
     for module in PACKAGE.rglob("*.py"):
         copy = source / "sapphirelead" / module.relative_to(PACKAGE)
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""The operators' pages agree with the code."""
+"""The documentation pages and the examples match the code."""
 
 import ast
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 
 def calls(names: set[str], position: int) -> Iterator[str]:
-    """Yield the text at an argument position of every call of a function of these names."""
+    """Yield the string at an argument position of each call of the functions with these names."""
     for path in (ROOT / "sapphirelead").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or len(node.args) <= position:
@@ -39,17 +39,17 @@
                 yield value
 
 
-def test_reference_is_what_the_command_prints() -> None:
+def test_reference_matches_command_output() -> None:
     assert page("CONFIGURATION.md").partition(MARKER)[2].strip() == reference_text()
 
 
-def test_every_log_event_is_explained() -> None:
+def test_every_log_event_is_documented() -> None:
     rows = [line.split("|")[1] for line in page("OPERATIONS.md").splitlines() if line[:3] == "| `"]
     missing = {e for e in calls({"log_event"}, 1) if not any(f"`{e}`" in row for row in rows)}
     assert not missing
 
 
-def test_every_metric_is_explained() -> None:
+def test_every_metric_is_documented() -> None:
     text = page("OPERATIONS.md")
     names = {n for n in calls({"count", "gauge", "latency"}, 0) if "_" in n or n in ("hedges",)}
     assert "service_requests_total" in names
@@ -57,12 +57,12 @@
 
 
 @pytest.mark.parametrize("code", list(Code))
-def test_every_code_is_explained(code: Code) -> None:
+def test_every_code_is_documented(code: Code) -> None:
     assert f"| {code.value} | {code.name.lower()} |" in page("OPERATIONS.md")
 
 
 @pytest.mark.parametrize("user", ["association", "varshapath"])
-def test_examples_are_accepted(user: str) -> None:
+def test_examples_are_valid(user: str) -> None:
     document = check_document(read_toml(str(EXAMPLES / f"{user}.toml")).unwrap().data).unwrap()
     assert isinstance(document, ConfigDocument)
     entry = load_settings(str(EXAMPLES / f"{user}-entry.toml"), EntrySettings).unwrap()
@@ -71,7 +71,7 @@
     assert set(agent.services) == set(document.services)
 
 
-def test_the_example_of_a_runner_serves_the_queues_of_its_user() -> None:
+def test_example_runner_serves_queues_of_example() -> None:
     runner = load_settings(str(EXAMPLES / "association-runner.toml"), RunnerSettings).unwrap()
     entry = load_settings(str(EXAMPLES / "association-entry.toml"), EntrySettings).unwrap()
     file = read_toml(str(EXAMPLES / "association.toml")).unwrap()
@@ -113,14 +113,14 @@
         ("varshapath", "service=photo-check load=0.5 store_up=false", "photo checks"),
     ],
 )
-def test_examples_decide_as_their_operators_mean(user: str, situation: str, rule: str) -> None:
+def test_example_rules_decide_as_intended(user: str, situation: str, rule: str) -> None:
     document = check_document(read_toml(str(EXAMPLES / f"{user}.toml")).unwrap().data).unwrap()
     raw = {"kind": "service", **dict(pair.split("=") for pair in situation.split())}
     decided = RuleSet.from_config(document).decide(parse_situation(raw).unwrap()).rule
     assert decided.startswith(rule)
 
 
-def test_every_route_is_in_the_callers_page() -> None:
+def test_every_route_is_in_openapi_page() -> None:
     text = page("openapi.yaml")
     for path in calls({"post", "get", "delete"}, 0):
         if path.startswith(
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -1,4 +1,4 @@
-"""One event is one line, and no value can forge another field."""
+"""An event is logged as one line, and no value can inject a field."""
 
 import io
 import re
@@ -35,14 +35,14 @@
 
 
 @given(st.dictionaries(st.text(min_size=1), st.text(), max_size=4))
-def test_any_fields_stay_one_line_with_the_same_number_of_fields(fields: dict[str, object]) -> None:
+def test_fields_stay_one_line_with_same_number_of_fields(fields: dict[str, object]) -> None:
     text = format_pairs(fields)
     assert len(text.splitlines()) <= 1
     assert len(FIELD.findall(text)) == len(fields)
     assert FIELD.sub("", text).strip() == ""
 
 
-def test_event_is_written_from_the_level_set() -> None:
+def test_events_below_level_are_not_written() -> None:
     out = io.StringIO()
     setup_logs(LogSettings(level="INFO"), out)
     log_event("DEBUG", "hidden")
--- a/tests/unit/test_logs_bounded.py
+++ b/tests/unit/test_logs_bounded.py
@@ -1,4 +1,4 @@
-"""The bound on what a process logs, against a pipe and a clock of the test's own."""
+"""The rate limit of log lines, with a pipe and a fake clock."""
 
 import os
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 @dataclass
 class Log:
-    """A sink, its clock, and what went out."""
+    """A sink with its clock and the read end of its pipe."""
 
     fds: tuple[int, int]
     at: float = 0.0
@@ -21,12 +21,12 @@
         self.sink = BoundedSink(self.fds[1], lambda: self.at)
 
     def write(self, event: str) -> str:
-        """Write a line and return what came out of it."""
+        """Write a line and return the output."""
         self.sink.write(f"at=x level=info event={event} key=1\n")
         return self.out()
 
     def out(self) -> str:
-        """Return what has gone out since the last look."""
+        """Return the output since the last read."""
         try:
             return os.read(self.fds[0], 65_536).decode()
         except BlockingIOError:
@@ -42,19 +42,15 @@
         os.close(fd)
 
 
-def test_lines_of_single_tasks_leave_room_for_what_became_of_requests(log: Log) -> None:
-    """A caller asks why a request failed, and no line tells.
-
-    The leader started hundreds of tasks a second, whose lines used up the rate; lines on calls and
-    on changes of the lead were dropped with them.
-    """
+def test_frequent_events_leave_reserved_rate_to_other_events(log: Log) -> None:
+    """Frequent task events must not use up the rate reserved for other events."""
     starts = sum(1 for _ in range(int(BURST_LINES)) if log.write("start_sent"))
     assert starts == int(BURST_LINES - RESERVED_LINES)
     calls = sum(1 for _ in range(int(BURST_LINES)) if log.write("call_ended"))
     assert calls == int(RESERVED_LINES)
 
 
-def test_what_was_dropped_is_told_by_event(log: Log) -> None:
+def test_dropped_lines_are_reported_by_event(log: Log) -> None:
     for _ in range(int(BURST_LINES - RESERVED_LINES) + 7):
         log.write("run_ended")
     assert "event=log_lines_dropped lines=7 of=run_ended:7" in log.write("call_ended")
@@ -62,14 +58,14 @@
     assert log.sink.dropped == 7
 
 
-def test_the_lasting_rate_is_bounded(log: Log) -> None:
+def test_sustained_rate_is_bounded(log: Log) -> None:
     while log.write("call_ended"):
         pass
     log.at += 1.0
     assert sum(1 for _ in range(int(2 * LINES_PER_S)) if log.write("call_ended")) == LINES_PER_S
 
 
-def test_a_reader_that_stops_reading_does_not_block_the_process(log: Log) -> None:
+def test_blocked_reader_does_not_block_process(log: Log) -> None:
     for _ in range(3_000):
         log.sink.write("at=x level=info event=call_ended key=1\n")
     assert log.sink.dropped > 0
--- a/tests/unit/test_main.py
+++ b/tests/unit/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: words to options, and exit codes of wrong usage."""
+"""Command line: parsing, exit codes and error messages."""
 
 import asyncio
 from pathlib import Path
@@ -45,13 +45,13 @@
     assert printed in out + err
 
 
-async def test_worked_example_ends_as_promised(capsys: pytest.CaptureFixture[str]) -> None:
+async def test_worked_example_passes(capsys: pytest.CaptureFixture[str]) -> None:
     assert await run_dev(Options(("dev",), once=True)) == 0
     assert "NOT AS PROMISED" not in capsys.readouterr().out
 
 
-async def test_deployment_that_cannot_listen_says_so(capsys: pytest.CaptureFixture[str]) -> None:
-    """Another program holds the port that the operator asked for."""
+async def test_used_port_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
+    """The HTTP port is already in use by another process."""
     async with asyncio.timeout(60):
         server = await asyncio.start_server(lambda _r, _w: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -1,4 +1,4 @@
-"""Latencies are exported for the recent past, and memory does not grow with what callers send."""
+"""Export windows of latencies, bounds on the number of series, and job metrics."""
 
 from collections.abc import Callable
 
@@ -33,8 +33,8 @@
     assert found == (None if p50 is None else pytest.approx(p50, rel=0.01))
 
 
-def test_bad_minute_does_not_disappear_in_a_long_life() -> None:
-    """A service was quick for hours; for the last seconds every answer has been slow."""
+def test_percentiles_cover_only_recent_windows() -> None:
+    """Percentiles must cover only recent latencies, not the lifetime of the process."""
     clock = Clock()
     metrics = Metrics(clock)
     for _ in range(10_000):
@@ -56,11 +56,8 @@
     assert 'sapphirelead_service_latency_ms_count{service="a\\"b"} 1.0' in lines
 
 
-def test_series_are_bounded_whatever_callers_send() -> None:
-    """A caller sends a new team name with every request.
-
-    Each would be a series for good; past the bound they share one.
-    """
+def test_number_of_series_is_bounded() -> None:
+    """Label values sent by callers must not create an unbounded number of series."""
     metrics = Metrics(Clock())
     for number in range(MAX_SERIES + 50):
         metrics.count("requests_total", team=f"t{number}")
@@ -69,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "labels", "move"),
+    ("name", "labels", "transition"),
     [
         (
             "jobs_requeued_total",
@@ -93,14 +90,14 @@
         ),
     ],
 )
-def test_committed_move_is_counted_by_its_cause(
-    name: str, labels: dict[str, str], move: Callable[[Job], Result[Job, Failure]]
+def test_committed_transition_is_counted_by_cause(
+    name: str, labels: dict[str, str], transition: Callable[[Job], Result[Job, Failure]]
 ) -> None:
     metrics = Metrics(Clock())
     meter = JobMeter(metrics)
     queued = Job(JobSpec("k", Kind.BATCH, "rollover", "t", Resources(1), idempotent=True))
     claimed = queued.claim(Holder("i1", "a")).unwrap()
     meter.count_transition(queued, claimed)
-    meter.count_transition(claimed, move(claimed).unwrap())
+    meter.count_transition(claimed, transition(claimed).unwrap())
     assert metrics.value("jobs_claimed_total", kind="batch") == 1
     assert metrics.value(name, **labels) == 1
--- a/tests/unit/test_operator.py
+++ b/tests/unit/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' commands against an entry's operator API with small fakes behind it."""
+"""The operators' commands, run against an operator API with fake services."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
 @dataclass
 class FakeConfig:
     current: Config = field(default_factory=lambda: Config(4, ConfigDocument()))
-    winner: int = 0
+    conflicting_version: int = 0
     store_up: bool = True
 
     async def apply(
@@ -47,9 +47,11 @@
     ) -> Result[Config, Failure]:
         if not self.store_up:
             return Err(Failure(Code.STORE_UNAVAILABLE, "the table is down", "apply again"))
-        if self.winner:
-            self.current = Config(self.winner, self.current.document)
-            return Err(Failure(Code.CONFIG_CONFLICT, f"version {self.winner} is in force"))
+        if self.conflicting_version:
+            self.current = Config(self.conflicting_version, self.current.document)
+            return Err(
+                Failure(Code.CONFIG_CONFLICT, f"version {self.conflicting_version} is in force")
+            )
         self.current = Config(base_version + 1, ConfigDocument.model_validate(raw))
         return Ok(self.current)
 
@@ -94,7 +96,7 @@
 
 @dataclass
 class Shell:
-    """An entry's operator API and what an operator types."""
+    """Runs command lines against an entry's operator API."""
 
     url: str
     token_file: str
@@ -169,15 +171,11 @@
     assert printed in out + err
 
 
-async def test_losing_operator_learns_the_version_that_won(
+async def test_conflicting_change_reports_version_in_force(
     shell: Shell, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Two operators change the configuration that both read at version 4.
-
-    The second to commit must be told that version 5 won, by an exit code of its own, and its
-    change must not be in force.
-    """
-    shell.config.winner = 5
+    """A change based on an outdated version is rejected with its own exit code, and not applied."""
+    shell.config.conflicting_version = 5
     assert await shell.run(f"config apply {tmp_path}/rules.toml --base=4") == 3
     assert "version 5 is in force" in capsys.readouterr().err
     assert shell.config.current.document.rules == []
@@ -187,7 +185,7 @@
     ("store_up", "token", "code", "printed"),
     [(False, "token", 1, "the table is down"), (True, "wrong", 5, "no valid operator token")],
 )
-async def test_refused_apply_says_why(
+async def test_refused_apply_reports_reason(
     shell: Shell, tmp_path: Path, capsys: pytest.CaptureFixture[str], store_up: bool, token: str,
     code: int, printed: str,
 ) -> None:  # fmt: skip
@@ -197,11 +195,8 @@
     assert printed in capsys.readouterr().err
 
 
-async def test_document_is_checked_by_the_entry_too(shell: Shell) -> None:
-    """An operator's own script posts rules without checking them first.
-
-    The entry must refuse rules that can never decide, and name the rule and the key.
-    """
+async def test_entry_validates_document(shell: Shell) -> None:
+    """The operator API rejects rules that can never match, and names the rule."""
     body = {
         "document": {"rules": [{"name": "a"}, {"name": "b"}]},
         "base_version": 4,
@@ -230,7 +225,7 @@
     assert message.reason == "disk"
 
 
-async def test_no_entry_has_an_exit_code_of_its_own(
+async def test_unreachable_entry_has_own_exit_code(
     shell: Shell, capsys: pytest.CaptureFixture[str]
 ) -> None:
     shell.url = "http://127.0.0.1:1"
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings errors name file, line and key; listening in the open needs protection or consent."""
+"""Settings errors name file, line and key; non-loopback addresses need keys or consent."""
 
 from pathlib import Path
 
