--- a/sapphirelead/settings.py
+++ b/sapphirelead/settings.py
@@ -16,8 +16,8 @@
 MIN_LEASE_RENEWALS: Final = 3
 MIN_HEARTBEATS: Final = 2
 MIN_FLEET_DRAIN_S: Final = 4.0
-"""Minimum drain time of an entry with a fleet, in which the load balancer stops sending requests and
-the last responses are delivered."""
+"""Minimum drain time of an entry with a fleet: time for the load balancer to stop sending requests
+and for the last responses to be sent."""
 UNPROTECTED: Final = "I accept unprotected listening beyond loopback"
 
 
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "labels", "transition"),
+    ("name", "labels", "move"),
     [
         (
             "jobs_requeued_total",
@@ -91,13 +91,13 @@
     ],
 )
 def test_committed_transition_is_counted_by_cause(
-    name: str, labels: dict[str, str], transition: Callable[[Job], Result[Job, Failure]]
+    name: str, labels: dict[str, str], move: Callable[[Job], Result[Job, Failure]]
 ) -> None:
     metrics = Metrics(Clock())
     meter = JobMeter(metrics)
     queued = Job(JobSpec("k", Kind.BATCH, "rollover", "t", Resources(1), idempotent=True))
     claimed = queued.claim(Holder("i1", "a")).unwrap()
     meter.count_transition(queued, claimed)
-    meter.count_transition(claimed, transition(claimed).unwrap())
+    meter.count_transition(claimed, move(claimed).unwrap())
     assert metrics.value("jobs_claimed_total", kind="batch") == 1
     assert metrics.value(name, **labels) == 1
