--- a/sapphirelead/account.py
+++ b/sapphirelead/account.py
@@ -1,9 +1,8 @@
-"""Where filling jobs lost their time, added up from the logs of a fleet.  No I/O.
+"""Breaks down the critical paths of best-effort (fill) jobs from log lines.  No I/O.
 
-A job ends with the last task of its last step, so what counts is the critical path: for each step
-from the moment it was ready, the task that ended last.  Its time is split into what it was spent on
-(:class:`Spent`); the sum over the steps tells what to work on first.  Lines of all processes go in
-together, in any order, with whatever a collector has put in front of ``at=``.
+The critical path of a step runs from the moment the step is ready to the end of its last task.
+Its time is split into the categories of :class:`Spent`.  Lines of several processes may be mixed,
+in any order; text before ``at=``, such as a log collector's prefix, is ignored.
 """
 
 import itertools
@@ -14,12 +13,12 @@
 from enum import StrEnum
 from typing import Final
 
-FIELD: Final = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-FULL: Final = 100
+LOG_FIELD: Final = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+FULL_PACE_PERCENT: Final = 100
 
 
 class Spent(StrEnum):
-    """What the time of a critical path was spent on."""
+    """Categories of time on a critical path."""
 
     FIRST_PLACE = "waiting for a first place"
     AGAIN = "waiting again after a run"
@@ -37,22 +36,26 @@
     reason: str = ""
     paces: list[tuple[float, int]] = field(default_factory=list)
 
-    def held_s(self) -> float:
-        """Return the time that its pace took from it."""
-        points = [(self.started_at, FULL), *sorted(self.paces), (self.ended_at, FULL)]
+    def throttled_s(self) -> float:
+        """Return the seconds lost to throttling, from the pace changes of this attempt."""
+        points = [
+            (self.started_at, FULL_PACE_PERCENT),
+            *sorted(self.paces),
+            (self.ended_at, FULL_PACE_PERCENT),
+        ]
         lost = 0.0
         for (begin, percent), (end, _) in itertools.pairwise(points):
             begin, end = max(begin, self.started_at), min(end, self.ended_at)
-            lost += max(0.0, end - begin) * (FULL - percent) / FULL
+            lost += max(0.0, end - begin) * (FULL_PACE_PERCENT - percent) / FULL_PACE_PERCENT
         return lost
 
 
 @dataclass(slots=True)
-class StepAccount:
+class CriticalPath:
     """The critical path of one step.
 
-    :ivar slack_s: how long the step could still wait when it was ready.
-    :ivar spent: seconds of its critical path by what they went into.
+    :ivar slack_s: seconds by which the step could be delayed, at the time it became ready.
+    :ivar spent: seconds of the critical path by category.
     """
 
     name: str
@@ -64,20 +67,20 @@
 
 
 @dataclass(slots=True)
-class _Lines:
-    """What the lines tell, before it is added up."""
+class _ParsedEvents:
+    """Steps, attempts and pace changes parsed from log lines."""
 
-    steps: dict[str, StepAccount] = field(default_factory=dict)
+    steps: dict[str, CriticalPath] = field(default_factory=dict)
     attempts: dict[str, dict[int, _Attempt]] = field(default_factory=dict)
     paces: dict[tuple[str, int], list[tuple[float, int]]] = field(default_factory=dict)
 
-    def take(self, fields: dict[str, str], at: float) -> None:
-        """Take one event."""
+    def add(self, fields: dict[str, str], at: float) -> None:
+        """Add one event, logged at ``at`` seconds since 1970."""
         match fields.get("event"):
             case "step_ready" if fields.get("fills") == "true":
                 slack_s, tasks = float(fields["slack_s"]), int(fields["tasks"])
                 self.steps.setdefault(
-                    fields["step"], StepAccount(fields["step"], at, tasks, slack_s)
+                    fields["step"], CriticalPath(fields["step"], at, tasks, slack_s)
                 )
             case "start_sent":
                 runs = self.attempts.setdefault(fields["task"], {})
@@ -91,11 +94,11 @@
                 self.paces.setdefault(key, []).append((at, int(fields["percent"])))
 
 
-def account(lines: Iterable[str]) -> list[StepAccount]:
-    """Return the critical path of each filling step that ended, in the order of their ends."""
-    seen = _Lines()
+def account(lines: Iterable[str]) -> list[CriticalPath]:
+    """Return the critical path of each best-effort step that ended, ordered by end time."""
+    seen = _ParsedEvents()
     for at, fields in sorted(_parse(lines), key=lambda item: item[0]):
-        seen.take(fields, at)
+        seen.add(fields, at)
     for (task, attempt), paces in seen.paces.items():
         run = seen.attempts.get(task, {}).get(attempt)
         if run is not None:
@@ -123,9 +126,9 @@
         spent[waiting] += max(0.0, run.started_at - free_at)
         took_s = max(0.0, run.ended_at - run.started_at)
         if run.how == "done":
-            held_s = run.held_s()
-            spent[Spent.HELD] += held_s
-            spent[Spent.WORKED] += took_s - held_s
+            throttled_s = run.throttled_s()
+            spent[Spent.HELD] += throttled_s
+            spent[Spent.WORKED] += took_s - throttled_s
         elif run.how == "stopped":
             spent[Spent.MOVED] += took_s
         else:
@@ -134,8 +137,8 @@
     return spent
 
 
-def total(steps: Iterable[StepAccount]) -> dict[Spent, float]:
-    """Return the seconds of all critical paths by what they went into."""
+def total(steps: Iterable[CriticalPath]) -> dict[Spent, float]:
+    """Return the seconds of all critical paths by category."""
     found = dict.fromkeys(Spent, 0.0)
     for step in steps:
         for what, seconds in step.spent.items():
@@ -148,11 +151,11 @@
         begin = line.find("at=")
         if begin < 0:
             continue
-        fields = {key: value.strip('"') for key, value in FIELD.findall(line[begin:])}
+        fields = {key: value.strip('"') for key, value in LOG_FIELD.findall(line[begin:])}
         if "event" not in fields:
             continue
         try:
             yield datetime.fromisoformat(fields["at"]).timestamp(), fields
         except (KeyError, ValueError):
-            # A line that was cut at its start by a rotation of the logs tells no time.
+            # Log rotation may truncate a line, which then has no valid timestamp.
             continue
--- a/sapphirelead/agent_config.py
+++ b/sapphirelead/agent_config.py
@@ -1,25 +1,25 @@
-"""The operators' configuration as an agent holds it: the highest version it was ever sent."""
+"""Holds the highest version of the operators' configuration that the agent has received."""
 
 from result import Err, Ok
 
 from sapphirelead.agent_ports import Links, Sender
 from sapphirelead.logs import log_event
-from sapphirelead.model_config import EMPTY, Config, parse_document
+from sapphirelead.model_config import EMPTY_CONFIG, Config, parse_document
 from sapphirelead.wire_messages import ConfigPush
 
 
 class ConfigHolder:
-    """Keeps the highest version seen; a lower one that arrives late changes nothing."""
+    """Keeps the highest version received and ignores lower ones that arrive late."""
 
     _sender: Sender
     current: Config
 
     def __init__(self, sender: Sender) -> None:
         self._sender = sender
-        self.current = EMPTY
+        self.current = EMPTY_CONFIG
 
     def register(self, links: Links) -> None:
-        """Take pushes from the links."""
+        """Subscribe to configuration pushes on ``links``."""
         links.on(ConfigPush, self._on_push)
 
     def _on_push(self, _index: int, push: ConfigPush) -> None:
--- a/sapphirelead/agent_http.py
+++ b/sapphirelead/agent_http.py
@@ -1,7 +1,8 @@
-"""The HTTP side of an agent or a runner for the platform's probes and for metrics, on loopback.
+"""HTTP server for probes and metrics of an agent or a runner, on the loopback interface.
 
-``/healthz`` answers while the loop runs, ``/readyz`` while it admits work, ``/metrics`` in
-the Prometheus text format.  Nothing is listened on where ``http_port`` is 0.
+``/healthz`` returns 200 while the event loop runs.  ``/readyz`` returns 200 while the process
+admits work, 503 otherwise.  ``/metrics`` uses the Prometheus text format.  The server is disabled
+if ``http_port`` is 0.
 """
 
 from collections.abc import Callable
@@ -9,9 +10,9 @@
 
 from aiohttp import web
 
-from sapphirelead.agent_holdings import Holdings
-from sapphirelead.agent_pressure import PressureKeeper
-from sapphirelead.agent_task_book import Phase
+from sapphirelead.agent_context import AgentContext
+from sapphirelead.agent_task_table import Phase
+from sapphirelead.agent_throttle import ThrottleManager
 from sapphirelead.clock import now
 from sapphirelead.metrics import Metrics
 
@@ -22,7 +23,7 @@
 class AgentHttp:
     """Serves probes and metrics of one process.
 
-    :ivar port: bound port, 0 where nothing is listened on.
+    :ivar port: bound port, 0 if the server is disabled.
     """
 
     _ready: Callable[[], bool]
@@ -37,7 +38,7 @@
         self.port = 0
 
     async def start(self, port: int) -> None:
-        """Listen on ``port`` unless it is 0."""
+        """Listen on ``port``; do nothing if it is 0."""
         if port == 0:
             return
         app = web.Application()
@@ -55,7 +56,7 @@
         self.port = port
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop the server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -70,21 +71,23 @@
         return web.Response(body=self._metrics.render(), content_type=CONTENT_TYPE)
 
 
-def register_gauges(metrics: Metrics, holdings: Holdings, pressure: PressureKeeper) -> None:
-    """Export what the agent holds; docs/OPERATIONS.md says what each gauge means."""
-    ledger, book = holdings.ledger, holdings.book
+def register_gauges(
+    metrics: Metrics, context: AgentContext, throttle_manager: ThrottleManager
+) -> None:
+    """Register the agent's gauges, which docs/OPERATIONS.md describes."""
+    ledger, task_table = context.ledger, context.task_table
 
     def lease_left_s() -> float:
-        return max(0.0, holdings.lease.deadline - now()) if holdings.lease.granted() else 0.0
+        return max(0.0, context.lease.deadline - now()) if context.lease.granted() else 0.0
 
     metrics.gauge("agent_slots_used", lambda: ledger.requests)
     metrics.gauge("agent_slots", lambda: ledger.slots)
     metrics.gauge("agent_free_cpu_millicores", lambda: ledger.free.cpu_millicores)
     metrics.gauge("agent_free_memory_mb", lambda: ledger.free.memory_mb)
     metrics.gauge("agent_free_accelerators", lambda: ledger.free.accelerators)
-    metrics.gauge("agent_tasks_running", lambda: len(book.in_phase(Phase.RUNNING)))
-    metrics.gauge("agent_ends_unacknowledged", lambda: len(book.in_phase(Phase.ENDED)))
+    metrics.gauge("agent_tasks_running", lambda: len(task_table.in_phase(Phase.RUNNING)))
+    metrics.gauge("agent_ends_unacknowledged", lambda: len(task_table.in_phase(Phase.ENDED)))
     metrics.gauge("agent_lease_left_seconds", lease_left_s)
-    metrics.gauge("agent_worker_healthy", lambda: float(holdings.session.healthy))
-    metrics.gauge("agent_slowdown", lambda: pressure.slowdown)
-    metrics.gauge("agent_classes_throttled", lambda: pressure.throttled_classes)
+    metrics.gauge("agent_worker_healthy", lambda: float(context.session.healthy))
+    metrics.gauge("agent_slowdown", lambda: throttle_manager.slowdown)
+    metrics.gauge("agent_classes_throttled", lambda: throttle_manager.throttled_classes)
--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -1,17 +1,13 @@
 """The agent's connections: three lanes to each entry in its settings.
 
-Algorithm.  Each entry has one :class:`EntryLink` with a dealer for each lane.  The identity of a
-dealer is ``instance|incarnation|lane|number``; the number grows with every new connection, so that
-the entry tells the newest from those that it may still hold.
-
-A link is *silent* when nothing has come over one of its lanes for ``silence_seconds``: the entry
-acknowledges every beat on the control lane and answers every hello on the others.  The failure:
-something between the two ends has lost track of a connection, which stays open and carries
-nothing, while new connections work.  It shows as missing acknowledgements only.  A silent link is
-closed and opened anew under the next number, and the agent announces itself again.
-
-Invariant: acknowledgements carry no incarnation, so no socket outlives the incarnation in its
-identity; a late acknowledgement of an earlier incarnation has no socket left to arrive on.
+Each :class:`EntryLink` has one ZeroMQ dealer per lane, with the identity
+``instance|incarnation|lane|number``.  The number grows with each connection, so that the entry can
+tell the newest one.  The entry acknowledges each heartbeat on the control lane and each hello on
+the others; a link that received nothing over one lane for ``silence_seconds`` is reconnected.  This
+detects connections that stay open but carry no data.
+
+Invariant: no socket outlives the incarnation in its identity.  Acknowledgements do not name the
+agent's incarnation, so a late one must not reach the next incarnation.
 """
 
 import asyncio
@@ -33,10 +29,10 @@
 from sapphirelead.wire_messages import AnyMessage, BeatAck, LaneHello
 from sapphirelead.wire_sockets import connect_dealer, send
 
-BATCH: Final = 256
-CONTROL_PAUSE_SECONDS: Final = 0.002
+MAX_BATCH_FRAMES: Final = 256
+CONTROL_BATCH_DELAY_S: Final = 0.002
 LINGER_MS: Final = 1_000
-WAITING_HELLOS: Final = 30
+UNROUTED_HELLOS_PER_TIMEOUT: Final = 30
 _NEVER: Final = float("-inf")
 
 
@@ -47,102 +43,104 @@
     _keys: Keys | None
     _address: EntryAddress
     _sender: Sender
-    _silence_s: float
-    _number: int
+    _timeout_s: float
+    _connection_number: int
     _sockets: dict[Lane, zmq.asyncio.Socket]
-    _heard: dict[Lane, float]
-    _answered: set[Lane]
+    _received_at: dict[Lane, float]
+    _active_lanes: set[Lane]
     _acked_at: float
-    _peer: str
+    _peer_incarnation: str
 
     def __init__(
         self,
         ctx: zmq.asyncio.Context,
         address: EntryAddress,
         sender: Sender,
-        silence_s: float,
+        timeout_s: float,
         keys: Keys | None,
     ) -> None:
         self._ctx = ctx
         self._keys = keys
         self._address = address
         self._sender = sender
-        self._silence_s = silence_s
-        self._number = 0
+        self._timeout_s = timeout_s
+        self._connection_number = 0
         self._sockets = {}
-        self._heard = {}
-        self._answered = set()
+        self._received_at = {}
+        self._active_lanes = set()
         self._acked_at = _NEVER
-        self._peer = ""
+        self._peer_incarnation = ""
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the entry has lately acknowledged a beat over the present connection."""
-        return now() - self._acked_at <= self._silence_s
+        """Whether the current connection carried a heartbeat acknowledgement within the timeout."""
+        return now() - self._acked_at <= self._timeout_s
 
     @property
     def routed(self) -> bool:
-        """Whether something has come over every lane of the present connection."""
-        return len(self._answered) == len(Lane)
+        """Whether something was received over every lane of the current connection."""
+        return len(self._active_lanes) == len(Lane)
 
-    def announce_due(self, patience_s: float) -> bool:
-        """Return whether the entry may not know this agent, having left beats unanswered."""
-        return now() - self._acked_at > patience_s
+    def announce_due(self, ack_timeout_s: float) -> bool:
+        """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
+        return now() - self._acked_at > ack_timeout_s
 
-    def acked(self, peer: str) -> None:
-        """Note an acknowledged beat.
+    def record_ack(self, peer_incarnation: str) -> None:
+        """Record an acknowledged heartbeat.
 
-        A restarted entry takes the connection over without a visible break, and knows nothing of
-        the agent; it shows as another incarnation in the acknowledgement.
+        If the entry's incarnation has changed, it was restarted and does not know the agent, so the
+        acknowledgement is discarded and the agent announces itself again.
+
+        :param peer_incarnation: the entry's incarnation, named in the acknowledgement.
         """
-        known = self._peer in ("", peer)
-        self._peer = peer
+        known = self._peer_incarnation in ("", peer_incarnation)
+        self._peer_incarnation = peer_incarnation
         self._acked_at = now() if known else _NEVER
 
     def open(self) -> dict[Lane, zmq.asyncio.Socket]:
-        """Connect every lane under the next number and return the sockets to receive from."""
-        self._number += 1
+        """Connect every lane under the next connection number and return the sockets."""
+        self._connection_number += 1
         self._acked_at = _NEVER
-        self._peer = ""
-        self._answered.clear()
+        self._peer_incarnation = ""
+        self._active_lanes.clear()
         for lane in Lane:
             self._sockets[lane] = self._connect(lane)
-            self._heard[lane] = now()
+            self._received_at[lane] = now()
         return dict(self._sockets)
 
     def close(self, linger_ms: int = 0) -> None:
-        """Close every lane, giving queued messages ``linger_ms`` to leave."""
+        """Close every lane; queued messages are sent for up to ``linger_ms``."""
         for sock in self._sockets.values():
             sock.close(linger=linger_ms)
         self._sockets.clear()
 
-    def heard(self, lane: Lane) -> None:
-        """Note that something came over ``lane``."""
-        self._heard[lane] = now()
-        self._answered.add(lane)
+    def record_received(self, lane: Lane) -> None:
+        """Record that something was received over ``lane``."""
+        self._received_at[lane] = now()
+        self._active_lanes.add(lane)
 
-    def silent(self) -> bool:
-        """Return whether one lane has carried nothing for too long."""
-        return min(self._heard.values()) + self._silence_s < now()
+    def timed_out(self) -> bool:
+        """Return whether nothing was received over one of the lanes within the timeout."""
+        return min(self._received_at.values()) + self._timeout_s < now()
 
-    def forgive(self) -> None:
-        """Start the silence of every lane anew."""
-        self._heard = dict.fromkeys(self._heard, now())
+    def reset_timeouts(self) -> None:
+        """Restart the timeout of every lane."""
+        self._received_at = dict.fromkeys(self._received_at, now())
 
     async def send(self, lane: Lane, message: AnyMessage) -> bool:
-        """Send over ``lane``; ``False`` means proven not sent."""
+        """Send over ``lane``; ``False`` means that the message was certainly not sent."""
         sock = self._sockets.get(lane)
         return sock is not None and await send(sock, message)
 
     def _connect(self, lane: Lane) -> zmq.asyncio.Socket:
         sender, address = self._sender, self._address
-        identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._number}"
+        identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._connection_number}"
         port = {
             Lane.CONTROL: address.control_port,
             Lane.DATA: address.data_port,
             Lane.BULK: address.bulk_port,
         }[lane]
-        return connect_dealer(self._ctx, identity, address.host, port, self._silence_s, self._keys)
+        return connect_dealer(self._ctx, identity, address.host, port, self._timeout_s, self._keys)
 
 
 class AgentLinks:
@@ -151,8 +149,8 @@
     _ctx: zmq.asyncio.Context
     _sender: Sender
     _background: Background
-    _silence_s: float
-    _pause_s: float
+    _timeout_s: float
+    _max_check_gap_s: float
     _links: list[EntryLink]
     _receivers: list[list[asyncio.Task[None]]]
     _handlers: dict[type, Handler]
@@ -169,10 +167,10 @@
         self._ctx = zmq.asyncio.Context()
         self._sender = sender
         self._background = background
-        self._silence_s = settings.lease.silence_seconds
-        self._pause_s = settings.lease.beat_interval_seconds + self._silence_s / 2
+        self._timeout_s = settings.lease.silence_seconds
+        self._max_check_gap_s = settings.lease.beat_interval_seconds + self._timeout_s / 2
         self._links = [
-            EntryLink(self._ctx, address, sender, self._silence_s, keys)
+            EntryLink(self._ctx, address, sender, self._timeout_s, keys)
             for address in settings.entries
         ]
         self._receivers = [[] for _ in self._links]
@@ -182,19 +180,19 @@
 
     @property
     def indexes(self) -> range:
-        """Numbers of the links, in the order of the settings."""
+        """Indexes of the links, in the order of the settings."""
         return range(len(self._links))
 
     def on(self, kind: type[AnyMessage], handler: Handler) -> None:
-        """Call ``handler`` with the link's number and each message of ``kind``."""
+        """Call ``handler`` with the link's index for each message of ``kind``."""
         self._handlers[kind] = handler
 
-    def announce_due(self, index: int, patience_s: float) -> bool:
-        """Return whether the entry has left beats of the last ``patience_s`` unanswered."""
-        return self._links[index].announce_due(patience_s)
+    def announce_due(self, index: int, ack_timeout_s: float) -> bool:
+        """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
+        return self._links[index].announce_due(ack_timeout_s)
 
     def live(self) -> list[int]:
-        """Return links over which the entry acknowledged a beat."""
+        """Return the indexes of links whose entry acknowledged a heartbeat within the timeout."""
         return [index for index in self.indexes if self._links[index].acknowledged]
 
     def open(self) -> None:
@@ -202,41 +200,41 @@
         self._checked_at = now()
         for index in self.indexes:
             self._open(index)
-        self._background.spawn(self._say_hello(), "lane-hello")
+        self._background.spawn(self._send_hellos(), "lane-hello")
 
     def reopen(self) -> None:
-        """Connect anew everywhere, under the sender's new incarnation."""
+        """Reconnect every link under the sender's new incarnation."""
         for index in self.indexes:
             self._reopen(index)
 
     async def close(self) -> None:
-        """Close all links after what was queued has left."""
+        """Close all links; queued messages are sent for up to ``LINGER_MS``."""
         for link in self._links:
             link.close(LINGER_MS)
         await asyncio.to_thread(self._ctx.term)
 
     async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
-        """Send to one entry; ``False`` means proven not sent."""
+        """Send to one entry; ``False`` means that the message was certainly not sent."""
         return await self._links[index].send(lane, message)
 
     async def broadcast(self, message: AnyMessage) -> None:
-        """Send to the control lane of every entry that acknowledged a beat."""
+        """Send over the control lane of every live link."""
         for index in self.live():
             await self._links[index].send(Lane.CONTROL, message)
 
-    def check_silence(self) -> None:
-        """Connect anew to entries that have gone silent.
+    def reconnect_unresponsive(self) -> None:
+        """Reconnect the links that have timed out.
 
-        After a pause of this process nothing was received because nothing was read: every link
-        gets a fresh period of silence, or a resumed agent would drop connections that work.
+        If this process was suspended since the last check, the timeouts are restarted instead:
+        nothing was received because nothing was read.
         """
-        paused = now() - self._checked_at > self._pause_s
+        paused = now() - self._checked_at > self._max_check_gap_s
         self._checked_at = now()
         for index in self.indexes:
             link = self._links[index]
             if paused:
-                link.forgive()
-            elif link.silent():
+                link.reset_timeouts()
+            elif link.timed_out():
                 log_event("WARNING", "entry_silent", link=index)
                 self._reopen(index)
 
@@ -256,18 +254,18 @@
     async def _receive(self, index: int, lane: Lane, sock: zmq.asyncio.Socket) -> None:
         """Receive from one socket until it is closed.
 
-        Control is taken in batches with a short pause after each, so that a burst of it costs few
-        wake-ups; requests are taken one at a time, as they come.
+        Control messages are received in batches with a short delay in between, which bounds the
+        wake-ups during a burst; messages on other lanes are handled as they arrive.
         """
         while True:
             frames = [await sock.recv()]
             if lane is Lane.CONTROL:
                 frames += await _drain(sock)
-            self._links[index].heard(lane)
+            self._links[index].record_received(lane)
             for frame in frames:
                 self._dispatch(index, frame)
             if lane is Lane.CONTROL:
-                await asyncio.sleep(CONTROL_PAUSE_SECONDS)
+                await asyncio.sleep(CONTROL_BATCH_DELAY_S)
 
     def _dispatch(self, index: int, frame: bytes) -> None:
         match decode(frame):
@@ -276,12 +274,12 @@
                 log_event("WARNING", "frame_undecodable", link=index, reason=failure.message)
             case Ok(message):
                 if isinstance(message, BeatAck):
-                    self._links[index].acked(message.incarnation)
+                    self._links[index].record_ack(message.incarnation)
                 handler = self._handlers.get(type(message))
                 if handler:
                     handler(index, message)
 
-    async def _say_hello(self) -> None:
+    async def _send_hellos(self) -> None:
         while True:
             for index in self.indexes:
                 for lane in (Lane.DATA, Lane.BULK):
@@ -290,14 +288,14 @@
             await asyncio.sleep(self._hello_interval())
 
     def _hello_interval(self) -> float:
-        # An entry that has not answered over a lane may know no route for requests yet.
-        waiting = any(not link.routed for link in self._links)
-        return self._silence_s / (WAITING_HELLOS if waiting else 2)
+        # An entry may have no route to this agent over a lane that it has not replied on.
+        unrouted = any(not link.routed for link in self._links)
+        return self._timeout_s / (UNROUTED_HELLOS_PER_TIMEOUT if unrouted else 2)
 
 
 async def _drain(sock: zmq.asyncio.Socket) -> list[bytes]:
     frames: list[bytes] = []
-    while len(frames) < BATCH:
+    while len(frames) < MAX_BATCH_FRAMES:
         try:
             frames.append(await sock.recv(flags=zmq.NOBLOCK))
         except zmq.Again:
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -1,16 +1,12 @@
-"""The agent's regular rounds over the worker's tasks: what changed, and whose lease to renew.
+"""Periodic polls of the worker's tasks and renewals of their leases.
 
-Poll: compares the worker's list with the records.  Ends are noted, measured use goes to the ledger,
-new events of watches go to every entry, and tasks at the worker that nobody here knows are stopped
-and removed.
+A poll compares the worker's list with the task table: it records outcomes and measured usage,
+forwards new watch events to the entries, and stops and removes tasks that are not in the table.
 
-Lease round: while the lease may be acted on, the worker's leases of confirmed tasks are moved up to
-it.  Near its end every task is stopped at a checkpoint.  If the lease comes back without a fence,
-the entry commits those checkpoints and the jobs are queued again; a held task is never resumed here
-on the agent's own judgement.
-
-An adopted task whose claim is not moved to this incarnation in time is checkpointed too: the run
-that the claim names may be fenced, and its job started elsewhere, while the task still runs here.
+A lease round extends the worker's leases of confirmed tasks up to the agent's lease.  When that
+lease is about to expire, every running task is stopped at a checkpoint and never resumed by the
+agent itself.  An adopted task whose claim is not confirmed in time is checkpointed as well, because
+its job may have been started elsewhere.
 """
 
 import asyncio
@@ -19,10 +15,10 @@
 
 from result import Ok
 
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
-from sapphirelead.agent_stops import LOST, Stopper, end_of, find
-from sapphirelead.agent_task_book import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_stops import LOST, Stopper, find_task, outcome_of
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -31,20 +27,20 @@
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_messages import WatchEvent
 
-BUSY_SECONDS: Final = 0.2
-IDLE_SECONDS: Final = 2.0
-LEASE_ROUNDS: Final = 20.0
+BUSY_INTERVAL_S: Final = 0.2
+IDLE_INTERVAL_S: Final = 2.0
+ROUNDS_PER_LEASE: Final = 20.0
 
 ViewListener = Callable[[WorkerView], Awaitable[None]]
 
 
 class Poller:
-    """Runs both rounds.
+    """Runs the polls and the lease rounds.
 
-    :ivar on_view: called with each view after the records have been brought up to date.
+    :ivar on_view: called with each view of the worker after the task table has been updated.
     """
 
-    _holdings: Holdings
+    _context: AgentContext
     _links: Links
     _stopper: Stopper
     on_view: ViewListener
@@ -52,9 +48,9 @@
     _wake: asyncio.Event
 
     def __init__(
-        self, holdings: Holdings, links: Links, stopper: Stopper, settings: LeaseSettings
+        self, context: AgentContext, links: Links, stopper: Stopper, settings: LeaseSettings
     ) -> None:
-        self._holdings = holdings
+        self._context = context
         self._links = links
         self._stopper = stopper
         self._lease_s = settings.lease_seconds
@@ -62,81 +58,81 @@
         self.on_view = _ignore
 
     def wake(self) -> None:
-        """Poll soon, because a task has started."""
+        """End an idle wait, because a task has started."""
         self._wake.set()
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             self._wake.clear()
-            if self._holdings.ready:
+            if self._context.ready:
                 await self.poll()
-            active = bool(self._holdings.book.in_phase(Phase.RUNNING, Phase.STOPPING))
+            active = bool(self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING))
             if active:
-                await asyncio.sleep(BUSY_SECONDS)
+                await asyncio.sleep(BUSY_INTERVAL_S)
                 continue
             try:
-                async with asyncio.timeout(IDLE_SECONDS):
+                async with asyncio.timeout(IDLE_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
     async def run_leases(self) -> None:
-        """Renew or hold until cancelled."""
+        """Run lease rounds until cancelled."""
         while True:
             await self.lease_round()
-            await asyncio.sleep(self._lease_s / LEASE_ROUNDS)
+            await asyncio.sleep(self._lease_s / ROUNDS_PER_LEASE)
 
     async def poll(self) -> None:
-        """Bring the records up to date with the worker."""
-        asked_at = now()
-        viewed = await self._holdings.session.view()
-        if not isinstance(viewed, Ok) or not self._holdings.ready:
+        """Update the task table from the worker's list of tasks."""
+        requested_at = now()
+        viewed = await self._context.session.view()
+        if not isinstance(viewed, Ok) or not self._context.ready:
             return
         view = viewed.ok_value
-        for task in self._holdings.book.in_phase(Phase.RUNNING):
-            # A task that started after the question may be missing from the answer.
-            if task.since < asked_at:
-                await self._update(task, find(view.tasks, task))
+        for task in self._context.task_table.in_phase(Phase.RUNNING):
+            # A task that started after the request was sent may be missing from the view.
+            if task.since < requested_at:
+                await self._update(task, find_task(view.tasks, task))
         for info in view.tasks:
-            if info.task_id not in self._holdings.book.tasks:
-                await self._sweep(info)
+            if info.task_id not in self._context.task_table.tasks:
+                await self._remove_unknown(info)
         await self.on_view(view)
 
     async def lease_round(self) -> None:
-        """Renew the worker's leases, or hold the tasks where the lease runs out."""
+        """Renew the worker's leases, or checkpoint the tasks if the agent's lease is expiring."""
         at = now()
-        lease = self._holdings.lease
-        running = self._holdings.book.in_phase(Phase.RUNNING)
+        lease = self._context.lease
+        running = self._context.task_table.in_phase(Phase.RUNNING)
         for task in running:
             if not task.confirmed and at - task.since > self._lease_s * GUARD_SHARE:
                 self._stopper.order(task, StopOrder(cancel=False, reason="claim not confirmed"))
-        if lease.lapsing(at):
+        if lease.expiring(at):
             for task in running:
                 self._stopper.order(task, StopOrder(cancel=False, reason="lease"))
         if not lease.may_act(at):
             return
-        # A task that is being stopped keeps its lease: the worker must not cut the checkpoint.
-        held = self._holdings.book.in_phase(Phase.RUNNING, Phase.STOPPING)
-        until = self._holdings.session.lease_until(lease.deadline)
+        # Leases of stopping tasks are renewed too, so that the worker can finish the checkpoint.
+        held = self._context.task_table.in_phase(Phase.RUNNING, Phase.STOPPING)
+        until = self._context.session.lease_until(lease.deadline)
         leases = {task.key: until for task in held if task.confirmed}
         if leases:
-            await self._holdings.session.renew(leases)
+            await self._context.session.renew(leases)
 
     async def _update(self, task: Task, info: TaskInfo | None) -> None:
         if info is None:
-            self._stopper.finish(task, End(Fate.STOPPED, reason=LOST))
+            self._stopper.finish(task, TaskOutcome(Fate.STOPPED, reason=LOST))
             return
-        self._holdings.ledger.measure(task.key, info.usage)
+        self._context.ledger.record_usage(task.key, info.usage)
         await self._forward_events(task, info)
-        end = end_of(info)
-        if end is None:
+        outcome = outcome_of(info)
+        if outcome is None:
             return
-        if end.fate is Fate.STOPPED and not end.checkpoint:
-            # Its lease passed at the worker, or a checkpoint is still being written.
-            self._stopper.order(task, StopOrder(cancel=False, reason=end.reason))
+        if outcome.fate is Fate.STOPPED and not outcome.checkpoint:
+            # Its lease expired at the worker, or the checkpoint is still being written.
+            self._stopper.order(task, StopOrder(cancel=False, reason=outcome.reason))
         else:
-            self._stopper.finish(task, end)
+            self._stopper.finish(task, outcome)
 
     async def _forward_events(self, task: Task, info: TaskInfo) -> None:
         if task.kind is not Kind.WATCH:
@@ -145,14 +141,14 @@
             number = info.first_event + offset
             if number > task.events_sent:
                 task.events_sent = number
-                head = self._holdings.sender.head()
+                head = self._context.sender.head()
                 message = WatchEvent(
                     key=task.key, epoch=task.epoch, number=number, event=event, **head
                 )
                 await self._links.broadcast(message)
 
-    async def _sweep(self, info: TaskInfo) -> None:
-        session = self._holdings.session
+    async def _remove_unknown(self, info: TaskInfo) -> None:
+        session = self._context.session
         if info.state is TaskState.RUNNING:
             log_event("WARNING", "task_unknown", job=info.task_id, epoch=info.epoch)
             await session.stop(info.task_id)
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -1,17 +1,12 @@
-"""Service requests on an instance: admit at once or refuse at once, call the target, answer.
+"""Runs service requests on an instance: admits or refuses, calls the target, and replies.
 
-Algorithm.  A request takes a slot and a connection in the ledger, or it is refused as ``not_run``;
-nothing waits here.  The target is called with the time the caller has left.  When that time is
-over the attempt is answered as ``unknown``, but its slot stays taken until the call has ended: the
-target may still be working on it, and giving the slot to the next request would load the target
-beyond its size.
+A request takes a slot in the ledger or is refused as ``not_run``; nothing is queued.  When the
+caller's budget is exhausted the attempt is answered as ``unknown``, but its slot is held until the
+call ends, so that the target is never loaded beyond its size.
 
-Invariants:
-
-- ``not_run`` is said only of an attempt that the target never saw, and an attempt of which it was
-  said never reaches the target afterwards (its number is remembered).
-- Each attempt has one end.  It is remembered for a bounded time, so that an entry whose connection
-  was lost can ask for it; a request that arrives twice runs once.
+Invariants: ``not_run`` is reported only for attempts that have not reached the target and never
+will.  Each attempt has one outcome, remembered for a bounded time: repeated requests run once, and
+an entry that lost its connection can query the outcome.
 """
 
 import asyncio
@@ -32,73 +27,72 @@
 from sapphirelead.ports import Target, TargetAnswer
 from sapphirelead.settings import AgentSettings
 from sapphirelead.wire_messages import (
-    BULK_BYTES,
+    BULK_THRESHOLD_BYTES,
     AttemptFate,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
 )
 
-KEPT_ANSWERS: Final = 1_024
-KEPT_BYTES: Final = 16 * 1024 * 1024
-SEEN_ATTEMPTS: Final = 50_000
-SEEN_SECONDS: Final = 660.0
-SEND_TRIES: Final = 20
-SEND_RETRY_SECONDS: Final = 0.1
+MAX_CACHED_ANSWERS: Final = 1_024
+MAX_CACHED_BYTES: Final = 16 * 1024 * 1024
+MAX_SEEN_ATTEMPTS: Final = 50_000
+SEEN_RETENTION_S: Final = 660.0
+MAX_SEND_ATTEMPTS: Final = 20
+SEND_RETRY_DELAY_S: Final = 0.1
 
 Attempt = tuple[str, int]
 Observer = Callable[[str, float, bool], None]
 
 
-class Ends:
-    """Ends of attempts, remembered within bounds.
+class AttemptHistory:
+    """Bounded history of completed attempts.
 
-    Whole answers are kept for a short time, bare attempt numbers for much longer.  Where even a
-    number had to go early, :meth:`complete` says so: "I do not know that attempt" is then no proof
-    that it never arrived.
+    Answers are cached for a short time, attempt numbers for longer.  While :meth:`complete` is
+    false, numbers were evicted early and an unknown attempt may have run.
     """
 
     _answers: OrderedDict[Attempt, ServiceAnswer]
     _answer_bytes: int
     _seen: OrderedDict[Attempt, float]
-    _forgot_at: float
+    _evicted_at: float
 
     def __init__(self) -> None:
         self._answers = OrderedDict()
         self._answer_bytes = 0
         self._seen = OrderedDict()
-        self._forgot_at = float("-inf")
+        self._evicted_at = float("-inf")
 
     def answer(self, attempt: Attempt) -> ServiceAnswer | None:
-        """Return the whole answer of ``attempt`` if it is still kept."""
+        """Return the answer of ``attempt`` if it is still cached."""
         return self._answers.get(attempt)
 
     def seen(self, attempt: Attempt) -> bool:
-        """Return whether ``attempt`` is known to have ended."""
+        """Return whether ``attempt`` is known to have completed."""
         return attempt in self._seen
 
     def complete(self, at: float) -> bool:
-        """Return whether every attempt of the last ``SEEN_SECONDS`` is remembered."""
-        return at - self._forgot_at > SEEN_SECONDS
+        """Return whether no attempt was evicted early within the last ``SEEN_RETENTION_S``."""
+        return at - self._evicted_at > SEEN_RETENTION_S
 
     def add(self, attempt: Attempt, answer: ServiceAnswer, at: float) -> None:
-        """Remember the end of ``attempt``."""
+        """Record the answer of a completed ``attempt``."""
         self._seen[attempt] = at
         self._answers[attempt] = answer
         self._answer_bytes += len(answer.body)
-        while len(self._answers) > KEPT_ANSWERS or self._answer_bytes > KEPT_BYTES:
+        while len(self._answers) > MAX_CACHED_ANSWERS or self._answer_bytes > MAX_CACHED_BYTES:
             _, dropped = self._answers.popitem(last=False)
             self._answer_bytes -= len(dropped.body)
-        while len(self._seen) > SEEN_ATTEMPTS:
+        while len(self._seen) > MAX_SEEN_ATTEMPTS:
             _, seen_at = self._seen.popitem(last=False)
-            if at - seen_at <= SEEN_SECONDS:
-                self._forgot_at = at
+            if at - seen_at <= SEEN_RETENTION_S:
+                self._evicted_at = at
 
 
 class ServiceRunner:
     """Runs the service requests of one instance.
 
-    :ivar draining: refuse whatever comes.
+    :ivar draining: whether all new requests are refused.
     """
 
     _services: frozenset[str]
@@ -111,10 +105,10 @@
     _observe: Observer
     draining: bool
     _running: set[Attempt]
-    _unwanted: set[Attempt]
-    _ends: Ends
+    _cancellation_stored: set[Attempt]
+    _history: AttemptHistory
     _incarnations: set[str]
-    _open: int
+    _operation_count: int
     _idle: asyncio.Event
 
     def __init__(
@@ -137,31 +131,31 @@
         self._observe = observe
         self.draining = False
         self._running = set()
-        self._unwanted = set()
-        self._ends = Ends()
+        self._cancellation_stored = set()
+        self._history = AttemptHistory()
         self._incarnations = {sender.incarnation}
-        self._open = 0
+        self._operation_count = 0
         self._idle = asyncio.Event()
         self._idle.set()
 
     def register(self) -> None:
-        """Take the messages of service requests from the links."""
+        """Subscribe to the messages about service requests."""
         self._links.on(ServiceRequest, self._on_request)
         self._links.on(AttemptFate, self._on_fate)
         self._links.on(CancelAttempt, self._on_cancel)
 
     def add_incarnation(self) -> None:
-        """Note that this process goes on under the sender's new incarnation."""
+        """Record the sender's new incarnation as one of this process."""
         self._incarnations.add(self._sender.incarnation)
 
     async def idle(self) -> None:
-        """Wait until no call to the target is in progress and every answer has left."""
+        """Wait until no call to the target and no reply is in progress."""
         await self._idle.wait()
 
     def _on_request(self, index: int, req: ServiceRequest) -> None:
         attempt = (req.request_id, req.attempt)
-        if self._ends.seen(attempt):
-            self._repeat(index, attempt)
+        if self._history.seen(attempt):
+            self._resend(index, attempt)
         elif attempt not in self._running:
             refusal = self._refusal(req)
             if refusal:
@@ -180,24 +174,22 @@
 
     def _start(self, index: int, attempt: Attempt, req: ServiceRequest) -> None:
         self._running.add(attempt)
-        self._enter()
+        self._begin_operation()
         self._background.spawn(self._run(index, attempt, req), f"request-{req.request_id}")
 
     async def _run(self, index: int, attempt: Attempt, req: ServiceRequest) -> None:
         try:
             outcome = await self._call(index, attempt, req)
-            # The slot is free again before the answer tells how many are in use.  An answer that
-            # counted its own made entries see one slot fewer than there are: at 80% load of 24
-            # slots the median request waited 40 ms for room that was there.
+            # The slot has been released by now: the answer must not count it in ``slots_used``.
             self._finish(index, self._from_target(attempt, outcome))
         finally:
-            self._unwanted.discard(attempt)
-            self._leave()
+            self._cancellation_stored.discard(attempt)
+            self._end_operation()
 
     async def _call(
         self, index: int, attempt: Attempt, req: ServiceRequest
     ) -> Result[TargetAnswer, Failure]:
-        """Call the target; the slot is held until the call ends, past the caller's deadline too."""
+        """Call the target; the slot is held until the call ends, even after the deadline."""
         started_at = now()
         call = asyncio.create_task(
             self._target.call(req.service, req.headers, req.body, self._timeout_s)
@@ -215,59 +207,59 @@
             self._ledger.release_request()
             self._running.discard(attempt)
 
-    def _enter(self) -> None:
-        self._open += 1
+    def _begin_operation(self) -> None:
+        self._operation_count += 1
         self._idle.clear()
 
-    def _leave(self) -> None:
-        self._open -= 1
-        if self._open == 0:
+    def _end_operation(self) -> None:
+        self._operation_count -= 1
+        if self._operation_count == 0:
             self._idle.set()
 
     def _on_cancel(self, _index: int, cancel: CancelAttempt) -> None:
-        """Drop the answer of an attempt; the call itself goes on, and so does its charge."""
+        """Suppress the answer of an attempt; the call continues and holds its slot."""
         attempt = (cancel.request_id, cancel.attempt)
         if attempt in self._running:
-            self._unwanted.add(attempt)
+            self._cancellation_stored.add(attempt)
 
     def _on_fate(self, index: int, fate: AttemptFate) -> None:
         attempt = (fate.request_id, fate.attempt)
-        # Answered on the control lane where the size allows: the entry asks because it suspects the
-        # others.
-        if self._ends.seen(attempt):
-            self._repeat(index, attempt, Lane.CONTROL)
+        # Answered on the control lane if the size allows, because the entry may have lost the
+        # other lanes.
+        if self._history.seen(attempt):
+            self._resend(index, attempt, Lane.CONTROL)
         elif attempt not in self._running:
-            never = fate.sent_to in self._incarnations and self._ends.complete(now())
-            outcome = Outcome.NOT_RUN if never else Outcome.UNKNOWN
+            never_arrived = fate.sent_to in self._incarnations and self._history.complete(now())
+            outcome = Outcome.NOT_RUN if never_arrived else Outcome.UNKNOWN
             self._finish(index, self._answer(attempt, outcome, "never arrived"), Lane.CONTROL)
 
     def _finish(self, index: int, answer: ServiceAnswer, lane: Lane = Lane.DATA) -> None:
         attempt = (answer.request_id, answer.attempt)
-        if self._ends.seen(attempt):
+        if self._history.seen(attempt):
             return
-        self._ends.add(attempt, answer, now())
-        if attempt not in self._unwanted:
+        self._history.add(attempt, answer, now())
+        if attempt not in self._cancellation_stored:
             self._reply(index, answer, lane)
 
-    def _repeat(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
-        lost = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
-        self._reply(index, self._ends.answer(attempt) or lost, lane)
+    def _resend(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
+        expired = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
+        self._reply(index, self._history.answer(attempt) or expired, lane)
 
     def _reply(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        self._enter()
+        self._begin_operation()
         self._background.spawn(self._send(index, answer, lane), f"answer-{answer.request_id}")
 
     async def _send(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        lane = Lane.BULK if len(answer.body) > BULK_BYTES else lane
+        lane = Lane.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else lane
         try:
-            for _ in range(SEND_TRIES):
+            for _ in range(MAX_SEND_ATTEMPTS):
                 if await self._links.send(index, lane, answer):
                     return
-                await asyncio.sleep(SEND_RETRY_SECONDS)
-            # The entry asks for the attempt's fate over its next connection.
+                await asyncio.sleep(SEND_RETRY_DELAY_S)
+            # The entry queries the outcome of the attempt over its next connection.
             log_event("WARNING", "answer_not_sent", request=answer.request_id, link=index)
         finally:
-            self._leave()
+            self._end_operation()
 
     def _from_target(
         self, attempt: Attempt, outcome: Result[TargetAnswer, Failure]
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -1,12 +1,10 @@
-"""Stopping of tasks: at an exact checkpoint, or where they are.
+"""Stops tasks, at a checkpoint or, if their progress is not needed, immediately.
 
-Algorithm.  The order is given to the worker again and again until the worker's own list shows how
-the task ended; an answer that was lost therefore changes nothing.  A task that ended by itself
-before the order reached it is reported as it ended.
+The order is repeated until the worker's response or list shows the outcome, so lost responses are
+harmless.  A task that ended by itself before the order took effect keeps its own outcome.
 
-The worker writes a checkpoint after it has stopped the task, so a stopped task without one may have
-one a moment later.  It is taken for lost only after it stayed without for ``SETTLE_SECONDS``: the
-difference decides whether a non-idempotent job resumes or ends as unknown.
+The worker writes the checkpoint after it has stopped the task.  A stopped task without a checkpoint
+is therefore rechecked for ``CHECKPOINT_TIMEOUT_S`` before the checkpoint is considered lost.
 """
 
 import asyncio
@@ -15,7 +13,7 @@
 
 from result import Ok, Result
 
-from sapphirelead.agent_task_book import End, Fate, Phase, StopOrder, Task
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -23,30 +21,32 @@
 from sapphirelead.logs import log_event
 from sapphirelead.ports import TaskInfo, TaskState
 
-RETRY_SECONDS: Final = 0.2
-SETTLE_SECONDS: Final = 2.0
+RETRY_INTERVAL_S: Final = 0.2
+CHECKPOINT_TIMEOUT_S: Final = 2.0
 LOST: Final = "lost"
 
-Finish = Callable[[Task, End], None]
+FinishCallback = Callable[[Task, TaskOutcome], None]
 
 
 class Stopper:
-    """Carries stop orders out.
+    """Executes stop orders.
 
-    :ivar finish: called with each task that ended and how.
+    :ivar finish: called with each stopped task and its outcome.
     """
 
     _session: WorkerSession
     _background: Background
-    finish: Finish
+    finish: FinishCallback
 
-    def __init__(self, session: WorkerSession, background: Background, finish: Finish) -> None:
+    def __init__(
+        self, session: WorkerSession, background: Background, finish: FinishCallback
+    ) -> None:
         self._session = session
         self._background = background
         self.finish = finish
 
     def order(self, task: Task, order: StopOrder) -> None:
-        """Stop ``task``; one that is still being started stops right after."""
+        """Stop ``task``; one that is still starting is stopped once it runs."""
         if task.phase is Phase.STARTING:
             task.order = task.order or order
         elif task.phase is Phase.RUNNING:
@@ -58,60 +58,65 @@
             task.order = order
 
     async def _stop(self, task: Task, order: StopOrder) -> None:
-        empty_since: float | None = None
+        no_checkpoint_since: float | None = None
         while True:
-            # A cancellation may come while a checkpoint is being made.
+            # The order may have become a cancellation while the checkpoint was being written.
             order = task.order or order
-            answer = await self._tell_worker(task, order)
-            end = await self._found(task, order, answer)
-            if end and _is_empty(end) and not order.cancel and end.reason != LOST:
-                empty_since = now() if empty_since is None else empty_since
-                end = end if now() - empty_since >= SETTLE_SECONDS else None
-            if end:
-                self.finish(task, end)
+            answer = await self._send_order(task, order)
+            outcome = await self._find_outcome(task, order, answer)
+            if (
+                outcome
+                and _lacks_checkpoint(outcome)
+                and not order.cancel
+                and outcome.reason != LOST
+            ):
+                no_checkpoint_since = now() if no_checkpoint_since is None else no_checkpoint_since
+                outcome = outcome if now() - no_checkpoint_since >= CHECKPOINT_TIMEOUT_S else None
+            if outcome:
+                self.finish(task, outcome)
                 return
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _tell_worker(self, task: Task, order: StopOrder) -> Result[str, Failure]:
+    async def _send_order(self, task: Task, order: StopOrder) -> Result[str, Failure]:
         if order.cancel:
             return (await self._session.stop(task.key)).map(lambda _: "")
         return await self._session.checkpoint_stop(task.key)
 
-    async def _found(
+    async def _find_outcome(
         self, task: Task, order: StopOrder, answer: Result[str, Failure]
-    ) -> End | None:
-        """Return how the task has ended by now, or ``None`` while it runs or that is unknown."""
+    ) -> TaskOutcome | None:
+        """Return the outcome, or ``None`` if the task still runs or its state is unknown."""
         if isinstance(answer, Ok) and answer.ok_value:
-            return End(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
+            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
         viewed = await self._session.view()
         if not isinstance(viewed, Ok):
             return None
-        info = find(viewed.ok_value.tasks, task)
+        info = find_task(viewed.ok_value.tasks, task)
         if info is None:
-            return End(Fate.STOPPED, reason=LOST)
-        end = end_of(info)
-        if end and end.fate is Fate.STOPPED:
-            return End(Fate.STOPPED, reason=order.reason, checkpoint=end.checkpoint)
-        return end
+            return TaskOutcome(Fate.STOPPED, reason=LOST)
+        outcome = outcome_of(info)
+        if outcome and outcome.fate is Fate.STOPPED:
+            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=outcome.checkpoint)
+        return outcome
 
 
-def _is_empty(end: End) -> bool:
-    return end.fate is Fate.STOPPED and not end.checkpoint
+def _lacks_checkpoint(outcome: TaskOutcome) -> bool:
+    return outcome.fate is Fate.STOPPED and not outcome.checkpoint
 
 
-def find(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
-    """Return the worker's record of ``task`` at its epoch."""
+def find_task(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
+    """Return the worker's record of ``task`` with the same epoch, if any."""
     return next((i for i in tasks if i.task_id == task.key and i.epoch == task.epoch), None)
 
 
-def end_of(info: TaskInfo) -> End | None:
-    """Return how the worker says the task ended, or ``None`` while it runs."""
+def outcome_of(info: TaskInfo) -> TaskOutcome | None:
+    """Return the outcome that the worker reports, or ``None`` while the task runs."""
     match info.state:
         case TaskState.SUCCEEDED:
-            return End(Fate.COMPLETED, result=info.result)
+            return TaskOutcome(Fate.COMPLETED, result=info.result)
         case TaskState.FAILED:
-            return End(Fate.FAILED, result=info.result, reason=info.reason)
+            return TaskOutcome(Fate.FAILED, result=info.result, reason=info.reason)
         case TaskState.STOPPED:
-            return End(Fate.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
+            return TaskOutcome(Fate.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
         case TaskState.RUNNING:
             return None
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -1,17 +1,15 @@
-"""Batch tasks and watches on an instance: from a committed claim to a committed end.
+"""Runs batch tasks and watches on an instance, from a committed claim to a committed outcome.
 
-Algorithm.  An offer reserves room.  A start is obeyed only if its claim names this incarnation, its
-epoch is higher than any known of the key, the lease is held and the ledger admits it.  The worker's
-view is polled and moves each record on; :mod:`sapphirelead.agent_stops` ends tasks on order, and
-:mod:`sapphirelead.agent_ends` repeats each end until an entry has committed it.
+An offer reserves capacity.  A start is accepted only if its claim names this incarnation, its epoch
+is higher than any known epoch of the key, the lease is held and the ledger admits it.
 
 Invariants:
 
-- Nothing is started or renewed without asking the lease for the present time first.
-- ``Refused`` and ``never_started`` are said of a start only if the worker cannot have it: it was
-  never asked, it refused, or the lease given with the request has passed by the worker's own clock
-  and the worker lists no such task.
-- The ledger's charge of a task is given back only when the worker no longer runs it.
+- The lease is checked before each start or renewal.
+- ``Refused`` and ``never_started`` are reported only if the worker cannot run the task: it received
+  no request, it refused, or the requested lease has expired by its own clock and it lists no such
+  task.
+- A task's charge in the ledger is released only when the worker no longer runs it.
 """
 
 import asyncio
@@ -20,11 +18,11 @@
 
 from result import Err, Ok
 
-from sapphirelead.agent_ends import EndReporter
-from sapphirelead.agent_holdings import Holdings
+from sapphirelead.agent_context import AgentContext
+from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_ports import Links
-from sapphirelead.agent_stops import Stopper, find
-from sapphirelead.agent_task_book import Fate, Phase, StopOrder, Task, TaskBook
+from sapphirelead.agent_stops import Stopper, find_task
+from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
 from sapphirelead.background import Background
 from sapphirelead.clock import now
 from sapphirelead.entry_ports import Lane
@@ -47,43 +45,43 @@
 from sapphirelead.wire_messages import Fate as FateRequest
 
 START_LEASE_SECONDS: Final = 5.0
-RETRY_SECONDS: Final = 0.2
-EVICTION_SECONDS: Final = 2.3
-EVICTION_POLL_SECONDS: Final = 0.02
+RETRY_INTERVAL_S: Final = 0.2
+EVICTION_TIMEOUT_S: Final = 2.3
+EVICTION_POLL_INTERVAL_S: Final = 0.02
 
 
 class TaskRunner:
-    """Obeys the entries' messages about tasks."""
+    """Handles the entries' messages about tasks."""
 
-    _holdings: Holdings
-    _book: TaskBook
+    _context: AgentContext
+    _task_table: TaskTable
     _links: Links
-    _ends: EndReporter
+    _outcome_reporter: OutcomeReporter
     _stopper: Stopper
     _background: Background
     _wake_poll: Callable[[], None]
-    _leftovers: set[str]
+    _unremoved: set[str]
 
     def __init__(
         self,
-        holdings: Holdings,
+        context: AgentContext,
         links: Links,
-        ends: EndReporter,
+        outcome_reporter: OutcomeReporter,
         stopper: Stopper,
         background: Background,
         wake_poll: Callable[[], None],
     ) -> None:
-        self._holdings = holdings
-        self._book = holdings.book
+        self._context = context
+        self._task_table = context.task_table
         self._links = links
-        self._ends = ends
+        self._outcome_reporter = outcome_reporter
         self._stopper = stopper
         self._background = background
         self._wake_poll = wake_poll
-        self._leftovers = set()
+        self._unremoved = set()
 
     def register(self) -> None:
-        """Take the messages about tasks from the links."""
+        """Subscribe to the messages about tasks."""
         self._links.on(Offer, self._on_offer)
         self._links.on(Start, self._on_start)
         self._links.on(Stop, self._on_stop)
@@ -91,7 +89,7 @@
         self._links.on(FateRequest, self._on_fate)
 
     def adopt(self, info: TaskInfo) -> None:
-        """Take over a task that the worker already has, from before this incarnation."""
+        """Add a task that the worker has from before this incarnation."""
         kind = _kind(info.kind) or Kind.BATCH
         task = Task(
             key=info.task_id,
@@ -103,9 +101,9 @@
             confirmed=False,
             since=now(),
         )
-        self._book.add(task)
+        self._task_table.add(task)
         if info.state is TaskState.RUNNING:
-            self._holdings.ledger.adopt(task.key, kind, info.resources, info.usage)
+            self._context.ledger.adopt(task.key, kind, info.resources, info.usage)
         log_event("INFO", "task_adopted", job=task.key, epoch=task.epoch, state=info.state)
 
     def _send(self, index: int, message: AnyMessage) -> None:
@@ -120,17 +118,17 @@
 
     def _refuse_claim(self, index: int, offer_id: str, key: str, epoch: int, reason: str) -> None:
         log_event("INFO", "task_refused", job=key, epoch=epoch, reason=reason)
-        head = self._holdings.sender.head()
+        head = self._context.sender.head()
         refused = Refused(offer_id=offer_id, key=key, epoch=epoch, reason=reason, **head)
         self._send(index, refused)
 
     def _closed(self) -> str:
-        """Return why nothing may be started now, or an empty string."""
-        if self._holdings.draining:
+        """Return the reason why no task may be started now, or an empty string."""
+        if self._context.draining:
             return "draining"
-        if not self._holdings.ready or not self._holdings.session.healthy:
+        if not self._context.ready or not self._context.session.healthy:
             return "worker unavailable"
-        return "" if self._holdings.lease.may_act(now()) else "no lease"
+        return "" if self._context.lease.may_act(now()) else "no lease"
 
     def _on_offer(self, index: int, offer: Offer) -> None:
         closed = self._closed()
@@ -138,7 +136,7 @@
             self._refuse(index, offer, closed)
             return
         size = offer.resources.to_resources()
-        ledger = self._holdings.ledger
+        ledger = self._context.ledger
         match ledger.reserve(offer.offer_id, offer.key, size, offer.urgent, now()):
             case Err(failure):
                 self._refuse_or_evict(index, offer, size, failure)
@@ -146,84 +144,84 @@
                 self._accept(index, offer)
 
     def _accept(self, index: int, offer: Offer) -> None:
-        head = self._holdings.sender.head()
+        head = self._context.sender.head()
         self._send(index, Accepted(offer_id=offer.offer_id, **head))
 
     def _refuse_or_evict(self, index: int, offer: Offer, size: Resources, failure: Failure) -> None:
-        """Refuse an offer that does not fit, unless it is urgent and eviction makes room for it."""
-        running = {task.key for task in self._book.in_phase(Phase.RUNNING)}
-        stopping = {task.key for task in self._book.in_phase(Phase.STOPPING)}
+        """Refuse an offer that does not fit, unless it is urgent and can evict other tasks."""
+        running = {task.key for task in self._task_table.in_phase(Phase.RUNNING)}
+        stopping = {task.key for task in self._task_table.in_phase(Phase.STOPPING)}
         possible = offer.urgent and failure.code is Code.OVERLOADED
-        victims = self._holdings.ledger.make_room(size, running, stopping) if possible else None
+        victims = self._context.ledger.find_victims(size, running, stopping) if possible else None
         if victims is None:
             self._refuse(index, offer, failure.message)
             return
-        self._holdings.ledger.reserve_evicted(offer.offer_id, offer.key, size, now())
+        self._context.ledger.reserve_pending_eviction(offer.offer_id, offer.key, size, now())
         for key in victims:
             order = StopOrder(cancel=False, reason="urgent work")
-            self._stopper.order(self._book.tasks[key], order)
+            self._stopper.order(self._task_table.tasks[key], order)
         self._background.spawn(self._accept_when_free(index, offer), f"urgent-{offer.key}")
 
     async def _accept_when_free(self, index: int, offer: Offer) -> None:
-        gave_up_at = now() + EVICTION_SECONDS
-        while self._holdings.ledger.overbooked:
-            if now() >= gave_up_at:
-                self._holdings.ledger.cancel_reservation(offer.offer_id)
+        timeout_at = now() + EVICTION_TIMEOUT_S
+        while self._context.ledger.overcommitted:
+            if now() >= timeout_at:
+                self._context.ledger.cancel_reservation(offer.offer_id)
                 self._refuse(index, offer, "eviction took too long")
                 return
-            await asyncio.sleep(EVICTION_POLL_SECONDS)
+            await asyncio.sleep(EVICTION_POLL_INTERVAL_S)
         self._accept(index, offer)
 
     def _on_start(self, index: int, start: Start) -> None:
-        known = self._book.get(start.key, start.epoch)
+        known = self._task_table.get(start.key, start.epoch)
         if known:
             self._confirm(index, known, start)
             return
         refusal = self._refusal(start)
         if refusal:
-            self._holdings.ledger.cancel_reservation(start.offer_id)
+            self._context.ledger.cancel_reservation(start.offer_id)
             self._refuse(index, start, refusal)
             return
         self._begin(index, start)
 
     def _confirm(self, index: int, task: Task, start: Start) -> None:
-        """Note that the committed claim names this incarnation; the start itself is a repeat."""
-        if start.claimed_by in ("", self._holdings.sender.incarnation):
+        """Handle a repeated start; confirm the task if the claim names this incarnation."""
+        if start.claimed_by in ("", self._context.sender.incarnation):
             task.confirmed = True
-        if task.end:
-            self._ends.wake()
+        if task.outcome:
+            self._outcome_reporter.wake()
         elif task.phase is not Phase.STARTING:
             self._send(index, self._started(task))
 
     def _refusal(self, start: Start) -> str:
-        if start.claimed_by not in ("", self._holdings.sender.incarnation):
+        if start.claimed_by not in ("", self._context.sender.incarnation):
             return "claim of an earlier run"
-        if not self._book.may_start(start.key, start.epoch):
+        if not self._task_table.may_start(start.key, start.epoch):
             return "stale epoch"
         if _kind(start.kind) is None:
             return "unknown kind"
-        return self._closed() or self._make_room_for_epoch(start.key)
+        return self._closed() or self._drop_earlier_epoch(start.key)
 
-    def _make_room_for_epoch(self, key: str) -> str:
-        """Drop the record of an earlier epoch of ``key``, or say why that cannot be done.
+    def _drop_earlier_epoch(self, key: str) -> str:
+        """Remove the task of an earlier epoch of ``key``; return a reason if that is not possible.
 
-        The entry committed a later claim, so the earlier one is settled and the acknowledgement of
-        its end was lost.  Where it still runs it must stop before anything else is started.
+        The entry has committed a later claim, so the outcome of an ended task is settled and needs
+        no acknowledgement.  A task that has not ended must be stopped before another is started.
         """
-        earlier = self._book.tasks.get(key)
+        earlier = self._task_table.tasks.get(key)
         if earlier is None:
             return ""
         if earlier.phase is not Phase.ENDED:
             self._stopper.order(earlier, StopOrder(cancel=True, reason="superseded"))
             return "an earlier epoch is stopping"
-        self._book.forget(earlier)
-        self._leftovers.add(key)
+        self._task_table.forget(earlier)
+        self._unremoved.add(key)
         return ""
 
     def _begin(self, index: int, start: Start) -> None:
         kind = Kind(start.kind)
         size = start.resources.to_resources()
-        charged = self._holdings.ledger.charge(start.offer_id, start.key, kind, size, now())
+        charged = self._context.ledger.charge(start.offer_id, start.key, kind, size, now())
         if isinstance(charged, Err):
             self._refuse(index, start, charged.err_value.message)
             return
@@ -241,14 +239,14 @@
             checkpoint=start.checkpoint,
             rule=start.rule,
         )
-        self._book.add(task)
+        self._task_table.add(task)
         self._background.spawn(self._start(index, task), f"start-{task.key}")
 
     async def _start(self, index: int, task: Task) -> None:
         failure = await self._try_start(task)
         if failure:
-            self._holdings.ledger.release(task.key)
-            self._book.drop_unstarted(task)
+            self._context.ledger.release(task.key)
+            self._task_table.drop_unstarted(task)
             self._refuse_claim(index, task.offer_id, task.key, task.epoch, failure.message)
             return
         task.phase = Phase.RUNNING
@@ -260,42 +258,42 @@
         self._wake_poll()
 
     async def _try_start(self, task: Task) -> Failure | None:
-        """Start the task; return why it has proven not to be started, or ``None`` if it is."""
-        if task.key in self._leftovers:
-            await self._holdings.session.remove(task.key)
-            self._leftovers.discard(task.key)
+        """Start the task; return ``None`` on success, else why it has certainly not started."""
+        if task.key in self._unremoved:
+            await self._context.session.remove(task.key)
+            self._unremoved.discard(task.key)
         lease_until = 0.0
         while True:
-            if task.order or not self._holdings.lease.may_act(now()):
-                return await self._settle_start(task, lease_until, "stopped before its start")
-            lease_until = max(lease_until, self._first_lease())
-            answer = await self._holdings.session.start(self._spec(task, lease_until))
+            if task.order or not self._context.lease.may_act(now()):
+                return await self._resolve_start(task, lease_until, "stopped before its start")
+            lease_until = max(lease_until, self._start_lease())
+            answer = await self._context.session.start(self._spec(task, lease_until))
             if isinstance(answer, Ok):
                 return None
             if answer.err_value.code is not Code.WORKER_UNAVAILABLE:
-                return await self._settle_start(task, lease_until, answer.err_value.message)
-            await asyncio.sleep(RETRY_SECONDS)
+                return await self._resolve_start(task, lease_until, answer.err_value.message)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _settle_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
-        """Find out whether a start took effect whose answer was lost.
+    async def _resolve_start(self, task: Task, lease_until: float, reason: str) -> Failure | None:
+        """Determine whether a start with an unknown result took effect.
 
-        A request that is still under way can take effect until its lease has passed at the worker,
-        so a view that does not show the task proves nothing before that.
+        A delayed request can take effect until its lease has expired by the worker's clock; a view
+        without the task is conclusive only after that.
         """
         while lease_until:
-            viewed = await self._holdings.session.view()
+            viewed = await self._context.session.view()
             if isinstance(viewed, Ok):
-                if find(viewed.ok_value.tasks, task):
+                if find_task(viewed.ok_value.tasks, task):
                     return None
                 if viewed.ok_value.clock > lease_until:
                     break
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return Failure(Code.WORKER_UNAVAILABLE, reason)
 
-    def _first_lease(self) -> float:
-        # Short, because an ambiguous start is settled only after it.
-        deadline = min(self._holdings.lease.deadline, now() + START_LEASE_SECONDS)
-        return self._holdings.session.lease_until(deadline)
+    def _start_lease(self) -> float:
+        # Kept short, because a start with an unknown result is resolved only after it expires.
+        deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
+        return self._context.session.lease_until(deadline)
 
     def _spec(self, task: Task, lease_until: float) -> TaskSpec:
         return TaskSpec(
@@ -310,41 +308,40 @@
         )
 
     def _started(self, task: Task) -> Started:
-        return Started(key=task.key, epoch=task.epoch, **self._holdings.sender.head())
+        return Started(key=task.key, epoch=task.epoch, **self._context.sender.head())
 
     def _on_stop(self, _index: int, stop: Stop) -> None:
-        task = self._book.get(stop.key, stop.epoch)
+        task = self._task_table.get(stop.key, stop.epoch)
         if task is None:
-            # The start may be under way through another entry, and would run a job that is
-            # cancelled by the time it comes.
-            self._book.refuse(stop.key, stop.epoch)
-        elif task.end:
-            self._ends.wake()
+            # The start may still arrive through another entry, and must then be refused.
+            self._task_table.refuse(stop.key, stop.epoch)
+        elif task.outcome:
+            self._outcome_reporter.wake()
         else:
             self._stopper.order(task, StopOrder(stop.cancel, stop.reason))
 
     def _on_end_ack(self, _index: int, ack: EndAck) -> None:
-        task = self._book.get(ack.key, ack.epoch)
-        if task and task.end:
-            self._book.forget(task)
-            self._leftovers.add(task.key)
+        task = self._task_table.get(ack.key, ack.epoch)
+        if task and task.outcome:
+            self._task_table.forget(task)
+            self._unremoved.add(task.key)
             self._background.spawn(self._remove(task.key), f"remove-{task.key}")
 
     async def _remove(self, key: str) -> None:
-        # Where this fails, the poll finds a task without a record and removes it.
-        if isinstance(await self._holdings.session.remove(key), Ok):
-            self._leftovers.discard(key)
+        # If this fails, the next poll removes the task because it is not in the table.
+        if isinstance(await self._context.session.remove(key), Ok):
+            self._unremoved.discard(key)
 
-    def _on_fate(self, index: int, asked: FateRequest) -> None:
-        if not self._holdings.ready:
-            # Tasks of an earlier run are not listed yet; the entry asks again.
+    def _on_fate(self, index: int, request: FateRequest) -> None:
+        if not self._context.ready:
+            # Tasks of an earlier incarnation are not listed yet; the entry will retry.
             return
-        claimed_here = asked.claimed_by == self._holdings.sender.incarnation
-        fate = self._book.fate(asked.key, asked.epoch, claimed_here)
-        head = self._holdings.sender.head()
-        self._send(index, FateAnswer(key=asked.key, epoch=asked.epoch, fate=fate, **head))
+        claimed_here = request.claimed_by == self._context.sender.incarnation
+        fate = self._task_table.fate(request.key, request.epoch, claimed_here)
+        head = self._context.sender.head()
+        self._send(index, FateAnswer(key=request.key, epoch=request.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
-            self._ends.wake()
+            self._outcome_reporter.wake()
 
 
 def _kind(name: str) -> Kind | None:
--- a/sapphirelead/agent_pressure.py
+++ b/sapphirelead/agent_throttle.py
@@ -1,20 +1,19 @@
-"""Keeps batch on an instance from disturbing its services and from outgrowing its size.
+"""Throttles and evicts batch tasks that interfere with services or exceed the instance's size.
 
-Two causes limit a task's share of its processors: interference with services, decided once in a
-report interval (:mod:`sapphirelead.policy_throttle`), and measured use above the size of the
-instance, decided with each view of the worker.  The rule that placed the task may set a third.  The
-smallest wins.  The share wanted is compared with the one that the worker reports and sent where
-they differ, so that an answer that was lost is made good by the next view.
+The CPU share of a task is the smallest of three: the share of its class, decided once per report
+interval (:mod:`sapphirelead.policy_throttle`); a cap on tasks that use more than they declared,
+decided on each view of the worker; and the share set by the rule that placed the task.  Each view
+sends the share to the worker if it differs from the one reported, which also repairs lost calls.
 """
 
 import asyncio
 from typing import Final
 
 from sapphirelead.agent_config import ConfigHolder
-from sapphirelead.agent_holdings import Holdings
-from sapphirelead.agent_samples import LatencyWindow, UseWindow, class_samples, is_running_batch
+from sapphirelead.agent_context import AgentContext
+from sapphirelead.agent_samples import LatencyWindow, UsageWindow, class_samples, is_running_batch
 from sapphirelead.agent_stops import Stopper
-from sapphirelead.agent_task_book import Phase, StopOrder, Task
+from sapphirelead.agent_task_table import Phase, StopOrder, Task
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -24,37 +23,37 @@
 from sapphirelead.ports import TaskInfo, WorkerView
 from sapphirelead.wire_messages import ClassSample, ServiceSample
 
-SHARE_STEP: Final = 0.01
+MIN_SHARE_CHANGE: Final = 0.01
 MIN_SHARE: Final = 0.05
 
 
-class PressureKeeper:
-    """Measures, decides and acts for one agent.
+class ThrottleManager:
+    """Measures interference on one instance and throttles or evicts batch tasks.
 
-    :ivar services: the last report of each service, for beats.
-    :ivar classes: what ran at the last view, for beats.
+    :ivar services: samples of the services in the last interval, sent with heartbeats.
+    :ivar classes: samples of the tasks in the last view by job class, sent with heartbeats.
     """
 
-    _holdings: Holdings
+    _context: AgentContext
     _config: ConfigHolder
     _stopper: Stopper
     services: list[ServiceSample]
     classes: list[ClassSample]
     _windows: dict[str, LatencyWindow]
-    _use: UseWindow
+    _usage: UsageWindow
     _controller: ThrottleController
-    _capped: dict[str, float]
+    _capped_shares: dict[str, float]
 
-    def __init__(self, holdings: Holdings, config: ConfigHolder, stopper: Stopper) -> None:
-        self._holdings = holdings
+    def __init__(self, context: AgentContext, config: ConfigHolder, stopper: Stopper) -> None:
+        self._context = context
         self._config = config
         self._stopper = stopper
         self.services = []
         self.classes = []
         self._windows = {}
-        self._use = UseWindow(holdings.ledger.capacity, holdings.ledger.slots)
+        self._usage = UsageWindow(context.ledger.capacity, context.ledger.slots)
         self._controller = ThrottleController(InterferenceModel())
-        self._capped = {}
+        self._capped_shares = {}
 
     @property
     def slowdown(self) -> float:
@@ -63,44 +62,44 @@
 
     @property
     def throttled_classes(self) -> int:
-        """Job classes that are throttled for the services' sake."""
+        """Number of job classes that are throttled because of interference."""
         return len(self._controller.shares)
 
     def observe(self, service: str, seconds: float, ok: bool) -> None:
-        """Count one answer of the target."""
+        """Record one response of the target."""
         window = self._windows.get(service)
         if window is None:
             window = self._windows[service] = LatencyWindow(service)
         window.add(seconds, ok)
-        self._use.serve(seconds)
+        self._usage.add_request(seconds)
 
     async def on_view(self, view: WorkerView) -> None:
-        """Sample what runs, act on excess, and bring throttles up to date."""
+        """Sample the running tasks, limit excess usage and update the tasks' shares."""
         self.classes = class_samples(view.tasks)
-        self._use.add(view.tasks, now())
-        self._act_on_excess()
+        self._usage.add(view.tasks, now())
+        self._limit_excess_usage()
         for info in view.tasks:
-            task = self._holdings.book.get(info.task_id, info.epoch)
+            task = self._context.task_table.get(info.task_id, info.epoch)
             if task and task.phase is Phase.RUNNING and is_running_batch(info):
                 await self._adjust(task, info)
 
     async def run(self) -> None:
-        """Decide once in a report interval until cancelled."""
+        """Run a report round in each report interval until cancelled."""
         while True:
             await asyncio.sleep(self._config.current.document.interference.report_lag_seconds)
             self.report_round()
 
     def report_round(self) -> None:
-        """Close the interval, learn from it and take at most one action.
+        """Close the interval, update the interference model and take at most one action.
 
-        Too few requests for a report say nothing, least of all that the services are well: slow
-        answers are few answers.  Only an interval without any request counts as calm.
+        If there were too few requests for a report, the interval stays open: it does not count as
+        calm, because slow services complete fewer requests.
         """
         self.services = [window.sample() for window in self._windows.values()]
         reports = [r for w in self._windows.values() if (r := w.report(now())) is not None]
-        if not reports and any(window.open_count for window in self._windows.values()):
+        if not reports and any(window.unreported_count for window in self._windows.values()):
             return
-        intensities, occupancy = self._use.close(now())
+        intensities, occupancy = self._usage.close(now())
         running = self._running_batch()
         tasks: dict[str, int] = {}
         for task in running:
@@ -110,10 +109,10 @@
         if action:
             self._act(action, running)
         elif self._controller.over_target:
-            self._log_unblamed(tasks, occupancy)
+            self._log_unattributed_slowdown(tasks, occupancy)
 
-    def _log_unblamed(self, tasks: dict[str, int], occupancy: float) -> None:
-        """Log what a slowdown was judged by on which nothing is done."""
+    def _log_unattributed_slowdown(self, tasks: dict[str, int], occupancy: float) -> None:
+        """Log the measurements behind a slowdown for which no action was taken."""
         worst, contributions = self._controller.worst, self._controller.contributions
         if worst is None:
             return
@@ -135,13 +134,13 @@
         )
 
     def _running_batch(self) -> list[Task]:
-        running = self._holdings.book.in_phase(Phase.RUNNING)
+        running = self._context.task_table.in_phase(Phase.RUNNING)
         return [task for task in running if task.kind is Kind.BATCH]
 
     def _act(self, action: Action, running: list[Task]) -> None:
         match action:
             case Throttle(job_class, share, slowdown):
-                # Carried out by the next view, for tasks that start later too.
+                # Applied on the next view, and to tasks of the class that start later.
                 log_event(
                     "INFO", "class_throttled", job_class=job_class, share=share, slowdown=slowdown
                 )
@@ -150,30 +149,32 @@
                 log_event("INFO", "task_evicted", job=newest.key, slowdown=slowdown)
                 self._stopper.order(newest, StopOrder(cancel=False, reason="interference"))
 
-    def _act_on_excess(self) -> None:
-        """Throttle or evict where measured use is above the size of the instance."""
-        excess = self._holdings.ledger.excess()
+    def _limit_excess_usage(self) -> None:
+        """Throttle or evict tasks if measured usage exceeds the size of the instance."""
+        excess = self._context.ledger.excess()
         for key in excess.evict:
-            task = self._holdings.book.tasks.get(key)
+            task = self._context.task_table.tasks.get(key)
             if task and task.phase is Phase.RUNNING:
                 log_event("WARNING", "task_outgrew_instance", job=key)
                 self._stopper.order(task, StopOrder(cancel=False, reason="over its size"))
         for key in excess.throttle:
-            charge = self._holdings.ledger.charge_of(key)
-            if charge and key not in self._capped:
-                self._capped[key] = _cap(charge.declared, charge.measured)
-                log_event("WARNING", "task_capped", job=key, share=self._capped[key])
-        tasks = self._holdings.book.tasks
-        self._capped = {key: share for key, share in self._capped.items() if key in tasks}
+            charge = self._context.ledger.charge_of(key)
+            if charge and key not in self._capped_shares:
+                self._capped_shares[key] = _usage_cap(charge.declared, charge.measured)
+                log_event("WARNING", "task_capped", job=key, share=self._capped_shares[key])
+        tasks = self._context.task_table.tasks
+        self._capped_shares = {
+            key: share for key, share in self._capped_shares.items() if key in tasks
+        }
 
     async def _adjust(self, task: Task, info: TaskInfo) -> None:
         wanted = min(
             self._controller.share(task.job_class),
-            self._capped.get(task.key, 1.0),
+            self._capped_shares.get(task.key, 1.0),
             self._rule_share(task.rule),
         )
-        if abs(wanted - info.throttle) >= SHARE_STEP:
-            await self._holdings.session.throttle(task.key, wanted)
+        if abs(wanted - info.throttle) >= MIN_SHARE_CHANGE:
+            await self._context.session.throttle(task.key, wanted)
 
     def _rule_share(self, name: str) -> float:
         for rule in self._config.current.document.rules:
@@ -182,8 +183,8 @@
         return 1.0
 
 
-def _cap(declared: Resources, measured: Resources) -> float:
-    """Return the share that brings measured use down to the declaration."""
+def _usage_cap(declared: Resources, measured: Resources) -> float:
+    """Return the CPU share that reduces the measured usage to the declared one."""
     return max(MIN_SHARE, declared.cpu_millicores / max(1, measured.cpu_millicores))
 
 
--- a/sapphirelead/entry_claim_runs.py
+++ b/sapphirelead/entry_claim_runs.py
@@ -1,7 +1,8 @@
-"""What agents said of the claims they run, and the run times learnt from it.
+"""Tracks which claims agents report as running, and estimates run times by job class.
 
-A claim is *confirmed* while a run of an agent has said that it runs the claim's epoch.  From the
-first confirmation to the job's end is the job's run time; the class's estimate follows these.
+A claim is *confirmed* once an incarnation of an agent reports that it runs the claim's epoch.  A
+job's run time is the time from its first confirmation to its end; the estimate for its class is an
+exponential moving average of these.
 """
 
 from dataclasses import dataclass
@@ -14,19 +15,23 @@
 
 
 @dataclass(slots=True)
-class _Confirmed:
-    """A run of an agent said that it runs the claim, since ``started``."""
+class _Confirmation:
+    """The latest report of an agent's incarnation that it runs a claim.
+
+    :ivar started_at: when the epoch was first confirmed.
+    :ivar at: when it was last confirmed.
+    """
 
     epoch: int
     incarnation: str
-    started: float
+    started_at: float
     at: float
 
 
 class ClaimRuns:
     """Confirmed claims by job key, and run times by job class."""
 
-    _confirmed: dict[str, _Confirmed]
+    _confirmed: dict[str, _Confirmation]
     _run_times: dict[str, float]
 
     def __init__(self) -> None:
@@ -34,29 +39,29 @@
         self._run_times = {}
 
     def confirm(self, key: str, epoch: int, incarnation: str) -> None:
-        """Note that a run of an agent says it runs the claim."""
-        held = self._confirmed.get(key)
-        started = held.started if held is not None and held.epoch == epoch else now()
-        self._confirmed[key] = _Confirmed(epoch, incarnation, started, now())
+        """Record that an agent's incarnation reports the claim as running."""
+        known = self._confirmed.get(key)
+        started_at = known.started_at if known is not None and known.epoch == epoch else now()
+        self._confirmed[key] = _Confirmation(epoch, incarnation, started_at, now())
 
     def confirmed_at(self, key: str, epoch: int, incarnation: str) -> float | None:
-        """Return when the run last said that it runs the claim."""
-        held = self._confirmed.get(key)
-        if held is None or (held.epoch, held.incarnation) != (epoch, incarnation):
+        """Return when the incarnation last confirmed the claim, or ``None``."""
+        known = self._confirmed.get(key)
+        if known is None or (known.epoch, known.incarnation) != (epoch, incarnation):
             return None
-        return held.at
+        return known.at
 
-    def moved(self, job: Job) -> None:
-        """Forget a claim that ended, and learn from it where the job is done."""
+    def on_transition(self, job: Job) -> None:
+        """Drop the confirmation of a claim that ended; update the estimate if the job is done."""
         if job.state is JobState.CLAIMED:
             return
         confirmed = self._confirmed.pop(job.spec.key, None)
         if job.state is not JobState.DONE or confirmed is None:
             return
-        took = now() - confirmed.started
-        before = self._run_times.get(job.spec.job_class, took)
-        self._run_times[job.spec.job_class] = before + RUN_TIME_WEIGHT * (took - before)
+        run_time = now() - confirmed.started_at
+        estimate = self._run_times.get(job.spec.job_class, run_time)
+        self._run_times[job.spec.job_class] = estimate + RUN_TIME_WEIGHT * (run_time - estimate)
 
     def run_time_s(self, spec: JobSpec) -> float:
-        """Return the class's learnt run time, or the declared one, which is often far off."""
+        """Return the estimated run time of the job's class, or the declared one."""
         return self._run_times.get(spec.job_class, spec.expected_ms / 1000.0)
--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -1,12 +1,12 @@
-"""The durable side of an entry, put together: table, leases, configuration, jobs, scheduling."""
+"""Builds the durable part of an entry: table, leases, configuration, jobs and scheduling."""
 
 from dataclasses import dataclass
 
-from sapphirelead.entry_config import ConfigKeeper
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_config import ConfigManager
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows
 from sapphirelead.entry_jobs import Jobs
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import Links, Members, Stamp
 from sapphirelead.entry_reconcile import Reconciler
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryCore:
-    """The parts, in the order in which they are started."""
+    """The durable components of an entry."""
 
     table: EntryTable
-    leases: LeaseKeeper
-    config: ConfigKeeper
+    leases: LeaseManager
+    config: ConfigManager
     jobs: Jobs
     moves: JobMoves
     scheduler: Scheduler
@@ -42,17 +42,17 @@
         links: Links,
         metrics: Metrics | None = None,
     ) -> "EntryCore":
-        """Put the parts together inside the running loop.
+        """Build the components inside the running event loop.
 
-        :param control: ``host:port`` at which peers reach this entry's control lane.
+        :param control: ``host:port`` at which peers reach this entry's control channel.
         """
         store = EntryTable.from_settings(settings.platform, table)
-        leases = LeaseKeeper(settings, stamp, control, store, members, links)
-        config = ConfigKeeper(stamp, settings.zone, store, members, links, leases)
+        leases = LeaseManager(settings, stamp, control, store, members, links)
+        config = ConfigManager(stamp, settings.zone, store, members, links, leases)
         rows = JobRows(store, settings.shards)
         if metrics is not None:
-            rows.on_move = JobMeter(metrics).moved
-        board = JobBoard()
+            rows.on_move = JobMeter(metrics).count_transition
+        board = JobNotifier()
         moves = JobMoves(rows, board, links, config, stamp)
         starter = JobStarter(stamp, rows, board, moves, leases, links, config)
         scheduler = Scheduler(
@@ -63,7 +63,7 @@
         return cls(store, leases, config, jobs, moves, scheduler, reconciler)
 
     def start(self) -> None:
-        """Start every part."""
+        """Start every component."""
         self.table.start()
         self.leases.start()
         self.config.start()
@@ -71,7 +71,7 @@
         self.reconciler.start()
 
     async def stop(self) -> None:
-        """Stop in reverse: no new claims, moves in progress committed, then leave the region."""
+        """Stop in reverse order; transitions in progress may finish, then the lease row is left."""
         await self.reconciler.stop()
         await self.scheduler.stop()
         await self.moves.stop()
--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -1,15 +1,11 @@
-"""The caller API of an entry.
-
-``POST /v1/services/{service}`` carries a request to a target and its answer back.  A request that
-is not idempotent takes the durable path instead: a job row named by its ``Idempotency-Key``, so
-that a repeat through any entry joins the same job.  Jobs have their own routes
-(:mod:`sapphirelead.entry_http_jobs`).
-
-Invariants:
-
-- Every answer that is not a target's is a problem with an ``outcome``.
-- While the entry leaves, new work is refused as ``not_run`` and requests in progress are finished.
-- A caller that goes away cancels its handler, so its attempts are closed and cost nothing more.
+"""HTTP API for callers.
+
+``POST /v1/services/{service}`` forwards a request to a target and returns the target's response.
+A request that is not idempotent becomes a durable job keyed by its ``Idempotency-Key``, so a retry
+through any entry joins the same job (see :mod:`sapphirelead.entry_http_jobs` for the job routes).
+Every response not produced by a target is a problem document with an ``outcome``.  A draining
+entry rejects new requests as ``not_run`` and completes open ones.  A client disconnect cancels the
+handler, which closes its attempts.
 """
 
 import asyncio
@@ -55,23 +51,22 @@
 
 OUTCOME_HEADER: Final = "X-Request-Outcome"
 RULE_HEADER: Final = "X-Request-Rule"
-KEEPALIVE_S: Final = 75.0
-STOP_S: Final = 1.0
-LAST_CALL_S: Final = 1.0
-SPREAD_S: Final = 1.0
-# After a body that came too slowly the rest is awaited for this long, so that its caller can read
-# the answer.  A frozen caller held its connection for the library's 10 s instead.
-LINGER_S: Final = 0.5
+KEEPALIVE_TIMEOUT_S: Final = 75.0
+SHUTDOWN_TIMEOUT_S: Final = 1.0
+WAIT_CUTOFF_S: Final = 1.0
+RETRY_AFTER_S: Final = 1.0
+# Time to keep reading an unread body before closing, so that the caller receives the response.
+LINGERING_TIMEOUT_S: Final = 0.5
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerPorts:
-    """What the caller API reaches.
+    """Dependencies of the caller API.
 
-    :ivar ready: whether this entry may be given requests by the balancer.
-    :ivar job_situation: what rules may look at when a job is submitted.
+    :ivar ready: whether the load balancer may route requests to this entry.
+    :ivar job_situation: builds the rule input for a submitted job.
     """
 
     dispatcher: ServiceDispatcher
@@ -83,17 +78,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """A service request as its headers describe it."""
+class _ParsedCall:
+    """A parsed service request and its deadline on the monotonic clock, in seconds."""
 
     call: ServiceCall
     deadline: float
 
 
 class CallerApi:
-    """The HTTP server for callers.
+    """HTTP server for callers.
 
-    :ivar port: bound port, once started.
+    :ivar port: bound port; 0 before :meth:`start`.
     """
 
     port: int
@@ -105,7 +100,7 @@
     _closing: asyncio.Event
     _open: int
     _idle: asyncio.Event
-    _own_leaving: tuple[str, ...]
+    _drain_exempt: tuple[str, ...]
 
     def __init__(self, settings: EntrySettings, ports: CallerPorts) -> None:
         self.port = 0
@@ -125,22 +120,22 @@
         self._open = 0
         self._idle = asyncio.Event()
         self._idle.set()
-        self._own_leaving = ()
+        self._drain_exempt = ()
 
     @classmethod
     def from_settings(cls, settings: EntrySettings, ports: CallerPorts) -> "CallerApi":
-        """Return a server that :meth:`start` binds."""
+        """Return a server that is not yet bound."""
         return cls(settings, ports)
 
     async def start(
-        self, more: Iterable[web.AbstractRouteDef] = (), own_leaving: tuple[str, ...] = ()
+        self, more: Iterable[web.AbstractRouteDef] = (), drain_exempt: tuple[str, ...] = ()
     ) -> None:
         """Bind and serve.
 
         :param more: routes of other APIs on the same port.
-        :param own_leaving: prefixes of paths whose API itself says when it takes nothing new.
+        :param drain_exempt: path prefixes whose handlers reject requests themselves while draining.
         """
-        self._own_leaving = own_leaving
+        self._drain_exempt = drain_exempt
         limits = self._settings.limits
         app = web.Application(middlewares=[self._guard], client_max_size=limits.body_bytes)
         app.add_routes([*self._own_routes(), *self._routes.routes(), *more])
@@ -148,11 +143,11 @@
             app,
             access_log=None,
             handler_cancellation=True,
-            keepalive_timeout=KEEPALIVE_S,
-            lingering_time=LINGER_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+            lingering_time=LINGERING_TIMEOUT_S,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            shutdown_timeout=STOP_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
         await self._runner.setup()
         site = web.TCPSite(self._runner, self._settings.bind_host, self._settings.http_port)
@@ -160,13 +155,14 @@
         self.port = self._runner.addresses[0][1]
 
     async def drain(self, limit_s: float) -> None:
-        """Refuse new work and return when each request in progress has its whole answer.
+        """Reject new requests and return when all open ones have completed.
 
-        Whoever only waits for a job that goes on elsewhere is told so shortly before the limit.
+        Non-idempotent requests that still wait for their job receive its current state
+        ``WAIT_CUTOFF_S`` before the limit.
         """
         self._draining.set()
         last_call = asyncio.get_running_loop().call_later(
-            max(0.0, limit_s - LAST_CALL_S), self._closing.set
+            max(0.0, limit_s - WAIT_CUTOFF_S), self._closing.set
         )
         await self._idle.wait()
         last_call.cancel()
@@ -183,7 +179,7 @@
             web.get("/readyz", self._readyz),
         ]
 
-    # Every request.
+    # Request admission.
 
     @web.middleware
     async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
@@ -207,15 +203,15 @@
             return rejected(checked.err_value)
         if request.method not in ("POST", "PUT"):
             return None
-        if self._draining.is_set() and not request.path.startswith(self._own_leaving):
-            hint = "ask again; the balancer will pick another entry"
-            failure = Failure(Code.DRAINING, "this entry is leaving", hint)
-            response = problem(failure, retry_after_s=SPREAD_S)
+        if self._draining.is_set() and not request.path.startswith(self._drain_exempt):
+            hint = "retry; the load balancer will select another entry"
+            failure = Failure(Code.DRAINING, "this entry is draining", hint)
+            response = problem(failure, retry_after_s=RETRY_AFTER_S)
             response.force_close()
             return response
         if self._open >= self._settings.limits.open_requests:
-            failure = Failure(Code.OVERLOADED, "too many requests are open at this entry")
-            return problem(failure, retry_after_s=SPREAD_S)
+            failure = Failure(Code.OVERLOADED, "this entry has too many open requests")
+            return problem(failure, retry_after_s=RETRY_AFTER_S)
         return None
 
     async def _healthz(self, _request: web.Request) -> web.Response:
@@ -235,29 +231,29 @@
         parsed = self._parse(request, raw.ok_value, started_at)
         if isinstance(parsed, Err):
             return rejected(parsed.err_value)
-        asked = parsed.ok_value
-        if not asked.call.idempotent:
-            return await self._serve_durably(request, asked)
-        reply = await self._ports.dispatcher.call(asked.call)
-        self._measure(asked.call.service, reply, now() - started_at)
+        parsed_call = parsed.ok_value
+        if not parsed_call.call.idempotent:
+            return await self._serve_durably(request, parsed_call)
+        reply = await self._ports.dispatcher.call(parsed_call.call)
+        self._record_reply(parsed_call.call.service, reply, now() - started_at)
         return _response(reply)
 
     def _parse(
         self, request: web.Request, body: bytes, started_at: float
-    ) -> Result[_Asked, Rejected]:
+    ) -> Result[_ParsedCall, Rejected]:
         headers = request.headers
         limits = self._settings.limits
         service = parse_name("service", request.match_info["service"])
         if isinstance(service, Err):
             return service
-        known = self._ports.config.current.document.services.get(service.ok_value)
-        default_ms = known.deadline_ms if known else limits.default_deadline_ms
+        configured = self._ports.config.current.document.services.get(service.ok_value)
+        default_ms = configured.deadline_ms if configured else limits.default_deadline_ms
         deadline = parse_deadline_ms(
             headers.get(DEADLINE_HEADER), default_ms, limits.max_deadline_ms
         )
         if isinstance(deadline, Err):
             return deadline
-        policy = known or ServicePolicy()
+        policy = configured or ServicePolicy()
         idempotent = parse_flag(
             IDEMPOTENT_HEADER, headers.get(IDEMPOTENT_HEADER), policy.idempotent
         )
@@ -274,15 +270,15 @@
             service.ok_value,
             forwarded_headers(headers),
             body,
-            # Time spent on a slow body counts, so the caller's own timeout is not overrun.
+            # Time spent reading the body counts against the deadline.
             max(0.0, at - now()),
             idempotent.ok_value,
             urgent.ok_value,
             team.ok_value,
         )
-        return Ok(_Asked(call, at))
+        return Ok(_ParsedCall(call, at))
 
-    def _measure(self, service: str, reply: ServiceReply, elapsed_s: float) -> None:
+    def _record_reply(self, service: str, reply: ServiceReply, elapsed_s: float) -> None:
         metrics = self._ports.metrics
         outcome = reply.outcome.value
         metrics.count("service_requests_total", service=service, outcome=outcome, rule=reply.rule)
@@ -301,24 +297,28 @@
             elapsed_ms=round(elapsed_s * 1000, 1),
         )
 
-    # Requests that are not idempotent.
+    # Non-idempotent requests.
 
-    async def _serve_durably(self, request: web.Request, asked: _Asked) -> web.StreamResponse:
+    async def _serve_durably(
+        self, request: web.Request, parsed_call: _ParsedCall
+    ) -> web.StreamResponse:
         key = parse_key(request.headers.get(KEY_HEADER) or uuid.uuid4().hex)
         if isinstance(key, Err):
             return rejected(key.err_value)
-        decision = self._ports.dispatcher.decide(asked.call)
+        decision = self._ports.dispatcher.decide(parsed_call.call)
         if (refused := decision.refusal("request")) is not None:
             return problem(refused, retry_after_s=decision.then.retry_after_ms / 1000)
-        spec = self._durable_spec(key.ok_value, asked.call, request.headers.get("Content-Type"))
-        # The caller may leave while the row is being committed.  The commit goes on then, so that
-        # it ends in one known way; a repeat with the same key finds the row.
+        spec = self._durable_spec(
+            key.ok_value, parsed_call.call, request.headers.get("Content-Type")
+        )
+        # Shielded so that a client disconnect does not interrupt the commit; a retry with the same
+        # key finds the row.
         submitting = asyncio.ensure_future(self._ports.jobs.submit(spec, decision.rule))
         submitted = await asyncio.shield(submitting)
         if isinstance(submitted, Err):
             return self._routes.refused(spec.key, submitted.err_value)
-        waited = await self._routes.wait(spec.key, asked.deadline - now(), self._closing)
-        response = _durable_answer(spec.key, submitted.ok_value, waited)
+        waited = await self._routes.wait(spec.key, parsed_call.deadline - now(), self._closing)
+        response = _durable_response(spec.key, submitted.ok_value, waited)
         response.headers[KEY_HEADER] = spec.key
         response.headers[RULE_HEADER] = decision.rule
         return response
@@ -339,7 +339,7 @@
 
 
 def _encode_input(service: str, body: bytes, content_type: str) -> dict[str, Any]:
-    """Return a request as the input of a job; a repeat of it must come out equal."""
+    """Encode a request as job input; equal requests must encode to equal inputs."""
     fields = {"service": service, "content_type": content_type}
     try:
         return {**fields, "body": body.decode(), "encoding": "text"}
@@ -347,7 +347,9 @@
         return {**fields, "body": base64.b64encode(body).decode(), "encoding": "base64"}
 
 
-def _durable_answer(key: str, submitted: Job, waited: Result[Job | None, Failure]) -> web.Response:
+def _durable_response(
+    key: str, submitted: Job, waited: Result[Job | None, Failure]
+) -> web.Response:
     job = waited.ok_value if isinstance(waited, Ok) and waited.ok_value else submitted
     outcome = outcome_of(job)
     if outcome is Outcome.DONE:
@@ -355,8 +357,8 @@
         return web.json_response(job_view(job), headers=headers)
     where = f"/v1/jobs/{key}"
     if outcome is None:
-        text = "accepted, but not finished before the deadline; it goes on"
-        failure = Failure(Code.DEADLINE, text, f"read {where}, or repeat with the same key")
+        text = "accepted, but not finished before the deadline; the job continues"
+        failure = Failure(Code.DEADLINE, text, f"read {where}, or retry with the same key")
         return problem(failure, Outcome.UNKNOWN, key=key, job=where, state=job.state.value)
     failure = Failure(Code.LOST, f"the job ended as {job.state.value}: {job.reason}")
     return problem(failure, outcome, key=key, job=where, state=job.state.value)
@@ -368,16 +370,16 @@
         response = problem(reply.failure, reply.outcome, reply.retry_after_s, rule=reply.rule)
         response.headers.update(common)
         return response
-    headers = {name: value for name, value in reply.headers.items() if _handed_on(name)}
+    headers = {name: value for name, value in reply.headers.items() if _is_forwarded(name)}
     return web.Response(status=reply.status, headers={**headers, **common}, body=reply.body)
 
 
-def _handed_on(name: str) -> bool:
+def _is_forwarded(name: str) -> bool:
     return name.lower() not in ("content-length", "transfer-encoding", "connection")
 
 
 def _http_problem(exc: web.HTTPException) -> web.StreamResponse:
-    """Return what the router found (no such path, method not allowed) as a problem."""
+    """Convert a routing error, such as 404 or 405, to a problem document."""
     if exc.status < 400:
         return exc
     failure = Failure(Code.BAD_REQUEST, exc.reason)
--- a/sapphirelead/entry_http_jobs.py
+++ b/sapphirelead/entry_http_jobs.py
@@ -1,17 +1,10 @@
-"""Durable jobs in the caller API: submit, read, cancel, follow.
+"""Caller API routes for durable jobs: submit, read, cancel and stream events.
 
-A submission is answered once its row is committed; a repeat of the same key and content joins the
-job that is there.  A watch is followed as a stream of events, as server-sent events or as JSON
-lines, each numbered ``epoch.number``; ``Last-Event-ID`` resumes after one of them, through any
-entry.
-
-Invariants:
-
-- 202 is given only for a row that is committed; where that is not known, the answer is ``unknown``
-  and names the key, by which a repeat settles it.
-- A stream never goes silent: between events it carries keepalives, so a caller can tell a quiet
-  watch from a dead connection.
-- When the entry leaves, a stream ends with a ``moved`` event, and waits end with the job as it is.
+A submission returns 202 only once the job's row is committed; if the commit result is not known,
+the outcome is ``unknown`` and a retry with the same key resolves it.  Events are streamed as
+server-sent events or JSON lines with ids of the form ``epoch.number``; ``Last-Event-ID`` resumes a
+stream through any entry, and keepalives are sent while there are no events.  When the entry drains,
+streams end with a ``moved`` event and waits return the current state of the job.
 """
 
 import asyncio
@@ -40,22 +33,22 @@
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import WatchEvent
 
-KEEPALIVE_S: Final = 2.0
-BUFFERED_EVENTS: Final = 256
+KEEPALIVE_INTERVAL_S: Final = 2.0
+MAX_BUFFERED_EVENTS: Final = 256
 LAST_EVENT_HEADER: Final = "Last-Event-ID"
 STORE_RETRY_S: Final = 2.0
 
-Mark = tuple[int, int]
+EventPosition = tuple[int, int]
 
 
 class JobRoutes:
-    """Handlers of ``/v1/jobs``."""
+    """Handlers for ``/v1/jobs``."""
 
     _settings: EntrySettings
     _jobs: JobService
     _config: ConfigService
     _metrics: Metrics
-    _leaving: asyncio.Event
+    _draining: asyncio.Event
     _situation: Callable[[JobSpec], Situation]
     _rules: RuleSet
 
@@ -65,20 +58,20 @@
         jobs: JobService,
         config: ConfigService,
         metrics: Metrics,
-        leaving: asyncio.Event,
+        draining: asyncio.Event,
         situation: Callable[[JobSpec], Situation],
     ) -> None:
         self._settings = settings
         self._jobs = jobs
         self._config = config
         self._metrics = metrics
-        self._leaving = leaving
+        self._draining = draining
         self._situation = situation
         self._rules = RuleSet.from_config(config.current.document)
         config.on_change(self._on_config)
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the routes."""
+        """Return the route definitions."""
         return [
             web.post("/v1/jobs", self._submit),
             web.get("/v1/jobs/{key}", self._read),
@@ -87,23 +80,23 @@
         ]
 
     async def wait(
-        self, key: str, wait_s: float, cut_short: asyncio.Event
+        self, key: str, wait_s: float, interrupt: asyncio.Event
     ) -> Result[Job | None, Failure]:
-        """Read a job, waiting for its end; once ``cut_short`` is set, return it as it is."""
+        """Read a job, waiting for its end up to ``wait_s`` or until ``interrupt`` is set."""
         reading = asyncio.ensure_future(self._jobs.get(key, max(0.0, wait_s)))
-        leaving = asyncio.ensure_future(cut_short.wait())
+        interrupted = asyncio.ensure_future(interrupt.wait())
         try:
-            await asyncio.wait({reading, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({reading, interrupted}, return_when=asyncio.FIRST_COMPLETED)
             if reading.done():
                 return reading.result()
         finally:
             reading.cancel()
-            leaving.cancel()
+            interrupted.cancel()
         return await self._jobs.get(key, 0.0)
 
     def refused(self, key: str, failure: Failure) -> web.Response:
-        """Return why a submission was not accepted, or may not have been."""
-        # A conflict means that a job of this key exists and is changing: it may well run.
+        """Return the response to a submission that failed or whose result is not known."""
+        # A conflict means that a job with this key exists and is changing, so it may run.
         may_run = failure.code in (Code.STORE_AMBIGUOUS, Code.STORE_CONFLICT)
         outcome = Outcome.UNKNOWN if may_run else Outcome.NOT_RUN
         self._metrics.count("jobs_refused_total", code=failure.code.value)
@@ -121,7 +114,7 @@
         if (refused := decision.refusal("job")) is not None:
             retry_s = decision.then.retry_after_ms / 1000
             return problem(refused, retry_after_s=retry_s, rule=decision.rule)
-        # A caller that leaves must not cut the commit in half: it ends in one known way.
+        # Shielded so that a client disconnect does not interrupt the commit.
         submitting = asyncio.ensure_future(self._jobs.submit(spec, decision.rule))
         submitted = await asyncio.shield(submitting)
         if isinstance(submitted, Err):
@@ -141,7 +134,7 @@
         if isinstance(wait_ms, Err):
             return rejected(wait_ms.err_value)
         wait_s = wait_ms.ok_value / 1000
-        return _job_response(key.ok_value, await self.wait(key.ok_value, wait_s, self._leaving))
+        return _job_response(key.ok_value, await self.wait(key.ok_value, wait_s, self._draining))
 
     async def _cancel(self, request: web.Request) -> web.StreamResponse:
         key = parse_key(request.match_info["key"])
@@ -161,7 +154,7 @@
         found = await self._jobs.get(key.ok_value, 0.0)
         if isinstance(found, Err) or found.ok_value is None:
             return _job_response(key.ok_value, found)
-        after = _parse_mark(request.headers.get(LAST_EVENT_HEADER, ""))
+        after = _parse_position(request.headers.get(LAST_EVENT_HEADER, ""))
         stream = EventStream(request, "text/event-stream" in request.headers.get("Accept", ""))
         await stream.open()
         ended = await self._follow(key.ok_value, after, stream)
@@ -172,31 +165,31 @@
         await stream.close()
         return stream.response
 
-    async def _follow(self, key: str, after: Mark, stream: "EventStream") -> bool:
-        """Hand events on until the job ends; return ``False`` where the entry leaves first."""
-        queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(BUFFERED_EVENTS)
-        pumping = asyncio.create_task(_pump(self._jobs.events(key), queue))
-        leaving = asyncio.create_task(self._leaving.wait())
+    async def _follow(self, key: str, after: EventPosition, stream: "EventStream") -> bool:
+        """Forward events until the job ends; return ``False`` if the entry drains first."""
+        queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
+        pumping = asyncio.create_task(_enqueue_events(self._jobs.events(key), queue))
+        draining = asyncio.create_task(self._draining.wait())
         getting = asyncio.create_task(queue.get())
         try:
             while True:
                 await asyncio.wait(
-                    {getting, leaving},
-                    timeout=KEEPALIVE_S,
+                    {getting, draining},
+                    timeout=KEEPALIVE_INTERVAL_S,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if getting.done():
                     event = getting.result()
                     if event is None:
                         return True
-                    await _hand_on(event, after, stream)
+                    await _forward_event(event, after, stream)
                     getting = asyncio.create_task(queue.get())
-                elif leaving.done():
+                elif draining.done():
                     return False
                 else:
                     await stream.keep_alive()
         finally:
-            for task in (pumping, leaving, getting):
+            for task in (pumping, draining, getting):
                 task.cancel()
 
     def _on_config(self, config: Config) -> None:
@@ -204,7 +197,7 @@
 
 
 class EventStream:
-    """One caller's stream, as server-sent events or as JSON lines."""
+    """An event stream to one caller, as server-sent events or JSON lines."""
 
     response: web.StreamResponse
     _request: web.Request
@@ -218,28 +211,28 @@
         self._sse = sse
 
     async def open(self) -> None:
-        """Send the headers."""
+        """Send the response headers."""
         await self.response.prepare(self._request)
 
-    async def send(self, event: str, mark: str, data: Any) -> None:
+    async def send(self, event: str, event_id: str, data: Any) -> None:
         """Send one event."""
         if self._sse:
-            head = f"id: {mark}\n" if mark else ""
+            head = f"id: {event_id}\n" if event_id else ""
             text = f"{head}event: {event}\ndata: {json.dumps(data)}\n\n"
         else:
-            text = json.dumps({"event": event, "id": mark, "data": data}) + "\n"
+            text = json.dumps({"event": event, "id": event_id, "data": data}) + "\n"
         await self.response.write(text.encode())
 
     async def keep_alive(self) -> None:
-        """Send what a reader skips."""
+        """Send a keepalive, which clients ignore."""
         await self.response.write(b": keepalive\n\n" if self._sse else b"\n")
 
     async def close(self) -> None:
-        """End the stream whole."""
+        """Terminate the stream."""
         await self.response.write_eof()
 
 
-async def _pump(
+async def _enqueue_events(
     events: AsyncIterator[WatchEvent], queue: "asyncio.Queue[WatchEvent | None]"
 ) -> None:
     async for event in events:
@@ -247,17 +240,17 @@
     await queue.put(None)
 
 
-async def _hand_on(event: WatchEvent, after: Mark, stream: EventStream) -> None:
+async def _forward_event(event: WatchEvent, after: EventPosition, stream: EventStream) -> None:
     if (event.epoch, event.number) > after:
         await stream.send("event", f"{event.epoch}.{event.number}", event.event)
 
 
-def _parse_mark(text: str) -> Mark:
-    """Return the event to resume after; anything else starts from the oldest kept.
+def _parse_position(text: str) -> EventPosition:
+    """Parse a ``Last-Event-ID``; return ``(0, 0)`` if it is missing or malformed.
 
-    >>> _parse_mark("3.12")
+    >>> _parse_position("3.12")
     (3, 12)
-    >>> _parse_mark("x")
+    >>> _parse_position("x")
     (0, 0)
     """
     epoch, _, number = text.partition(".")
@@ -269,7 +262,7 @@
 def _parse_wait(text: str, max_ms: int) -> Result[int, Rejected]:
     if text.isdecimal() and len(text) < 10 and int(text) <= max_ms:
         return Ok(int(text))
-    wrong = "must be a whole number within its limits"
+    wrong = "must be an integer within the limits"
     return Err(reject(Code.BAD_REQUEST, "wait_ms", wrong, f"0 to {max_ms}", "milliseconds"))
 
 
@@ -282,9 +275,9 @@
 
 
 def _failed(key: str, failure: Failure) -> web.Response:
-    """Return why a job could not be read or cancelled.
+    """Return the response to a read or cancellation that failed.
 
-    The outcome of the job is not known by that, not even where there is no row: a submission whose
-    answer was lost may yet take effect.
+    The outcome is ``unknown`` even if there is no row: a submission whose response was lost may
+    still be committed.
     """
     return problem(failure, Outcome.UNKNOWN, STORE_RETRY_S, key=key)
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -1,7 +1,7 @@
-"""Durable jobs as callers and operators see them: submit, read, cancel, list, follow.
+"""Service for durable jobs: submit, read, cancel, list and stream events.
 
-Any entry serves any job.  What a caller is told is what the row says; an entry that did not commit
-the job's end itself learns of it by polling the row, with pauses that grow while nothing changes.
+Any entry serves any job, from its row in the table.  An entry that did not commit a job's end
+itself detects it by polling the row, with a delay that grows between reads.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from result import Err, Ok, Result
 
 from sapphirelead.clock import now
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_ports import ConfigService, Links, Members
 from sapphirelead.entry_table import EntryTable
-from sapphirelead.entry_watch import WatchTails, mark_of
+from sapphirelead.entry_watch import WatchTails, event_position
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_job import Job, JobSpec
 from sapphirelead.policy_placement import fits_any_instance
@@ -25,7 +25,7 @@
 
 POLL_MIN_S: Final = 0.2
 POLL_MAX_S: Final = 2.0
-CANCEL_TRIES: Final = 5
+MAX_CANCEL_ATTEMPTS: Final = 5
 
 
 class Jobs:
@@ -33,7 +33,7 @@
 
     _table: EntryTable
     _rows: JobRows
-    _board: JobBoard
+    _notifier: JobNotifier
     _members: Members
     _tails: WatchTails
     _config: ConfigService
@@ -43,7 +43,7 @@
         self,
         table: EntryTable,
         rows: JobRows,
-        board: JobBoard,
+        notifier: JobNotifier,
         members: Members,
         links: Links,
         config: ConfigService,
@@ -51,7 +51,7 @@
     ) -> None:
         self._table = table
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._members = members
         self._tails = WatchTails()
         self._config = config
@@ -59,7 +59,7 @@
         links.on(WatchEvent, self._tails.add)
 
     async def submit(self, spec: JobSpec, rule: str) -> Result[Job, Failure]:
-        """Commit a new row, or join the job that already has this key."""
+        """Commit a new job, or return the existing one if ``spec`` repeats its submission."""
         views = self._members.live()
         if views and not fits_any_instance(spec.resources, views):
             return Err(_impossible(spec))
@@ -73,13 +73,13 @@
             if created.err_value.code is Code.STORE_CONFLICT:
                 return await self._join(spec)
             return created
-        self._board.committed(created.ok_value)
+        self._notifier.publish_committed(created.ok_value)
         return Ok(job)
 
     async def get(self, key: str, wait_s: float) -> Result[Job | None, Failure]:
         """Read a job, waiting up to ``wait_s`` seconds for its end."""
         deadline = now() + wait_s
-        pause = POLL_MIN_S
+        poll_delay_s = POLL_MIN_S
         while True:
             found = await self._rows.read(key)
             if isinstance(found, Err):
@@ -88,14 +88,14 @@
             left = deadline - now()
             if stored is None or stored.job.ended or left <= 0:
                 return Ok(stored.job if stored is not None else None)
-            ended = await self._board.wait_end(key, min(pause, left))
+            ended = await self._notifier.wait_end(key, min(poll_delay_s, left))
             if ended is not None:
                 return Ok(ended.job)
-            pause = min(pause * 1.5, POLL_MAX_S)
+            poll_delay_s = min(poll_delay_s * 1.5, POLL_MAX_S)
 
     async def cancel(self, key: str) -> Result[Job, Failure]:
-        """Ask for a job's cancellation; one that has ended stays as it is."""
-        for _ in range(CANCEL_TRIES):
+        """Request a job's cancellation; an ended job is returned unchanged."""
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             found = await self._rows.read(key)
             if isinstance(found, Err):
                 return found
@@ -107,7 +107,9 @@
             moved = await self._cancel_once(stored)
             if isinstance(moved, Ok) or moved.err_value.code is not Code.STORE_CONFLICT:
                 return moved
-        return Err(Failure(Code.STORE_CONFLICT, f"job {key!r} keeps changing", "cancel again"))
+        return Err(
+            Failure(Code.STORE_CONFLICT, f"job {key!r} changed concurrently", "cancel again")
+        )
 
     async def _cancel_once(self, stored: StoredJob) -> Result[Job, Failure]:
         stepped = stored.job.request_cancel()
@@ -116,7 +118,7 @@
         moved = await self._rows.move(stored, stepped.ok_value)
         if isinstance(moved, Err):
             return moved
-        self._board.committed(moved.ok_value)
+        self._notifier.publish_committed(moved.ok_value)
         return Ok(moved.ok_value.job)
 
     async def list_jobs(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
@@ -124,13 +126,13 @@
         return await self._rows.scan_any(ended, after, limit)
 
     async def events(self, key: str) -> AsyncIterator[WatchEvent]:
-        """Yield events of a watch, from the oldest kept, until the job has ended."""
+        """Yield events of a watch, from the oldest buffered, until the job has ended."""
         mark = (0, 0)
         while True:
             tail = self._tails.tail(key)
             tail.changed.clear()
             for event in tail.after(mark):
-                mark = mark_of(event)
+                mark = event_position(event)
                 yield event
             try:
                 async with asyncio.timeout(POLL_MAX_S):
@@ -144,17 +146,17 @@
                 return
 
     def _over_quota(self, team: str) -> bool:
-        """Whether the team's queued jobs are at their bound.
+        """Return whether the team's queued jobs have reached its quota.
 
-        The count over other entries is as of their last lease round, so a burst through several
-        entries can overshoot by what they accept in one round.
+        Counts of other entries are as of their last lease round, so concurrent submissions through
+        several entries can exceed the quota.
         """
         policy = self._config.current.document.teams.get(team)
         bound = policy.queued_jobs if policy is not None else 0
         return bound > 0 and self._queued_of(team) >= bound
 
     async def _join_or_refuse(self, spec: JobSpec) -> Result[Job, Failure]:
-        """Join the job of a repeated key; a new one is over the team's quota."""
+        """Return the existing job of a repeated key; reject a new job with ``QUOTA``."""
         found = await self._rows.read(spec.key)
         if isinstance(found, Err):
             return found
@@ -163,8 +165,8 @@
         return Err(
             Failure(
                 Code.QUOTA,
-                f"team {spec.team!r} has as many queued jobs as its queued_jobs allows",
-                "submit again when some have started, or ask for a higher quota",
+                f"team {spec.team!r} has reached its queued_jobs quota",
+                "submit again when some jobs have started, or request a higher quota",
             )
         )
 
@@ -186,12 +188,9 @@
         return Ok(stored.job)
 
 
-def same_request(held: JobSpec, asked: JobSpec) -> bool:
-    """Return whether ``asked`` repeats ``held``.
-
-    A repeat may carry a shorter deadline, because the caller's time has gone on.
-    """
-    return replace(asked, deadline_ms=held.deadline_ms) == held
+def same_request(existing: JobSpec, requested: JobSpec) -> bool:
+    """Return whether ``requested`` repeats ``existing``; the deadlines may differ."""
+    return replace(requested, deadline_ms=existing.deadline_ms) == existing
 
 
 def _impossible(spec: JobSpec) -> Failure:
@@ -200,7 +199,7 @@
         Code.IMPOSSIBLE,
         f"no instance is large enough for cpu_millicores={want.cpu_millicores} "
         f"memory_mb={want.memory_mb} accelerators={want.accelerators}",
-        "ask for less, or split the job",
+        "request fewer resources, or split the job",
     )
 
 
--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -1,9 +1,9 @@
-"""Moves of jobs that follow from what agents report.
+"""Applies the state transitions of jobs that agents report.
 
-A report may reach any entry, more than once, late, or after the job has moved on.  Each is applied
-by reading the row, computing the next value and committing it under the row's version; a conflict
-reads again.  The report is acknowledged only once its move is committed or the row shows that it
-can no longer apply, so an agent that repeats unacknowledged reports loses none.
+A report may reach any entry, late, repeated, or after the job changed state.  It is applied by
+reading the row, computing the next state and committing it under the row's version; a conflict is
+retried.  A report is acknowledged only once its transition is committed or the row shows that it no
+longer applies.  Agents repeat unacknowledged reports, so none is lost.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from result import Err, Result
 
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_ports import ConfigService, Lane, Links, Stamp
 from sapphirelead.errors import Code, Failure
@@ -22,23 +22,23 @@
 from sapphirelead.ports import Condition
 from sapphirelead.wire_messages import Checkpointed, Completed, EndAck
 
-TRIES: Final = 5
+MAX_COMMIT_ATTEMPTS: Final = 5
 
-Step = Callable[[Job], Result[Job, Failure]]
+Transition = Callable[[Job], Result[Job, Failure]]
 
 
 class JobMoves:
-    """Applies moves and acknowledges reports."""
+    """Applies state transitions and acknowledges reports."""
 
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _links: Links
     _config: ConfigService
     _stamp: Stamp
     _running: dict[tuple[str, str, int], "asyncio.Task[None]"]
 
     def __init__(
-        self, rows: JobRows, board: JobBoard, links: Links, config: ConfigService, stamp: Stamp
+        self, rows: JobRows, board: JobNotifier, links: Links, config: ConfigService, stamp: Stamp
     ) -> None:
         self._rows = rows
         self._board = board
@@ -50,22 +50,22 @@
         links.on(Checkpointed, self._on_checkpointed)
 
     def max_attempts(self, job: Job) -> int:
-        """Return how many attempts a job of this class gets."""
+        """Return the maximum number of attempts for a job of this class."""
         policy = self._config.current.document.job_classes.get(job.spec.job_class)
         return (policy or JobClassPolicy()).max_attempts
 
-    def once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` unless the same is already running; agents repeat what is not answered."""
-        mark = (name, key, epoch)
-        if mark in self._running:
+    def run_once(self, name: str, key: str, epoch: int, work: Coroutine[Any, Any, None]) -> None:
+        """Run ``work`` in the background unless work of the same name, key and epoch is running."""
+        work_id = (name, key, epoch)
+        if work_id in self._running:
             work.close()
             return
         task = asyncio.create_task(work, name=f"{name}:{key}")
-        self._running[mark] = task
-        task.add_done_callback(lambda _: self._running.pop(mark, None))
+        self._running[work_id] = task
+        task.add_done_callback(lambda _: self._running.pop(work_id, None))
 
     async def stop(self) -> None:
-        """Let the moves in progress end for a moment, then drop them; agents repeat theirs."""
+        """Wait up to 1 s for transitions in progress, then cancel them; agents repeat reports."""
         tasks = list(self._running.values())
         if tasks:
             _, late = await asyncio.wait(tasks, timeout=1.0)
@@ -73,13 +73,13 @@
                 task.cancel()
 
     async def apply(
-        self, key: str, epoch: int, step: Step, guards: tuple[Condition, ...] = ()
+        self, key: str, epoch: int, transition: Transition, guards: tuple[Condition, ...] = ()
     ) -> bool:
-        """Apply ``step`` to the claim at ``epoch``; return whether the matter is closed.
+        """Apply ``transition`` to the claim at ``epoch``; return whether it is settled.
 
-        Closed means committed, or proven to be past: the row is at another epoch or ended.
+        Settled means committed, or no longer applicable: the row is at another epoch or ended.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             found = await self._rows.read(key)
             if isinstance(found, Err):
                 return False
@@ -88,54 +88,54 @@
                 return True
             if stored.job.state is not JobState.CLAIMED:
                 return True
-            moved = await self._move(stored, step, guards)
+            moved = await self._move(stored, transition, guards)
             if moved is not None:
                 return moved
         return False
 
     async def _move(
-        self, stored: StoredJob, step: Step, guards: tuple[Condition, ...]
+        self, stored: StoredJob, transition: Transition, guards: tuple[Condition, ...]
     ) -> bool | None:
-        """Commit one step; ``None`` means that the row changed and is to be read again."""
-        stepped = step(stored.job)
-        if isinstance(stepped, Err):
-            log_event("WARNING", "move_refused", reason=stepped.err_value.message)
+        """Commit one transition; ``None`` means that the row changed and must be read again."""
+        updated = transition(stored.job)
+        if isinstance(updated, Err):
+            log_event("WARNING", "move_refused", reason=updated.err_value.message)
             return True
-        moved = await self._rows.move(stored, stepped.ok_value, guards)
+        moved = await self._rows.move(stored, updated.ok_value, guards)
         if isinstance(moved, Err):
             return None if moved.err_value.code is Code.STORE_CONFLICT else False
-        self._board.committed(moved.ok_value)
+        self._board.publish_committed(moved.ok_value)
         return True
 
-    async def release_unstarted(self, key: str, epoch: int, said_by: Holder, reason: str) -> None:
-        """Queue a claim again on the word of the very run that holds it that it never started."""
+    async def release_unstarted(self, key: str, epoch: int, reporter: Holder, reason: str) -> None:
+        """Requeue a claim whose holder, ``reporter``, reports that it never started."""
 
-        def step(job: Job) -> Result[Job, Failure]:
-            if job.holder != said_by:
-                return Err(Failure(Code.ILLEGAL_MOVE, f"{said_by} does not hold {key!r}"))
+        def transition(job: Job) -> Result[Job, Failure]:
+            if job.holder != reporter:
+                return Err(Failure(Code.ILLEGAL_MOVE, f"{reporter} does not hold {key!r}"))
             return job.release_unstarted(epoch, reason)
 
-        await self.apply(key, epoch, step)
+        await self.apply(key, epoch, transition)
 
     def _on_completed(self, message: Completed) -> None:
-        self.once("end", message.key, message.epoch, self._completed(message))
+        self.run_once("end", message.key, message.epoch, self._completed(message))
 
     def _on_checkpointed(self, message: Checkpointed) -> None:
-        self.once("end", message.key, message.epoch, self._checkpointed(message))
+        self.run_once("end", message.key, message.epoch, self._checkpointed(message))
 
     async def _completed(self, message: Completed) -> None:
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != message.sender:
                 return Err(Failure(Code.ILLEGAL_MOVE, f"{message.sender} does not hold {job!r}"))
             if message.ok:
                 return job.complete(message.epoch, message.result)
             return job.fail(message.epoch, message.reason, self.max_attempts(job))
 
-        if await self.apply(message.key, message.epoch, step):
+        if await self.apply(message.key, message.epoch, transition):
             await self._acknowledge(message.sender, message.key, message.epoch)
 
     async def _checkpointed(self, message: Checkpointed) -> None:
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != message.sender:
                 return Err(Failure(Code.ILLEGAL_MOVE, f"{message.sender} does not hold {job!r}"))
             if message.checkpoint:
@@ -144,7 +144,7 @@
                 return job.stopped(message.epoch)
             return job.lose_holder(message.epoch, message.reason, self.max_attempts(job))
 
-        if await self.apply(message.key, message.epoch, step):
+        if await self.apply(message.key, message.epoch, transition):
             await self._acknowledge(message.sender, message.key, message.epoch)
 
     async def _acknowledge(self, instance: str, key: str, epoch: int) -> None:
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -1,17 +1,18 @@
-"""Brings claims and what really runs back together.
+"""Reconciles claims with what agents actually run.
 
-For each claim of this entry's shards, once a second:
+Periodically, for each claim in this entry's shards:
 
-- the holder's run is live: ask it for the claim's fate until it says that it runs, and again from
-  time to time; ask it to stop where cancellation was requested.
-- the instance is live under another run (the agent restarted): ask that run.  It took the worker
-  over, so the earlier run can start nothing any more; it answers ``running`` (the claim is moved to
-  it under the same epoch), with the task's end, or ``lost``.
-- the instance's present run is fenced in the table: the holder is lost.  Until then a silent
-  instance keeps its claims, because its tasks may well be running.
+- If the holder's incarnation is live, it is asked for the task's state until it confirms that the
+  task runs, and again when that confirmation expires.  If cancellation was requested, it is sent a
+  stop.
+- If the instance is live under another incarnation (the agent restarted), that one is asked.  It
+  replies ``running`` (the claim is moved to it under the same epoch) or ``lost``, or reports the
+  task's end.
+- If the registered incarnation is fenced, the holder is lost.  Until then an unresponsive instance
+  keeps its claims, because its tasks may be running.
 
-A claim of an earlier run is never given up on the ground that the run was replaced: the run that
-replaced it may have adopted the task.
+A claim is never released merely because its incarnation was replaced: the new incarnation may have
+adopted the task.
 """
 
 import asyncio
@@ -21,34 +22,34 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_job_rows import StoredJob
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_lease_rows import Registration
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import Lane, Links, Members
 from sapphirelead.entry_scheduler import Scheduler
-from sapphirelead.entry_start import ADOPTION, JobStarter
+from sapphirelead.entry_start import ADOPTION_OFFER_ID, JobStarter
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job, JobState
 from sapphirelead.wire_messages import Fate, FateAnswer, Stop
 
-ROUND_S: Final = 0.5
-ASK_S: Final = 2.0
-CONFIRM_S: Final = 30.0
-REGISTRATION_S: Final = 1.0
+RECONCILE_INTERVAL_S: Final = 0.5
+QUERY_INTERVAL_S: Final = 2.0
+CONFIRMATION_TTL_S: Final = 30.0
+REGISTRATION_REFRESH_S: Final = 1.0
 
 
 class Reconciler:
-    """Runs the rounds over the claims of one scheduler."""
+    """Periodically checks the claims of one scheduler."""
 
     _scheduler: Scheduler
     _starter: JobStarter
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _members: Members
     _links: Links
-    _asked: dict[str, float]
-    _refreshed: dict[str, float]
+    _queried_at: dict[str, float]
+    _refreshed_at: dict[str, float]
     _task: "asyncio.Task[None] | None"
 
     def __init__(
@@ -56,7 +57,7 @@
         scheduler: Scheduler,
         starter: JobStarter,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         members: Members,
         links: Links,
     ) -> None:
@@ -66,29 +67,29 @@
         self._leases = leases
         self._members = members
         self._links = links
-        self._asked = {}
-        self._refreshed = {}
+        self._queried_at = {}
+        self._refreshed_at = {}
         self._task = None
-        links.on(FateAnswer, self._on_fate)
+        links.on(FateAnswer, self._on_fate_answer)
 
     def start(self) -> None:
-        """Start the rounds."""
+        """Start the periodic checks."""
         self._task = asyncio.create_task(self._run(), name="reconcile")
 
     async def stop(self) -> None:
-        """Stop the rounds."""
+        """Stop the periodic checks."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
             claims = self._scheduler.shards.in_state(JobState.CLAIMED)
             for stored in claims:
                 await self._check(stored)
             keys = {stored.job.spec.key for stored in claims}
-            self._asked = {key: at for key, at in self._asked.items() if key in keys}
+            self._queried_at = {key: at for key, at in self._queried_at.items() if key in keys}
 
     async def _check(self, stored: StoredJob) -> None:
         holder = stored.job.holder
@@ -96,50 +97,52 @@
             return
         view = self._members.get(holder.instance)
         if view is not None and not view.fenced and view.incarnation == holder.incarnation:
-            await self._ask(stored, holder.incarnation)
+            await self._query(stored, holder.incarnation)
             return
         registration = await self._registration(holder.instance)
         if registration is None:
             return
         if registration.fenced:
-            self._lose(stored.job, "the instance was fenced")
+            self._mark_lost(stored.job, "the instance was fenced")
         elif view is not None and view.incarnation == registration.incarnation:
-            await self._ask(stored, view.incarnation)
+            await self._query(stored, view.incarnation)
 
     async def _registration(self, instance: str) -> Registration | None:
-        if now() - self._refreshed.get(instance, -REGISTRATION_S) >= REGISTRATION_S:
-            self._refreshed[instance] = now()
+        if (
+            now() - self._refreshed_at.get(instance, -REGISTRATION_REFRESH_S)
+            >= REGISTRATION_REFRESH_S
+        ):
+            self._refreshed_at[instance] = now()
             return await self._leases.refresh(instance)
         return self._leases.registration(instance)
 
-    async def _ask(self, stored: StoredJob, incarnation: str) -> None:
-        """Ask the present run of the holder's agent to stop the task, or what became of it.
+    async def _query(self, stored: StoredJob, incarnation: str) -> None:
+        """Ask the agent's current incarnation to stop the task or to report its state.
 
-        The word of an earlier run counts for nothing here: it is the present one that has to say
-        that it has the task.
+        Confirmations by earlier incarnations do not count.
         """
         job = stored.job
         key, holder = job.spec.key, job.holder
         assert holder is not None
-        pause = ROUND_S if job.cancel_requested else ASK_S
-        if now() - self._asked.get(key, -pause) < pause:
+        interval_s = RECONCILE_INTERVAL_S if job.cancel_requested else QUERY_INTERVAL_S
+        if now() - self._queried_at.get(key, -interval_s) < interval_s:
             return
         if job.cancel_requested:
-            self._asked[key] = now()
+            self._queried_at[key] = now()
             await self._send_stop(job, holder.instance)
         if self._is_confirmed(job, incarnation) and not job.cancel_requested:
             return
-        if now() - self._scheduler.shards.since.get(key, 0.0) < ROUND_S:
-            # The start that follows a claim is still on its way; asking now would overtake it and
-            # the tombstone that the question leaves would refuse it.
+        if now() - self._scheduler.shards.since.get(key, 0.0) < RECONCILE_INTERVAL_S:
+            # The start may still be in transit. A query that overtakes it leaves a tombstone at
+            # the agent, which would then refuse the start.
             return
-        self._asked[key] = now()
+        self._queried_at[key] = now()
         fate = Fate(**self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation)
         await self._links.send(holder.instance, Lane.CONTROL, fate)
 
     def _is_confirmed(self, job: Job, incarnation: str) -> bool:
         at = self._scheduler.runs.confirmed_at(job.spec.key, job.epoch, incarnation)
-        return at is not None and now() - at < CONFIRM_S
+        return at is not None and now() - at < CONFIRMATION_TTL_S
 
     async def _send_stop(self, job: Job, instance: str) -> None:
         stop = Stop(
@@ -151,7 +154,7 @@
         )
         await self._links.send(instance, Lane.CONTROL, stop)
 
-    def _lose(self, job: Job, reason: str) -> None:
+    def _mark_lost(self, job: Job, reason: str) -> None:
         epoch = job.epoch
 
         async def lose() -> None:
@@ -162,21 +165,23 @@
                 lambda held: held.lose_holder(epoch, reason, self._moves.max_attempts(held)),
             )
 
-        self._moves.once("lose", job.spec.key, epoch, lose())
+        self._moves.run_once("lose", job.spec.key, epoch, lose())
 
-    def _on_fate(self, answer: FateAnswer) -> None:
-        """Act on a fate; the ends of tasks come as messages of their own."""
+    def _on_fate_answer(self, answer: FateAnswer) -> None:
+        """Handle a task's reported state; task ends arrive as separate messages."""
         if answer.fate == "running":
-            self._moves.once("adopt", answer.key, answer.epoch, self._running(answer))
+            self._moves.run_once("adopt", answer.key, answer.epoch, self._handle_running(answer))
         elif answer.fate == "never_started":
-            said_by = Holder(answer.sender, answer.incarnation)
-            work = self._moves.release_unstarted(answer.key, answer.epoch, said_by, "never started")
-            self._moves.once("release", answer.key, answer.epoch, work)
+            reporter = Holder(answer.sender, answer.incarnation)
+            work = self._moves.release_unstarted(
+                answer.key, answer.epoch, reporter, "never started"
+            )
+            self._moves.run_once("release", answer.key, answer.epoch, work)
         elif answer.fate == "lost":
-            self._moves.once("lose", answer.key, answer.epoch, self._lost(answer))
+            self._moves.run_once("lose", answer.key, answer.epoch, self._handle_lost(answer))
 
-    async def _running(self, answer: FateAnswer) -> None:
-        """Confirm the claim, and move it to the run that answered if that is a newer one."""
+    async def _handle_running(self, answer: FateAnswer) -> None:
+        """Confirm the claim, and move it to the replying incarnation if it has another holder."""
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is None:
             return
@@ -189,20 +194,22 @@
             )
             held = self._scheduler.shards.jobs.get(answer.key)
         if held is not None and held.job.holder == holder and held.job.epoch == answer.epoch:
-            # An adopted task is renewed by its new run only once the claim names that run.
-            confirmation = self._starter.start_message(ADOPTION, held.job)
+            # An agent renews an adopted task only after this confirmation of the claim.
+            confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
             await self._links.send(answer.sender, Lane.CONTROL, confirmation)
 
-    async def _lost(self, answer: FateAnswer) -> None:
-        """Give the claim up: the present run of the instance does not know the task."""
+    async def _handle_lost(self, answer: FateAnswer) -> None:
+        """Release the claim: the instance's current incarnation does not know the task."""
 
-        def step(job: Job) -> Result[Job, Failure]:
+        def transition(job: Job) -> Result[Job, Failure]:
             if job.holder is None or job.holder.instance != answer.sender:
-                return Err(Failure(Code.ILLEGAL_MOVE, f"{answer.sender} holds no {job.spec.key}"))
+                return Err(
+                    Failure(Code.ILLEGAL_MOVE, f"{answer.sender} does not hold {job.spec.key}")
+                )
             return job.lose_holder(
                 answer.epoch, "the restarted agent has no such task", self._moves.max_attempts(job)
             )
 
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is not None:
-            await self._moves.apply(answer.key, answer.epoch, step, (guard,))
+            await self._moves.apply(answer.key, answer.epoch, transition, (guard,))
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -1,13 +1,12 @@
 """Schedules the durable jobs of the shards that one entry owns.
 
-Each tick, and whenever a job is queued, the queued jobs are put in order
-(:mod:`sapphirelead.policy_order`), each is given an instance
-(:mod:`sapphirelead.policy_placement`) and handed to
-:class:`~sapphirelead.entry_start.JobStarter`.  Rules are asked anew each time, so that a change of
-configuration reaches jobs that already wait.
-
-What can go wrong after a claim is left to :class:`~sapphirelead.entry_reconcile.Reconciler`: a
-claim whose start was lost, a holder that is gone, a restarted agent.
+On each tick, and whenever a job is queued, the queued jobs are ordered
+(:mod:`sapphirelead.policy_order`), assigned to instances (:mod:`sapphirelead.policy_placement`) and
+passed to :class:`~sapphirelead.entry_start.JobStarter`.  Rules are evaluated each time, so
+configuration changes also apply to queued jobs.
+
+:class:`~sapphirelead.entry_reconcile.Reconciler` handles failures after a claim: lost starts, lost
+holders and restarted agents.
 """
 
 import asyncio
@@ -18,9 +17,9 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_claim_runs import ClaimRuns
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob, shard_of
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import ConfigService, InstanceView, Links, Members, Stamp
 from sapphirelead.entry_shards import ShardView, owner_of
@@ -41,11 +40,11 @@
 from sapphirelead.policy_rules import Decision, RuleSet, Situation
 from sapphirelead.wire_messages import Nudge, Started
 
-TICK_S: Final = 0.25
-GROUPING_DELAY_S: Final = 0.005
-SCAN_S: Final = 5.0
-OFFERS_PER_TICK: Final = 200
-OFFERS_OPEN: Final = 400
+TICK_INTERVAL_S: Final = 0.25
+BATCH_DELAY_S: Final = 0.005
+SCAN_INTERVAL_S: Final = 5.0
+MAX_OFFERS_PER_TICK: Final = 200
+MAX_OPEN_OFFERS: Final = 400
 IMPOSSIBLE_AFTER_S: Final = 30.0
 
 
@@ -53,10 +52,10 @@
     """Orders and places the jobs of this entry's shards.
 
     :ivar shards: open jobs of the shards scheduled here.
-    :ivar usage: what teams use and have queued.
-    :ivar runs: which claims agents said they run.
-    :ivar situation: fills in what rules may look at for a job.
-    :ivar slowdown: learnt slowdown of a service by a job class on the same instance.
+    :ivar usage: resources in use and queued jobs by team.
+    :ivar runs: claims confirmed as running, and estimated run times.
+    :ivar situation: returns the inputs of rules for a job.
+    :ivar slowdown: estimated slowdown of a service by a job class on the same instance.
     """
 
     shards: ShardView
@@ -67,9 +66,9 @@
     _stamp: Stamp
     _table: EntryTable
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _starter: JobStarter
     _members: Members
     _links: Links
@@ -77,16 +76,16 @@
     _rules: RuleSet
     _wake: asyncio.Event
     _tasks: "list[asyncio.Task[None]]"
-    _side: "set[asyncio.Task[None]]"
+    _background_tasks: "set[asyncio.Task[None]]"
 
     def __init__(
         self,
         stamp: Stamp,
         table: EntryTable,
         rows: JobRows,
-        board: JobBoard,
+        board: JobNotifier,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         starter: JobStarter,
         members: Members,
         links: Links,
@@ -95,7 +94,7 @@
         self.shards = ShardView(rows.shards)
         self.usage = TeamUsage(stamp, self.shards, starter, leases)
         self.runs = ClaimRuns()
-        self.situation = _bare_situation
+        self.situation = _default_situation
         self.slowdown = lambda _service, _job_class: 1.0
         self._stamp = stamp
         self._table = table
@@ -110,7 +109,7 @@
         self._rules = RuleSet.from_config(config.current.document)
         self._wake = asyncio.Event()
         self._tasks = []
-        self._side = set()
+        self._background_tasks = set()
         config.on_change(self._on_config)
         board.listen(self._on_move)
         links.on(Started, self._on_started)
@@ -124,21 +123,21 @@
         ]
 
     async def stop(self) -> None:
-        """Offer nothing more; let claims in progress reach their start."""
-        for task in [*self._tasks, *self._side]:
+        """Stop offering jobs; claims in progress may finish their start."""
+        for task in [*self._tasks, *self._background_tasks]:
             task.cancel()
-        await asyncio.gather(*self._tasks, *self._side, return_exceptions=True)
+        await asyncio.gather(*self._tasks, *self._background_tasks, return_exceptions=True)
         await self._starter.stop()
 
     async def _dispatch_loop(self) -> None:
         while True:
             try:
-                # Not asyncio.wait_for: in this Python it can swallow a cancellation that arrives
-                # in the step in which the event is set, and the process would not stop.
-                async with asyncio.timeout(TICK_S):
+                # Not asyncio.wait_for: in Python 3.11 it can swallow a cancellation that arrives
+                # while the event is set, and the process would not stop.
+                async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
-                # Jobs of one burst are ordered against each other rather than by arrival.
-                await asyncio.sleep(GROUPING_DELAY_S)
+                # Collect the jobs of a burst so that they are ordered together.
+                await asyncio.sleep(BATCH_DELAY_S)
             except TimeoutError:
                 pass
             self._wake.clear()
@@ -151,9 +150,11 @@
             for shard in gained:
                 scanned.pop(shard, None)
             for shard in sorted(self.shards.owned):
-                if now() - scanned.get(shard, -SCAN_S) >= SCAN_S and await self._scan(shard):
+                if now() - scanned.get(
+                    shard, -SCAN_INTERVAL_S
+                ) >= SCAN_INTERVAL_S and await self._scan(shard):
                     scanned[shard] = now()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _scan(self, shard: int) -> bool:
         started = now()
@@ -165,35 +166,35 @@
         return True
 
     def _dispatch(self) -> None:
-        """Offer what can be offered now."""
+        """Offer queued jobs that can be placed now."""
         views = self._members.live()
         own = self.usage.own()
         self.usage.publish(own)
         if not views or not self._table.up:
             return
-        self._starter.forget_counted(views)
+        self._starter.drop_reported_offers(views)
         at = now()
         decide = self._decider()
         queued = [
             self._queued_job(stored, decide(stored.job.spec), at)
             for key, stored in self.shards.jobs.items()
-            if stored.job.state is JobState.QUEUED and not self._starter.has(key)
+            if stored.job.state is JobState.QUEUED and not self._starter.is_placing(key)
         ]
         admitted = [item for item in queued if decide(item.job.spec).then.action == "admit"]
         if not admitted:
             return
-        room = min(OFFERS_PER_TICK, OFFERS_OPEN - self._starter.in_progress)
+        limit = min(MAX_OFFERS_PER_TICK, MAX_OPEN_OFFERS - self._starter.in_progress)
         total = total_capacity(views)
-        used = self.usage.everywhere(own)
-        for item in order(admitted, used, self._team_shares(), total, at, room):
+        used = self.usage.across_entries(own)
+        for item in order(admitted, used, self._team_shares(), total, at, limit):
             self._offer(item, decide(item.job.spec), views, at)
 
     def _decider(self) -> Callable[[JobSpec], Decision]:
-        """Return the rules' decision for a job, made once a tick for jobs alike to rules."""
-        made: dict[tuple[str, str, str, bool, bool, int], Decision] = {}
+        """Return a function that decides by the rules and caches decisions for one tick."""
+        cache: dict[tuple[str, str, str, bool, bool, int], Decision] = {}
 
         def decide(spec: JobSpec) -> Decision:
-            alike = (
+            cache_key = (
                 spec.kind.value,
                 spec.job_class,
                 spec.team,
@@ -201,9 +202,9 @@
                 spec.idempotent,
                 spec.deadline_ms,
             )
-            decision = made.get(alike)
+            decision = cache.get(cache_key)
             if decision is None:
-                decision = made[alike] = self._rules.decide(self.situation(spec))
+                decision = cache[cache_key] = self._rules.decide(self.situation(spec))
             return decision
 
         return decide
@@ -234,31 +235,31 @@
         self._starter.begin(stored, view, item.urgent, decision.rule)
 
     def _set_aside_if_impossible(self, stored: StoredJob, since: float, at: float) -> None:
-        """Give up on a job that no known instance, even empty, would hold for some time."""
+        """Set a job aside if it has waited long and no known instance is large enough for it."""
         known = self._members.all()
         spec = stored.job.spec
         if at - since < IMPOSSIBLE_AFTER_S or fits_any_instance(spec.resources, known):
             return
-        self._moves.once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
+        self._moves.run_once("aside", spec.key, stored.job.epoch, self._set_aside(stored))
 
     async def _set_aside(self, stored: StoredJob) -> None:
-        stepped = stored.job.set_aside("no instance is large enough")
-        if isinstance(stepped, Err):
+        updated = stored.job.set_aside("no instance is large enough")
+        if isinstance(updated, Err):
             return
-        moved = await self._rows.move(stored, stepped.ok_value)
+        moved = await self._rows.move(stored, updated.ok_value)
         if isinstance(moved, Ok):
-            self._board.committed(moved.ok_value)
+            self._board.publish_committed(moved.ok_value)
 
     def _on_config(self, config: Config) -> None:
         self._rules = RuleSet.from_config(config.document)
         self._wake.set()
 
     def _on_move(self, stored: StoredJob) -> None:
-        """Take a move committed by this entry, or tell the entry that schedules the shard."""
+        """Apply a committed transition, or notify the entry that schedules the shard."""
         key = stored.job.spec.key
         if self.shards.owns(key):
             self.shards.put(stored, now())
-            self.runs.moved(stored.job)
+            self.runs.on_transition(stored.job)
             if stored.job.state is JobState.QUEUED:
                 self._wake.set()
             return
@@ -269,8 +270,8 @@
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._side.add(task)
-        task.add_done_callback(self._side.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     async def _send_nudge(self, owner: str, nudge: Nudge) -> None:
         await self._links.send_peer(owner, nudge)
@@ -302,7 +303,7 @@
     return PlacementRequest(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
-def _bare_situation(spec: JobSpec) -> Situation:
+def _default_situation(spec: JobSpec) -> Situation:
     return Situation(
         kind=spec.kind,
         job_class=spec.job_class,
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -1,21 +1,10 @@
-"""Service requests at the entry: decide, place, attempt, answer.
+"""Dispatch of service requests to instances: admission, placement, retries and hedging.
 
-A request is one coroutine.  The first rule that matches its situation admits or refuses it.  An
-admitted one gets an instance at once or waits in its service's queue; then it is sent as an
-attempt.  While an attempt is open the coroutine wakes when the attempt ends, when a hedge or a
-question about the attempt's fate is due, or at the caller's deadline, whichever is first.
-
-Invariants:
-
-- A request that is given up gets its final answer at that moment; no answer is held back.
-- ``not_run`` is said only if each attempt is proven not to have reached the target: it was never
-  sent, or the incarnation it was sent to refused it.  A refusal by another incarnation proves
-  nothing, because it cannot know what its predecessor ran.
-- An answer is handed on only where :mod:`sapphirelead.entry_attempts` matched it with an attempt.
-
-Connections that went silent: an attempt that is open for much longer than usual, or whose agent
-replaced the connection, is asked for by an ``AttemptFate`` message.  The agent repeats a lost
-answer or proves that the attempt never arrived.
+One coroutine per request applies the rules, places an attempt or queues, and then waits for an
+attempt to end, a hedge or outcome query to fall due, or the deadline.  ``not_run`` is returned only
+if every attempt was unsent or rejected by the incarnation that it was sent to.  An attempt that is
+open much longer than the estimated latency, or whose connection was replaced, is resolved by an
+``AttemptFate`` query: the agent resends a lost answer or proves that the attempt never arrived.
 """
 
 import asyncio
@@ -26,8 +15,8 @@
 from result import Err
 
 from sapphirelead.clock import now
-from sapphirelead.entry_attempts import AttemptBook, ServiceLinks, ServiceMembers
-from sapphirelead.entry_placing import Placer, give_up
+from sapphirelead.entry_attempts import AttemptRegistry, ServiceLinks, ServiceMembers
+from sapphirelead.entry_placing import Placer, reject_waiter
 from sapphirelead.entry_ports import ConfigService, InstanceView, Stamp
 from sapphirelead.entry_service_state import (
     OpenAttempt,
@@ -47,28 +36,29 @@
 from sapphirelead.wire_messages import ServiceAnswer
 
 TIMER_SLACK_S: Final = 0.001
-FATE_FACTOR: Final = 4.0
-FATE_MIN_S: Final = 0.25
-FATE_LIMIT: Final = 5
+OUTCOME_QUERY_LATENCY_FACTOR: Final = 4.0
+MIN_OUTCOME_QUERY_DELAY_S: Final = 0.25
+MAX_OUTCOME_QUERIES: Final = 5
 
 NO_INSTANCE: Final = Failure(Code.NO_INSTANCE, "no live instance offers this service")
-DEADLINE_PASSED: Final = Failure(Code.DEADLINE, "the deadline passed before an answer came")
-IS_DRAINING: Final = Failure(Code.DRAINING, "this entry is leaving; another one will serve you")
+DEADLINE_PASSED: Final = Failure(
+    Code.DEADLINE, "the deadline passed before a response was received"
+)
+IS_DRAINING: Final = Failure(Code.DRAINING, "this entry is draining; retry through another entry")
 
 
 class ServiceDispatcher:
-    """Carries service requests to instances and their answers back.
+    """Dispatches service requests to instances and returns the responses.
 
-    :ivar counters: what happened since start.
-    :ivar router: estimates of the instances.
-    :ivar attempts: attempts without an end.
-    :ivar slowdown: measured slowdown of a service, for rules.
-    :ivar store_up: whether the table answers, for rules.
+    :ivar router: load and latency estimates of the instances.
+    :ivar attempts: open attempts.
+    :ivar slowdown: returns the measured slowdown of a service, for rules.
+    :ivar store_up: returns whether the table responds, for rules.
     """
 
     counters: ServiceCounters
     router: Router
-    attempts: AttemptBook
+    attempts: AttemptRegistry
     slowdown: Callable[[str], float]
     store_up: Callable[[], bool]
     _zone: str
@@ -97,7 +87,7 @@
         self.counters = ServiceCounters()
         self.router = Router.from_config(settings.zone, config.current.document.ejection, rng)
         self._placer = make_placer(self.router)
-        self.attempts = AttemptBook(
+        self.attempts = AttemptRegistry(
             stamp, links, members, self._placer, self.counters, lambda: config.current.version
         )
         self.slowdown = lambda _service: 1.0
@@ -128,26 +118,26 @@
         rng: random.Random | None = None,
         make_placer: Callable[[Router], Placer] = Placer,
     ) -> "ServiceDispatcher":
-        """Return a dispatcher that serves at once."""
+        """Return a dispatcher that accepts requests immediately."""
         return cls(settings, stamp, links, members, config, rng or random.Random(), make_placer)
 
     @property
     def open_requests(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a reply."""
         return len(self._requests)
 
     async def drain(self) -> None:
-        """Refuse new requests from now on and return when the open ones have their answers."""
+        """Reject new requests and return when all open ones have a reply."""
         self._draining = True
         await self._idle.wait()
 
     async def call(self, call: ServiceCall) -> ServiceReply:
-        """Serve one request to its final answer."""
+        """Serve one request and return its reply."""
         self.counters.requests += 1
         req = self._admit(call)
         refusal = self._refusal(req)
         if refusal is not None:
-            return self._give_up(req, refusal)
+            return self._fail(req, refusal)
         req.service.budget.request()
         self._requests.add(req)
         self._idle.clear()
@@ -157,7 +147,7 @@
             self._close(req)
 
     def decide(self, call: ServiceCall) -> Decision:
-        """Return the rules' decision on a request in the present situation."""
+        """Evaluate the rules for a request in the current situation."""
         health = self.router.health(call.service)
         return self._rules.decide(
             Situation(
@@ -206,29 +196,29 @@
             self._services[service] = state
         return state
 
-    # From the first attempt to the reply.
+    # Attempts, retries and replies.
 
     async def _serve(self, req: OpenRequest) -> ServiceReply:
         while True:
             if not req.open and (failure := await self._start_attempt(req)):
-                return self._give_up(req, failure)
+                return self._fail(req, failure)
             await self._wait(req)
-            if (reply := self._settle(req)) is not None:
+            if (reply := self._take_ended(req)) is not None:
                 return reply
-            # A timer may fire a clock tick before its time.  Without the slack nothing would be
-            # due yet, the same timer would be set again, and the loop would spin on it.
+            # A timer may fire one clock tick early; without the slack the loop would busy-wait
+            # until the timer is due.
             at = now() + TIMER_SLACK_S
             if at >= req.deadline:
-                return self._give_up(req, DEADLINE_PASSED)
+                return self._fail(req, DEADLINE_PASSED)
             if not req.open:
                 if (failure := self._retry_refusal(req)) is not None:
-                    return self._give_up(req, failure)
+                    return self._fail(req, failure)
                 continue
-            self._ask_fates(req, at)
+            self._query_outcomes(req, at)
             self._hedge(req, at)
 
     async def _start_attempt(self, req: OpenRequest) -> Failure | None:
-        """Place and send an attempt; what was not sent costs nothing and is placed anew."""
+        """Place and send an attempt; an unsent one is placed again and is not counted."""
         while True:
             placed = await self._placer.place(req)
             if isinstance(placed, Err):
@@ -249,41 +239,41 @@
         due = req.deadline
         at = now() + TIMER_SLACK_S
         for attempt in req.open.values():
-            due = min(due, self._fate_due(req, attempt))
+            due = min(due, self._outcome_query_due(req, attempt))
         hedge_due = self._hedge_due(req)
-        # A hedge that was due but could not be paid is not waited for again.
+        # A hedge that was due but could not be sent is not scheduled again.
         return min(due, hedge_due) if hedge_due is not None and hedge_due > at else due
 
-    def _settle(self, req: OpenRequest) -> ServiceReply | None:
-        """Take the attempts that ended; return the reply if one of them has it."""
+    def _take_ended(self, req: OpenRequest) -> ServiceReply | None:
+        """Process ended attempts; return the reply if one of them succeeded."""
         while req.ended:
             attempt, answer = req.ended.pop(0)
-            ran = self._proven(attempt, answer)
+            ran = self._proven_outcome(attempt, answer)
             if ran is Outcome.DONE and answer is not None:
                 return self._done(req, answer)
             req.maybe_ran = req.maybe_ran or ran is Outcome.UNKNOWN
             req.last_reason = answer.reason if answer is not None else "lost"
         return None
 
-    def _proven(self, attempt: OpenAttempt, answer: ServiceAnswer | None) -> Outcome:
+    def _proven_outcome(self, attempt: OpenAttempt, answer: ServiceAnswer | None) -> Outcome:
         if answer is None:
             return Outcome.UNKNOWN
         if answer.ran == Outcome.DONE:
             return Outcome.DONE
-        # A restarted agent has not seen the attempt, although the run before it may have.
+        # A restarted agent cannot know whether its previous incarnation ran the attempt.
         same_run = answer.incarnation == attempt.incarnation
         return Outcome.NOT_RUN if answer.ran == Outcome.NOT_RUN and same_run else Outcome.UNKNOWN
 
     def _retry_refusal(self, req: OpenRequest) -> Failure | None:
-        """Return why no further attempt is made, or pay for one."""
+        """Return why no retry is made, or ``None`` after charging one to the retry budget."""
         state = AttemptState(req.call.idempotent, not req.maybe_ran, req.attempts)
         allowed = may_retry(state, self._config.current.document.retries)
         if allowed and req.service.budget.take():
             self.counters.retries += 1
             return None
         code = Code.TARGET_FAILED if req.maybe_ran else Code.OVERLOADED
-        reason = req.last_reason or "no answer"
-        return Failure(code, f"attempt {req.attempts} ended without an answer: {reason}")
+        reason = req.last_reason or "no response"
+        return Failure(code, f"attempt {req.attempts} ended without a response: {reason}")
 
     def _done(self, req: OpenRequest, answer: ServiceAnswer) -> ServiceReply:
         self.counters.done += 1
@@ -297,7 +287,7 @@
             answer.body,
         )
 
-    def _give_up(self, req: OpenRequest, failure: Failure) -> ServiceReply:
+    def _fail(self, req: OpenRequest, failure: Failure) -> ServiceReply:
         unknown = req.maybe_ran or bool(req.open)
         outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_RUN
         if unknown:
@@ -317,12 +307,12 @@
         service = req.service
         backlog_s = self._placer.wait_s(service, len(service.queue))
         if failure.code is Code.REFUSED_BY_RULE:
-            least_s = req.decision.then.retry_after_ms / 1000
-            return service.pressure.retry_after_s(0.0, least_s)
+            min_s = req.decision.then.retry_after_ms / 1000
+            return service.pressure.retry_after_s(0.0, min_s)
         return service.pressure.retry_after_s(backlog_s)
 
     def _close(self, req: OpenRequest) -> None:
-        """End what is still open: another attempt won, the deadline passed or the caller left."""
+        """Cancel the attempts that are still open and release the request."""
         won = not req.open or now() + TIMER_SLACK_S < req.deadline
         for attempt in list(req.open.values()):
             end = AttemptEnd.ABANDONED if won else AttemptEnd.TIMEOUT
@@ -332,7 +322,7 @@
         if not self._requests:
             self._idle.set()
 
-    # Hedges and silent connections.
+    # Hedges and outcome queries.
 
     def _hedge_due(self, req: OpenRequest) -> float | None:
         policy = self._config.current.document.retries
@@ -347,11 +337,11 @@
         return None if delay is None else last.sent_at + delay
 
     def _hedge(self, req: OpenRequest, at: float) -> None:
-        """Send one more attempt beside the open one, if it costs nobody else a place."""
+        """Send a second concurrent attempt if one is due and no queued request needs the slot."""
         due = self._hedge_due(req)
         if due is None or due > at or len(req.service.queue) or len(req.open) > 1:
             return
-        # The budget is asked last: a hedge without room must not use up what a retry may need.
+        # The budget is charged last, so that a hedge that cannot be placed leaves it to retries.
         instance = self._placer.reserve(req)
         if instance is None:
             return
@@ -361,30 +351,35 @@
         self.counters.hedges += 1
         self.attempts.send(req, instance)
 
-    def _fate_due(self, req: OpenRequest, attempt: OpenAttempt) -> float:
-        if attempt.asked >= FATE_LIMIT:
+    def _outcome_query_due(self, req: OpenRequest, attempt: OpenAttempt) -> float:
+        if attempt.outcome_queries >= MAX_OUTCOME_QUERIES:
             return req.deadline
-        usual_s = max(FATE_MIN_S, FATE_FACTOR * self.router.latency_s(req.service.name))
-        first_s = 0.0 if attempt.suspect else usual_s
-        return attempt.sent_at + first_s + usual_s * float(2**attempt.asked - 1)
+        base_delay_s = max(
+            MIN_OUTCOME_QUERY_DELAY_S,
+            OUTCOME_QUERY_LATENCY_FACTOR * self.router.latency_s(req.service.name),
+        )
+        initial_delay_s = 0.0 if attempt.suspect else base_delay_s
+        return (
+            attempt.sent_at + initial_delay_s + base_delay_s * float(2**attempt.outcome_queries - 1)
+        )
 
-    def _ask_fates(self, req: OpenRequest, at: float) -> None:
+    def _query_outcomes(self, req: OpenRequest, at: float) -> None:
         for attempt in req.open.values():
-            if self._fate_due(req, attempt) > at:
+            if self._outcome_query_due(req, attempt) > at:
                 continue
-            self.attempts.ask_fate(attempt)
+            self.attempts.query_outcome(attempt)
 
-    # Changes of instances and of the configuration.
+    # Instance and configuration updates.
 
     def _on_view(self, view: InstanceView, live: bool) -> None:
         at = now()
         self.router.update(view, live, at)
         if self._seen.get(view.id) != (view.incarnation, live):
             self._seen[view.id] = (view.incarnation, live)
-            self.attempts.doubt(view, live)
+            self.attempts.mark_suspect(view, live)
         for service in view.services:
             if (state := self._services.get(service)) is not None:
-                self._placer.pump(state)
+                self._placer.dispatch_queued(state)
 
     def _on_config(self, config: Config) -> None:
         document = config.document
@@ -393,4 +388,4 @@
         for name, state in self._services.items():
             policy = document.services.get(name, ServicePolicy())
             for waiter in state.configure(policy, document.retries):
-                give_up(waiter)
+                reject_waiter(waiter)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -1,9 +1,9 @@
-"""Gives one job to one instance: offer, claim, start.
+"""Starts a job on an instance: offer, claim, start.
 
-The offer makes the agent reserve room, so that a claim is rarely refused after its write.  The
-claim is committed under the conditions that the job's row is as it was read and that the agent's
-run is registered and not fenced; only then is the agent told to start.  A start that could not be
-handed to a connection is taken back under that proof.
+An offer makes the agent reserve capacity, so that a claim is rarely refused after its commit.  The
+claim is committed on condition that the job's row is unchanged and that the agent's incarnation is
+registered and not fenced; only then is the agent told to start.  If the start message was
+definitely not sent, the claim is released.
 """
 
 import asyncio
@@ -14,9 +14,9 @@
 from result import Err, Ok
 
 from sapphirelead.clock import now
-from sapphirelead.entry_job_board import JobBoard
+from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
-from sapphirelead.entry_lease import LeaseKeeper
+from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
 from sapphirelead.entry_ports import ConfigService, Head, InstanceView, Lane, Links, Stamp
 from sapphirelead.errors import Code
@@ -25,23 +25,23 @@
 from sapphirelead.policy_placement import InstanceRecord
 from sapphirelead.wire_messages import Accepted, Amount, Completed, Offer, Refused, Start
 
-ADOPTION: Final = "adoption"
+ADOPTION_OFFER_ID: Final = "adoption"
 OFFER_TIMEOUT_S: Final = 1.0
-URGENT_TIMEOUT_S: Final = 2.5
+URGENT_OFFER_TIMEOUT_S: Final = 2.5
 
 
 class JobStarter:
-    """Offers, claims and starts; keeps what this entry has offered to each instance.
+    """Offers, claims and starts jobs, and tracks this entry's offers to each instance.
 
-    :ivar records: what is remembered of each instance between its reports.
+    :ivar records: unreported offers and consecutive failures by instance.
     """
 
     records: dict[str, InstanceRecord]
     _stamp: Stamp
     _rows: JobRows
-    _board: JobBoard
+    _board: JobNotifier
     _moves: JobMoves
-    _leases: LeaseKeeper
+    _leases: LeaseManager
     _links: Links
     _config: ConfigService
     _offers: dict[str, "asyncio.Future[bool]"]
@@ -51,9 +51,9 @@
         self,
         stamp: Stamp,
         rows: JobRows,
-        board: JobBoard,
+        board: JobNotifier,
         moves: JobMoves,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         links: Links,
         config: ConfigService,
     ) -> None:
@@ -76,12 +76,12 @@
         """Number of jobs between offer and start."""
         return len(self._placing)
 
-    def has(self, key: str) -> bool:
+    def is_placing(self, key: str) -> bool:
         """Whether the job is between offer and start."""
         return key in self._placing
 
     def begin(self, stored: StoredJob, view: InstanceView, urgent: bool, rule: str) -> None:
-        """Offer, claim and start a job beside the caller."""
+        """Offer, claim and start a job in a background task."""
         key = stored.job.spec.key
         work = self._place(stored, view, urgent, rule)
         task = asyncio.create_task(work, name=f"place:{key}")
@@ -89,26 +89,26 @@
         task.add_done_callback(lambda _: self._placing.pop(key, None))
 
     async def stop(self) -> None:
-        """Let claims in progress reach their start."""
+        """Wait a limited time for claims in progress, then cancel them."""
         placing = list(self._placing.values())
         if placing:
             _, late = await asyncio.wait(placing, timeout=2 * OFFER_TIMEOUT_S)
             for task in late:
                 task.cancel()
 
-    def forget_counted(self, views: Iterable[InstanceView]) -> None:
-        """Drop offers that the instance's newest report already counts."""
+    def drop_reported_offers(self, views: Iterable[InstanceView]) -> None:
+        """Drop closed offers of each instance with a new report, which already includes them."""
         for view in views:
             record = self.records.setdefault(view.id, InstanceRecord())
             if view.counter == record.heartbeat:
                 continue
             record.heartbeat = view.counter
             if record.offered:
-                still = self._offers.keys()
-                record.offered = {k: v for k, v in record.offered.items() if k in still}
+                open_ids = self._offers.keys()
+                record.offered = {k: v for k, v in record.offered.items() if k in open_ids}
 
     def head(self) -> Head:
-        """Return the head of a message from this entry."""
+        """Return the header fields of a message from this entry."""
         return self._stamp.head(self._config.current.version)
 
     def start_message(self, offer_id: str, job: Job) -> Start:
@@ -135,7 +135,7 @@
         offer_id = secrets.token_hex(6)
         record = self.records.setdefault(view.id, InstanceRecord())
         record.offered[offer_id] = spec.resources
-        accepted = await self._offered(offer_id, stored.job, view, urgent)
+        accepted = await self._send_offer(offer_id, stored.job, view, urgent)
         claimed = await self._claim(stored, view) if accepted else None
         if claimed is None:
             record.offered.pop(offer_id, None)
@@ -144,11 +144,11 @@
         log_event("INFO", "job_placed", job=spec.key, epoch=epoch, instance=view.id, rule=rule)
         start = self.start_message(offer_id, claimed.job)
         if not await self._links.send(view.id, Lane.CONTROL, start):
-            # The start was never handed to a connection, so the task cannot have been started.
-            said_by = Holder(view.id, view.incarnation)
-            await self._moves.release_unstarted(spec.key, epoch, said_by, "start not sent")
+            # The start message was not sent, so the task cannot have started.
+            reporter = Holder(view.id, view.incarnation)
+            await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
 
-    async def _offered(self, offer_id: str, job: Job, view: InstanceView, urgent: bool) -> bool:
+    async def _send_offer(self, offer_id: str, job: Job, view: InstanceView, urgent: bool) -> bool:
         fut: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._offers[offer_id] = fut
         spec = job.spec
@@ -165,7 +165,7 @@
         try:
             if not await self._links.send(view.id, Lane.CONTROL, message):
                 return False
-            async with asyncio.timeout(URGENT_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
+            async with asyncio.timeout(URGENT_OFFER_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
                 return await fut
         except TimeoutError:
             return False
@@ -173,17 +173,17 @@
             del self._offers[offer_id]
 
     async def _claim(self, stored: StoredJob, view: InstanceView) -> StoredJob | None:
-        """Commit the claim; ``None`` where someone else moved the job or fenced the instance."""
+        """Commit the claim; ``None`` if the job changed or the instance is not registered."""
         guard = self._leases.guard(view.id, view.incarnation)
         if guard is None:
             await self._leases.refresh(view.id)
             guard = self._leases.guard(view.id, view.incarnation)
-        stepped = stored.job.claim(Holder(view.id, view.incarnation))
-        if guard is None or isinstance(stepped, Err):
+        updated = stored.job.claim(Holder(view.id, view.incarnation))
+        if guard is None or isinstance(updated, Err):
             return None
-        moved = await self._rows.move(stored, stepped.ok_value, (guard,))
+        moved = await self._rows.move(stored, updated.ok_value, (guard,))
         if isinstance(moved, Ok):
-            self._board.committed(moved.ok_value)
+            self._board.publish_committed(moved.ok_value)
             return moved.ok_value
         log_event("INFO", "claim_failed", job=stored.job.spec.key, reason=moved.err_value)
         if moved.err_value.code is Code.STORE_CONFLICT:
@@ -194,24 +194,24 @@
         return None
 
     def _on_accepted(self, message: Accepted) -> None:
-        self._answer_offer(message.offer_id, True)
+        self._resolve_offer(message.offer_id, True)
 
     def _on_refused(self, message: Refused) -> None:
-        self._answer_offer(message.offer_id, False)
-        if message.epoch == 0 or message.offer_id == ADOPTION:
-            # A refused confirmation of an adopted task says nothing of whether it ever ran.
+        self._resolve_offer(message.offer_id, False)
+        if message.epoch == 0 or message.offer_id == ADOPTION_OFFER_ID:
+            # A refused confirmation of an adopted task does not show that the task never ran.
             return
-        said_by = Holder(message.sender, message.incarnation)
-        work = self._moves.release_unstarted(message.key, message.epoch, said_by, message.reason)
-        self._moves.once("release", message.key, message.epoch, work)
+        reporter = Holder(message.sender, message.incarnation)
+        work = self._moves.release_unstarted(message.key, message.epoch, reporter, message.reason)
+        self._moves.run_once("release", message.key, message.epoch, work)
 
-    def _answer_offer(self, offer_id: str, accepted: bool) -> None:
+    def _resolve_offer(self, offer_id: str, accepted: bool) -> None:
         fut = self._offers.get(offer_id)
         if fut is not None and not fut.done():
             fut.set_result(accepted)
 
     def _on_completed(self, message: Completed) -> None:
-        """Remember which instances fail what they start."""
+        """Count consecutive failures of each instance."""
         record = self.records.setdefault(message.sender, InstanceRecord())
         if message.ok:
             record.failures = 0
--- a/sapphirelead/entry_watch.py
+++ b/sapphirelead/entry_watch.py
@@ -1,8 +1,8 @@
-"""Events of running watches, on their way from agents to callers.
+"""Buffers events of running watches between agents and callers.
 
-Events are numbered within an epoch.  An entry keeps a bounded tail for each watch; a reader that
-comes late gets the tail, a reader that is slow misses the oldest, and neither holds the watch up.
-An event that arrives twice (an agent resends after a reconnect) is handed on once.
+Events are numbered within an epoch.  An entry keeps a bounded tail for each watch: late readers get
+the tail, and slow readers miss the oldest events without delaying the watch.  Duplicates, which
+agents send after a reconnect, are dropped.
 """
 
 import asyncio
@@ -11,34 +11,34 @@
 
 from sapphirelead.wire_messages import WatchEvent
 
-TAIL_EVENTS: Final = 256
-TAILS: Final = 4096
+MAX_TAIL_EVENTS: Final = 256
+MAX_TAILS: Final = 4096
 
 
 class WatchTail:
-    """The last events of one watch."""
+    """The latest events of one watch."""
 
     events: deque[WatchEvent]
     changed: asyncio.Event
 
     def __init__(self) -> None:
-        self.events = deque(maxlen=TAIL_EVENTS)
+        self.events = deque(maxlen=MAX_TAIL_EVENTS)
         self.changed = asyncio.Event()
 
     def add(self, event: WatchEvent) -> None:
-        """Keep ``event`` if it is newer than all before it."""
-        if self.events and mark_of(event) <= mark_of(self.events[-1]):
+        """Append ``event`` if it is newer than the last one."""
+        if self.events and event_position(event) <= event_position(self.events[-1]):
             return
         self.events.append(event)
         self.changed.set()
 
-    def after(self, mark: tuple[int, int]) -> list[WatchEvent]:
-        """Return the events newer than ``mark``."""
-        return [event for event in self.events if mark_of(event) > mark]
+    def after(self, position: tuple[int, int]) -> list[WatchEvent]:
+        """Return the events after ``position``."""
+        return [event for event in self.events if event_position(event) > position]
 
 
 class WatchTails:
-    """Tails of the watches whose events reach this entry, the longest unused dropped first."""
+    """Tails of the watches whose events reach this entry, evicted least recently used first."""
 
     _tails: "OrderedDict[str, WatchTail]"
 
@@ -46,18 +46,18 @@
         self._tails = OrderedDict()
 
     def add(self, event: WatchEvent) -> None:
-        """Keep an event."""
+        """Append an event to the tail of its watch."""
         self.tail(event.key).add(event)
 
     def tail(self, key: str) -> WatchTail:
-        """Return the tail of a watch, empty if nothing has arrived yet."""
+        """Return the tail of a watch, which is empty if no event has arrived."""
         tail = self._tails.setdefault(key, WatchTail())
         self._tails.move_to_end(key)
-        if len(self._tails) > TAILS:
+        if len(self._tails) > MAX_TAILS:
             self._tails.popitem(last=False)
         return tail
 
 
-def mark_of(event: WatchEvent) -> tuple[int, int]:
-    """Return the position of an event, which grows over a watch's whole life."""
+def event_position(event: WatchEvent) -> tuple[int, int]:
+    """Return the position of an event, which increases over the lifetime of its watch."""
     return (event.epoch, event.number)
--- a/sapphirelead/main.py
+++ b/sapphirelead/main.py
@@ -77,7 +77,7 @@
 from sapphirelead.settings import AgentSettings, EntrySettings, RunnerSettings
 
 PACKAGE: Final = "sapphirelead"
-WORDS: Final = (
+COMMANDS: Final = (
     ("entry",),
     ("agent",),
     ("runner",),
@@ -111,13 +111,13 @@
 
 
 def run() -> None:
-    """Entry point of the program."""
+    """Run the command line of this process and exit with its exit code."""
     try:
         code = run_with(sys.argv[1:])
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader of a pipe (``| head``) has seen enough.  Without another standard output the
-        # interpreter would meet the same error again when it flushes at its end.
+        # The reader of the pipe (``| head``) has exited.  Redirect standard output, or the
+        # interpreter raises the same error when it flushes at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = Exit.OK
     raise SystemExit(code)
@@ -139,12 +139,12 @@
 
 
 def parse_options(args: dict[str, Any]) -> Options:
-    """Turn docopt's answer into typed options.
+    """Convert docopt's result to typed options.
 
-    :raises ValueError: where a number is none.
+    :raises ValueError: if a numeric option is not a number.
     """
     return Options(
-        command=next(words for words in WORDS if all(args[word] for word in words)),
+        command=next(words for words in COMMANDS if all(args[word] for word in words)),
         config=args["--config"] or "",
         file=args["FILE"] or args["--file"] or "",
         name=args["KEY"] or args["ID"] or args["DIR"] or (args["--id"] if args["standin"] else ""),
@@ -158,12 +158,12 @@
         after=args["--after"] or "",
         pairs=tuple(args["PAIR"]),
         logs=tuple(args["LOG"]),
-        base=_base(args["--base"]),
+        base=_parse_base(args["--base"]),
         author=args["--author"] or "",
         reason=args["--reason"] or "",
-        limit=_number("--limit", args["--limit"]),
+        limit=_parse_number("--limit", args["--limit"]),
         host=args["--host"],
-        port=_number("--port", args["--port"]),
+        port=_parse_number("--port", args["--port"]),
         history=args["--history"] or "",
         settings=args["--settings"],
     )
@@ -190,8 +190,7 @@
             return run_command(options)
 
 
-# Each role imports only its own modules: an agent beside a target starts in half the time and
-# memory without the entry's and the operators' code.
+# Each role imports only its own modules, to keep the start-up time and memory of agents low.
 
 
 def _run_entry(options: Options) -> int:
@@ -200,7 +199,7 @@
 
     settings = load_settings(options.config, EntrySettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_entry(settings.ok_value))
 
 
@@ -210,7 +209,7 @@
 
     settings = load_settings(options.config, AgentSettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_agent(settings.ok_value))
 
 
@@ -220,7 +219,7 @@
 
     settings = load_settings(options.config, RunnerSettings).and_then(prepare)
     if isinstance(settings, Err):
-        return _refuse(settings)
+        return _print_refusal(settings)
     return asyncio.run(run_runner(settings.ok_value))
 
 
@@ -237,22 +236,22 @@
     )
 
 
-def _refuse(error: Result[Any, Failure]) -> int:
+def _print_refusal(error: Result[Any, Failure]) -> int:
     print(error.err(), file=sys.stderr)
     return Exit.REFUSED
 
 
-def _number(option: str, text: str) -> int:
+def _parse_number(option: str, text: str) -> int:
     try:
         return int(text)
     except ValueError:
         raise ValueError(f"{option} wants a whole number, not {text!r}") from None
 
 
-def _base(text: str | None) -> int:
+def _parse_base(text: str | None) -> int:
     if text is None:
         return BASE_UNSET
-    return BASE_CURRENT if text == "current" else _number("--base", text)
+    return BASE_CURRENT if text == "current" else _parse_number("--base", text)
 
 
 def _version() -> str:
