--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -1,12 +1,11 @@
 """Metrics of one process, exported as Prometheus text.
 
-Latencies are recorded in HDR histograms and exported as percentiles.  Two histograms are kept for
-each series: the current window and the one before.  An export reads both, so that it always covers
-between one and two windows, never the whole life of the process, in which a bad minute would
-disappear.
+Latencies are recorded in HDR histograms and exported as percentiles.  Each series keeps two
+histograms, for the current and the previous window; an export merges both, so it covers the last
+one to two windows rather than the lifetime of the process.
 
-The number of series of one metric is bounded.  Label values may come from callers (a team, say);
-past the bound they share the series ``other``, so that memory does not grow with what callers send.
+The number of series of one metric is bounded, because label values may come from callers.  Beyond
+the bound, new label values share the series ``other``.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -20,13 +19,13 @@
 from sapphirelead.clock import now
 
 WINDOW_S: Final = 30.0
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 3_600_000_000
+MIN_LATENCY_US: Final = 1
+MAX_LATENCY_US: Final = 3_600_000_000
 SIGNIFICANT_DIGITS: Final = 2
 PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9)
 MAX_SERIES: Final = 500
 PREFIX: Final = "sapphirelead_"
-OTHER: Final = "other"
+OVERFLOW_LABEL: Final = "other"
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -38,25 +37,25 @@
     total_ms: float
     _current: HdrHistogram
     _previous: HdrHistogram
-    _turned_at: float
+    _rotated_at: float
 
     def __init__(self, at: float) -> None:
         self.count = 0
         self.total_ms = 0.0
         self._current = _histogram()
         self._previous = _histogram()
-        self._turned_at = at
+        self._rotated_at = at
 
     def record(self, at: float, latency_ms: float) -> None:
-        """Record one latency, in milliseconds, at loop time ``at``."""
-        self._turn(at)
+        """Record one latency in milliseconds, measured at loop time ``at``."""
+        self._rotate(at)
         self.count += 1
         self.total_ms += latency_ms
-        self._current.record_value(min(max(int(latency_ms * 1000), LOWEST_US), HIGHEST_US))
+        self._current.record_value(min(max(int(latency_ms * 1000), MIN_LATENCY_US), MAX_LATENCY_US))
 
     def percentiles_ms(self, at: float) -> dict[float, float]:
-        """Return each of :data:`PERCENTILES` in milliseconds; empty where nothing was recorded."""
-        self._turn(at)
+        """Return :data:`PERCENTILES` in milliseconds; empty if no latency was recorded."""
+        self._rotate(at)
         merged = _histogram()
         merged.add(self._previous)
         merged.add(self._current)
@@ -64,19 +63,19 @@
             return {}
         return {q: merged.get_value_at_percentile(q) / 1000 for q in PERCENTILES}
 
-    def _turn(self, at: float) -> None:
-        elapsed = at - self._turned_at
+    def _rotate(self, at: float) -> None:
+        elapsed = at - self._rotated_at
         if elapsed < WINDOW_S:
             return
         self._previous = self._current if elapsed < 2 * WINDOW_S else _histogram()
         self._current = _histogram()
-        self._turned_at = at
+        self._rotated_at = at
 
 
 class Metrics(Collector):
-    """Counters, gauges and latencies of one process; handed to whoever measures.
+    """Counters, gauges and latencies of one process.
 
-    Names are given without the common prefix; docs/OPERATIONS.md lists them all.
+    Names are given without the common prefix; docs/OPERATIONS.md lists all of them.
     """
 
     _clock: Callable[[], float]
@@ -91,36 +90,36 @@
         self._latencies = {}
 
     def count(self, name: str, amount: float = 1.0, /, **labels: str) -> None:
-        """Add to a counter, whose name ends with ``_total``."""
+        """Add to a counter; its name ends with ``_total``."""
         series = self._counters.setdefault(name, {})
-        key = _bounded(series, labels)
+        key = _bounded_key(series, labels)
         series[key] = series.get(key, 0.0) + amount
 
     def gauge(self, name: str, read: Callable[[], float], /, **labels: str) -> None:
-        """Export what ``read`` returns at each export; registering again replaces it."""
+        """Register a gauge that is read at each export, replacing an earlier registration."""
         series = self._gauges.setdefault(name, {})
-        series[_bounded(series, labels)] = read
+        series[_bounded_key(series, labels)] = read
 
     def latency(self, name: str, latency_ms: float, /, **labels: str) -> None:
-        """Record a latency in milliseconds; the name ends with ``_ms``."""
+        """Record a latency in milliseconds; its name ends with ``_ms``."""
         series = self._latencies.setdefault(name, {})
-        key = _bounded(series, labels)
+        key = _bounded_key(series, labels)
         window = series.get(key)
         if window is None:
             window = series[key] = LatencyWindow(self._clock())
         window.record(self._clock(), latency_ms)
 
     def value(self, name: str, /, **labels: str) -> float:
-        """Return a counter's value, 0 where it was never counted."""
+        """Return the value of a counter, 0 if it was never incremented."""
         return self._counters.get(name, {}).get(_labels(labels), 0.0)
 
     def percentiles_ms(self, name: str, /, **labels: str) -> dict[float, float]:
-        """Return the recent percentiles of a latency series."""
+        """Return the percentiles of a latency series over the last one to two windows."""
         window = self._latencies.get(name, {}).get(_labels(labels))
         return window.percentiles_ms(self._clock()) if window else {}
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric in the exporter's form."""
+        """Yield all metrics, as the Prometheus registry requires."""
         for name, counted in self._counters.items():
             yield _counter(name, counted)
         for name, read in self._gauges.items():
@@ -129,8 +128,8 @@
             yield self._summary(name, windows)
 
     def render(self) -> bytes:
-        """Return the export as text."""
-        # A registry for each export: registering once would need the metrics' names in advance.
+        """Return all metrics in the Prometheus text format."""
+        # A new registry for each export: a single registration would need all names in advance.
         registry = CollectorRegistry()
         registry.register(self)
         return generate_latest(registry)
@@ -148,18 +147,18 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def _labels(labels: dict[str, str]) -> Labels:
     return tuple(sorted(labels.items()))
 
 
-def _bounded(series: Mapping[Labels, object], labels: dict[str, str]) -> Labels:
+def _bounded_key(series: Mapping[Labels, object], labels: dict[str, str]) -> Labels:
     key = _labels(labels)
     if key in series or len(series) < MAX_SERIES:
         return key
-    return tuple((name, OTHER) for name, _ in key)
+    return tuple((name, OVERFLOW_LABEL) for name, _ in key)
 
 
 def _counter(name: str, counted: dict[Labels, float]) -> Metric:
--- a/sapphirelead/model_config_diff.py
+++ b/sapphirelead/model_config_diff.py
@@ -1,8 +1,7 @@
-"""What a change of the configuration changed, in words for the audit trail.
+"""Describes the difference between two configuration documents for the audit trail.
 
-Tables are compared key by key.  Rules are compared by name, and their order by itself, because the
-first rule that matches decides: moving a rule can change every decision without changing a word of
-any rule.
+Tables are compared key by key.  Rules are compared by name.  A change of rule order is reported
+separately, because the first matching rule decides.
 """
 
 import json
@@ -12,19 +11,21 @@
 from sapphirelead.model_config import ConfigDocument
 
 MAX_LINES: Final = 40
-MAX_CHARS: Final = 200
-RULES: Final = "rules"
+MAX_LINE_CHARS: Final = 200
+RULES_KEY: Final = "rules"
 
 
 def describe_changes(before: ConfigDocument, after: ConfigDocument) -> tuple[str, ...]:
-    """Return one line for each change, at most :data:`MAX_LINES`.
+    """Return one line per change, and a summary line for those beyond :data:`MAX_LINES`.
 
     >>> new = ConfigDocument.model_validate({"retries": {"budget_share": 0.2}})
     >>> describe_changes(ConfigDocument(), new)
     ('retries.budget_share: unset -> 0.2',)
     """
     lines = list(_changes(_dump(before), _dump(after)))
-    shown = [line if len(line) <= MAX_CHARS else line[:MAX_CHARS] + "..." for line in lines]
+    shown = [
+        line if len(line) <= MAX_LINE_CHARS else line[:MAX_LINE_CHARS] + "..." for line in lines
+    ]
     if len(shown) > MAX_LINES:
         return (*shown[:MAX_LINES], f"and {len(shown) - MAX_LINES} further changes")
     return tuple(shown)
@@ -35,10 +36,10 @@
 
 
 def _changes(before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
-    old_rules = before.pop(RULES, [])
-    new_rules = after.pop(RULES, [])
+    old_rules = before.pop(RULES_KEY, [])
+    new_rules = after.pop(RULES_KEY, [])
     for section in sorted(before.keys() | after.keys()):
-        # A section that is left out is one whose keys all have their defaults.
+        # Sections with only default values are omitted from the dump.
         yield from _compare(f"{section}.", before.get(section, {}), after.get(section, {}))
     yield from _compare_rules(old_rules, new_rules)
 
@@ -52,7 +53,7 @@
         if isinstance(old, dict) and isinstance(new, dict):
             yield from _compare(f"{path}.", old, new)
         else:
-            yield f"{path}: {_shown(old)} -> {_shown(new)}"
+            yield f"{path}: {_format_value(old)} -> {_format_value(new)}"
 
 
 def _compare_rules(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> Iterator[str]:
@@ -72,5 +73,5 @@
         yield f"rules in another order: {', '.join(new)}"
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return "unset" if value is None else json.dumps(value, sort_keys=True)
--- a/sapphirelead/model_membership.py
+++ b/sapphirelead/model_membership.py
@@ -1,17 +1,15 @@
-"""Which instances exist, and which of them are live, as one entry knows it.
+"""Membership table of one entry: the known instances and their liveness.
 
-An instance exists from its announcement on; nothing lists it beforehand.  Each run of its agent is
-an incarnation.  Incarnations carry no order of their own: the one announced last is current, unless
-it was fenced or had been replaced by another before.
+Instances are added by their first announcement.  Each run of an instance's agent is an incarnation;
+the last one announced is current, unless it was fenced or replaced before.
 
 Invariants:
 
-- A message of an incarnation that was replaced or fenced changes nothing.
-- The beat counter of an incarnation never goes back, so a delayed beat does not revive an instance.
-- Nobody is called silent for a time in which this process itself did not run.  The failure: an
-  entry is stopped for some seconds and wakes up; each instance's last message looks old, and all
-  would be dropped at once although each of them kept sending.  A gap between two looks at the clock
-  shows it, and everybody is granted a fresh silence period from the moment of waking.
+- Messages of replaced or fenced incarnations do not change the table.
+- The heartbeat counter of an incarnation never decreases, so a delayed heartbeat does not make an
+  instance live again.
+- After a pause of this process, detected by a gap between ticks, every instance gets a fresh
+  timeout, so that the pause does not make all instances appear unresponsive at once.
 """
 
 from dataclasses import dataclass, field, replace
@@ -22,17 +20,19 @@
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_messages import Announce, Beat
 
-REPLACED_KEPT: Final = 8
-FORGET_SILENCES: Final = 20.0
-PAUSE_SHARE: Final = 0.34
+MAX_PAST_INCARNATIONS: Final = 8
+REMOVE_AFTER_TIMEOUTS: Final = 20.0
+MAX_TICK_GAP_SHARE: Final = 0.34
 
 
 @dataclass(frozen=True, slots=True)
-class BeatVerdict:
-    """How a beat is to be answered.
+class HeartbeatReply:
+    """How to reply to a heartbeat.
 
-    :ivar known: ``False`` means that no acknowledgement is due: the sender has to announce itself
-        again, or was replaced.
+    :ivar known: ``False`` if no acknowledgement is due, because the incarnation is not the current
+        one of a known instance.
+    :ivar committed: last committed counter of the incarnation.
+    :ivar fenced: whether the incarnation is fenced.
     """
 
     known: bool
@@ -40,7 +40,7 @@
     fenced: bool = False
 
 
-UNKNOWN: Final = BeatVerdict(known=False)
+UNKNOWN_SENDER: Final = HeartbeatReply(known=False)
 
 
 @dataclass(slots=True)
@@ -52,40 +52,40 @@
 
 
 class MembershipTable:
-    """The instances that announced themselves.
+    """The instances that have announced themselves.
 
-    :ivar silence_s: seconds without a message after which an instance is silent.
+    :ivar timeout_s: seconds without a message after which an instance is unresponsive.
     """
 
-    silence_s: float
+    timeout_s: float
     _members: dict[str, _Member]
-    _looked_at: float
-    _granted_at: float
+    _last_tick_at: float
+    _grace_start: float
 
-    def __init__(self, silence_s: float, at: float) -> None:
-        self.silence_s = silence_s
+    def __init__(self, timeout_s: float, at: float) -> None:
+        self.timeout_s = timeout_s
         self._members = {}
-        self._looked_at = at
-        self._granted_at = at
+        self._last_tick_at = at
+        self._grace_start = at
 
     @classmethod
     def from_settings(cls, lease: LeaseSettings, at: float) -> "MembershipTable":
         """Return an empty table."""
         return cls(lease.silence_seconds, at)
 
-    def look(self, at: float) -> bool:
-        """Note that the process runs at ``at``; return whether it had been paused until then.
+    def tick(self, at: float) -> bool:
+        """Record that the process runs at ``at``; return whether it was paused until then.
 
-        Called several times in each silence period and before every judgement about silence.
+        Call several times per timeout, and before each liveness check.
         """
-        paused = at - self._looked_at > self.silence_s * PAUSE_SHARE
-        self._looked_at = at
+        paused = at - self._last_tick_at > self.timeout_s * MAX_TICK_GAP_SHARE
+        self._last_tick_at = at
         if paused:
-            self._granted_at = at
+            self._grace_start = at
         return paused
 
     def announce(self, message: Announce, at: float) -> bool:
-        """Take an announcement; return whether its incarnation is current now."""
+        """Process an announcement; return whether its incarnation is now current."""
         member = self._members.get(message.sender)
         if member is None:
             self._members[message.sender] = _Member(_view_of(message, at))
@@ -93,28 +93,28 @@
         if message.incarnation in member.replaced or message.incarnation in member.fenced:
             return False
         if message.incarnation != member.view.incarnation:
-            member.replaced = [*member.replaced, member.view.incarnation][-REPLACED_KEPT:]
+            member.replaced = [*member.replaced, member.view.incarnation][-MAX_PAST_INCARNATIONS:]
             member.committed = 0
             member.view = _view_of(message, at)
             return True
-        member.view = _announced_again(member.view, message, at)
+        member.view = _after_reannouncement(member.view, message, at)
         return True
 
-    def beat(self, message: Beat, at: float) -> BeatVerdict:
-        """Take a beat and return how to answer it."""
+    def heartbeat(self, message: Beat, at: float) -> HeartbeatReply:
+        """Process a heartbeat and return how to reply to it."""
         member = self._members.get(message.sender)
         if member is None or message.incarnation in member.replaced:
-            return UNKNOWN
+            return UNKNOWN_SENDER
         if message.incarnation in member.fenced:
-            return BeatVerdict(known=True, fenced=True)
+            return HeartbeatReply(known=True, fenced=True)
         if message.incarnation != member.view.incarnation:
-            return UNKNOWN
+            return UNKNOWN_SENDER
         if message.counter > member.view.counter:
-            member.view = _after_beat(member.view, message, at)
-        return BeatVerdict(known=True, committed=member.committed)
+            member.view = _after_heartbeat(member.view, message, at)
+        return HeartbeatReply(known=True, committed=member.committed)
 
     def set_committed(self, instance: str, incarnation: str, counter: int) -> bool:
-        """Record the counter that the table holds; return whether it grew."""
+        """Record the committed counter; return whether it grew and the instance is not fenced."""
         member = self._members.get(instance)
         if member is None or member.view.incarnation != incarnation:
             return False
@@ -123,44 +123,46 @@
         return grew and not member.view.fenced
 
     def mark_fenced(self, instance: str, incarnation: str) -> None:
-        """Record that an incarnation may act no more."""
+        """Record that an incarnation is fenced."""
         member = self._members.get(instance)
         if member is None or incarnation in member.fenced:
             return
-        member.fenced = [*member.fenced, incarnation][-REPLACED_KEPT:]
+        member.fenced = [*member.fenced, incarnation][-MAX_PAST_INCARNATIONS:]
         if member.view.incarnation == incarnation:
             member.view = replace(member.view, fenced=True)
 
-    def forget_silent(self, at: float) -> list[str]:
-        """Drop and return instances that have been silent for many silence periods."""
-        limit = self.silence_s * FORGET_SILENCES
-        gone = [key for key, m in self._members.items() if self._quiet_s(m.view, at) > limit]
-        for key in gone:
+    def remove_unresponsive(self, at: float) -> list[str]:
+        """Remove and return instances unresponsive for over ``REMOVE_AFTER_TIMEOUTS`` timeouts."""
+        limit = self.timeout_s * REMOVE_AFTER_TIMEOUTS
+        removed = [
+            key for key, m in self._members.items() if self._unresponsive_s(m.view, at) > limit
+        ]
+        for key in removed:
             del self._members[key]
-        return gone
+        return removed
 
     def get(self, instance: str) -> InstanceView | None:
-        """Return one instance, silent or not."""
+        """Return an instance, live or not, or ``None`` if it is unknown."""
         member = self._members.get(instance)
         return member.view if member else None
 
     def all(self) -> list[InstanceView]:
-        """Return every instance that is not forgotten."""
+        """Return all known instances, live or not."""
         return [member.view for member in self._members.values()]
 
     def is_live(self, view: InstanceView, at: float) -> bool:
-        """Return whether an instance may be given new work."""
+        """Return whether an instance is responsive and neither fenced nor draining."""
         if view.fenced or view.draining:
             return False
-        return self._quiet_s(view, at) <= self.silence_s
+        return self._unresponsive_s(view, at) <= self.timeout_s
 
     def live(self, at: float) -> list[InstanceView]:
-        """Return the instances that are neither silent, fenced nor draining."""
-        self.look(at)
+        """Record a tick and return the live instances."""
+        self.tick(at)
         return [view for view in self.all() if self.is_live(view, at)]
 
-    def _quiet_s(self, view: InstanceView, at: float) -> float:
-        return at - max(view.heard_at, self._granted_at)
+    def _unresponsive_s(self, view: InstanceView, at: float) -> float:
+        return at - max(view.heard_at, self._grace_start)
 
 
 def _view_of(message: Announce, at: float) -> InstanceView:
@@ -185,7 +187,7 @@
     )
 
 
-def _announced_again(view: InstanceView, message: Announce, at: float) -> InstanceView:
+def _after_reannouncement(view: InstanceView, message: Announce, at: float) -> InstanceView:
     return replace(
         view,
         zone=message.zone,
@@ -200,7 +202,7 @@
     )
 
 
-def _after_beat(view: InstanceView, message: Beat, at: float) -> InstanceView:
+def _after_heartbeat(view: InstanceView, message: Beat, at: float) -> InstanceView:
     return replace(
         view,
         free=message.free.to_resources(),
--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -1,10 +1,10 @@
-"""Callers' requests that wait at a hub: cancels, and submissions and questions in turns by sender.
+"""Queue of callers' requests at a hub.
 
-Of one sender the newest question goes first: the callers of older ones are about to give up.  A
-question is dropped once its caller has given up, a submission only where too many calls wait.  No
-call for a job goes before a submission of that job that arrived earlier, so that a job is not
-called absent and then run.  :meth:`CallQueue.may_come` tells whether a submission of a job waits
-here or was dropped and may be repeated.
+Cancellations have a queue of their own.  Submissions and queries are taken round-robin by sender: a
+sender's submissions oldest first, its queries newest first, as the callers of older ones time out
+sooner.  A query is dropped on overflow or once its caller has timed out, a submission only on
+overflow.  No call for a job overtakes an earlier submission of that job, so that a job is not
+reported absent and then run.
 """
 
 from collections import Counter
@@ -15,112 +15,112 @@
 from sapphirelead.node_dropped import DroppedSubmits
 from sapphirelead.node_messages import Call, CallKind
 
-CALLS_KEPT: Final = 2_000
-"""Calls that wait, cancels among them."""
+MAX_QUEUED_CALLS: Final = 2_000
+"""Bound on queued calls, including cancellations."""
 
-CALL_BYTES_KEPT: Final = 16 * 1024 * 1024
-"""Size of the jobs in the calls that wait."""
+MAX_QUEUED_CALL_BYTES: Final = 16 * 1024 * 1024
+"""Bound on the total size of the jobs in queued calls."""
 
-Key = tuple[bytes, int]
+CallKey = tuple[bytes, int]
 
 
 @dataclass(slots=True)
-class WaitingCall:
-    """A call that waits; a later try of it takes its place.
+class QueuedCall:
+    """A queued call; a retry replaces its content and keeps its position.
 
-    :ivar since: when its first try arrived.
+    :ivar arrived_at: arrival time of the first try.
     """
 
     identity: bytes
     call: Call
-    since: float
+    arrived_at: float
 
     @property
-    def key(self) -> Key:
-        """Identity of the call, the same in each try."""
+    def key(self) -> CallKey:
+        """Sender and number of the call, the same for each retry."""
         return self.identity, self.call.number
 
 
 @dataclass(slots=True)
 class _Sender:
-    """Submissions and questions of one sender, each in the order of their arrival."""
+    """Submissions and queries of one sender, each in order of arrival."""
 
-    submits: dict[Key, WaitingCall] = field(default_factory=dict)
-    questions: dict[Key, WaitingCall] = field(default_factory=dict)
+    submits: dict[CallKey, QueuedCall] = field(default_factory=dict)
+    queries: dict[CallKey, QueuedCall] = field(default_factory=dict)
     submit_next: bool = True
 
     def __len__(self) -> int:
-        return len(self.submits) + len(self.questions)
+        return len(self.submits) + len(self.queries)
 
-    def next(self) -> WaitingCall:
-        """Return what comes next: a submission and a question in turn."""
-        submit = bool(self.submits) and (self.submit_next or not self.questions)
+    def next(self) -> QueuedCall:
+        """Return the next call: alternately the oldest submission and the newest query."""
+        submit = bool(self.submits) and (self.submit_next or not self.queries)
         self.submit_next = not submit
         if submit:
             return next(iter(self.submits.values()))
-        return next(reversed(self.questions.values()))
+        return next(reversed(self.queries.values()))
 
-    def least(self) -> WaitingCall:
-        """Return the call that is dropped where too many wait."""
-        if self.questions:
-            return next(iter(self.questions.values()))
+    def drop_candidate(self) -> QueuedCall:
+        """Return the call to drop on overflow: the oldest query, else the newest submission."""
+        if self.queries:
+            return next(iter(self.queries.values()))
         return next(reversed(self.submits.values()))
 
 
 class CallQueue:
-    """The calls that wait.
+    """The queued calls of all senders.
 
-    :ivar merged: calls in whose place a later try was put, by kind.
-    :ivar dropped: calls that were dropped, by kind.
+    :ivar merged: number of calls replaced by a retry, by kind.
+    :ivar dropped: number of dropped calls, by kind.
     """
 
     merged: Counter[str]
     dropped: Counter[str]
-    _question_s: float
-    _waiting: dict[Key, WaitingCall]
-    _cancels: dict[Key, WaitingCall]
+    _query_timeout_s: float
+    _waiting: dict[CallKey, QueuedCall]
+    _cancels: dict[CallKey, QueuedCall]
     _senders: dict[bytes, _Sender]
-    _questions: dict[Key, WaitingCall]
-    _submits: dict[str, dict[Key, WaitingCall]]
+    _queries: dict[CallKey, QueuedCall]
+    _submits: dict[str, dict[CallKey, QueuedCall]]
     _dropped_submits: DroppedSubmits
     _bytes: int
 
-    def __init__(self, question_s: float) -> None:
-        """Make an empty queue.
+    def __init__(self, query_timeout_s: float) -> None:
+        """Create an empty queue.
 
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self.merged = Counter()
         self.dropped = Counter()
-        self._question_s = question_s
+        self._query_timeout_s = query_timeout_s
         self._waiting = {}
         self._cancels = {}
         self._senders = {}
-        self._questions = {}
+        self._queries = {}
         self._submits = {}
         self._dropped_submits = DroppedSubmits()
         self._bytes = 0
 
-    def waiting(self) -> Iterator[WaitingCall]:
-        """Yield all that waits."""
+    def waiting(self) -> Iterator[QueuedCall]:
+        """Yield all queued calls."""
         yield from self._waiting.values()
 
-    def any_cancel(self) -> bool:
-        """Whether a cancel waits."""
+    def has_cancel(self) -> bool:
+        """Whether :meth:`take_cancel` has anything to return."""
         return bool(self._cancels)
 
-    def any_call(self) -> bool:
-        """Whether a submission or a question waits."""
+    def has_call(self) -> bool:
+        """Whether :meth:`take_call` has anything to return."""
         return bool(self._senders)
 
-    def may_come(self, job_id: str, at: float) -> bool:
-        """Whether a submission of the job waits, or was dropped and may come again."""
-        return job_id in self._submits or self._dropped_submits.may_come(job_id, at)
+    def may_arrive(self, job_id: str, at: float) -> bool:
+        """Whether a submission of the job is queued, or was dropped and may be retried."""
+        return job_id in self._submits or self._dropped_submits.may_arrive(job_id, at)
 
     def put(self, identity: bytes, call: Call, at: float) -> None:
-        """Take a call that has arrived at time ``at``."""
+        """Add a call that arrived at time ``at``; drops calls beyond the bounds."""
         self.expire(at)
-        new = WaitingCall(identity, call, at)
+        new = QueuedCall(identity, call, at)
         known = self._waiting.get(new.key)
         if known is not None:
             self.merged[call.kind.value] += 1
@@ -129,18 +129,18 @@
         else:
             self._add(new)
         if call.kind is CallKind.CANCEL:
-            self._put_submits_before(known or new)
-        while self._senders and self._over_bound():
-            self._drop(max(self._senders.values(), key=len).least(), at)
-        if self._over_bound() and known is None:
+            self._move_submits_before(known or new)
+        while self._senders and self._over_limit():
+            self._drop(max(self._senders.values(), key=len).drop_candidate(), at)
+        if self._over_limit() and known is None:
             self._drop(new, at)
 
-    def take_cancel(self) -> WaitingCall:
-        """Take what comes next of the cancels, and of the submissions that they wait for."""
+    def take_cancel(self) -> QueuedCall:
+        """Remove and return the next cancellation, or a submission that precedes one of its job."""
         return self._remove(next(iter(self._cancels.values())))
 
-    def take_call(self) -> WaitingCall:
-        """Take what comes next of the submissions and questions."""
+    def take_call(self) -> QueuedCall:
+        """Remove and return the next submission or query, in round-robin order of senders."""
         identity, sender = next(iter(self._senders.items()))
         found = sender.next()
         if found.call.kind is CallKind.STATE:
@@ -151,17 +151,17 @@
         return found
 
     def expire(self, at: float) -> None:
-        """Drop the questions whose callers have left by time ``at``."""
-        while self._questions:
-            oldest = next(iter(self._questions.values()))
-            if at - oldest.since <= self._question_s:
+        """Drop the queries whose callers have timed out by time ``at``."""
+        while self._queries:
+            oldest = next(iter(self._queries.values()))
+            if at - oldest.arrived_at <= self._query_timeout_s:
                 return
             self._drop(oldest, at)
 
-    def _over_bound(self) -> bool:
-        return len(self._waiting) > CALLS_KEPT or self._bytes > CALL_BYTES_KEPT
+    def _over_limit(self) -> bool:
+        return len(self._waiting) > MAX_QUEUED_CALLS or self._bytes > MAX_QUEUED_CALL_BYTES
 
-    def _add(self, new: WaitingCall) -> None:
+    def _add(self, new: QueuedCall) -> None:
         call, key = new.call, new.key
         self._waiting[key] = new
         self._bytes += len(call.job)
@@ -173,33 +173,33 @@
             sender.submits[key] = new
             self._submits.setdefault(call.job_id, {})[key] = new
         else:
-            sender.questions[key] = new
-            self._questions[key] = new
+            sender.queries[key] = new
+            self._queries[key] = new
 
-    def _put_submits_before(self, cancel: WaitingCall) -> None:
-        """Let a cancel wait for the submissions of its job, and these only for other cancels."""
+    def _move_submits_before(self, cancel: QueuedCall) -> None:
+        """Move the submissions of a cancelled job into the cancel queue, before the cancel."""
         submits = self._submits.get(cancel.call.job_id)
         if not submits:
             return
         del self._cancels[cancel.key]
         for submit in submits.values():
-            self._leave_sender(submit)
+            self._remove_from_sender(submit)
             self._cancels[submit.key] = submit
         self._cancels[cancel.key] = cancel
 
-    def _drop(self, dropped: WaitingCall, at: float) -> None:
+    def _drop(self, dropped: QueuedCall, at: float) -> None:
         self.dropped[dropped.call.kind.value] += 1
         self._remove(dropped)
         if dropped.call.kind is CallKind.SUBMIT:
-            self._dropped_submits.note(dropped.call.job_id, at)
+            self._dropped_submits.record(dropped.call.job_id, at)
 
-    def _remove(self, gone: WaitingCall) -> WaitingCall:
+    def _remove(self, gone: QueuedCall) -> QueuedCall:
         key = gone.key
         del self._waiting[key]
         self._bytes -= len(gone.call.job)
         self._cancels.pop(key, None)
-        self._questions.pop(key, None)
-        self._leave_sender(gone)
+        self._queries.pop(key, None)
+        self._remove_from_sender(gone)
         if gone.call.kind is CallKind.SUBMIT:
             submits = self._submits[gone.call.job_id]
             del submits[key]
@@ -207,11 +207,11 @@
                 del self._submits[gone.call.job_id]
         return gone
 
-    def _leave_sender(self, call: WaitingCall) -> None:
+    def _remove_from_sender(self, call: QueuedCall) -> None:
         sender = self._senders.get(call.identity)
         if sender is None:
             return
         sender.submits.pop(call.key, None)
-        sender.questions.pop(call.key, None)
+        sender.queries.pop(call.key, None)
         if not sender:
             del self._senders[call.identity]
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -1,7 +1,7 @@
-"""An entry of a fleet: takes callers' requests, follows the leader or leads.
+"""The entry process of a fleet: accepts callers' requests and takes part in leader election.
 
-All entries are alike.  One leads: it holds the jobs in memory, decides, and is the only one that
-writes.  The others pass callers' requests on to it (:mod:`sapphirelead.node_calls`).
+All entries run the same code.  The leader keeps the jobs in memory, schedules them and is the only
+writer to the store.  Followers forward requests to it (:mod:`sapphirelead.node_calls`).
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from sapphirelead.keys import Keys
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
-from sapphirelead.node_calls import HOLD_S, CallDesk, longest_wait_s
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder, forwarded_call_timeout_s
 from sapphirelead.node_directory import read_entries, write_entry
 from sapphirelead.node_election import Election, Move
 from sapphirelead.node_handover import HandoverController
@@ -46,20 +46,20 @@
 from sapphirelead.sched_head import read_head
 from sapphirelead.sched_timing import Bounds
 
-STEP_S: Final = 0.1
-"""Time between two looks at who leads; a fraction of the heartbeat."""
+ELECTION_INTERVAL_S: Final = 0.1
+"""Mean interval of the election loop; shorter than the heartbeat interval."""
 
-TAKEN_S: Final = 0.1
-"""Another entry is told after this that its call has been read and waits for the store; well
-under the time after which a call counts as late."""
+TAKEN_REPLY_DELAY_S: Final = 0.1
+"""Delay before a ``TAKEN`` reply to a forwarded call that waits for the store; well below
+:data:`sapphirelead.node_window.LATE_AFTER_S`."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryNode:
-    """Who this process is.
+    """Identity and settings of this entry process.
 
-    :ivar address: where its hub listens.
-    :ivar keys: protect its links; ``None`` leaves them open.
+    :ivar address: listening address of the hub.
+    :ivar keys: keys that encrypt and authenticate the links; ``None`` disables this.
     """
 
     address: EntryAddress
@@ -69,7 +69,7 @@
 
 
 class FleetEntry:
-    """The entry's process: hub, links, election, and the leader while it leads."""
+    """The hub, links and election of an entry, and its leader while it holds the leadership."""
 
     node: EntryNode
     metrics: Metrics
@@ -85,9 +85,9 @@
     _entries: dict[str, EntryAddress]
     _entries_version: int
     _entries_epoch: int
-    _keeper: HandoverController
+    _handover: HandoverController
     _agents: dict[str, bytes]
-    _calls: CallDesk
+    _calls: CallForwarder
     _tasks: list["asyncio.Task[None]"]
     _stopping: bool
     _followed: bool
@@ -107,50 +107,50 @@
         self._entries = {node.address.name: node.address}
         self._entries_version = 1
         self._entries_epoch = 0
-        self._keeper = HandoverController(self.send_to, node.address.cores)
+        self._handover = HandoverController(self.send_to, node.address.cores)
         self._agents = {}
-        self._calls = CallDesk(self)
+        self._calls = CallForwarder(self)
         self._tasks = []
         self._stopping = False
         self._followed = False
 
     @property
     def name(self) -> str:
-        """This entry's name."""
+        """Name of this entry."""
         return self.node.address.name
 
     @property
     def ready(self) -> bool:
-        """Whether callers can be served: a configuration and a leader are known."""
+        """Whether callers can be served: not stopping, with a known configuration and leader."""
         return not self._stopping and self.config.version > 0 and self.leader_known
 
     @property
     def leader_known(self) -> bool:
-        """Whether calls can be carried out here or passed on."""
+        """Whether calls can be carried out here or forwarded to a leader."""
         return self.serving_leader() is not None or self._election.has_live_leader(now())
 
     def serving_leader(self) -> Leader | None:
-        """Return the leader in this process, if it takes calls."""
+        """Return the leader in this process, if it accepts calls."""
         return self.leader if self.leader is not None and self.leader.serving else None
 
     def followed_leader(self) -> str:
-        """Return the name of the leader elsewhere, if one has been heard of lately."""
+        """Return the name of the remote leader; empty if none responds."""
         return self._election.leader if self._election.has_live_leader(now()) else ""
 
     def leader_epoch(self) -> int:
-        """Return the epoch of the leader that has been heard of last."""
+        """Return the epoch of the most recently known leader."""
         return self._election.epoch
 
     def send_to(self, name: str, message: AnyNodeMessage) -> bool:
-        """Send to another entry; ``False`` means proven not sent."""
+        """Send to another entry; ``False`` guarantees that the message was not sent."""
         return self._links.send(name, message)
 
     def config_version(self) -> int:
-        """Return the version of the configuration in force here."""
+        """Return the version of the active configuration."""
         return self.config.version
 
     async def start(self) -> None:
-        """Bind the hub and look for the others."""
+        """Bind the hub, register this entry and join the election."""
         address = self.node.address
         self._hub = Hub(
             self._ctx,
@@ -159,17 +159,17 @@
             self._on_hub,
             self.node.keys,
             self.metrics,
-            question_s=HOLD_S,
+            query_timeout_s=HOLD_TIMEOUT_S,
         )
         self._hub.start()
         self._links = Links(self._ctx, self.name, self.name, self._on_link, self.node.keys)
         self._tasks = [
             spawn(self._register(), "register"),
-            spawn(self._lead_or_follow(), "election"),
+            spawn(self._run_election(), "election"),
         ]
 
     def set_config(self, config: QueueConfig) -> None:
-        """Take a newer configuration; an older one is never taken."""
+        """Apply a configuration if it is newer than the active one."""
         if config.version <= self.config.version:
             return
         log_event("INFO", "config_taken", version=config.version, before=self.config.version)
@@ -178,14 +178,14 @@
             self.leader.set_config(config)
         self._calls.changed.set()
 
-    def store_seen(self, answered: bool) -> None:
-        """Take note of whether a call to the store was answered."""
+    def record_store_result(self, answered: bool) -> None:
+        """Record whether the store replied to a call."""
         self._election.store_ok = answered
 
-    # Finding the others
+    # Discovery of entries
 
     async def _register(self) -> None:
-        """Write this entry's row and read those of the others, until both have worked."""
+        """Write this entry's row and read all rows, retrying until both succeed."""
         pause = 0.1
         written = False
         while True:
@@ -196,18 +196,18 @@
             await asyncio.sleep(pause)
             pause = min(pause * 2, 1.0)
         for address in found.ok_value:
-            self._know(address)
+            self._add_entry(address)
         log_event("INFO", "entries_read", entries=len(found.ok_value))
 
-    def _know(self, address: EntryAddress) -> None:
+    def _add_entry(self, address: EntryAddress) -> None:
         if self._entries.get(address.name) == address:
             return
         self._entries[address.name] = address
         self._entries_version += 1
         self._links.set_entries(list(self._entries.values()))
 
-    def _take_entries(self, beat: LeaderBeat) -> None:
-        """Take the leader's list over, where it has sent one."""
+    def _replace_entries(self, beat: LeaderBeat) -> None:
+        """Replace the list of entries by the leader's, if the heartbeat carries one."""
         if beat.entries is None:
             return
         self._entries = {entry.name: entry for entry in beat.entries}
@@ -218,24 +218,24 @@
 
     # Election
 
-    async def _lead_or_follow(self) -> None:
+    async def _run_election(self) -> None:
         while True:
             at = now()
             if self._election.heartbeat_due(at):
-                self._beat()
+                self._send_heartbeat()
             move = self._election.next_move(at)
             if move is Move.READ:
                 await self._read_head()
             elif move is Move.TAKE:
-                await self._take()
+                await self._acquire_lead()
             leader = self.serving_leader()
             if leader is not None:
-                self._keeper.check(leader)
-            self._note_followed(at)
-            await asyncio.sleep(STEP_S * (0.75 + 0.5 * random.random()))
+                self._handover.check(leader)
+            self._log_leader_state(at)
+            await asyncio.sleep(ELECTION_INTERVAL_S * (0.75 + 0.5 * random.random()))
 
-    def _note_followed(self, at: float) -> None:
-        """Log it when the leader falls silent for this entry, and when it is heard of again."""
+    def _log_leader_state(self, at: float) -> None:
+        """Log when the leader becomes unresponsive to this entry, and when it responds again."""
         has_live_leader = self._election.has_live_leader(at)
         if has_live_leader == self._followed:
             return
@@ -245,7 +245,7 @@
         elif self.leader is None:
             log_event("WARNING", "leader_silent", leader=self._election.leader)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         election = self._election
         beat = EntryBeat(
             self.node.address,
@@ -253,7 +253,7 @@
             election.store_ok,
             self.config.version,
             self._stopping,
-            # Each leader counts the versions of its own list.
+            # List versions are comparable only within one leader's epoch.
             self._entries_version if self._entries_epoch == election.epoch else 0,
         )
         self._links.send(election.leader, beat)
@@ -270,25 +270,25 @@
                 "INFO", "leader_read", leader=self._election.leader, epoch=self._election.epoch
             )
             self._calls.changed.set()
-        await self._find_leader()
+        await self._find_leader_address()
 
-    async def _find_leader(self) -> None:
-        """Learn where the leader listens, if that is not known yet."""
+    async def _find_leader_address(self) -> None:
+        """Read the entries from the store if the leader's address is unknown."""
         if not self._election.leader or self._election.leader in self._entries:
             return
         found = await read_entries(self._table)
         for address in found.unwrap_or([]):
-            self._know(address)
+            self._add_entry(address)
 
-    async def _take(self) -> None:
+    async def _acquire_lead(self) -> None:
         head = await self._election.take(self._table)
         if head is None:
-            # Another entry may have been faster, one whose row was not there at the first reading.
-            await self._find_leader()
+            # Another entry may have won whose row did not exist when the entries were first read.
+            await self._find_leader_address()
             return
         if self._stopping:
-            # The signal came while the store was writing.  A process that is about to end would
-            # hold the lead, and the others would wait until it counts as silent.
+            # The stop signal arrived during the write.  Release the leadership, so that the other
+            # entries do not have to wait until this process times out.
             await head.release()
             self._election.on_leadership_lost()
             return
@@ -301,32 +301,32 @@
             self._advice,
             self._send_orders,
             self.metrics,
-            self._hub.may_come,
+            self._hub.may_arrive,
         )
         self.leader = leader
         leader.set_config(self.config)
-        task = spawn(self._lead(leader), "leader")
+        task = spawn(self._run_leader(leader), "leader")
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    async def _lead(self, leader: Leader) -> None:
+    async def _run_leader(self, leader: Leader) -> None:
         try:
             await leader.load()
             if leader.serving:
                 self._announce()
-            await self._run_until_over(leader)
+            await self._run_until_ended(leader)
         finally:
             if self.leader is leader:
                 self.leader = None
                 self._election.on_leadership_lost()
                 self._calls.changed.set()
 
-    async def _run_until_over(self, leader: Leader) -> None:
+    async def _run_until_ended(self, leader: Leader) -> None:
         running = spawn(leader.run(), "leader-rounds")
         wait_ended = asyncio.create_task(leader.wait_ended())
         try:
-            # A resigned leader may be waiting for the store; what it sent is settled by whoever
-            # leads next.
+            # A resigned leader may still wait for the store; the next leader resolves the writes
+            # that are in flight.
             await asyncio.wait({running, wait_ended}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for task in (running, wait_ended):
@@ -334,7 +334,7 @@
             await asyncio.gather(running, wait_ended, return_exceptions=True)
 
     def _announce(self) -> None:
-        """Tell everybody known who leads; those unknown ask."""
+        """Announce the leadership to all known agents and entries."""
         message = Leads(self._election.epoch, self.name)
         for identity in self._agents.values():
             self._hub.send(identity, message)
@@ -349,7 +349,7 @@
                 self._on_report(identity, message)
             case WhoLeads():
                 self._agents[message.sender] = identity
-                self._hub.send(identity, self._leads())
+                self._hub.send(identity, self._leads_message())
             case EntryBeat():
                 self._on_entry_beat(identity, message)
             case Call():
@@ -361,7 +361,7 @@
             case _:
                 log_event("WARNING", "message_unexpected", kind=type(message).__name__)
 
-    def _leads(self) -> Leads:
+    def _leads_message(self) -> Leads:
         if self.serving_leader() is not None:
             return Leads(self._election.epoch, self.name)
         if self._election.has_live_leader(now()):
@@ -372,7 +372,7 @@
         self._agents[report.agent] = identity
         leader = self.serving_leader()
         if leader is None or report.epoch > leader.head.epoch:
-            self._hub.send(identity, self._leads())
+            self._hub.send(identity, self._leads_message())
             return
         leader.on_report(report)
 
@@ -389,10 +389,10 @@
         return self._hub.send(identity, orders)
 
     def _on_entry_beat(self, identity: bytes, beat: EntryBeat) -> None:
-        self._know(beat.address)
-        self._keeper.on_heartbeat(beat)
+        self._add_entry(beat.address)
+        self._handover.on_heartbeat(beat)
         if self.leader is None:
-            self._hub.send(identity, self._leads())
+            self._hub.send(identity, self._leads_message())
             return
         if beat.config_version > self.config.version:
             self.on_newer_config()
@@ -405,7 +405,7 @@
             self.config.version,
             self._entries_version,
             None if known == self._entries_version else list(self._entries.values()),
-            self._keeper.followers.strongest(now()),
+            self._handover.followers.strongest(now()),
         )
         self._hub.send(identity, answer)
 
@@ -444,7 +444,7 @@
             beat.epoch, beat.leader, beat.serving, now(), beat.strongest
         ):
             return
-        self._take_entries(beat)
+        self._replace_entries(beat)
         if beat.config_version > self.config.version:
             self.on_newer_config()
         if beat.serving:
@@ -455,7 +455,7 @@
     async def call(
         self, kind: CallKind, queue: str, job_id: str, job: bytes, deadline_s: float
     ) -> Reply:
-        """Carry out a caller's request and return its final answer; see :class:`CallDesk`."""
+        """Carry out a caller's request and return the final reply; see :class:`CallForwarder`."""
         return await self._calls.call(kind, queue, job_id, job, deadline_s)
 
     def _on_call(self, identity: bytes, call: Call) -> None:
@@ -466,40 +466,42 @@
     async def _answer_call(self, identity: bytes, call: Call) -> None:
         leader = self.serving_leader()
         if leader is None or call.epoch != leader.head.epoch:
-            # A call may have lain here since an earlier leadership of this entry; its caller has
-            # been told by now that it never ran.
+            # The call may have been queued since an earlier epoch of this entry, and its caller may
+            # have been told since that it did not run.
             reply = Reply(call.number, ReplyKind.NOT_LEADER)
         else:
             if call.config_version > self.config.version:
                 self.on_newer_config()
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
-            late = asyncio.get_running_loop().call_later(TAKEN_S, self._hub.send, identity, taken)
+            late = asyncio.get_running_loop().call_later(
+                TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken
+            )
             try:
-                reply = await leader.call(call, now() + longest_wait_s(call.kind))
+                reply = await leader.call(call, now() + forwarded_call_timeout_s(call.kind))
             finally:
                 late.cancel()
         self._hub.send(identity, msgspec.structs.replace(reply, epoch=call.epoch))
 
     def _on_reply(self, reply: Reply) -> None:
-        self._calls.replied(reply)
+        self._calls.handle_reply(reply)
         if reply.config_version > self.config.version:
             self.on_newer_config()
 
-    # Leaving
+    # Shutdown
 
     async def drain(self, until: float) -> None:
-        """Lead on until another entry can, and settle each call and cancellation, by ``until``."""
+        """Hand over the leadership and finish pending calls and cancellations by ``until``."""
         self._stopping = True
         self._election.leave()
         if self.leader is None:
-            # The leader must not offer the lead to this entry meanwhile.
-            self._beat()
+            # Tell the leader not to hand the leadership over to this entry.
+            self._send_heartbeat()
         self._calls.close_at(until)
-        await self._keeper.leave(lambda: self.leader, until)
-        await self._calls.cancels_settled(until)
+        await self._handover.leave(lambda: self.leader, until)
+        await self._calls.wait_for_cancels(until)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Cancel all tasks and close the links and the hub."""
         await self._calls.stop()
         for task in list(self._tasks):
             task.cancel()
--- a/sapphirelead/node_inbox.py
+++ b/sapphirelead/node_inbox.py
@@ -1,15 +1,10 @@
-"""What has arrived at an entry's hub and waits to be worked on: urgent first, each thing once.
+"""Priority queue of the messages that have arrived at an entry's hub.
 
-The transport hands out one message of each connection in turn, whatever it is.  Where more messages
-arrive than can be worked on, urgent ones would wait behind the rest of their connection.
-
-- Heartbeats and the word on who leads: the newest of each sender and kind.
-- Cancels, in the order of their arrival.
-- Reports, the agent first that has waited longest; what an agent tells meanwhile is merged.
-- Submissions and questions, in turns by sender (:mod:`sapphirelead.node_call_queue`).
-
-Each class has a share of the turns, so that none waits for ever.  A message dropped here counts as
-lost on its way: its sender repeats what matters.
+Keeps urgent messages from waiting behind the rest of their connection.  Of heartbeats and leader
+election messages, only the newest of each sender and kind is kept; reports of one agent are merged
+and taken in the order of the agents' oldest report; calls are ordered by
+:mod:`sapphirelead.node_call_queue`.  Weighted round-robin between the classes prevents starvation.
+Senders repeat messages that are dropped here.
 """
 
 from collections import Counter
@@ -17,17 +12,17 @@
 from enum import IntEnum
 from typing import Final
 
-from sapphirelead.node_call_queue import CallQueue, WaitingCall
+from sapphirelead.node_call_queue import CallQueue, QueuedCall
 from sapphirelead.node_codec import message_kind
 from sapphirelead.node_messages import AgentReport, AnyNodeMessage, Call
 from sapphirelead.node_report_merge import merge_reports
 
-REPORTS_KEPT: Final = 4
-"""Reports of one agent that wait and cannot be merged."""
+MAX_REPORTS_PER_AGENT: Final = 4
+"""Bound on the queued reports of one agent that cannot be merged."""
 
 
 class Urgency(IntEnum):
-    """Classes of messages, the most urgent first."""
+    """Priority classes of messages, the most urgent first."""
 
     LEAD = 0
     CANCEL = 1
@@ -35,88 +30,88 @@
     CALL = 3
 
 
-SHARES: Final = {Urgency.LEAD: 8, Urgency.CANCEL: 4, Urgency.REPORT: 4, Urgency.CALL: 2}
-"""Messages of each class in one round while all of them wait."""
+CLASS_WEIGHTS: Final = {Urgency.LEAD: 8, Urgency.CANCEL: 4, Urgency.REPORT: 4, Urgency.CALL: 2}
+"""Messages taken of each class in one round while all classes have some queued."""
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A message that waits, or is worked on.
+class QueuedMessage:
+    """A message that is queued or being handled.
 
-    :ivar since: when it arrived, or the oldest of those that it stands for.
+    :ivar arrived_at: arrival time; of merged messages, that of the oldest.
     """
 
     identity: bytes
     message: AnyNodeMessage
-    since: float
+    arrived_at: float
 
 
 class Inbox:
-    """The messages that wait at one hub."""
+    """The queued messages of one hub."""
 
     _merged: Counter[str]
     _dropped: Counter[str]
-    _lead: dict[tuple[bytes, str], Waiting]
-    _reports: dict[bytes, list[Waiting]]
+    _latest: dict[tuple[bytes, str], QueuedMessage]
+    _reports: dict[bytes, list[QueuedMessage]]
     _calls: CallQueue
     _credits: dict[Urgency, int]
 
-    def __init__(self, question_s: float) -> None:
-        """Make an empty inbox.
+    def __init__(self, query_timeout_s: float) -> None:
+        """Create an empty inbox.
 
-        :param question_s: how long the caller of a question waits at most.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self._merged = Counter()
         self._dropped = Counter()
-        self._lead = {}
+        self._latest = {}
         self._reports = {}
-        self._calls = CallQueue(question_s)
-        self._credits = dict(SHARES)
+        self._calls = CallQueue(query_timeout_s)
+        self._credits = dict(CLASS_WEIGHTS)
 
     @property
     def merged(self) -> Counter[str]:
-        """Messages that were merged into others, by kind."""
+        """Number of messages merged into others, by kind."""
         return self._merged + self._calls.merged
 
     @property
     def dropped(self) -> Counter[str]:
-        """Messages that were dropped, by kind."""
+        """Number of dropped messages, by kind."""
         return self._dropped + self._calls.dropped
 
     def __len__(self) -> int:
         return sum(self.counts().values())
 
     def counts(self) -> Counter[str]:
-        """Count what waits by kind."""
-        counts = Counter(kind for _, kind in self._lead)
+        """Return the number of queued messages by kind."""
+        counts = Counter(kind for _, kind in self._latest)
         counts.update(item.call.kind.value for item in self._calls.waiting())
         reports = sum(len(waiting) for waiting in self._reports.values())
         if reports:
             counts[AgentReport.__name__] = reports
         return counts
 
-    def may_come(self, job_id: str, at: float) -> bool:
-        """Whether a submission of the job waits, or was dropped and may come again."""
-        return self._calls.may_come(job_id, at)
+    def may_arrive(self, job_id: str, at: float) -> bool:
+        """Whether a submission of the job is queued, or was dropped and may be retried."""
+        return self._calls.may_arrive(job_id, at)
 
     def put(self, identity: bytes, message: AnyNodeMessage, at: float) -> None:
-        """Take a message that has arrived at time ``at``."""
+        """Add a message that arrived at time ``at``."""
         match message:
             case AgentReport():
-                self._put_report(Waiting(identity, message, at), message)
+                self._put_report(QueuedMessage(identity, message, at), message)
             case Call():
                 self._calls.put(identity, message, at)
             case _:
-                self._put_newest(Waiting(identity, message, at))
+                self._put_newest(QueuedMessage(identity, message, at))
 
-    def take(self, at: float) -> Waiting | None:
-        """Return what is to be worked on next; ``None`` where nothing waits."""
+    def take(self, at: float) -> QueuedMessage | None:
+        """Remove and return the next message; ``None`` if the inbox is empty."""
         self._calls.expire(at)
         waiting = [urgency for urgency in Urgency if self._has(urgency)]
         if not waiting:
             return None
         if not any(self._credits[urgency] for urgency in waiting):
-            self._credits = dict(SHARES)
+            self._credits = dict(CLASS_WEIGHTS)
         urgency = next(urgency for urgency in waiting if self._credits[urgency])
         self._credits[urgency] -= 1
         return self._next(urgency)
@@ -124,18 +119,18 @@
     def _has(self, urgency: Urgency) -> bool:
         match urgency:
             case Urgency.LEAD:
-                return bool(self._lead)
+                return bool(self._latest)
             case Urgency.CANCEL:
-                return self._calls.any_cancel()
+                return self._calls.has_cancel()
             case Urgency.REPORT:
                 return bool(self._reports)
             case Urgency.CALL:
-                return self._calls.any_call()
+                return self._calls.has_call()
 
-    def _next(self, urgency: Urgency) -> Waiting:
+    def _next(self, urgency: Urgency) -> QueuedMessage:
         match urgency:
             case Urgency.LEAD:
-                return self._lead.pop(next(iter(self._lead)))
+                return self._latest.pop(next(iter(self._latest)))
             case Urgency.CANCEL:
                 return _from_call(self._calls.take_cancel())
             case Urgency.REPORT:
@@ -143,14 +138,14 @@
             case Urgency.CALL:
                 return _from_call(self._calls.take_call())
 
-    def _put_newest(self, new: Waiting) -> None:
+    def _put_newest(self, new: QueuedMessage) -> None:
         kind = message_kind(new.message)
-        known = self._lead.setdefault((new.identity, kind), new)
+        known = self._latest.setdefault((new.identity, kind), new)
         if known is not new:
             known.message = new.message
             self._merged[kind] += 1
 
-    def _put_report(self, new: Waiting, report: AgentReport) -> None:
+    def _put_report(self, new: QueuedMessage, report: AgentReport) -> None:
         waiting = self._reports.setdefault(new.identity, [])
         last = waiting[-1] if waiting else None
         if last is not None and isinstance(last.message, AgentReport):
@@ -160,11 +155,11 @@
                 self._merged[AgentReport.__name__] += 1
                 return
         waiting.append(new)
-        if len(waiting) > REPORTS_KEPT:
+        if len(waiting) > MAX_REPORTS_PER_AGENT:
             del waiting[0]
             self._dropped[AgentReport.__name__] += 1
 
-    def _next_report(self) -> Waiting:
+    def _next_report(self) -> QueuedMessage:
         identity = next(iter(self._reports))
         first, *others = self._reports.pop(identity)
         if others:
@@ -172,5 +167,5 @@
         return first
 
 
-def _from_call(item: WaitingCall) -> Waiting:
-    return Waiting(item.identity, item.call, item.since)
+def _from_call(item: QueuedCall) -> QueuedMessage:
+    return QueuedMessage(item.identity, item.call, item.arrived_at)
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -1,7 +1,7 @@
-"""Takes messages off a hub's transport and works on them in the order of the inbox.
+"""Reads messages from a hub's transport and handles them in the order of the inbox.
 
-The two are apart: what has arrived is read and decoded, which is cheap, before more than a few
-messages are worked on.  Only then is it known which of them is urgent.
+Reading and handling are separate tasks, so that arrived messages are decoded and prioritized before
+many of them are handled.
 """
 
 import asyncio
@@ -17,52 +17,50 @@
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage
 
-TURN: Final = 10
-"""Messages worked on before the rest of the process gets its turn.  Taking one that has arrived
-never waits, so that a backlog would keep the loop."""
+MAX_BATCH: Final = 10
+"""Messages handled before yielding to the event loop, which a backlog would block otherwise."""
 
-READ_TURN: Final = 100
-"""Messages read and decoded before the rest of the process gets its turn."""
+MAX_READ_BATCH: Final = 100
+"""Messages read and decoded before yielding to the event loop."""
 
-TURN_S: Final = 0.01
-"""Time after which a turn ends in any case, on a slow processor turns have fewer messages."""
+MAX_BATCH_S: Final = 0.01
+"""Time limit of a batch, which shortens batches on slow processors."""
 
 HubHandler = Callable[[bytes, AnyNodeMessage], None]
 
 Receive = Callable[[], Awaitable[list[bytes]]]
-"""Waits for the next message: the identity of its sender, and its frame."""
+"""Waits for the next message and returns the identity of its sender, and its frame."""
 
 
-class Turns:
-    """Lets a reader of messages give way to the rest of the process."""
+class LoopYielder:
+    """Yields to the event loop after each batch of messages."""
 
-    _at_most: int
-    _at_most_s: float
+    _max_messages: int
+    _max_s: float
     _taken: int
     _began_at: float
 
-    def __init__(self, at_most: int = TURN, at_most_s: float = math.inf) -> None:
-        """Begin the first turn.
+    def __init__(self, max_messages: int = MAX_BATCH, max_s: float = math.inf) -> None:
+        """Begin the first batch.
 
-        :param at_most: messages of a turn.
-        :param at_most_s: time from the end of the first of them after which the turn ends in any
-            case.
+        :param max_messages: largest batch, in messages.
+        :param max_s: time after the first message of a batch at which the batch ends in any case.
         """
-        self._at_most = at_most
-        self._at_most_s = at_most_s
+        self._max_messages = max_messages
+        self._max_s = max_s
         self._taken = 0
         self._began_at = 0.0
 
     async def took(self) -> float:
-        """Count a message; at the end of a turn, wait for one turn of the loop.
+        """Count a message; at the end of a batch, yield for one iteration of the event loop.
 
-        :return: how long that took, in seconds; 0 where the reader may go on.
+        :return: duration of that iteration in seconds; 0 if the batch goes on.
         """
         at = now()
         if not self._taken:
             self._began_at = at
         self._taken += 1
-        if self._taken < self._at_most and at - self._began_at < self._at_most_s:
+        if self._taken < self._max_messages and at - self._began_at < self._max_s:
             return 0.0
         self._taken = 0
         await asyncio.sleep(0)
@@ -70,9 +68,9 @@
 
 
 class Intake:
-    """The two tasks of a hub: one reads, the other works.
+    """The two tasks of a hub: one reads messages, the other handles them.
 
-    :ivar inbox: what has been read and waits.
+    :ivar inbox: messages that have been read and not handled.
     """
 
     inbox: Inbox
@@ -83,42 +81,45 @@
     _tasks: list["asyncio.Task[None]"]
 
     def __init__(
-        self, receive: Receive, handler: HubHandler, question_s: float, metrics: Metrics
+        self, receive: Receive, handler: HubHandler, query_timeout_s: float, metrics: Metrics
     ) -> None:
-        """Set the intake up.
+        """Create an intake; :meth:`start` starts its tasks.
 
-        :param receive: takes a message off the transport.
-        :param question_s: how long the caller of a question waits at most.
+        :param receive: receives a message from the transport.
+        :param query_timeout_s: maximum time that the caller of a query waits.
         """
         self._receive = receive
         self._handler = handler
-        self.inbox = Inbox(question_s)
+        self.inbox = Inbox(query_timeout_s)
         self._meter = HubMeter(metrics, self.inbox, now())
         self._arrived = asyncio.Event()
         self._tasks = []
 
     def start(self) -> None:
-        """Start to read and to work."""
-        self._tasks = [spawn(self._read(), "hub"), spawn(self._work(), "hub-work")]
+        """Start reading and handling messages."""
+        self._tasks = [
+            spawn(self._read_messages(), "hub"),
+            spawn(self._handle_messages(), "hub-work"),
+        ]
 
     async def stop(self) -> None:
-        """Stop; what waits is dropped."""
+        """Stop both tasks; queued messages are dropped."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _read(self) -> None:
-        turns = Turns(READ_TURN, TURN_S)
+    async def _read_messages(self) -> None:
+        yielder = LoopYielder(MAX_READ_BATCH, MAX_BATCH_S)
         while True:
             identity, frame = await self._receive()
             message = decode_node(frame, identity.decode(errors="replace"))
             if message is not None:
                 self.inbox.put(identity, message, now())
                 self._arrived.set()
-            await turns.took()
+            await yielder.took()
 
-    async def _work(self) -> None:
-        turns = Turns(TURN, TURN_S)
+    async def _handle_messages(self) -> None:
+        yielder = LoopYielder(MAX_BATCH, MAX_BATCH_S)
         while True:
             at = now()
             item = self.inbox.take(at)
@@ -126,9 +127,9 @@
                 self._arrived.clear()
                 await self._arrived.wait()
                 continue
-            self._meter.took(message_kind(item.message), at - item.since)
+            self._meter.took(message_kind(item.message), at - item.arrived_at)
             self._handler(item.identity, item.message)
-            turn_s = await turns.took()
-            if turn_s:
-                self._meter.record_turn(turn_s)
+            yielded_s = await yielder.took()
+            if yielded_s:
+                self._meter.record_turn(yielded_s)
             self._meter.export_if_due(now())
--- a/sapphirelead/node_report_merge.py
+++ b/sapphirelead/node_report_merge.py
@@ -1,8 +1,8 @@
-"""Merges two reports of one agent that both wait at the leader.
+"""Merges two queued reports of one agent.
 
-A full report lists every run that is not over, so it replaces the statuses of an earlier one.  It
-does not replace the ends: a report carries a bounded number of them, and an end that was told in a
-short report may not be among those.  Saved progress is in full reports only and is kept as well.
+A full report lists every run that has not ended, so it replaces the statuses of an earlier report.
+Ended runs of both are kept, since a report carries a bounded number of them.  Saved progress is in
+full reports only and is kept as well.
 """
 
 from typing import Final
@@ -11,17 +11,18 @@
 
 from sapphirelead.node_messages import AgentReport, RunEnded, RunStatus
 
-MOST_ENDS: Final = 1_000
-"""Ends in a merged report: five times what an agent puts into one report."""
+MAX_MERGED_ENDS: Final = 1_000
+"""Bound on the ended runs in a merged report."""
 
-Name = tuple[str, int]
+RunKey = tuple[str, int]
 
 
 def merge_reports(older: AgentReport, newer: AgentReport) -> AgentReport | None:
-    """Return one report that tells what both tell.
+    """Merge two reports into one with the information of both.
 
-    :return: ``None`` where they cannot be merged: they come from two processes of the agent or two
-        lives of its worker, or the newer one is for another leader and not full.
+    :return: ``None`` if they cannot be merged: they are out of order, come from two processes of
+        the agent or from two workers, carry too many ended runs, or the newer one is a partial
+        report to another leader.
     """
     if older.boot != newer.boot or newer.beat <= older.beat:
         return None
@@ -32,7 +33,7 @@
     saved = {(run.task, run.attempt): run.saved for run in older.runs if run.saved}
     saved |= {(end.task, end.attempt): end.saved for end in older.ends if end.saved}
     ends = _all_ends(older, newer, saved)
-    if len(ends) > MOST_ENDS:
+    if len(ends) > MAX_MERGED_ENDS:
         return None
     return msgspec.structs.replace(
         newer,
@@ -48,21 +49,21 @@
 
 
 def _all_ends(
-    older: AgentReport, newer: AgentReport, saved: dict[Name, str]
-) -> dict[Name, RunEnded]:
+    older: AgentReport, newer: AgentReport, saved: dict[RunKey, str]
+) -> dict[RunKey, RunEnded]:
     ends = {(end.task, end.attempt): end for end in (*older.ends, *newer.ends)}
-    for name in saved.keys() & ends.keys():
-        if not ends[name].saved:
-            ends[name] = msgspec.structs.replace(ends[name], saved=saved[name])
+    for key in saved.keys() & ends.keys():
+        if not ends[key].saved:
+            ends[key] = msgspec.structs.replace(ends[key], saved=saved[key])
     return ends
 
 
 def _runs(
-    older: AgentReport, newer: AgentReport, saved: dict[Name, str], ends: dict[Name, RunEnded]
+    older: AgentReport, newer: AgentReport, saved: dict[RunKey, str], ends: dict[RunKey, RunEnded]
 ) -> list[RunStatus]:
     runs = {} if newer.full else {(run.task, run.attempt): run for run in older.runs}
     for run in newer.runs:
-        name = (run.task, run.attempt)
-        kept = saved.get(name, "")
-        runs[name] = run if run.saved or not kept else msgspec.structs.replace(run, saved=kept)
-    return [run for name, run in runs.items() if name not in ends]
+        key = (run.task, run.attempt)
+        kept = saved.get(key, "")
+        runs[key] = run if run.saved or not kept else msgspec.structs.replace(run, saved=kept)
+    return [run for key, run in runs.items() if key not in ends]
--- a/sapphirelead/operator_reference.py
+++ b/sapphirelead/operator_reference.py
@@ -1,7 +1,6 @@
-"""The reference of every setting and configuration key, made from the models themselves.
+"""Generates the reference of all settings and configuration keys from their models.
 
-``docs/CONFIGURATION.md`` holds this text between two markers; a test compares them, so that a
-default cannot change in the code alone.
+``docs/CONFIGURATION.md`` contains this text after a marker, and a test compares the two.
 """
 
 import inspect
@@ -41,8 +40,8 @@
     return "\n\n".join(parts)
 
 
-def described(model: type[BaseModel]) -> dict[str, str]:
-    """Return what each key of a model means, from the ``:ivar`` fields of its doc comment."""
+def field_meanings(model: type[BaseModel]) -> dict[str, str]:
+    """Return the meaning of each key of a model, from the ``:ivar`` fields of its docstring."""
     text = inspect.cleandoc(model.__doc__ or "")
     fields = {name: " ".join(body.split()) for name, body in IVAR.findall(text)}
     return {name: body.replace("``", "`").rstrip(".") for name, body in fields.items()}
@@ -54,7 +53,7 @@
 
 
 def _rows(model: type[BaseModel], prefix: str) -> Iterator[str]:
-    meanings = described(model)
+    meanings = field_meanings(model)
     for name, field in model.model_fields.items():
         key = prefix + (field.alias or name)
         nested, suffix = _nested(field.annotation)
@@ -74,7 +73,7 @@
 
 
 def _nested(annotation: Any) -> tuple[type[BaseModel] | None, str]:
-    """Return the table that a key holds, and how its name continues."""
+    """Return the model nested under a key, and the suffix of the key's name."""
     origin = get_origin(annotation)
     if origin is Annotated:
         return _nested(get_args(annotation)[0])
--- a/sapphirelead/platform/advice.py
+++ b/sapphirelead/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's advice service."""
+"""Client of the platform's advice service, which selects the workers that may run a step."""
 
 from typing import Final
 
@@ -12,12 +12,12 @@
 from sapphirelead.platform.decoding import Name, decode
 from sapphirelead.sched_spec import AdvicePolicy
 
-MARGIN_S: Final = 2.0
-"""Allowed beyond the service's own time: it answers one call after the other."""
+TIMEOUT_MARGIN_S: Final = 2.0
+"""Added to the service time, because the service handles calls sequentially."""
 
 
 class _Answer(msgspec.Struct):
-    """``good`` holds rows of worker and ticket, each decoded by itself."""
+    """``good`` holds rows of worker and ticket, each decoded separately."""
 
     good: list[msgspec.Raw] = []
 
@@ -27,7 +27,7 @@
 
 
 class PlatformAdvice:
-    """Asks the service at one address."""
+    """Client of the advice service at one address."""
 
     _http: HttpCaller
 
@@ -36,8 +36,8 @@
 
     @classmethod
     def connect(cls, address: str) -> "PlatformAdvice":
-        """Return the service at ``address``."""
-        return cls(HttpCaller.connect(f"http://{address}", MARGIN_S))
+        """Return a client of the service at ``address``."""
+        return cls(HttpCaller.connect(f"http://{address}", TIMEOUT_MARGIN_S))
 
     async def close(self) -> None:
         """Close all connections."""
@@ -46,11 +46,15 @@
     async def ask(
         self, step: str, workers: list[str], policy: AdvicePolicy
     ) -> Result[AdviceAnswer, Failure]:
-        """Ask about ``workers`` for the step named ``step``."""
-        took_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
+        """Request tickets for ``step`` on ``workers``."""
+        service_time_s = (policy.base_ms + policy.each_ms * len(workers)) / 1000
         body = {"step": step, "workers": workers}
         found = await self._http.call(
-            "POST", "/advise", msgspec.json.encode(body), JSON_HEADERS, took_s + MARGIN_S
+            "POST",
+            "/advise",
+            msgspec.json.encode(body),
+            JSON_HEADERS,
+            service_time_s + TIMEOUT_MARGIN_S,
         )
         if isinstance(found, Err):
             return Err(Failure(Code.NO_INSTANCE, f"advice service: {found.err_value.detail}"))
@@ -59,13 +63,13 @@
             return Err(Failure(Code.OVERLOADED, text))
         answer = decode(_DECODER, found.ok_value.body)
         if isinstance(answer, Err):
-            text = f"advice service: undecodable answer: {answer.err_value}"
+            text = f"advice service: invalid response: {answer.err_value}"
             return Err(Failure(Code.NO_INSTANCE, text))
         return Ok(AdviceAnswer(_tickets(answer.ok_value)))
 
 
 def _tickets(answer: _Answer) -> dict[str, str]:
-    """Return the tickets by worker; a row that cannot be read names no worker."""
+    """Return the tickets by worker; rows that cannot be decoded are logged and skipped."""
     tickets = {}
     for raw in answer.good:
         row = decode(_ROW, bytes(raw))
--- a/sapphirelead/platform/config.py
+++ b/sapphirelead/platform/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: decodes it and follows its changes."""
+"""Decodes the operators' configuration and watches it for changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,19 +14,19 @@
 from sapphirelead.sched_config import QueueConfig, Route
 from sapphirelead.sched_spec import AdvicePolicy, QueuePolicy
 
-TABLE: Final = "op"
-KEY: Final = "config"
+CONFIG_TABLE: Final = "op"
+CONFIG_KEY: Final = "config"
 
-RETRY_FIRST_S: Final = 0.1
-RETRY_MOST_S: Final = 0.4
+MIN_RETRY_DELAY_S: Final = 0.1
+MAX_RETRY_DELAY_S: Final = 0.4
 
 
 class _Advice(msgspec.Struct):
-    """Times of the advice service.
+    """Latency of the advice service and lifetime of its tickets.
 
-    :ivar decide_ms: time of a call.
-    :ivar each_ms: further time for each worker named.
-    :ivar valid_ms: how long a ticket holds.
+    :ivar decide_ms: base latency of a call.
+    :ivar each_ms: additional latency per worker.
+    :ivar valid_ms: validity period of a ticket.
     """
 
     decide_ms: Count = 0
@@ -35,10 +35,10 @@
 
 
 class _Route(msgspec.Struct):
-    """A route is a queue.
+    """A route and the policy of its queue.
 
-    :ivar slo_ms: added to the objective of a job, not an objective by itself.
-    :ivar max_attempts: counts failed runs, not all runs.
+    :ivar slo_ms: slack added to a job's objective, not an objective by itself.
+    :ivar max_attempts: limit on failed runs, not on all runs.
     """
 
     name: Name
@@ -67,10 +67,10 @@
 
 
 def decode_config(data: bytes) -> Result[QueueConfig, Failure]:
-    """Translate the row that the operators write."""
+    """Decode the configuration row into a :class:`QueueConfig`."""
     decoded = decode(_DECODER, data)
     if isinstance(decoded, Err):
-        text = f"undecodable configuration: {decoded.err_value}"
+        text = f"invalid configuration: {decoded.err_value}"
         return Err(Failure(Code.CONFIG_INVALID, text))
     wire = decoded.ok_value
     readable = _readable_routes(wire)
@@ -80,7 +80,7 @@
 
 
 def _readable_routes(wire: _Config) -> list[_Route]:
-    """Return the routes that can be read: one that cannot be read must not keep out the others."""
+    """Return the routes that can be decoded; the others are logged and skipped."""
     routes = []
     for raw in wire.routes:
         route = decode(_ROUTE_DECODER, bytes(raw))
@@ -103,78 +103,78 @@
     )
 
 
-class ConfigFollower:
-    """Follows the configuration's row.
+class ConfigWatcher:
+    """Watches the configuration row.
 
-    The row is read as a whole at the start, after a gap in the history, and when another process
-    is known to have a newer version.
+    The whole row is read at the start, after a gap in the change feed, and when another process
+    has a newer version.
     """
 
     _table: PlatformTable
-    _take: Callable[[QueueConfig], None]
-    _store_seen: Callable[[bool], None]
-    _hurry: asyncio.Event
+    _apply: Callable[[QueueConfig], None]
+    _report_store: Callable[[bool], None]
+    _read_requested: asyncio.Event
 
     def __init__(
         self,
         table: PlatformTable,
-        take: Callable[[QueueConfig], None],
-        store_seen: Callable[[bool], None],
+        apply: Callable[[QueueConfig], None],
+        report_store: Callable[[bool], None],
     ) -> None:
         self._table = table
-        self._take = take
-        self._store_seen = store_seen
-        self._hurry = asyncio.Event()
+        self._apply = apply
+        self._report_store = report_store
+        self._read_requested = asyncio.Event()
 
-    def read_now(self) -> None:
-        """Read the row at once: a newer version is known to exist."""
-        self._hurry.set()
+    def request_read(self) -> None:
+        """Request an immediate read, because a newer version exists."""
+        self._read_requested.set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the row until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._follow())
+            group.create_task(self._watch())
             group.create_task(self._read_on_demand())
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         after = -1
-        pause = RETRY_FIRST_S
+        delay_s = MIN_RETRY_DELAY_S
         while True:
             try:
-                after = await (self._read() if after < 0 else self._wait(after))
-                pause = RETRY_FIRST_S
+                after = await (self._read() if after < 0 else self._wait_for_change(after))
+                delay_s = MIN_RETRY_DELAY_S
             except FeedGapError:
                 log_event("INFO", "config_history_gone", after=after)
                 after = -1
                 continue
-            except _StoreAwayError:
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, RETRY_MOST_S)
+            except _StoreUnreachableError:
+                await asyncio.sleep(delay_s)
+                delay_s = min(delay_s * 2, MAX_RETRY_DELAY_S)
 
     async def _read(self) -> int:
-        found = await self._table.raw_row(TABLE, KEY)
+        found = await self._table.raw_row(CONFIG_TABLE, CONFIG_KEY)
         if isinstance(found, Err):
-            self._away(found.err_value)
+            self._raise_unreachable(found.err_value)
         assert isinstance(found, Ok)
-        self._store_seen(True)
+        self._report_store(True)
         data, version = found.ok_value
         self._decode(data)
         return version
 
-    async def _wait(self, after: int) -> int:
-        found = await self._table.changes(TABLE, after)
+    async def _wait_for_change(self, after: int) -> int:
+        found = await self._table.changes(CONFIG_TABLE, after)
         if isinstance(found, Err):
-            self._away(found.err_value)
+            self._raise_unreachable(found.err_value)
         assert isinstance(found, Ok)
-        self._store_seen(True)
+        self._report_store(True)
         changed, version = found.ok_value
-        self._decode(changed.get(KEY))
+        self._decode(changed.get(CONFIG_KEY))
         return version
 
-    def _away(self, failure: Failure) -> None:
-        self._store_seen(False)
+    def _raise_unreachable(self, failure: Failure) -> None:
+        self._report_store(False)
         log_event("INFO", "config_not_read", reason=str(failure))
-        raise _StoreAwayError
+        raise _StoreUnreachableError
 
     def _decode(self, data: bytes | None) -> None:
         if data is None:
@@ -183,19 +183,19 @@
         if isinstance(decoded, Err):
             log_event("ERROR", "config_refused", reason=str(decoded.err_value))
             return
-        self._take(decoded.ok_value)
+        self._apply(decoded.ok_value)
 
     async def _read_on_demand(self) -> None:
         while True:
-            await self._hurry.wait()
+            await self._read_requested.wait()
             try:
                 await self._read()
-            except _StoreAwayError:
-                await asyncio.sleep(RETRY_FIRST_S)
+            except _StoreUnreachableError:
+                await asyncio.sleep(MIN_RETRY_DELAY_S)
                 continue
-            self._hurry.clear()
-            await asyncio.sleep(RETRY_FIRST_S)
+            self._read_requested.clear()
+            await asyncio.sleep(MIN_RETRY_DELAY_S)
 
 
-class _StoreAwayError(Exception):
-    """A read got no answer."""
+class _StoreUnreachableError(Exception):
+    """The store did not answer a read."""
--- a/sapphirelead/platform/local_runs.py
+++ b/sapphirelead/platform/local_runs.py
@@ -1,4 +1,4 @@
-"""One life of the platform's worker, as a runner uses it, over HTTP and JSON."""
+"""Client of one incarnation (``life``) of the platform's worker, over HTTP and JSON."""
 
 from typing import Any, Final, TypeVar
 
@@ -12,12 +12,11 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S: Final = 0.5
-"""The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
-that a start carries."""
+"""Two tries fit within the deadline of a start."""
 
-LIST_MARGIN_S: Final = 0.6
+LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
-_FAILURE: Final = {409: CallFailure.FENCED, 421: CallFailure.OTHER_LIFE}
+_FAILURE_BY_STATUS: Final = {409: CallFailure.FENCED, 421: CallFailure.OTHER_LIFE}
 
 
 class _Clock(msgspec.Struct):
@@ -29,7 +28,7 @@
 
 
 class HttpRuns:
-    """Calls to one life of a worker; implements :class:`~sapphirelead.node_ports.RunWorker`."""
+    """Implements :class:`~sapphirelead.node_ports.RunWorker`."""
 
     _http: HttpCaller
     _life: str
@@ -40,7 +39,7 @@
 
     @classmethod
     def connect(cls, life: str, url: str) -> "HttpRuns":
-        """Return the life named ``life`` at ``url``."""
+        """Return a client of the incarnation ``life`` of the worker at ``url``."""
         return cls(HttpCaller.connect(url, CALL_TIMEOUT_S), life)
 
     async def close(self) -> None:
@@ -50,9 +49,9 @@
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
-        """List runs and ends; see the protocol."""
+        """List running and ended runs, and extend the lease."""
         fields = {"fencing_token": fencing_token, "noted": noted, "lease_ms": lease_ms}
-        timeout_s = wait_ms / 1000 + LIST_MARGIN_S
+        timeout_s = wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S
         return await self._call("hold", WorkerView, timeout_s, wait_ms=wait_ms, **fields)
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
@@ -61,7 +60,7 @@
         return await self._call("start", StartResult, start=call, fencing_token=token)
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        """Stop a run, or see to it that it never starts; return the worker's clock."""
+        """Stop a run, or prevent its start; return the worker's clock."""
         found = await self._call(
             "stop", _Clock, task=task, attempt=attempt, fencing_token=fencing_token
         )
@@ -70,7 +69,7 @@
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        """Let a run work at a share of its speed; return the worker's clock."""
+        """Throttle a run to ``percent`` of its speed; return the worker's clock."""
         found = await self._call(
             "pace",
             _Clock,
@@ -89,13 +88,13 @@
         if isinstance(found, Err):
             refused = found.err_value.refused
             return Err(CallFailure.REFUSED if refused else CallFailure.NO_ANSWER)
-        if found.ok_value.status in _FAILURE:
-            return Err(_FAILURE[found.ok_value.status])
-        return _decoded(verb, found.ok_value, kind)
+        if found.ok_value.status in _FAILURE_BY_STATUS:
+            return Err(_FAILURE_BY_STATUS[found.ok_value.status])
+        return _decode_reply(verb, found.ok_value, kind)
 
 
 async def read_life(http: HttpCaller) -> str:
-    """Return the life that answers now, or an empty text."""
+    """Return the worker's current incarnation, or an empty string if it does not answer."""
     found = await http.call("GET", "/runs/life")
     if isinstance(found, Err) or found.ok_value.status != 200:
         return ""
@@ -105,7 +104,7 @@
         return ""
 
 
-def _decoded(verb: str, answer: Reply, kind: type[T]) -> Result[T, CallFailure]:
+def _decode_reply(verb: str, answer: Reply, kind: type[T]) -> Result[T, CallFailure]:
     if answer.status == 200:
         try:
             return Ok(msgspec.json.decode(answer.body, type=kind))
--- a/sapphirelead/platform/worker.py
+++ b/sapphirelead/platform/worker.py
@@ -1,4 +1,4 @@
-"""One life of the platform's worker, as the product's agents use it."""
+"""Client of one incarnation of the platform's worker, used by the agents."""
 
 from typing import Annotated, Any, Final
 
@@ -16,20 +16,19 @@
     WorkerRun,
     WorkerView,
 )
-from sapphirelead.platform.decoding import LARGEST, Count, Name, decode
+from sapphirelead.platform.decoding import MAX_NUMBER, Count, Name, decode
 
 CALL_TIMEOUT_S: Final = 0.5
-"""The worker is on the same machine and answers in milliseconds; two tries fit into the deadline
-that a start carries."""
+"""Two tries fit within the deadline of a start."""
 
-LIST_MARGIN_S: Final = 0.6
+LIST_TIMEOUT_MARGIN_S: Final = 0.6
 
-CONNECTIONS: Final = 25
-"""One for the list call, and one for each other call that an agent has in flight."""
+MAX_CONNECTIONS: Final = 25
+"""One for the list call and one for each other concurrent call of an agent."""
 
 LIFE_HEADER: Final = "X-Target-Instance"
 
-_REASONS: Final = {
+_ANSWER_BY_REASON: Final = {
     "fence": StartAnswer.FENCED,
     "old": StartAnswer.OUTDATED,
     "late": StartAnswer.TOO_LATE,
@@ -39,20 +38,20 @@
 
 
 class _Clock(msgspec.Struct):
-    """Part of every answer with a body; ``reason`` says why a call was refused."""
+    """Fields of every response body; ``reason`` is set if the call was rejected."""
 
     clock_ms: Count = 0
     reason: str = ""
 
 
 class _Running(msgspec.Struct, array_like=True):
-    """A row ``[task, run, saved, percent, figure]``; the last is not always there."""
+    """A row ``[task, run, saved, percent, figure]``; ``figure`` is optional."""
 
     task: Name
     attempt: Count
     saved: str
-    percent: Annotated[float, msgspec.Meta(ge=0, le=LARGEST)]
-    figure: Annotated[float, msgspec.Meta(ge=-1, le=LARGEST)] = -1
+    percent: Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+    figure: Annotated[float, msgspec.Meta(ge=-1, le=MAX_NUMBER)] = -1
 
 
 class _Ended(msgspec.Struct, array_like=True):
@@ -66,10 +65,10 @@
 
 
 class _List(msgspec.Struct):
-    """What runs and has ended.
+    """Running and ended runs of a worker.
 
-    A list with a row that cannot be read is taken as none: a run that is not listed counts as never
-    started once it has been stopped, so that a row left out could bring about a second run.
+    An invalid row makes the whole list invalid: a stopped run that is not listed counts as never
+    started, so skipping its row could cause a second run.
     """
 
     clock_ms: Count
@@ -82,7 +81,7 @@
 
 
 class PlatformWorker:
-    """Calls to one life of a worker."""
+    """Implements :class:`~sapphirelead.node_ports.RunWorker`."""
 
     _http: HttpCaller
     _headers: dict[str, str]
@@ -93,20 +92,20 @@
 
     @classmethod
     def connect(cls, worker: str, address: str) -> "PlatformWorker":
-        """Return the life named ``worker`` at ``address``."""
-        http = HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S, CONNECTIONS)
+        """Return a client of the incarnation ``worker`` at ``address``."""
+        http = HttpCaller.connect(f"http://{address}", CALL_TIMEOUT_S, MAX_CONNECTIONS)
         return cls(http, worker)
 
     async def hold(
         self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
-        """List runs and ends; see the protocol."""
+        """List running and ended runs, and extend the lease."""
         body: dict[str, Any] = {"fence_token": fencing_token, "seen_upto": noted}
         if lease_ms:
             body["deadline_ms"] = lease_ms
         if wait_ms:
             body["wait_ms"] = wait_ms
-        found = await self._call("/hold", body, wait_ms / 1000 + LIST_MARGIN_S)
+        found = await self._call("/hold", body, wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S)
         if isinstance(found, Err):
             return found
         answer = found.ok_value
@@ -119,7 +118,9 @@
             log_event("ERROR", "worker_list_undecodable", reason=decoded.err_value)
             return Err(CallFailure.NO_ANSWER)
         wire = decoded.ok_value
-        return Ok(WorkerView(wire.clock_ms, [_run(row) for row in wire.running], _ends(wire)))
+        return Ok(
+            WorkerView(wire.clock_ms, [_worker_run(row) for row in wire.running], _ended_runs(wire))
+        )
 
     async def start(self, call: StartCall) -> Result[StartResult, CallFailure]:
         """Start a run."""
@@ -141,8 +142,8 @@
         clock = _decode_clock(answer)
         if answer.status == 200:
             return Ok(StartResult(StartAnswer.STARTED, clock.clock_ms))
-        if answer.status == 409 and clock.reason in _REASONS:
-            return Ok(StartResult(_REASONS[clock.reason], clock.clock_ms))
+        if answer.status == 409 and clock.reason in _ANSWER_BY_REASON:
+            return Ok(StartResult(_ANSWER_BY_REASON[clock.reason], clock.clock_ms))
         if answer.status == 400:
             log_event("ERROR", "start_invalid", task=call.task, body=answer.body[:200])
             return Ok(StartResult(StartAnswer.INVALID, clock.clock_ms))
@@ -151,23 +152,23 @@
         return self._unexpected("/run-start", answer)
 
     async def stop(self, task: str, attempt: int, fencing_token: int) -> Result[int, CallFailure]:
-        """Stop a run."""
+        """Stop a run, or prevent its start; return the worker's clock."""
         body = {"task": task, "attempt": attempt, "fence_token": fencing_token}
-        return await self._order("/run-stop", body)
+        return await self._command("/run-stop", body)
 
     async def pace(
         self, task: str, attempt: int, percent: int, fencing_token: int
     ) -> Result[int, CallFailure]:
-        """Let a run work at a share of its speed."""
+        """Throttle a run to ``percent`` of its speed; return the worker's clock."""
         body = {
             "task": task,
             "attempt": attempt,
             "percent": percent,
             "fence_token": fencing_token,
         }
-        return await self._order("/pace", body)
+        return await self._command("/pace", body)
 
-    async def _order(self, path: str, body: dict[str, Any]) -> Result[int, CallFailure]:
+    async def _command(self, path: str, body: dict[str, Any]) -> Result[int, CallFailure]:
         found = await self._call(path, body, CALL_TIMEOUT_S)
         if isinstance(found, Err):
             return found
@@ -186,7 +187,7 @@
             "POST", path, msgspec.json.encode(body), self._headers, timeout_s
         )
         if isinstance(found, Err):
-            return Err(_failure(found.err_value))
+            return Err(_call_failure(found.err_value))
         if found.ok_value.status == 421:
             return Err(CallFailure.OTHER_LIFE)
         return Ok(found.ok_value)
@@ -206,7 +207,7 @@
         await self._http.close()
 
 
-def _failure(error: CallError) -> CallFailure:
+def _call_failure(error: CallError) -> CallFailure:
     return CallFailure.REFUSED if error.refused else CallFailure.NO_ANSWER
 
 
@@ -216,14 +217,14 @@
     decoded = decode(_CLOCK, answer.body)
     if isinstance(decoded, Ok):
         return decoded.ok_value
-    # An answer of something between; its status still counts.
+    # The response may come from an intermediary; its status is still used.
     log_event("INFO", "worker_body_undecodable", status=answer.status)
     return _Clock()
 
 
-def _run(row: _Running) -> WorkerRun:
+def _worker_run(row: _Running) -> WorkerRun:
     return WorkerRun(row.task, row.attempt, row.saved, int(row.percent), int(row.figure))
 
 
-def _ends(wire: _List) -> list[WorkerEnd]:
+def _ended_runs(wire: _List) -> list[WorkerEnd]:
     return [WorkerEnd(row.number, row.task, row.attempt, row.kind, row.saved) for row in wire.ended]
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sapphirelead.model_resources import NOTHING, Resources
+from sapphirelead.model_resources import NO_RESOURCES, Resources
 from sapphirelead.node_messages import (
     RunEnded,
     RunPhase,
@@ -95,7 +95,7 @@
     @property
     def used(self) -> Resources:
         """Resources used by the runs whose start order is known."""
-        used = NOTHING
+        used = NO_RESOURCES
         for run in self.runs.values():
             if run.order is not None:
                 used = used + run.order.room
--- a/sapphirelead/standin_server.py
+++ b/sapphirelead/standin_server.py
@@ -1,7 +1,7 @@
-"""What the stand-ins of the platform share: an HTTP server, its faults and its history.
+"""HTTP server with fault injection and a history, the base of the platform's stand-ins.
 
-A stand-in runs inside ``sapphirelead dev`` or as a process of its own in tests.  Faults are set
-over HTTP while it runs, so that a test can break the platform and mend it again.
+A stand-in runs inside ``sapphirelead dev`` or, in tests, as a separate process.  Tests inject and
+clear faults over HTTP while it runs.
 """
 
 import asyncio
@@ -12,20 +12,20 @@
 
 from sapphirelead.standin_history import History
 
-STOP_S: Final = 0.2
+SHUTDOWN_TIMEOUT_S: Final = 0.2
 
 
 class Faults(msgspec.Struct):
-    """How the stand-in misbehaves.
-
-    :ivar down: answer 503 to everything.
-    :ivar hang: while down, hold requests instead and drop them once it ends.
-    :ivar late_apply: let requests that were held take effect once the fault ends.
-    :ivar delay_ms: added to every request.
-    :ivar lose_answers: so many further changes take effect without an answer.
-    :ivar drop_before: so many further changes are dropped before they take effect.
-    :ivar only: prefix of the paths that misbehave; all others work.
-    :ivar match: the two counts are for changes whose body contains this text only.
+    """Faults that the stand-in injects.
+
+    :ivar down: respond with 503 to every request.
+    :ivar hang: while down, hold requests instead and abort them when the fault is cleared.
+    :ivar late_apply: apply held requests when the fault is cleared.
+    :ivar delay_ms: delay of every request, in milliseconds.
+    :ivar lose_answers: number of further writes that are applied but not answered.
+    :ivar drop_before: number of further writes that are dropped before they are applied.
+    :ivar only: prefix of the paths that are affected.
+    :ivar match: text that the body of a write contains for the two counts to apply to it.
     """
 
     down: bool = False
@@ -39,28 +39,28 @@
 
 
 class StandIn:
-    """An HTTP server with faults; subclasses add routes in :meth:`routes`."""
+    """HTTP server with fault injection; subclasses add routes in :meth:`routes`."""
 
     history: History
     faults: Faults
     _runner: web.AppRunner | None
-    _mended: asyncio.Event
+    _fault_cleared: asyncio.Event
 
     def __init__(self, history: History) -> None:
         self.history = history
         self.faults = Faults()
         self._runner = None
-        self._mended = asyncio.Event()
+        self._fault_cleared = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of this stand-in."""
+        """Return the HTTP routes of this stand-in."""
         raise NotImplementedError
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and return the port (chosen by the system where ``port`` is 0)."""
-        app = web.Application(client_max_size=64 * 1024 * 1024, middlewares=[self._misbehave])
+        """Listen and return the port, which the system chooses if ``port`` is 0."""
+        app = web.Application(client_max_size=64 * 1024 * 1024, middlewares=[self._inject_faults])
         app.add_routes([web.post("/faults", self._set_faults), *self.routes()])
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=STOP_S)
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
         await site.start()
@@ -68,50 +68,50 @@
 
     async def stop(self) -> None:
         """Stop listening and drop open requests."""
-        self._mended.set()
+        self._fault_cleared.set()
         if self._runner is not None:
             await self._runner.cleanup()
 
     @web.middleware
-    async def _misbehave(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        answer: web.StreamResponse
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
+        response: web.StreamResponse
         if request.path in ("/faults", "/stats") or not request.path.startswith(self.faults.only):
-            answer = await handler(request)
-            return answer
+            response = await handler(request)
+            return response
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
         if self.faults.down and not self.faults.hang:
             return web.json_response({"error": "down"}, status=503)
         if self.faults.down:
-            return await self._hold(request, handler)
-        if not await self._is_aimed_at(request):
-            answer = await handler(request)
+            return await self._hold_request(request, handler)
+        if not await self._matches_fault(request):
+            response = await handler(request)
         elif self.faults.drop_before:
             self.faults.drop_before -= 1
-            answer = _cut(request)
+            response = _abort_connection(request)
         elif self.faults.lose_answers:
             self.faults.lose_answers -= 1
             await handler(request)
-            answer = _cut(request)
+            response = _abort_connection(request)
         else:
-            answer = await handler(request)
-        return answer
+            response = await handler(request)
+        return response
 
-    async def _is_aimed_at(self, request: web.Request) -> bool:
+    async def _matches_fault(self, request: web.Request) -> bool:
         return request.method != "GET" and self.faults.match.encode() in await request.read()
 
-    async def _hold(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _hold_request(self, request: web.Request, handler: Any) -> web.StreamResponse:
         late_apply = self.faults.late_apply
         await request.read()
-        await self._mended.wait()
+        await self._fault_cleared.wait()
         if late_apply:
             await handler(request)
-        return _cut(request)
+        return _abort_connection(request)
 
     def set_faults(self, faults: Faults) -> None:
-        """Misbehave as told from now on; requests held by an earlier fault are let go."""
+        """Replace the injected faults and release the requests held by earlier ones."""
         self.faults = faults
-        held, self._mended = self._mended, asyncio.Event()
+        held, self._fault_cleared = self._fault_cleared, asyncio.Event()
         held.set()
         self.history.record("faults", **msgspec.to_builtins(faults))
 
@@ -120,7 +120,7 @@
         return web.json_response({})
 
 
-def _cut(request: web.Request) -> web.Response:
+def _abort_connection(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/sapphirelead/standin_target.py
+++ b/sapphirelead/standin_target.py
@@ -1,10 +1,11 @@
-"""Stand-in of a latency-critical target beside an agent.
+"""Stand-in for a latency-critical target colocated with an agent.
 
-It answers each request with the request's own marker, so that a caller can tell whether the answer
-is whole and its own.  Its service time grows with what runs on the worker beside it.
+Each response echoes the request's marker, so a caller can check that the response is complete and
+belongs to its request.  The service time grows with the load of the colocated worker.
 
-A request's manner is chosen by its headers (``X-Standin-Marker``, ``X-Standin-Delay-Ms``,
-``X-Standin-Bytes``) or by the fields ``marker``, ``delay_ms`` and ``bytes`` of a JSON body.
+A request sets its marker, delay and response size by headers (``X-Standin-Marker``,
+``X-Standin-Delay-Ms``, ``X-Standin-Bytes``) or by the fields ``marker``, ``delay_ms`` and ``bytes``
+of a JSON body.
 """
 
 import asyncio
@@ -19,17 +20,17 @@
 from sapphirelead.standin_history import History
 from sapphirelead.standin_server import StandIn
 
-POLL_S: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 
 
 class TargetSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The target's manner.
+    """Latency and capacity of the target.
 
-    :ivar base_ms: service time of a request on an otherwise idle instance.
-    :ivar interference: added share of the service time when the worker beside it is full.
-    :ivar slots: requests served at once; more wait in line.
-    :ivar connections: open requests; more are refused and recorded.
-    :ivar worker_url: worker beside it, asked how busy it is.
+    :ivar base_ms: service time of a request on an otherwise idle instance, in milliseconds.
+    :ivar interference: relative increase of the service time when the colocated worker is full.
+    :ivar slots: maximum number of requests served concurrently; further ones are queued.
+    :ivar connections: maximum number of open requests; further ones are refused and recorded.
+    :ivar worker_url: colocated worker whose load is polled; empty for none.
     """
 
     base_ms: float = 2.0
@@ -53,7 +54,7 @@
 
 
 class StandInTarget(StandIn):
-    """The target."""
+    """Target whose latency depends on the load of the colocated worker."""
 
     _cfg: TargetSettings
     _control: _Control
@@ -73,17 +74,17 @@
 
     @classmethod
     def from_settings(cls, history: History, raw: dict[str, Any]) -> "StandInTarget":
-        """Build from checked settings; see :class:`TargetSettings`."""
+        """Build from validated settings; see :class:`TargetSettings`."""
         return cls(history, msgspec.convert(raw, TargetSettings))
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and follow the load of the worker beside it."""
+        """Start listening and polling the load of the colocated worker."""
         if self._cfg.worker_url:
             self._poller = asyncio.create_task(self._follow_load(self._cfg.worker_url))
         return await super().start(host, port)
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop polling and listening."""
         if self._poller is not None:
             self._poller.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -91,7 +92,7 @@
         await super().stop()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of the target."""
+        """Return the HTTP routes of the target."""
         return [web.post("/control", self._set_control), web.post("/{service}", self._serve)]
 
     async def _follow_load(self, url: str) -> None:
@@ -101,7 +102,7 @@
                 match await http.call("GET", "/interference"):
                     case Ok(reply) if reply.status == 200:
                         self._load = float(msgspec.json.decode(reply.body)["load"])
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             await http.close()
 
@@ -110,43 +111,45 @@
         return web.json_response({})
 
     async def _serve(self, request: web.Request) -> web.Response:
-        manner = _manner_of(request, await request.read())
+        options = _request_options(request, await request.read())
         service = request.match_info["service"]
         if self._open >= self._cfg.connections:
-            self.history.record("over_connections", service=service, marker=manner.marker)
+            self.history.record("over_connections", service=service, marker=options.marker)
             return web.json_response({"error": "too many connections"}, status=503)
         self._open += 1
-        self.history.record("request_start", service=service, marker=manner.marker, open=self._open)
+        self.history.record(
+            "request_start", service=service, marker=options.marker, open=self._open
+        )
         try:
             async with self._slots:
-                return await self._answer(service, manner)
+                return await self._answer(service, options)
         finally:
             self._open -= 1
 
-    async def _answer(self, service: str, manner: _Manner) -> web.Response:
+    async def _answer(self, service: str, options: _Manner) -> web.Response:
         if self._control.hang:
             await asyncio.sleep(3600)
         if self._control.fail_all:
-            self.history.record("request_end", service=service, marker=manner.marker, status=500)
+            self.history.record("request_end", service=service, marker=options.marker, status=500)
             return web.json_response({"error": "failing"}, status=500)
-        await asyncio.sleep(self._service_ms(manner) / 1000)
-        self.history.record("request_end", service=service, marker=manner.marker, status=200)
-        body = {"service": service, "marker": manner.marker, "fill": "x" * manner.bytes}
+        await asyncio.sleep(self._service_ms(options) / 1000)
+        self.history.record("request_end", service=service, marker=options.marker, status=200)
+        body = {"service": service, "marker": options.marker, "fill": "x" * options.bytes}
         return web.json_response(body)
 
-    def _service_ms(self, manner: _Manner) -> float:
-        base_ms = self._cfg.base_ms if manner.delay_ms < 0 else manner.delay_ms
+    def _service_ms(self, options: _Manner) -> float:
+        base_ms = self._cfg.base_ms if options.delay_ms < 0 else options.delay_ms
         load = self._load if self._control.load is None else self._control.load
         return base_ms * self._control.slow * (1 + load * self._cfg.interference)
 
 
-def _manner_of(request: web.Request, body: bytes) -> _Manner:
-    manner = _Manner()
+def _request_options(request: web.Request, body: bytes) -> _Manner:
+    options = _Manner()
     with contextlib.suppress(msgspec.DecodeError, msgspec.ValidationError):
-        manner = msgspec.json.decode(body, type=_Manner)
+        options = msgspec.json.decode(body, type=_Manner)
     headers = request.headers
     return _Manner(
-        marker=headers.get("X-Standin-Marker", manner.marker),
-        delay_ms=float(headers.get("X-Standin-Delay-Ms", manner.delay_ms)),
-        bytes=int(headers.get("X-Standin-Bytes", manner.bytes)),
+        marker=headers.get("X-Standin-Marker", options.marker),
+        delay_ms=float(headers.get("X-Standin-Delay-Ms", options.delay_ms)),
+        bytes=int(headers.get("X-Standin-Bytes", options.bytes)),
     )
--- a/sapphirelead/standin_task.py
+++ b/sapphirelead/standin_task.py
@@ -1,8 +1,8 @@
-"""One task of the stand-in worker, free of I/O.
+"""A task of the stand-in worker, without I/O.
 
-Progress is worked out from the clock: between two moments at which its speed changes (throttle,
-contention), a task gains ``elapsed * speed``.  Work after ``lease_until`` never counts: a worker
-that was itself paused past a lease finds the lease lapsed first and stops the task there.
+Progress is computed from the clock: while its speed (throttle, contention) is constant, a task
+gains ``elapsed * speed``.  Work after ``lease_until`` never counts: when a task is advanced past
+its lease, it stops at the lease's end, also if the worker process itself was paused.
 """
 
 import asyncio
@@ -13,21 +13,22 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.ports import TaskInfo, TaskSpec, TaskState
 
-EVENT_TAIL: Final = 256
-LAPSED: Final = "lease lapsed"
+MAX_BUFFERED_EVENTS: Final = 256
+LEASE_EXPIRED_REASON: Final = "lease lapsed"
 
 
 class Script(msgspec.Struct):
-    """What a task does, read from its ``input``; unknown fields are left to the caller.
-
-    :ivar work_ms: run time at full speed; absent for a watch means that it runs until stopped.
-    :ivar lasts: run until stopped.
-    :ivar fail: end as failed.
-    :ivar events: most events to emit, 0 for no bound.
-    :ivar event_every_ms: run time between events, 0 for none.
-    :ivar usage: true use, where the declared one is wrong.
-    :ivar noise: how much the task disturbs the target beside it; absent means its processors.
-    :ivar result: the result; the task's name and progress where absent.
+    """Behaviour of a task, read from its ``input``; unknown fields are ignored.
+
+    :ivar work_ms: run time at full speed, in milliseconds; a watch without it runs until stopped.
+    :ivar lasts: run until stopped, if ``work_ms`` is absent.
+    :ivar fail: fail at the end of the run time.
+    :ivar events: maximum number of events to emit; 0 for no limit.
+    :ivar event_every_ms: run time between events, in milliseconds; 0 for no events.
+    :ivar usage: actual resource usage, if it differs from the declared one.
+    :ivar noise: interference load on the colocated target; defaults to the share of the worker's
+        processors in use.
+    :ivar result: result of the task; defaults to its id and progress.
     """
 
     work_ms: float | None = None
@@ -41,7 +42,7 @@
 
 
 class Progress(msgspec.Struct):
-    """What a checkpoint holds."""
+    """Progress of a task, the content of a checkpoint."""
 
     done_ms: float = 0.0
     emitted: int = 0
@@ -50,7 +51,8 @@
 class StandInTask:
     """A task under a lease, with its progress.
 
-    :ivar at: loop time up to which the progress is worked out.
+    :ivar at: loop time up to which the progress has been computed, in seconds.
+    :ivar speed: progress per elapsed time, from throttle and contention.
     """
 
     spec: TaskSpec
@@ -61,7 +63,7 @@
     throttle: float
     speed: float
     paused: bool
-    saving: asyncio.Lock
+    checkpoint_lock: asyncio.Lock
     started_at: float
     at: float
     checkpoint: str
@@ -78,7 +80,7 @@
         self.throttle = 1.0
         self.speed = 1.0
         self.paused = False
-        self.saving = asyncio.Lock()
+        self.checkpoint_lock = asyncio.Lock()
         self.started_at = at
         self.at = at
         self.checkpoint = ""
@@ -88,39 +90,39 @@
 
     @classmethod
     def from_spec(cls, spec: TaskSpec, progress: Progress, at: float) -> "StandInTask":
-        """Build a task that starts at ``at`` with ``progress`` from a checkpoint."""
+        """Build a task that starts at ``at`` (loop time) from the progress of a checkpoint."""
         raw = spec.input if isinstance(spec.input, dict) else {}
         return cls(spec, msgspec.convert(raw, Script), progress, at)
 
     @property
     def running(self) -> bool:
-        """Whether the task still uses the worker."""
+        """Return whether the task is running."""
         return self.state is TaskState.RUNNING
 
     @property
     def total_ms(self) -> float:
-        """Run time at full speed."""
+        """Return the run time at full speed, in milliseconds."""
         if self.script.work_ms is not None:
             return self.script.work_ms
         return float("inf") if self.script.lasts or self.spec.kind == "watch" else 0.0
 
     @property
     def usage(self) -> Resources:
-        """True use now."""
+        """Return the actual resource usage at the current throttle."""
         full = self.script.usage or self.spec.resources
         return Resources(
             int(full.cpu_millicores * self.throttle), full.memory_mb, full.accelerators
         )
 
     def advance(self, at: float) -> None:
-        """Work the progress out up to ``at`` (loop time) and end the task if it is due."""
+        """Compute the progress up to ``at`` (loop time) and end the task if it is due."""
         if not self.running:
             return
         if at >= self.lease_until:
-            self._gain(self.lease_until)
-            self.end(TaskState.STOPPED, LAPSED)
+            self._add_progress(self.lease_until)
+            self.end(TaskState.STOPPED, LEASE_EXPIRED_REASON)
             return
-        self._gain(at)
+        self._add_progress(at)
         if self.progress.done_ms < self.total_ms - 1e-6:
             return
         if self.script.fail:
@@ -129,22 +131,22 @@
             self.end(TaskState.SUCCEEDED, "")
 
     def end(self, state: TaskState, reason: str) -> None:
-        """End the task."""
+        """Set the final state and reason of the task."""
         self.state = state
         self.reason = reason
 
     def next_change(self) -> float:
-        """Return the loop time of the next end or event at the present speed."""
+        """Return the loop time of the next event or end at the current speed."""
         due_ms = self.total_ms - self.progress.done_ms
-        if self._emits():
+        if self._has_next_event():
             due_ms = min(due_ms, self._next_event_ms() - self.progress.done_ms)
         if self.speed <= 0:
             return self.lease_until
         return min(self.lease_until, self.at + max(0.0, due_ms) / 1000 / self.speed)
 
     def info(self, usage_lag_s: float, at: float) -> TaskInfo:
-        """Return the task as the worker reports it; use is reported with a lag."""
-        known = at - self.started_at >= usage_lag_s
+        """Return the task as the worker reports it, with usage delayed by ``usage_lag_s``."""
+        usage_known = at - self.started_at >= usage_lag_s
         return TaskInfo(
             self.spec.task_id,
             self.spec.epoch,
@@ -152,7 +154,7 @@
             self.spec.kind,
             self.spec.job_class,
             self.spec.resources,
-            usage=self.usage if known else Resources(),
+            usage=self.usage if usage_known else Resources(),
             usage_age_s=usage_lag_s,
             throttle=self.throttle,
             checkpoint=self.checkpoint,
@@ -169,16 +171,18 @@
             return self.script.result
         return {"task": self.spec.task_id, "work_ms": self.progress.done_ms}
 
-    def _gain(self, at: float) -> None:
+    def _add_progress(self, at: float) -> None:
         gained_ms = max(0.0, at - self.at) * 1000 * self.speed
         self.at = max(self.at, at)
         self.progress.done_ms = min(self.total_ms, self.progress.done_ms + gained_ms)
-        while self._emits() and self.progress.done_ms >= self._next_event_ms() - 1e-6:
+        while self._has_next_event() and self.progress.done_ms >= self._next_event_ms() - 1e-6:
             self._emit()
 
-    def _emits(self) -> bool:
-        bound = self.script.events
-        return self.script.event_every_ms > 0 and (bound == 0 or self.progress.emitted < bound)
+    def _has_next_event(self) -> bool:
+        max_events = self.script.events
+        return self.script.event_every_ms > 0 and (
+            max_events == 0 or self.progress.emitted < max_events
+        )
 
     def _next_event_ms(self) -> float:
         return (self.progress.emitted + 1) * self.script.event_every_ms
@@ -186,6 +190,6 @@
     def _emit(self) -> None:
         self.progress.emitted += 1
         self.events.append({"n": self.progress.emitted, "task": self.spec.task_id})
-        if len(self.events) > EVENT_TAIL:
+        if len(self.events) > MAX_BUFFERED_EVENTS:
             self.events.pop(0)
             self.first_event += 1
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -14,7 +14,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.node_election import Election
-from sapphirelead.node_intake import Turns
+from sapphirelead.node_intake import LoopYielder
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AgentReport, Orders, RunEnded, RunPhase, RunStatus
 from sapphirelead.runner_service import FULL_REPORT_INTERVAL_S, MAX_REPORT_INTERVAL_S
@@ -164,7 +164,7 @@
 
     async def deliver_messages(self) -> None:
         """Deliver reports and heartbeats to the leader whenever the loop is free."""
-        turns = Turns()
+        turns = LoopYielder()
         while True:
             at = now()
             for agent in self.agents.values():
--- a/tests/sched/test_calls.py
+++ b/tests/sched/test_calls.py
@@ -1,7 +1,6 @@
-"""How long callers wait at an entry, and what they are told, on a paused clock.
+"""Tests of the waiting times and replies of calls at an entry, on a simulated clock.
 
-The load that these tests stand for: a leader has gone and callers keep coming, each with four
-retries at other entries; a held call costs its caller time that another entry could have used.
+Covers calls that arrive while the leader is lost, being replaced or unreachable.
 """
 
 import asyncio
@@ -10,7 +9,7 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import FORWARD_S, HOLD_S, CallDesk
+from sapphirelead.node_calls import FORWARD_RETRY_DELAY_S, HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_leader import Leader
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
 
@@ -19,8 +18,8 @@
 DEADLINE_S = 3.0
 
 
-class View:
-    """An entry that follows; what becomes of passed-on calls is set by the test."""
+class FollowerView:
+    """A following entry that records forwarded calls; the test replies to them."""
 
     def __init__(self) -> None:
         self.leader = "e1"
@@ -47,102 +46,96 @@
         return self.epoch
 
 
-async def ask(desk: CallDesk, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
+async def ask(forwarder: CallForwarder, kind: CallKind = CallKind.SUBMIT) -> tuple[Reply, float]:
     """Make a call; return its reply and how long it took."""
     began = now()
-    reply = await desk.call(kind, "q", "a1", b"", DEADLINE_S)
+    reply = await forwarder.call(kind, "q", "a1", b"", DEADLINE_S)
     return reply, now() - began
 
 
-async def test_without_a_leader_a_caller_is_told_soon_that_nothing_was_run() -> None:
-    view = View()
+async def test_call_without_a_leader_is_not_run_within_the_hold_timeout() -> None:
+    view = FollowerView()
     view.leader = ""
-    reply, took = await ask(CallDesk(view))
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s > 0
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_leader_that_appears_gets_the_waiting_calls_at_once() -> None:
-    view = View()
+async def test_held_calls_are_forwarded_to_a_new_leader_at_once() -> None:
+    view = FollowerView()
     view.leader = ""
-    desk = CallDesk(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(0.5)
     view.leader = "e2"
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.01)
-    desk.replied(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    forwarder.handle_reply(Reply(view.sent[0].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, took = await asking
     assert reply.kind is ReplyKind.OK
     assert took < 0.6
 
 
-async def test_a_submission_that_a_leader_may_have_stored_is_never_called_not_run() -> None:
-    """The leader ends right after a submission was passed on to it.
+async def test_submission_that_may_be_stored_is_not_reported_as_not_run() -> None:
+    """The leader fails after a submission was forwarded to it, and may have stored it.
 
-    Whether it was stored nobody knows yet.  "Not run" could be false; the caller would submit the
-    same order under another id, and a depositor's money would be locked twice.
+    After a wrong "not run", the caller would submit the same work again under another id.
     """
-    view = View()
-    reply, took = await ask(CallDesk(view))
+    view = FollowerView()
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.UNKNOWN
     assert took >= DEADLINE_S - 0.5
     assert len(view.sent) >= 3
     assert len({call.number for call in view.sent}) == 1
 
 
-async def answer_each(desk: CallDesk, view: View, kind: ReplyKind) -> None:
-    """Answer every pass of a call in the same way, after a usual way there and back."""
+async def answer_each_try(forwarder: CallForwarder, view: FollowerView, kind: ReplyKind) -> None:
+    """Send the same reply to each try of a call, after a short round-trip time."""
     answered = 0
     while True:
         await asyncio.sleep(0.02)
         for call in view.sent[answered:]:
-            desk.replied(Reply(call.number, kind, epoch=call.epoch))
+            forwarder.handle_reply(Reply(call.number, kind, epoch=call.epoch))
         answered = len(view.sent)
 
 
-async def test_a_submission_that_no_leader_has_taken_is_not_held_to_its_deadline() -> None:
-    """The entry that is asked has just given up the lead, and says so at once.
+async def test_submission_refused_by_a_non_leader_is_not_held_until_its_deadline() -> None:
+    """The addressed entry replies that it is no longer the leader.
 
-    The submission was never begun, so its caller can be told that soon, and go to another entry.
-    Held as one that may have been stored, it waited for its whole deadline, and ended with a
-    closed connection where the entry itself was stopping.
+    The submission was not started, so its caller must not wait until its deadline.
     """
-    view = View()
-    desk = CallDesk(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.NOT_LEADER))
-    reply, took = await ask(desk)
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.NOT_LEADER))
+    reply, took = await ask(forwarder)
     answering.cancel()
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_submission_that_was_begun_under_a_lost_lead_is_never_called_not_run() -> None:
-    view = View()
-    desk = CallDesk(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
-    reply, _ = await ask(desk)
+async def test_submission_to_a_lost_leader_is_not_reported_as_not_run() -> None:
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.LEAD_LOST))
+    reply, _ = await ask(forwarder)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
 
 
-async def test_a_cancellation_that_a_lost_leader_had_is_never_called_not_run() -> None:
-    """A caller cancels a job and is told that nothing was done; the job has been cancelled.
-
-    The leader stored the cancellation and was lost before it answered.
-    """
-    view = View()
-    desk = CallDesk(view)
-    answering = asyncio.create_task(answer_each(desk, view, ReplyKind.LEAD_LOST))
-    reply, took = await ask(desk, CallKind.CANCEL)
+async def test_cancellation_at_a_lost_leader_is_not_reported_as_not_run() -> None:
+    """The leader may have stored the cancellation before it was lost."""
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    answering = asyncio.create_task(answer_each_try(forwarder, view, ReplyKind.LEAD_LOST))
+    reply, took = await ask(forwarder, CallKind.CANCEL)
     answering.cancel()
     assert reply.kind is ReplyKind.UNKNOWN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
 class ResigningLeader:
-    """A leader in the same process that loses the lead while it stores a submission."""
+    """A local leader that loses the leadership while it stores a submission."""
 
     def __init__(self, view: "LeadingView") -> None:
         self.view = view
@@ -153,8 +146,8 @@
         return Reply(call.number, ReplyKind.LEAD_LOST)
 
 
-class LeadingView(View):
-    """An entry that leads at first."""
+class LeadingView(FollowerView):
+    """An entry that is the leader at first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -165,13 +158,12 @@
         return cast(Leader | None, self.own)
 
 
-async def test_a_submission_begun_by_this_entry_itself_is_never_called_not_run() -> None:
-    """The entry that takes the submission leads, and loses the lead while the store is writing.
+async def test_submission_to_a_lost_local_leader_is_not_reported_as_not_run() -> None:
+    """The entry itself loses the leadership while the store writes a submission.
 
-    No other leader appears in time.  The caller was told that the job had not been run, and the
-    next leader found it in the store and ran it.
+    The next leader may find the job in the store and run it.
     """
-    reply, _ = await ask(CallDesk(LeadingView()))
+    reply, _ = await ask(CallForwarder(LeadingView()))
     assert reply.kind is ReplyKind.UNKNOWN
 
 
@@ -179,78 +171,72 @@
     ("leader", "told"),
     [("", ReplyKind.NOT_RUN), ("e1", ReplyKind.UNKNOWN)],
 )
-async def test_each_call_has_its_answer_when_the_entry_closes(leader: str, told: ReplyKind) -> None:
-    view = View()
+async def test_pending_calls_are_answered_when_the_entry_closes(
+    leader: str, told: ReplyKind
+) -> None:
+    view = FollowerView()
     view.leader = leader
-    desk = CallDesk(view)
-    asking = asyncio.create_task(ask(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
     await asyncio.sleep(0.5)
-    desk.close_at(now() + 0.1)
+    forwarder.close_at(now() + 0.1)
     reply, took = await asking
     assert reply.kind is told
-    assert took <= 0.6 + FORWARD_S + 0.01
+    assert took <= 0.6 + FORWARD_RETRY_DELAY_S + 0.01
 
 
-async def test_the_successor_settles_what_its_predecessor_left_open() -> None:
-    view = View()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+async def test_next_leader_answers_a_call_its_predecessor_left_open() -> None:
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader = ""
     await asyncio.sleep(1.2)
     view.leader = "e2"
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.2)
-    desk.replied(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
+    forwarder.handle_reply(Reply(view.sent[-1].number, ReplyKind.OK, "queued", epoch=view.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
 
 
-async def test_a_question_is_given_up_soon_also_when_it_was_passed_on() -> None:
-    reply, took = await ask(CallDesk(View()), CallKind.STATE)
+async def test_forwarded_query_ends_within_the_hold_timeout() -> None:
+    reply, took = await ask(CallForwarder(FollowerView()), CallKind.STATE)
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
 
-async def test_a_broken_link_is_tried_again_without_spinning() -> None:
-    view = View()
+async def test_broken_link_is_retried_without_busy_waiting() -> None:
+    view = FollowerView()
     view.connected = False
-    reply, took = await ask(CallDesk(view))
+    reply, took = await ask(CallForwarder(view))
     assert reply.kind is ReplyKind.NOT_RUN
-    assert took <= HOLD_S + 0.01
-
+    assert took <= HOLD_TIMEOUT_S + 0.01
 
-async def test_each_try_names_the_leadership_that_it_asks() -> None:
-    """A call lies unread at a leader that falls behind; its caller is told that it never ran.
 
-    The entry asked loses the lead and takes it again.  Read under the later leadership, the call
-    would be carried out after all.
-    """
-    view = View()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+async def test_each_retry_carries_the_epoch_of_its_leader() -> None:
+    """A re-elected leader must not run a call of its earlier epoch that was answered "not run"."""
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.epoch = 3
     await asking
     assert [call.epoch for call in view.sent][:2] == [1, 3]
     assert len({call.number for call in view.sent}) == 1
 
 
-async def test_a_late_refusal_of_an_earlier_leader_ends_no_call_of_the_next_one() -> None:
-    """A caller is refused, and the job runs all the same.
-
-    The first leader is slow; the call goes on to its successor, which is storing it when the first
-    one's "not run" arrives.
-    """
-    view = View()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(ask(desk))
-    await asyncio.sleep(FORWARD_S / 2)
+async def test_late_refusal_of_an_earlier_leader_is_ignored() -> None:
+    """The late "not run" of a slow leader must not end a call that the next leader is storing."""
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(ask(forwarder))
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S / 2)
     view.leader, view.epoch = "e2", view.epoch + 1
-    await asyncio.sleep(FORWARD_S)
+    await asyncio.sleep(FORWARD_RETRY_DELAY_S)
     first, second = view.sent
-    desk.replied(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
+    forwarder.handle_reply(Reply(first.number, ReplyKind.NOT_RUN, epoch=first.epoch))
     await asyncio.sleep(0.01)
-    desk.replied(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
+    forwarder.handle_reply(Reply(second.number, ReplyKind.OK, "queued", epoch=second.epoch))
     reply, _ = await asking
     assert reply.kind is ReplyKind.OK
--- a/tests/sched/test_calls_behind.py
+++ b/tests/sched/test_calls_behind.py
@@ -1,4 +1,4 @@
-"""An entry's calls and the inbox of a leader that works off fewer than come, on a paused clock."""
+"""Tests of an entry's calls to an overloaded leader, on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -7,30 +7,30 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import HOLD_S, CallDesk
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_messages import AnyNodeMessage, Call, CallKind, Reply, ReplyKind
-from sapphirelead.node_window import LEAST, MOST
-from tests.sched.test_calls import View
+from sapphirelead.node_window import MAX_WINDOW, MIN_WINDOW
+from tests.sched.test_calls import FollowerView
 
 pytestmark = pytest.mark.looptime
 
 DEADLINE_S = 3.0
 
 
-class HubView(View):
-    """An entry whose calls wait in a leader's inbox, which works off ten a second."""
+class HubView(FollowerView):
+    """An entry whose leader handles ten calls per second from its inbox."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.inbox = Inbox(HOLD_S)
-        self.desk = CallDesk(self)
-        self.most_waiting = 0
+        self.inbox = Inbox(HOLD_TIMEOUT_S)
+        self.forwarder = CallForwarder(self)
+        self.max_waiting = 0
         self.accepted: dict[str, float] = {}
 
     def send_to(self, name: str, message: AnyNodeMessage) -> bool:
         self.inbox.put(b"e2", message, now())
-        self.most_waiting = max(self.most_waiting, len(self.inbox))
+        self.max_waiting = max(self.max_waiting, len(self.inbox))
         return super().send_to(name, message)
 
     async def lead(self) -> None:
@@ -43,11 +43,13 @@
             call = item.message
             if call.kind is CallKind.SUBMIT:
                 self.accepted.setdefault(call.job_id, now())
-            self.desk.replied(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+            self.forwarder.handle_reply(
+                Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch)
+            )
 
 
 class Callers:
-    """Callers of one entry; notes when each was answered."""
+    """Callers of one entry; records when each was answered."""
 
     def __init__(self, view: HubView) -> None:
         self.view = view
@@ -57,12 +59,12 @@
 
     async def call(self, kind: CallKind, job_id: str) -> None:
         began = now()
-        reply = await self.view.desk.call(kind, "q", job_id, b"", DEADLINE_S)
+        reply = await self.view.forwarder.call(kind, "q", job_id, b"", DEADLINE_S)
         self.ended[job_id] = (now(), reply)
         self.took[job_id] = now() - began
 
-    async def press(self, for_s: float, *kinds: CallKind) -> None:
-        """Make 30 calls a second of each kind, and a cancel each second."""
+    async def generate_load(self, for_s: float, *kinds: CallKind) -> None:
+        """Make 30 calls per second of each kind, and one cancellation per second."""
         until = now() + for_s
         while now() < until:
             number = len(self._tasks)
@@ -72,7 +74,7 @@
             await asyncio.sleep(1 / 30)
 
     def accepted_late(self) -> int:
-        """Count the submissions that were accepted after their callers had been answered."""
+        """Return the number of submissions accepted after their callers had been answered."""
         accepted = self.view.accepted
         return sum(1 for job, end in self.ended.items() if accepted.get(job, 0.0) > end[0])
 
@@ -90,35 +92,37 @@
     yield view, callers
     leading.cancel()
     await callers.leave()
-    await view.desk.stop()
+    await view.forwarder.stop()
 
 
-PRESSES = pytest.mark.parametrize("kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)])
+LOAD_KINDS = pytest.mark.parametrize(
+    "kinds", [(CallKind.SUBMIT,), (CallKind.SUBMIT, CallKind.STATE)]
+)
 
 
-@PRESSES
-async def test_questions_do_not_hide_submissions_that_pile_up(kinds: tuple[CallKind, ...]) -> None:
-    """The leader answered the newest questions, and 500 submissions waited for half a minute."""
+@LOAD_KINDS
+async def test_queries_do_not_hide_a_backlog_of_submissions(kinds: tuple[CallKind, ...]) -> None:
+    """Guards against a growing backlog of submissions while the leader answers queries."""
     async with overloaded() as (view, callers):
-        await callers.press(30.0, *kinds)
+        await callers.generate_load(30.0, *kinds)
         first = callers.accepted_late()
-        await callers.press(30.0, *kinds)
-        # Those that count as lost after some seconds may still wait there.
-        assert view.most_waiting <= MOST + LEAST
-        assert len(view.inbox) <= MOST
-        assert callers.accepted_late() - first <= 1.5 * first + LEAST
+        await callers.generate_load(30.0, *kinds)
+        # Calls considered lost may still be queued at the leader.
+        assert view.max_waiting <= MAX_WINDOW + MIN_WINDOW
+        assert len(view.inbox) <= MAX_WINDOW
+        assert callers.accepted_late() - first <= 1.5 * first + MIN_WINDOW
         cancels = [job_id for job_id in callers.took if job_id.startswith("cancel")]
         assert len(cancels) >= 55
         assert {callers.ended[job_id][1].kind for job_id in cancels} == {ReplyKind.OK}
         assert max(callers.took[job_id] for job_id in cancels) < 0.5
 
 
-@PRESSES
-async def test_few_submissions_are_accepted_when_their_callers_have_left(
+@LOAD_KINDS
+async def test_few_submissions_are_accepted_after_their_callers_were_answered(
     kinds: tuple[CallKind, ...],
 ) -> None:
-    """Each prompt answer let the window grow, until submissions waited longer than callers."""
+    """Guards against a window that grows until submissions wait longer than their callers."""
     async with overloaded() as (view, callers):
-        await callers.press(60.0, *kinds)
+        await callers.generate_load(60.0, *kinds)
         assert callers.accepted_late() <= len(view.accepted) / 4
         assert len(view.accepted) >= 300
--- a/tests/sched/test_cancels.py
+++ b/tests/sched/test_cancels.py
@@ -1,274 +1,280 @@
-"""Cancellations at an entry whose leader has fallen behind, on a paused clock.
-
-The load that these tests stand for: a leader reads what it is sent seconds late, and callers with
-deadlines of a second or two cancel jobs that must not run on.
-"""
+"""Tests of cancellations at an entry with a congested or lost leader, on a simulated clock."""
 
 import asyncio
 
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import CANCEL_AGAIN_S, HOLD_S, CallDesk, longest_wait_s
-from sapphirelead.node_cancels import KEPT_MOST, KEPT_S
+from sapphirelead.node_calls import (
+    CANCEL_RETRY_DELAY_S,
+    HOLD_TIMEOUT_S,
+    CallForwarder,
+    forwarded_call_timeout_s,
+)
+from sapphirelead.node_cancels import MAX_PENDING_CANCELS, PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_messages import Call, CallKind, Reply, ReplyKind
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 
 pytestmark = pytest.mark.looptime
 
 DEADLINE_S = 3.0
 
 
-class TimedView(View):
-    """A view that notes when each call was passed on, and to whom."""
+class TimedView(FollowerView):
+    """A view that records when and to which leader each call was forwarded."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.passed: list[tuple[float, str, Call]] = []
+        self.forwarded: list[tuple[float, str, Call]] = []
 
     def send_to(self, name: str, message: object) -> bool:
         assert isinstance(message, Call)
         if self.connected:
-            self.passed.append((now(), name, message))
+            self.forwarded.append((now(), name, message))
         return super().send_to(name, message)
 
 
-async def cancel(desk: CallDesk, job_id: str = "a1") -> Reply:
-    return await desk.call(CallKind.CANCEL, "q", job_id, b"", DEADLINE_S)
+async def cancel(forwarder: CallForwarder, job_id: str = "a1") -> Reply:
+    return await forwarder.call(CallKind.CANCEL, "q", job_id, b"", DEADLINE_S)
 
 
-def settle(desk: CallDesk, view: TimedView, kind: ReplyKind = ReplyKind.OK) -> None:
-    """Let the leader answer the newest try."""
-    call = view.passed[-1][2]
-    desk.replied(Reply(call.number, kind, "cancelled", epoch=call.epoch))
+def answer_newest(
+    forwarder: CallForwarder, view: TimedView, kind: ReplyKind = ReplyKind.OK
+) -> None:
+    """Reply to the newest try on behalf of the leader."""
+    call = view.forwarded[-1][2]
+    forwarder.handle_reply(Reply(call.number, kind, "cancelled", epoch=call.epoch))
 
 
-async def test_a_cancel_is_not_lost_when_its_caller_has_been_answered() -> None:
-    """A leader that answered nobody for seconds never learnt of cancels whose callers had left."""
+async def test_cancel_continues_after_its_caller_has_been_answered() -> None:
+    """Guards against losing a cancel when the leader responds only after the caller's timeout."""
     view = TimedView()
-    desk = CallDesk(view)
+    forwarder = CallForwarder(view)
     began = now()
-    reply = await cancel(desk)
+    reply = await cancel(forwarder)
     assert reply.kind is ReplyKind.UNKNOWN
-    assert now() - began <= HOLD_S + 0.01
+    assert now() - began <= HOLD_TIMEOUT_S + 0.01
     await asyncio.sleep(5.0)
-    assert view.passed[-1][0] - began > 3.0
-    settle(desk, view)
+    assert view.forwarded[-1][0] - began > 3.0
+    answer_newest(forwarder, view)
     await asyncio.sleep(0.01)
-    passed = len(view.passed)
-    await asyncio.sleep(KEPT_S)
-    assert len(view.passed) == passed
+    forwarded = len(view.forwarded)
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
+    assert len(view.forwarded) == forwarded
 
 
-async def test_a_cancel_is_not_lost_with_the_connection_of_its_caller() -> None:
-    """A cancel ended with its caller's connection, though the entry had read it."""
+async def test_cancel_continues_after_its_caller_disconnects() -> None:
+    """Guards against losing a cancel that the entry has read when its caller disconnects."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
-    asking = asyncio.create_task(cancel(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
     asking.cancel()
     await asyncio.sleep(0.1)
     view.leader = "e1"
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.2)
-    assert [call.job_id for _, _, call in view.passed] == ["a1"]
-    await desk.stop()
+    assert [call.job_id for _, _, call in view.forwarded] == ["a1"]
+    await forwarder.stop()
 
 
-async def test_a_cancel_taken_between_two_leaders_reaches_the_next_one() -> None:
-    """A cancel taken while nobody led was dropped after 0.9 s and never reached the successor."""
+async def test_cancel_accepted_without_a_leader_reaches_the_next_leader() -> None:
+    """Guards against dropping a cancel that arrives while there is no leader."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
-    reply = await cancel(desk)
+    forwarder = CallForwarder(view)
+    reply = await cancel(forwarder)
     assert reply.kind is ReplyKind.UNKNOWN
     await asyncio.sleep(3.0)
     view.leader, view.epoch = "e2", 2
-    desk.changed.set()
+    forwarder.changed.set()
     await asyncio.sleep(0.2)
-    assert [(name, call.epoch) for _, name, call in view.passed] == [("e2", 2)]
-    settle(desk, view)
+    assert [(name, call.epoch) for _, name, call in view.forwarded] == [("e2", 2)]
+    answer_newest(forwarder, view)
 
 
-async def test_a_cancel_goes_to_the_next_leader_without_waiting_for_the_silent_one() -> None:
-    """A cancel that a lost leader had in its queue waited there although a successor served."""
+async def test_cancel_goes_to_the_next_leader_before_its_retry_delay() -> None:
+    """Guards against waiting for a lost leader although the next one is serving."""
     view = TimedView()
-    desk = CallDesk(view)
+    forwarder = CallForwarder(view)
     began = now()
-    asking = asyncio.create_task(cancel(desk))
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.7)
-    assert view.passed[-1][1] == "e2"
-    assert view.passed[-1][0] - began < CANCEL_AGAIN_S
-    settle(desk, view)
+    assert view.forwarded[-1][1] == "e2"
+    assert view.forwarded[-1][0] - began < CANCEL_RETRY_DELAY_S
+    answer_newest(forwarder, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_cancels_of_one_job_at_one_entry_are_one_message_to_the_leader() -> None:
-    """Repeated cancels of a job doubled what a leader that had fallen behind had to read."""
+async def test_cancels_of_one_job_share_one_call() -> None:
+    """Guards against repeated cancels of a job that add load to a congested leader."""
     view = TimedView()
-    desk = CallDesk(view)
+    forwarder = CallForwarder(view)
     began = now()
-    while now() - began < 3 * CANCEL_AGAIN_S - 0.5:
-        assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
-    assert len(view.passed) == 3
-    assert len({call.number for _, _, call in view.passed}) == 1
-    asking = asyncio.create_task(cancel(desk))
+    while now() - began < 3 * CANCEL_RETRY_DELAY_S - 0.5:
+        assert (await cancel(forwarder)).kind is ReplyKind.UNKNOWN
+    assert len(view.forwarded) == 3
+    assert len({call.number for _, _, call in view.forwarded}) == 1
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    settle(desk, view)
+    answer_newest(forwarder, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_a_cancel_of_a_job_that_no_leader_knows_is_settled() -> None:
+async def test_cancel_of_an_absent_job_ends() -> None:
     view = TimedView()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(cancel(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.ABSENT)
+    answer_newest(forwarder, view, ReplyKind.ABSENT)
     assert (await asking).kind is ReplyKind.ABSENT
-    await asyncio.sleep(KEPT_S)
-    assert len(view.passed) == 1
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
+    assert len(view.forwarded) == 1
 
 
-async def test_a_cancel_whose_store_is_slow_is_asked_for_again() -> None:
-    """The leader answers that its store has not: the cancel may be lost with that leader."""
+async def test_cancel_is_retried_when_the_store_is_slow() -> None:
+    """The leader replies before the store has, so the cancel may be lost with that leader."""
     view = TimedView()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(cancel(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.UNKNOWN)
+    answer_newest(forwarder, view, ReplyKind.UNKNOWN)
     await asyncio.sleep(0.2)
-    assert len(view.passed) == 2
-    settle(desk, view)
+    assert len(view.forwarded) == 2
+    answer_newest(forwarder, view)
     assert (await asking).kind is ReplyKind.OK
 
 
-async def test_an_unsettled_cancel_is_given_up_after_its_time() -> None:
+async def test_unconfirmed_cancel_is_abandoned_after_its_timeout() -> None:
     view = TimedView()
-    desk = CallDesk(view)
+    forwarder = CallForwarder(view)
     began = now()
-    await cancel(desk)
-    await asyncio.sleep(2 * KEPT_S)
-    assert view.passed[-1][0] - began <= KEPT_S
-    assert view.passed[-1][0] - began > KEPT_S - 2 * CANCEL_AGAIN_S
+    await cancel(forwarder)
+    await asyncio.sleep(2 * PENDING_CANCEL_TIMEOUT_S)
+    assert view.forwarded[-1][0] - began <= PENDING_CANCEL_TIMEOUT_S
+    assert view.forwarded[-1][0] - began > PENDING_CANCEL_TIMEOUT_S - 2 * CANCEL_RETRY_DELAY_S
 
 
-async def test_cancels_past_the_bound_are_refused_as_not_run() -> None:
-    """Unbounded, the cancels that wait for a lost leader would take an entry's memory."""
+async def test_cancels_beyond_the_bound_are_refused_as_not_run() -> None:
+    """Guards against unbounded memory use by cancels that wait for a lost leader."""
     view = TimedView()
     view.leader = ""
-    desk = CallDesk(view)
-    first = [asyncio.create_task(cancel(desk, f"a{number}")) for number in range(KEPT_MOST)]
+    forwarder = CallForwarder(view)
+    first = [
+        asyncio.create_task(cancel(forwarder, f"a{number}"))
+        for number in range(MAX_PENDING_CANCELS)
+    ]
     await asyncio.sleep(0.01)
     began = now()
-    reply = await cancel(desk, "b1")
+    reply = await cancel(forwarder, "b1")
     assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s > 0
     assert now() == began
-    assert (await cancel(desk, "a1")).kind is ReplyKind.UNKNOWN
+    assert (await cancel(forwarder, "a1")).kind is ReplyKind.UNKNOWN
     assert {task.result().kind for task in first} == {ReplyKind.UNKNOWN}
-    await desk.stop()
+    await forwarder.stop()
 
 
-async def test_a_leaving_entry_waits_for_its_cancels() -> None:
-    """An entry that left dropped the cancels that its leader had not confirmed yet."""
+async def test_stopping_entry_waits_for_pending_cancels() -> None:
+    """Guards against dropping unconfirmed cancels when the entry stops."""
     view = TimedView()
-    desk = CallDesk(view)
-    assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
+    forwarder = CallForwarder(view)
+    assert (await cancel(forwarder)).kind is ReplyKind.UNKNOWN
     began = now()
-    leaving = asyncio.create_task(desk.cancels_settled(now() + 5.0))
+    stopping = asyncio.create_task(forwarder.wait_for_cancels(now() + 5.0))
     await asyncio.sleep(2.0)
-    assert not leaving.done()
-    settle(desk, view)
-    await leaving
+    assert not stopping.done()
+    answer_newest(forwarder, view)
+    await stopping
     assert now() - began < 2.1
 
 
-async def test_a_leaving_entry_waits_for_its_cancels_no_longer_than_it_may() -> None:
-    desk = CallDesk(TimedView())
-    await cancel(desk)
+async def test_stopping_entry_waits_for_pending_cancels_until_its_deadline() -> None:
+    forwarder = CallForwarder(TimedView())
+    await cancel(forwarder)
     began = now()
-    await desk.cancels_settled(now() + 5.0)
+    await forwarder.wait_for_cancels(now() + 5.0)
     assert now() - began == pytest.approx(5.0)
-    await desk.stop()
+    await forwarder.stop()
 
 
-async def test_a_cancel_is_not_answered_by_what_the_leader_said_before_it_came() -> None:
-    """A cancel of an accepted job joined one from before its submission: 410, and the job ran."""
+async def test_cancel_is_not_answered_by_the_reply_to_an_earlier_one() -> None:
+    """Guards against answering a cancel by one that was decided before the job's submission."""
     view = TimedView()
-    desk = CallDesk(view)
-    first = asyncio.create_task(cancel(desk))
+    forwarder = CallForwarder(view)
+    first = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    # The leader has decided on the first one; its word is still on its way.
-    second = asyncio.create_task(cancel(desk))
-    third = asyncio.create_task(cancel(desk))
+    # The leader has decided on the first one; its reply is still in transit.
+    second = asyncio.create_task(cancel(forwarder))
+    third = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    settle(desk, view, ReplyKind.ABSENT)
+    answer_newest(forwarder, view, ReplyKind.ABSENT)
     await asyncio.sleep(0.01)
     assert (await first).kind is ReplyKind.ABSENT
     assert not second.done()
-    assert len(view.passed) == 2
-    settle(desk, view)
+    assert len(view.forwarded) == 2
+    answer_newest(forwarder, view)
     assert {(await second).kind, (await third).kind} == {ReplyKind.OK}
-    assert len({call.number for _, _, call in view.passed}) == 2
+    assert len({call.number for _, _, call in view.forwarded}) == 2
 
 
-async def test_a_cancel_behind_an_older_one_is_not_lost_when_its_caller_has_been_answered() -> None:
-    """The older one ended as "no such job", and the newer one was never passed on."""
+async def test_queued_cancel_continues_after_its_caller_has_been_answered() -> None:
+    """Guards against losing a cancel that is queued after one that ended as "no such job"."""
     view = TimedView()
-    desk = CallDesk(view)
-    await cancel(desk)
-    assert (await cancel(desk)).kind is ReplyKind.UNKNOWN
+    forwarder = CallForwarder(view)
+    await cancel(forwarder)
+    assert (await cancel(forwarder)).kind is ReplyKind.UNKNOWN
     began = now()
-    settle(desk, view, ReplyKind.ABSENT)
-    await asyncio.sleep(KEPT_S + 2.0)
-    numbers = [call.number for _, _, call in view.passed]
+    answer_newest(forwarder, view, ReplyKind.ABSENT)
+    await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S + 2.0)
+    numbers = [call.number for _, _, call in view.forwarded]
     assert len(set(numbers)) == 2
-    assert view.passed[-1][0] <= began + KEPT_S
-    assert not desk._cancels._tasks
+    assert view.forwarded[-1][0] <= began + PENDING_CANCEL_TIMEOUT_S
+    assert not forwarder._cancels._tasks
 
 
-async def test_a_cancel_that_is_stored_answers_those_that_came_after_it() -> None:
+async def test_stored_cancel_answers_later_cancels_of_its_job() -> None:
     view = TimedView()
-    desk = CallDesk(view)
-    calls = [asyncio.create_task(cancel(desk)) for _ in range(50)]
+    forwarder = CallForwarder(view)
+    calls = [asyncio.create_task(cancel(forwarder)) for _ in range(50)]
     await asyncio.sleep(0.1)
-    assert len(desk._cancels._all()) == 2
-    settle(desk, view)
+    assert len(forwarder._cancels._all_tasks()) == 2
+    answer_newest(forwarder, view)
     assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
-    assert len(view.passed) == 1
+    assert len(view.forwarded) == 1
 
 
 @pytest.mark.parametrize("kind", [CallKind.CANCEL, CallKind.SUBMIT])
-async def test_a_call_that_the_leader_has_read_is_not_repeated(kind: CallKind) -> None:
-    """Entries repeated what a leader had read and kept waiting for its store."""
+async def test_call_read_by_the_leader_is_not_retried_early(kind: CallKind) -> None:
+    """Guards against retrying calls that the leader has read and that wait for its store."""
     view = TimedView()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(desk.call(kind, "q", "a1", b"", 2 * KEPT_S))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(forwarder.call(kind, "q", "a1", b"", 2 * PENDING_CANCEL_TIMEOUT_S))
     await asyncio.sleep(0.1)
-    call = view.passed[-1][2]
-    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
-    await asyncio.sleep(longest_wait_s(kind) - 0.1)
-    assert len(view.passed) == 1
+    call = view.forwarded[-1][2]
+    forwarder.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+    await asyncio.sleep(forwarded_call_timeout_s(kind) - 0.1)
+    assert len(view.forwarded) == 1
     await asyncio.sleep(0.4)
-    assert len(view.passed) == 2, "its answer is lost"
-    settle(desk, view)
+    assert len(view.forwarded) == 2, "its reply is lost"
+    answer_newest(forwarder, view)
     await asyncio.sleep(0.01)
     if kind is CallKind.SUBMIT:
         assert (await asking).kind is ReplyKind.OK
 
 
-async def test_a_call_that_a_lost_leader_has_read_goes_to_the_next_one() -> None:
+async def test_call_read_by_a_lost_leader_goes_to_the_next_leader() -> None:
     view = TimedView()
-    desk = CallDesk(view)
-    asking = asyncio.create_task(cancel(desk))
+    forwarder = CallForwarder(view)
+    asking = asyncio.create_task(cancel(forwarder))
     await asyncio.sleep(0.1)
-    call = view.passed[-1][2]
-    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+    call = view.forwarded[-1][2]
+    forwarder.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
     view.leader, view.epoch = "e2", 2
     await asyncio.sleep(0.6)
-    assert [name for _, name, _ in view.passed] == ["e1", "e2"]
-    settle(desk, view)
+    assert [name for _, name, _ in view.forwarded] == ["e1", "e2"]
+    answer_newest(forwarder, view)
     assert (await asking).kind is ReplyKind.OK
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -12,9 +12,9 @@
 import sapphirelead.node_leader as node_leader
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
-from sapphirelead.node_call_queue import CALLS_KEPT
-from sapphirelead.node_calls import HOLD_S, CallDesk
-from sapphirelead.node_cancels import KEPT_S
+from sapphirelead.node_call_queue import MAX_QUEUED_CALLS
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
+from sapphirelead.node_cancels import PENDING_CANCEL_TIMEOUT_S
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_leader import FINAL_COMMIT_TIMEOUT_S, Leader
@@ -37,7 +37,7 @@
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice, job, worker_info
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 from tests.unit.fakes import MemoryTable
 
 pytestmark = pytest.mark.looptime
@@ -72,11 +72,11 @@
 
 
 @asynccontextmanager
-async def leading(table: SlowTable, may_come: MayCome = lambda _: False) -> AsyncIterator[Leader]:
+async def leading(table: SlowTable, may_arrive: MayCome = lambda _: False) -> AsyncIterator[Leader]:
     """Run a leader on ``table``."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
-    leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_come)
+    leader = Leader(Bounds(), head, table, NoAdvice(), lambda *_: True, None, may_arrive)
     await leader.load()
     rounds = asyncio.create_task(leader.run())
     try:
@@ -281,10 +281,10 @@
     table = SlowTable()
     async with leading(table) as leader:
 
-        class Entry(View):
+        class Entry(FollowerView):
             def __init__(self) -> None:
                 super().__init__()
-                self.desk = CallDesk(self)
+                self.desk = CallForwarder(self)
 
             def send_to(self, name: str, message: AnyNodeMessage) -> bool:
                 assert isinstance(message, Call)
@@ -294,7 +294,7 @@
 
             async def carry_out(self, call: Call) -> None:
                 reply = await leader.call(call, now() + DEADLINE_S)
-                self.desk.replied(msgspec.structs.replace(reply, epoch=call.epoch))
+                self.desk.handle_reply(msgspec.structs.replace(reply, epoch=call.epoch))
 
             async def ask(self, kind: CallKind) -> ReplyKind:
                 spec = encode_spec(job("a1")) if kind is CallKind.SUBMIT else b""
@@ -305,7 +305,7 @@
         assert await cut_off.ask(CallKind.CANCEL) is ReplyKind.UNKNOWN
         assert await other.ask(CallKind.CANCEL) is ReplyKind.ABSENT
         assert await other.ask(CallKind.SUBMIT) is ReplyKind.OK
-        await asyncio.sleep(KEPT_S / 2)
+        await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S / 2)
         cut_off.connected = True
         await asyncio.sleep(1.0)
         assert leader.sched.state("a1") is JobState.CANCELLED
@@ -317,9 +317,9 @@
     comes_again: bool,
 ) -> None:
     """Guards against reporting a job as absent while its dropped submission may be retried."""
-    inbox = Inbox(HOLD_S)
-    async with leading(SlowTable(), lambda job_id: inbox.may_come(job_id, now())) as leader:
-        for number in range(CALLS_KEPT + 1):
+    inbox = Inbox(HOLD_TIMEOUT_S)
+    async with leading(SlowTable(), lambda job_id: inbox.may_arrive(job_id, now())) as leader:
+        for number in range(MAX_QUEUED_CALLS + 1):
             inbox.put(b"e2", Call(number, CallKind.SUBMIT, "q", f"a{number}", 1), now())
         inbox.put(b"e2", Call(9_999, CallKind.SUBMIT, "q", "a1", 1), now())
         while inbox.take(now()) is not None:
@@ -333,5 +333,5 @@
             assert (reply.kind, reply.state) == (ReplyKind.OK, "cancelled")
             return
         assert (await cancelling).kind is ReplyKind.NOT_RUN
-        await asyncio.sleep(KEPT_S)
+        await asyncio.sleep(PENDING_CANCEL_TIMEOUT_S)
         assert (await cancel(leader, DEADLINE_S)).kind is ReplyKind.ABSENT
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -1,4 +1,4 @@
-"""What a leader makes of merged reports, against the same reports taken one after the other."""
+"""Tests that merged reports have the same effect as the reports one after the other."""
 
 import random
 
@@ -8,7 +8,7 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.node_messages import AgentReport, RunEnded, RunPhase, RunStatus, WorkerInfo
 from sapphirelead.node_ports import WorkerEnd, WorkerRun, WorkerView
-from sapphirelead.node_report_merge import MOST_ENDS, merge_reports
+from sapphirelead.node_report_merge import MAX_MERGED_ENDS, merge_reports
 from sapphirelead.runner_registry import MAX_REPORTED_ENDS, RunnerRun, RunRegistry
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_planner import plan
@@ -48,21 +48,21 @@
 
 
 def test_ends_beyond_those_of_a_full_report_are_kept() -> None:
-    """A full report lists 200 ends; the others would wait until these are stored."""
+    """A full report lists a bounded number of ended runs; a merge must not lose others."""
     first = [end(number) for number in range(MAX_REPORTED_ENDS)]
     later = end(MAX_REPORTED_ENDS)
     found = merged(report(1, ends=[later]), report(2, full=True, ends=first))
     assert {ended.number for ended in found.ends} == set(range(MAX_REPORTED_ENDS + 1))
 
 
-def test_ends_that_grow_past_the_bound_are_not_merged() -> None:
-    first = [end(number) for number in range(MOST_ENDS)]
-    assert merge_reports(report(1, ends=first), report(2, ends=[end(MOST_ENDS - 1)]))
-    assert merge_reports(report(1, ends=first), report(2, ends=[end(MOST_ENDS)])) is None
+def test_ends_beyond_the_bound_are_not_merged() -> None:
+    first = [end(number) for number in range(MAX_MERGED_ENDS)]
+    assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS - 1)]))
+    assert merge_reports(report(1, ends=first), report(2, ends=[end(MAX_MERGED_ENDS)])) is None
 
 
 def test_a_short_report_leaves_a_full_one_full() -> None:
-    """Orders to start are sent again although the agent has told of their runs."""
+    """Guards against repeated start orders for runs that the agent has reported."""
     found = merged(
         report(1, full=True, runs=[run(1, saved="s"), run(2)]),
         report(2, runs=[run(1, 20), run(3)], ends=[end(2)]),
@@ -78,14 +78,14 @@
 
 
 def test_progress_saved_before_an_end_is_kept() -> None:
-    """A task begins anew although its saved progress was reported."""
+    """Guards against restarting a task from scratch although its progress was reported."""
     lapsed = end(1, "lapsed")
     found = merged(report(1, full=True, runs=[run(1, saved="s")]), report(2, ends=[lapsed]))
     assert found.ends == [msgspec.structs.replace(lapsed, saved="s")]
     assert merged(found, report(3, full=True, ends=[lapsed])).ends == found.ends
 
 
-def test_workers_that_are_gone_are_kept() -> None:
+def test_ended_workers_are_kept() -> None:
     found = merged(report(1, gone=("w1",), worker=None), report(2, gone=("w2",), worker=None))
     assert found.gone == ("w1", "w2")
 
@@ -100,9 +100,7 @@
         (report(1), report(2, epoch=2)),
     ],
 )
-def test_reports_of_two_lives_are_taken_one_after_the_other(
-    older: AgentReport, newer: AgentReport
-) -> None:
+def test_reports_of_two_lifetimes_are_not_merged(older: AgentReport, newer: AgentReport) -> None:
     assert merge_reports(older, newer) is None
 
 
@@ -123,11 +121,11 @@
         self.names = [(run.ref.text(), run.attempt) for run in self.sched.fleet.runs.values()]
         assert len(self.names) == TASKS
 
-    def take(self, word: AgentReport) -> None:
-        assert apply_report(self.sched, word, 1, 1.0)
+    def take(self, new: AgentReport) -> None:
+        assert apply_report(self.sched, new, 1, 1.0)
 
     def seen(self) -> object:
-        """Return all that the leader has learnt from reports."""
+        """Return the leader's state that depends on reports."""
         instance = self.sched.fleet.instance("g1")
         runs = {
             (run.ref.text(), run.attempt): (run.phase, run.percent, run.figure, run.paced)
@@ -138,12 +136,12 @@
         return runs, saved, instance.beat, instance.worker, self.sched.unstored_ends
 
 
-def word(registry: RunRegistry, beat: int, full: bool) -> AgentReport:
+def make_report(registry: RunRegistry, beat: int, full: bool) -> AgentReport:
     return report(beat, full, registry.statuses(full), registry.report_ends(full), registry.info)
 
 
-def step_on(registry: RunRegistry, rng: random.Random, numbers: list[int]) -> None:
-    """Let the worker make progress, save some of it, and end some runs."""
+def advance(registry: RunRegistry, rng: random.Random, numbers: list[int]) -> None:
+    """Make random progress: advance and save some runs, and end others."""
     running, ended = [], []
     for name, known in sorted(registry.runs.items()):
         if rng.random() < 0.15:
@@ -158,8 +156,8 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_merged_reports_tell_what_they_told_one_by_one(seed: int) -> None:
-    """A leader that is behind loses what was told only in the reports that it has not seen."""
+def test_merged_reports_are_equivalent_to_single_reports(seed: int) -> None:
+    """Guards against losing the contents of queued reports when they are merged."""
     rng = random.Random(seed)
     one_by_one, at_once = Fleet(), Fleet()
     assert one_by_one.names == at_once.names
@@ -169,8 +167,8 @@
         registry.runs[task, attempt] = RunnerRun(task, attempt, RunPhase.STARTING)
     pending: AgentReport | None = None
     for beat in range(2, 12):
-        step_on(registry, rng, numbers)
-        new = word(registry, beat, rng.random() < 0.3)
+        advance(registry, rng, numbers)
+        new = make_report(registry, beat, rng.random() < 0.3)
         one_by_one.take(new)
         pending = new if pending is None else merged(pending, new)
     assert pending is not None
--- a/tests/sched/test_window.py
+++ b/tests/sched/test_window.py
@@ -1,8 +1,4 @@
-"""Calls with a leader that reads them late, on a paused clock.
-
-The load that these tests stand for: a leader that plans for a second or two at a time reads one
-message of each peer between two rounds, while callers of every entry come again after each answer.
-"""
+"""Tests of the call window with a leader that reads calls late, on a simulated clock."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,14 +9,21 @@
 import pytest
 
 from sapphirelead.clock import now
-from sapphirelead.node_calls import HOLD_S, CallDesk
-from sapphirelead.node_entry import TAKEN_S, EntryNode, FleetEntry
+from sapphirelead.node_calls import HOLD_TIMEOUT_S, CallForwarder
+from sapphirelead.node_entry import TAKEN_REPLY_DELAY_S, EntryNode, FleetEntry
 from sapphirelead.node_messages import Call, CallKind, EntryAddress, Reply, ReplyKind
-from sapphirelead.node_window import HELD_MOST, LATE_S, LEAST, LOST_S, MOST, CallWindow
+from sapphirelead.node_window import (
+    LATE_AFTER_S,
+    LOST_AFTER_S,
+    MAX_HELD_CALLS,
+    MAX_WINDOW,
+    MIN_WINDOW,
+    CallWindow,
+)
 from sapphirelead.sched_timing import Bounds
 from sapphirelead.wire_sockets import make_context
 from tests.sched.fakes import NoAdvice
-from tests.sched.test_calls import View
+from tests.sched.test_calls import FollowerView
 from tests.unit.fakes import MemoryTable
 
 pytestmark = pytest.mark.looptime
@@ -29,13 +32,13 @@
 
 
 class Reader:
-    """A leader elsewhere that reads calls in order, one each ``each_s``, while ``reads`` is set."""
+    """A remote leader that reads one call per ``interval_s`` in order while ``reads`` is set."""
 
-    def __init__(self, view: View, desk: CallDesk) -> None:
+    def __init__(self, view: FollowerView, forwarder: CallForwarder) -> None:
         self.view = view
-        self.desk = desk
+        self.forwarder = forwarder
         self.reads = asyncio.Event()
-        self.each_s = 0.001
+        self.interval_s = 0.001
         self.read = 0
 
     @property
@@ -45,58 +48,62 @@
     async def run(self) -> None:
         while True:
             await self.reads.wait()
-            await asyncio.sleep(self.each_s)
+            await asyncio.sleep(self.interval_s)
             for call in self.unread[:1]:
                 self.read += 1
-                self.desk.replied(Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch))
+                self.forwarder.handle_reply(
+                    Reply(call.number, ReplyKind.OK, "queued", epoch=call.epoch)
+                )
 
 
 @asynccontextmanager
-async def behind() -> AsyncIterator[tuple[CallDesk, Reader]]:
-    """An entry whose leader reads nothing yet."""
-    view = View()
-    desk = CallDesk(view)
-    reader = Reader(view, desk)
+async def congested_leader() -> AsyncIterator[tuple[CallForwarder, Reader]]:
+    """Yield an entry's forwarder, whose leader does not read until ``reads`` is set."""
+    view = FollowerView()
+    forwarder = CallForwarder(view)
+    reader = Reader(view, forwarder)
     task = asyncio.create_task(reader.run())
-    yield desk, reader
+    yield forwarder, reader
     task.cancel()
-    await desk.stop()
+    await forwarder.stop()
 
 
-def ask(desk: CallDesk, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
-    return asyncio.create_task(desk.call(kind, "q", job_id, b"", DEADLINE_S))
+def ask(forwarder: CallForwarder, kind: CallKind, job_id: str = "a1") -> "asyncio.Task[Reply]":
+    return asyncio.create_task(forwarder.call(kind, "q", job_id, b"", DEADLINE_S))
 
 
-async def callers(desk: CallDesk, each_s: float, asked: list["asyncio.Task[Reply]"]) -> None:
-    """Ask for the state of another job each ``each_s``."""
+async def make_queries(
+    forwarder: CallForwarder, interval_s: float, asked: list["asyncio.Task[Reply]"]
+) -> None:
+    """Query the state of another job every ``interval_s``."""
     while True:
-        asked.append(ask(desk, CallKind.STATE, f"b{len(asked)}"))
-        await asyncio.sleep(each_s)
+        asked.append(ask(forwarder, CallKind.STATE, f"b{len(asked)}"))
+        await asyncio.sleep(interval_s)
 
 
-async def test_a_cancel_does_not_wait_behind_the_questions_of_its_entry() -> None:
-    """A cancel waited at the leader behind every question and repeat that its entry had sent."""
-    async with behind() as (desk, reader):
+async def test_cancel_does_not_wait_behind_the_queries_of_its_entry() -> None:
+    """Guards against a cancel queued at the leader behind the entry's queries and their retries."""
+    async with congested_leader() as (forwarder, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
-        cancelling = ask(desk, CallKind.CANCEL)
+        cancelling = ask(forwarder, CallKind.CANCEL)
         await asyncio.sleep(0.01)
         kinds = [call.kind for call in reader.unread[-100:]]
         assert kinds.count(CallKind.CANCEL) == 1
         recent = [call for call in reader.view.sent if call.kind is CallKind.STATE]
         asking.cancel()
-        assert len(recent) <= MOST + LEAST * (10.0 / LOST_S + 1)
+        assert len(recent) <= MAX_WINDOW + MIN_WINDOW * (10.0 / LOST_AFTER_S + 1)
         reader.reads.set()
         assert (await cancelling).kind is ReplyKind.OK
 
 
-async def test_a_call_whose_caller_leaves_while_it_is_held_is_never_sent() -> None:
-    """Calls whose callers had left were passed on and worked off all the same."""
-    async with behind() as (desk, reader):
-        first = [ask(desk, CallKind.STATE, f"b{number}") for number in range(MOST)]
+async def test_held_call_is_not_sent_after_its_caller_disconnects() -> None:
+    """Guards against forwarding calls whose callers have disconnected."""
+    async with congested_leader() as (forwarder, reader):
+        first = [ask(forwarder, CallKind.STATE, f"b{number}") for number in range(MAX_WINDOW)]
         await asyncio.sleep(0.01)
-        late = ask(desk, CallKind.SUBMIT, "late")
+        late = ask(forwarder, CallKind.SUBMIT, "late")
         await asyncio.sleep(0.1)
         late.cancel()
         await asyncio.sleep(0.01)
@@ -104,35 +111,35 @@
         await asyncio.gather(*first)
         await asyncio.sleep(1.0)
         assert "late" not in [call.job_id for call in reader.view.sent]
-        assert (await ask(desk, CallKind.STATE)).kind is ReplyKind.OK
+        assert (await ask(forwarder, CallKind.STATE)).kind is ReplyKind.OK
 
 
-async def test_a_question_is_passed_on_once_to_a_leadership() -> None:
-    """Each question to a leader that was behind was sent twice, and read twice."""
-    async with behind() as (desk, reader):
-        reply = await ask(desk, CallKind.STATE)
+async def test_query_is_sent_once_per_epoch() -> None:
+    """Guards against duplicate queries to a congested leader."""
+    async with congested_leader() as (forwarder, reader):
+        reply = await ask(forwarder, CallKind.STATE)
         assert reply.kind is ReplyKind.NOT_RUN
         assert len(reader.view.sent) == 1
 
 
-async def test_questions_are_refused_at_once_when_the_leader_is_behind_for_long() -> None:
-    """Each question was held for 0.9 s although the leader had read nothing for ten seconds."""
-    async with behind() as (desk, _):
+async def test_queries_are_refused_at_once_while_the_leader_is_congested() -> None:
+    """Guards against holding queries while the leader does not read."""
+    async with congested_leader() as (forwarder, _):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
         began = now()
-        replies = [await ask(desk, CallKind.STATE) for _ in range(10)]
+        replies = [await ask(forwarder, CallKind.STATE) for _ in range(10)]
         asking.cancel()
         assert now() - began < 0.05
         assert {reply.kind for reply in replies} == {ReplyKind.NOT_RUN}
         assert all(reply.retry_after_s > 0 for reply in replies)
 
 
-async def test_an_entry_finds_out_by_itself_that_its_leader_has_caught_up() -> None:
-    async with behind() as (desk, reader):
+async def test_entry_detects_that_its_leader_has_caught_up() -> None:
+    async with congested_leader() as (forwarder, reader):
         asked: list[asyncio.Task[Reply]] = []
-        asking = asyncio.create_task(callers(desk, 0.02, asked))
+        asking = asyncio.create_task(make_queries(forwarder, 0.02, asked))
         await asyncio.sleep(10.0)
         reader.reads.set()
         await asyncio.sleep(1.0)
@@ -144,52 +151,52 @@
 
 
 async def test_a_leader_that_is_busy_for_a_second_loses_no_submission() -> None:
-    """The bound on unread calls must not refuse what a short round of the leader only delays."""
-    async with behind() as (desk, reader):
+    """Guards against refusing submissions that a short planning round only delays."""
+    async with congested_leader() as (forwarder, reader):
         calls = []
         for number in range(100):
-            calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
+            calls.append(ask(forwarder, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.01)
         reader.reads.set()
         replies = await asyncio.gather(*calls)
         assert {reply.kind for reply in replies} == {ReplyKind.OK}
 
 
-async def test_a_question_that_was_lost_is_passed_on_again() -> None:
-    """A question lost with its connection was not asked again, though later ones were read."""
-    async with behind() as (desk, reader):
+async def test_lost_query_is_sent_again() -> None:
+    """Guards against never retrying a query that was lost with its connection."""
+    async with congested_leader() as (forwarder, reader):
         reader.reads.set()
-        lost = ask(desk, CallKind.STATE, "lost")
+        lost = ask(forwarder, CallKind.STATE, "lost")
         while not reader.view.sent:
             await asyncio.sleep(0)
         reader.read += 1
         replies = []
         for number in range(300):
-            replies.append(await ask(desk, CallKind.STATE, f"b{number}"))
+            replies.append(await ask(forwarder, CallKind.STATE, f"b{number}"))
             await asyncio.sleep(0.01)
         assert (await lost).kind is ReplyKind.OK
         assert [call.job_id for call in reader.view.sent].count("lost") == 2
         assert {reply.kind for reply in replies} == {ReplyKind.OK}
 
 
-async def test_submissions_that_wait_for_a_slow_store_are_not_held_back() -> None:
-    """A leader that has read its submissions is not behind, however long its store takes."""
-    async with behind() as (desk, reader):
+async def test_submissions_waiting_for_a_slow_store_are_not_throttled() -> None:
+    """A leader that has read its submissions is not congested, however slow its store is."""
+    async with congested_leader() as (forwarder, reader):
         calls = []
-        for number in range(10 * MOST):
-            calls.append(ask(desk, CallKind.SUBMIT, f"c{number}"))
+        for number in range(10 * MAX_WINDOW):
+            calls.append(ask(forwarder, CallKind.SUBMIT, f"c{number}"))
             await asyncio.sleep(0.005)
-            # Each is read 0.1 s after it was sent.
+            # The leader reads each call 0.1 s after it was sent.
             for call in reader.view.sent:
                 if call.job_id == f"c{number - 20}":
-                    desk.replied(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
+                    forwarder.handle_reply(Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch))
                     break
-        assert len({call.job_id for call in reader.view.sent}) == 10 * MOST
+        assert len({call.job_id for call in reader.view.sent}) == 10 * MAX_WINDOW
         reader.reads.set()
         assert {reply.kind for reply in await asyncio.gather(*calls)} == {ReplyKind.OK}
 
 
-async def test_the_leader_says_that_it_has_read_a_call_that_waits_for_the_store() -> None:
+async def test_leader_acknowledges_a_call_that_waits_for_the_store() -> None:
     replies: list[tuple[float, Reply]] = []
 
     class Storing:
@@ -215,70 +222,71 @@
         (7, ReplyKind.OK),
         (8, ReplyKind.OK),
     ]
-    assert replies[0][0] - began == pytest.approx(TAKEN_S)
+    assert replies[0][0] - began == pytest.approx(TAKEN_REPLY_DELAY_S)
 
 
-async def enter(window: CallWindow, number: int, wait_s: float, submits: bool = False) -> bool:
-    return await window.enter(number, lambda: 1, now() + wait_s, submits)
+async def acquire(window: CallWindow, number: int, wait_s: float, submits: bool = False) -> bool:
+    return await window.acquire(number, lambda: 1, now() + wait_s, submits)
 
 
-async def test_the_window_holds_what_is_past_its_bound() -> None:
+async def test_window_holds_calls_beyond_its_limit() -> None:
     window = CallWindow()
-    for number in range(MOST):
-        assert await enter(window, number, 0.0)
+    for number in range(MAX_WINDOW):
+        assert await acquire(window, number, 0.0)
     began = now()
-    assert not await enter(window, MOST, 0.5)
+    assert not await acquire(window, MAX_WINDOW, 0.5)
     assert now() - began == pytest.approx(0.5)
     assert window.held == 0
 
 
-async def test_held_calls_past_the_bound_are_refused_at_once() -> None:
+async def test_held_calls_beyond_the_bound_are_refused_at_once() -> None:
     window = CallWindow()
-    for number in range(MOST):
-        assert await enter(window, number, 0.0)
+    for number in range(MAX_WINDOW):
+        assert await acquire(window, number, 0.0)
     held = [
-        asyncio.create_task(enter(window, MOST + number, 0.5, True)) for number in range(HELD_MOST)
+        asyncio.create_task(acquire(window, MAX_WINDOW + number, 0.5, True))
+        for number in range(MAX_HELD_CALLS)
     ]
     await asyncio.sleep(0.01)
     began = now()
-    assert window.held == HELD_MOST
-    assert not await enter(window, 10_000, 0.5, True)
+    assert window.held == MAX_HELD_CALLS
+    assert not await acquire(window, 10_000, 0.5, True)
     assert now() == began
     assert not any(await asyncio.gather(*held))
     assert window.held == 0
 
 
-async def test_submissions_are_sent_before_questions() -> None:
+async def test_submissions_are_sent_before_queries() -> None:
     window = CallWindow()
-    for number in range(MOST):
-        assert await enter(window, number, 0.0)
-    question = asyncio.create_task(enter(window, 100, 0.5))
+    for number in range(MAX_WINDOW):
+        assert await acquire(window, number, 0.0)
+    query = asyncio.create_task(acquire(window, 100, 0.5))
     await asyncio.sleep(0.01)
-    submission = asyncio.create_task(enter(window, 101, 0.5, True))
+    submission = asyncio.create_task(acquire(window, 101, 0.5, True))
     await asyncio.sleep(0.01)
     window.read(0, 1)
     await asyncio.sleep(0.01)
-    assert submission.done() and not question.done()
+    assert submission.done() and not query.done()
     assert await submission
-    assert not await question
+    assert not await query
 
 
-async def test_lost_calls_do_not_hold_others_back_for_good() -> None:
-    """All that had been sent on a broken connection would have counted as unread for ever."""
+async def test_lost_calls_do_not_block_others_forever() -> None:
+    """Guards against counting calls lost with a broken connection as unread forever."""
     window = CallWindow()
-    for number in range(MOST):
-        assert await enter(window, number, 0.0)
+    for number in range(MAX_WINDOW):
+        assert await acquire(window, number, 0.0)
     began = now()
-    assert await enter(window, 100, 2 * LOST_S)
-    assert now() - began == pytest.approx(LOST_S, abs=0.2)
+    assert await acquire(window, 100, 2 * LOST_AFTER_S)
+    assert now() - began == pytest.approx(LOST_AFTER_S, abs=0.2)
 
 
-async def test_another_leadership_is_not_behind() -> None:
+async def test_window_is_reset_for_a_new_epoch() -> None:
     window = CallWindow()
-    for number in range(MOST):
-        assert await enter(window, number, 0.0)
-    await asyncio.sleep(LATE_S + 0.1)
-    assert not await enter(window, 100, 0.0)
-    assert window.limit == MOST // 2
-    assert await window.enter(101, lambda: 2, now() + HOLD_S, False)
-    assert window.limit == MOST
+    for number in range(MAX_WINDOW):
+        assert await acquire(window, number, 0.0)
+    await asyncio.sleep(LATE_AFTER_S + 0.1)
+    assert not await acquire(window, 100, 0.0)
+    assert window.limit == MAX_WINDOW // 2
+    assert await window.acquire(101, lambda: 2, now() + HOLD_TIMEOUT_S, False)
+    assert window.limit == MAX_WINDOW
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -1,15 +1,15 @@
-"""Service requests on an instance: one end each, never beyond the slots, never a false not_run."""
+"""Tests service requests: one outcome each, within the slots, and no incorrect ``not_run``."""
 
 import asyncio
 from typing import Any
 
 import pytest
 
-from sapphirelead.agent_service import SEEN_ATTEMPTS, Ends
+from sapphirelead.agent_service import MAX_SEEN_ATTEMPTS, AttemptHistory
 from sapphirelead.entry_ports import Lane
 from sapphirelead.errors import Code, Failure
 from sapphirelead.wire_messages import (
-    BULK_BYTES,
+    BULK_THRESHOLD_BYTES,
     AttemptFate,
     CancelAttempt,
     Drain,
@@ -48,18 +48,17 @@
         pytest.param({}, Code.NO_INSTANCE, ("not_run", "f"), id="target never saw it"),
     ],
 )
-async def test_ends(changes: Any, failure: Code | None, expected: tuple[str, str]) -> None:
+async def test_request_outcomes(
+    changes: Any, failure: Code | None, expected: tuple[str, str]
+) -> None:
     async with Rig() as rig:
         rig.target.failure = Failure(failure, "f") if failure else None
         await rig.send(request(1, **changes))
         assert answers(rig) == [expected]
 
 
-async def test_slots_stay_taken_until_the_target_is_done() -> None:
-    """Callers give up on a slow target and ask again; the target still works on the first ones.
-
-    Giving their slots to the repeats would load the target beyond its size.
-    """
+async def test_slots_are_held_until_the_target_call_ends() -> None:
+    """Guards against overloading a slow target with retries while it still processes requests."""
     async with Rig() as rig:
         rig.target.delay_s = 5.0
         for number in range(8):
@@ -76,17 +75,16 @@
 
 
 async def test_an_answer_does_not_count_its_own_slot() -> None:
-    """Requests wait at the entries although slots are free: each answer told one slot too many in
-    use, because it was made before its own was given back."""
+    """Guards against answers that report their own slot as used, so that entries see fewer free."""
     async with Rig() as rig:
         await rig.send(request(1))
         assert [m.slots_used for m in rig.links.got(ServiceAnswer)] == [0]
 
 
 @pytest.mark.parametrize("repeat", ["request", "fate"])
-async def test_a_lost_answer_is_given_again(repeat: str) -> None:
+async def test_lost_answer_is_resent(repeat: str) -> None:
     async with Rig() as rig:
-        await rig.send(request(1, body=b"x" * (BULK_BYTES + 1)))
+        await rig.send(request(1, body=b"x" * (BULK_THRESHOLD_BYTES + 1)))
         again = (
             request(1) if repeat == "request" else AttemptFate(request_id="1", attempt=1, **ENTRY)
         )
@@ -97,7 +95,7 @@
 
 @pytest.mark.parametrize(("own", "ran"), [(True, "not_run"), (False, "unknown")])
 async def test_an_attempt_declared_not_run_never_runs(own: bool, ran: str) -> None:
-    """The entry gave up on an attempt whose request is still under way when it asks."""
+    """The entry times out and queries an attempt whose request arrives later."""
     async with Rig() as rig:
         sent_to = rig.agent.incarnation if own else "earlier"
         await rig.send(AttemptFate(request_id="1", attempt=1, sent_to=sent_to, **ENTRY))
@@ -121,16 +119,16 @@
         assert answers(rig)[1:] == [("done", "")] and rig.agent.stopped.is_set()
 
 
-def test_a_full_memory_no_longer_proves_anything() -> None:
-    ends = Ends()
+def test_full_history_is_incomplete() -> None:
+    history = AttemptHistory()
     answer = ServiceAnswer(
         request_id="", attempt=1, ran="", status=0, headers={}, body=b"", body_bytes=0, **ENTRY
     )
-    for number in range(SEEN_ATTEMPTS):
-        ends.add((str(number), 1), answer, 1.0)
-    assert ends.complete(2.0)
-    ends.add(("last", 1), answer, 2.0)
-    assert not ends.complete(3.0) and ends.complete(1000.0)
+    for number in range(MAX_SEEN_ATTEMPTS):
+        history.add((str(number), 1), answer, 1.0)
+    assert history.complete(2.0)
+    history.add(("last", 1), answer, 2.0)
+    assert not history.complete(3.0) and history.complete(1000.0)
 
 
 async def test_a_fate_is_answered_on_the_control_lane() -> None:
