--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -17,7 +17,7 @@
 
 from bench.bench_decision import make_view
 from sapphirelead.entry_placing import Placer
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.entry_service import ServiceDispatcher
 from sapphirelead.entry_service_state import ServiceCall, ServiceState
 from sapphirelead.errors import Outcome
@@ -70,7 +70,7 @@
             self._show(replace(view, zone="z0"), True)
 
     def send_now(
-        self, instance: str, _lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, _lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         if isinstance(message, ServiceRequest):
             asyncio.get_running_loop().call_later(HOP_S, self._take, instance, message)
--- a/bench/bench_path.py
+++ b/bench/bench_path.py
@@ -158,11 +158,13 @@
 async def _start_agent(made: Rig, worker_url: str, target_url: str) -> Proc:
     entry = made.folder / "entry.toml"
     ports = dict(line.split(" = ") for line in entry.read_text().splitlines() if "_port" in line)
-    lanes = {lane: int(ports[lane]) for lane in ("control_port", "data_port", "bulk_port")}
+    channels = {
+        channel: int(ports[channel]) for channel in ("control_port", "data_port", "bulk_port")
+    }
     settings = {
         "id": "i1",
         "zone": "z1",
-        "entries": [{"host": "127.0.0.1", **lanes}],
+        "entries": [{"host": "127.0.0.1", **channels}],
         "worker_url": worker_url,
         "target_url": target_url,
         "services": [SERVICE],
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -18,7 +18,7 @@
 
 TOKEN: Final = "bench"
 SERVICE: Final = "checks"
-LANES: Final = ("control_port", "data_port", "bulk_port")
+CHANNELS: Final = ("control_port", "data_port", "bulk_port")
 LEASE: Final = {
     "lease_seconds": 5.0,
     "margin_seconds": 1.0,
@@ -175,7 +175,7 @@
 async def _start_entry(
     made: Deployment, number: int, zones: list[str], lease: dict[str, float]
 ) -> None:
-    ports = {name: free_port() for name in ("http_port", *LANES)}
+    ports = {name: free_port() for name in ("http_port", *CHANNELS)}
     settings = {
         "id": f"e{number}",
         "zone": zones[number % len(zones)],
@@ -210,7 +210,8 @@
     }
     target, target_url = await made.standin("target", name, target_settings)
     addresses = [
-        {"host": "127.0.0.1", **{lane: ports[lane] for lane in LANES}} for ports in made.ports
+        {"host": "127.0.0.1", **{channel: ports[channel] for channel in CHANNELS}}
+        for ports in made.ports
     ]
     settings = {
         "id": name,
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -30,7 +30,7 @@
 }
 SIZE: Final = {"cpu_millicores": 4000, "memory_mb": 4000, "accelerators": 0}
 SERVICE: Final = "checks"
-LANES: Final = ("control_port", "data_port", "bulk_port")
+CHANNELS: Final = ("control_port", "data_port", "bulk_port")
 ENDED: Final = ("done", "failed", "unknown", "cancelled", "set_aside")
 
 
@@ -189,7 +189,7 @@
 
     async def _make_entry(self, name: str) -> Entry:
         table_proxy = await self._proxy(_port_of(self.table_url))
-        ports = {port: free_port() for port in ("http_port", *LANES)}
+        ports = {port: free_port() for port in ("http_port", *CHANNELS)}
         url = f"http://127.0.0.1:{table_proxy.port}"
         settings = {
             "id": name,
@@ -231,10 +231,13 @@
         target_proc, target_url = await self._standin("target", f"target-{name}", target_settings)
         worker_proxy = await self._proxy(_port_of(worker_url))
         target_proxy = await self._proxy(_port_of(target_url))
-        lanes = [[await self._proxy(e.ports[lane]) for lane in LANES] for e in self.entries]
+        channels = [
+            [await self._proxy(e.ports[channel]) for channel in CHANNELS] for e in self.entries
+        ]
         addresses = [
-            {"host": "127.0.0.1"} | {lane: p.port for lane, p in zip(LANES, three, strict=True)}
-            for three in lanes
+            {"host": "127.0.0.1"}
+            | {channel: p.port for channel, p in zip(CHANNELS, three, strict=True)}
+            for three in channels
         ]
         size = {key: worker_settings[key] for key in SIZE}
         settings = {
@@ -252,7 +255,7 @@
         (self.folder / f"{name}.toml").write_text(to_toml(settings))
         agent = await self.spawn_agent(name)
         urls = (worker_url, target_url)
-        proxies = [proxy for three in lanes for proxy in three]
+        proxies = [proxy for three in channels for proxy in three]
         return Instance(
             name, agent, worker_proc, target_proc, *urls, worker_proxy, target_proxy, proxies
         )
--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -21,12 +21,12 @@
 from sapphirelead.agent_ports import Handler, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.keys import Keys
 from sapphirelead.logs import log_event
 from sapphirelead.settings import AgentSettings, EntryAddress
 from sapphirelead.wire_codec import decode
-from sapphirelead.wire_messages import AnyMessage, BeatAck, LaneHello
+from sapphirelead.wire_messages import AnyMessage, BeatAck, ChannelHello
 from sapphirelead.wire_sockets import connect_dealer, send
 
 MAX_BATCH_FRAMES: Final = 256
@@ -45,9 +45,9 @@
     _sender: Sender
     _timeout_s: float
     _connection_number: int
-    _sockets: dict[Lane, zmq.asyncio.Socket]
-    _received_at: dict[Lane, float]
-    _active_lanes: set[Lane]
+    _sockets: dict[Channel, zmq.asyncio.Socket]
+    _received_at: dict[Channel, float]
+    _active_channels: set[Channel]
     _acked_at: float
     _peer_incarnation: str
 
@@ -67,7 +67,7 @@
         self._connection_number = 0
         self._sockets = {}
         self._received_at = {}
-        self._active_lanes = set()
+        self._active_channels = set()
         self._acked_at = _NEVER
         self._peer_incarnation = ""
 
@@ -79,7 +79,7 @@
     @property
     def routed(self) -> bool:
         """Whether something was received over every lane of the current connection."""
-        return len(self._active_lanes) == len(Lane)
+        return len(self._active_channels) == len(Channel)
 
     def announce_due(self, ack_timeout_s: float) -> bool:
         """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
@@ -97,13 +97,13 @@
         self._peer_incarnation = peer_incarnation
         self._acked_at = now() if known else _NEVER
 
-    def open(self) -> dict[Lane, zmq.asyncio.Socket]:
+    def open(self) -> dict[Channel, zmq.asyncio.Socket]:
         """Connect every lane under the next connection number and return the sockets."""
         self._connection_number += 1
         self._acked_at = _NEVER
         self._peer_incarnation = ""
-        self._active_lanes.clear()
-        for lane in Lane:
+        self._active_channels.clear()
+        for lane in Channel:
             self._sockets[lane] = self._connect(lane)
             self._received_at[lane] = now()
         return dict(self._sockets)
@@ -114,10 +114,10 @@
             sock.close(linger=linger_ms)
         self._sockets.clear()
 
-    def record_received(self, lane: Lane) -> None:
+    def record_received(self, lane: Channel) -> None:
         """Record that something was received over ``lane``."""
         self._received_at[lane] = now()
-        self._active_lanes.add(lane)
+        self._active_channels.add(lane)
 
     def timed_out(self) -> bool:
         """Return whether nothing was received over one of the lanes within the timeout."""
@@ -127,18 +127,18 @@
         """Restart the timeout of every lane."""
         self._received_at = dict.fromkeys(self._received_at, now())
 
-    async def send(self, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, lane: Channel, message: AnyMessage) -> bool:
         """Send over ``lane``; ``False`` means that the message was certainly not sent."""
         sock = self._sockets.get(lane)
         return sock is not None and await send(sock, message)
 
-    def _connect(self, lane: Lane) -> zmq.asyncio.Socket:
+    def _connect(self, lane: Channel) -> zmq.asyncio.Socket:
         sender, address = self._sender, self._address
         identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._connection_number}"
         port = {
-            Lane.CONTROL: address.control_port,
-            Lane.DATA: address.data_port,
-            Lane.BULK: address.bulk_port,
+            Channel.CONTROL: address.control_port,
+            Channel.DATA: address.data_port,
+            Channel.BULK: address.bulk_port,
         }[lane]
         return connect_dealer(self._ctx, identity, address.host, port, self._timeout_s, self._keys)
 
@@ -213,14 +213,14 @@
             link.close(LINGER_MS)
         await asyncio.to_thread(self._ctx.term)
 
-    async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, index: int, lane: Channel, message: AnyMessage) -> bool:
         """Send to one entry; ``False`` means that the message was certainly not sent."""
         return await self._links[index].send(lane, message)
 
     async def broadcast(self, message: AnyMessage) -> None:
         """Send over the control lane of every live link."""
         for index in self.live():
-            await self._links[index].send(Lane.CONTROL, message)
+            await self._links[index].send(Channel.CONTROL, message)
 
     def reconnect_unresponsive(self) -> None:
         """Reconnect the links that have timed out.
@@ -251,7 +251,7 @@
         self._links[index].close()
         self._open(index)
 
-    async def _receive(self, index: int, lane: Lane, sock: zmq.asyncio.Socket) -> None:
+    async def _receive(self, index: int, lane: Channel, sock: zmq.asyncio.Socket) -> None:
         """Receive from one socket until it is closed.
 
         Control messages are received in batches with a short delay in between, which bounds the
@@ -259,12 +259,12 @@
         """
         while True:
             frames = [await sock.recv()]
-            if lane is Lane.CONTROL:
+            if lane is Channel.CONTROL:
                 frames += await _drain(sock)
             self._links[index].record_received(lane)
             for frame in frames:
                 self._dispatch(index, frame)
-            if lane is Lane.CONTROL:
+            if lane is Channel.CONTROL:
                 await asyncio.sleep(CONTROL_BATCH_DELAY_S)
 
     def _dispatch(self, index: int, frame: bytes) -> None:
@@ -282,8 +282,8 @@
     async def _send_hellos(self) -> None:
         while True:
             for index in self.indexes:
-                for lane in (Lane.DATA, Lane.BULK):
-                    hello = LaneHello(lane=lane, **self._sender.head())
+                for lane in (Channel.DATA, Channel.BULK):
+                    hello = ChannelHello(lane=lane, **self._sender.head())
                     await self._links[index].send(lane, hello)
             await asyncio.sleep(self._hello_interval())
 
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -32,7 +32,7 @@
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.keys import Keys, read_keys
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
@@ -209,8 +209,8 @@
         heartbeat = self._make_heartbeat(self._context.lease.next_heartbeat(now()))
         for index in self._links.indexes:
             if self._links.announce_due(index, ack_timeout_s):
-                await self._links.send(index, Lane.CONTROL, self._make_announce())
-            await self._links.send(index, Lane.CONTROL, heartbeat)
+                await self._links.send(index, Channel.CONTROL, self._make_announce())
+            await self._links.send(index, Channel.CONTROL, heartbeat)
 
     def _make_announce(self) -> Announce:
         settings = self._settings
--- a/sapphirelead/agent_outcomes.py
+++ b/sapphirelead/agent_outcomes.py
@@ -10,7 +10,7 @@
 from sapphirelead.agent_ports import Links, Sender
 from sapphirelead.agent_task_table import Fate, Phase, Task, TaskOutcome, TaskTable
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.wire_messages import Checkpointed, Completed
 
 REPEAT_INTERVAL_S: Final = 1.0
@@ -60,7 +60,7 @@
                 self._sent_count += 1
                 task.reported_at = now()
                 index = live[self._sent_count % len(live)]
-                await self._links.send(index, Lane.CONTROL, self._message(task, task.outcome))
+                await self._links.send(index, Channel.CONTROL, self._message(task, task.outcome))
 
     def _unacknowledged(self) -> list[Task]:
         return self._task_table.in_phase(Phase.ENDED)
--- a/sapphirelead/agent_ports.py
+++ b/sapphirelead/agent_ports.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.wire_messages import AnyMessage
 
 
@@ -56,7 +56,7 @@
     def reconnect_unresponsive(self) -> None:
         """Reconnect the links that have timed out."""
 
-    async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, index: int, lane: Channel, message: AnyMessage) -> bool:
         """Send to one entry; ``False`` means that the message was certainly not sent."""
 
     async def broadcast(self, message: AnyMessage) -> None:
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -20,7 +20,7 @@
 from sapphirelead.agent_ports import Links, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure, Outcome
 from sapphirelead.logs import log_event
 from sapphirelead.model_ledger import Ledger
@@ -227,33 +227,33 @@
         # Answered on the control lane if the size allows, because the entry may have lost the
         # other lanes.
         if self._history.seen(attempt):
-            self._resend(index, attempt, Lane.CONTROL)
+            self._resend(index, attempt, Channel.CONTROL)
         elif attempt not in self._running:
             never_arrived = fate.sent_to in self._incarnations and self._history.complete(now())
             outcome = Outcome.NOT_RUN if never_arrived else Outcome.UNKNOWN
-            self._finish(index, self._answer(attempt, outcome, "never arrived"), Lane.CONTROL)
+            self._finish(index, self._answer(attempt, outcome, "never arrived"), Channel.CONTROL)
 
-    def _finish(self, index: int, answer: ServiceAnswer, lane: Lane = Lane.DATA) -> None:
+    def _finish(self, index: int, answer: ServiceAnswer, channel: Channel = Channel.DATA) -> None:
         attempt = (answer.request_id, answer.attempt)
         if self._history.seen(attempt):
             return
         self._history.add(attempt, answer, now())
         if attempt not in self._cancellation_stored:
-            self._reply(index, answer, lane)
+            self._reply(index, answer, channel)
 
-    def _resend(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
+    def _resend(self, index: int, attempt: Attempt, channel: Channel = Channel.DATA) -> None:
         expired = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
-        self._reply(index, self._history.answer(attempt) or expired, lane)
+        self._reply(index, self._history.answer(attempt) or expired, channel)
 
-    def _reply(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
+    def _reply(self, index: int, answer: ServiceAnswer, channel: Channel) -> None:
         self._begin_operation()
-        self._background.spawn(self._send(index, answer, lane), f"answer-{answer.request_id}")
+        self._background.spawn(self._send(index, answer, channel), f"answer-{answer.request_id}")
 
-    async def _send(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        lane = Lane.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else lane
+    async def _send(self, index: int, answer: ServiceAnswer, channel: Channel) -> None:
+        channel = Channel.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else channel
         try:
             for _ in range(MAX_SEND_ATTEMPTS):
-                if await self._links.send(index, lane, answer):
+                if await self._links.send(index, channel, answer):
                     return
                 await asyncio.sleep(SEND_RETRY_DELAY_S)
             # The entry queries the outcome of the attempt over its next connection.
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -25,7 +25,7 @@
 from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -110,7 +110,7 @@
         self._background.spawn(self._send_control(index, message), "send-control")
 
     async def _send_control(self, index: int, message: AnyMessage) -> None:
-        await self._links.send(index, Lane.CONTROL, message)
+        await self._links.send(index, Channel.CONTROL, message)
 
     def _refuse(self, index: int, offer: Offer | Start, reason: str) -> None:
         epoch = offer.epoch if isinstance(offer, Start) else 0
--- a/sapphirelead/dev.py
+++ b/sapphirelead/dev.py
@@ -19,7 +19,7 @@
 from sapphirelead.clock import now
 from sapphirelead.dev_example import run_example
 from sapphirelead.entry_main import Entry
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.keys import read_keys
 from sapphirelead.logs import setup_logs
 from sapphirelead.options import Exit, Options
@@ -263,9 +263,9 @@
     ports = entry.links.ports
     return EntryAddress(
         host=HOST,
-        control_port=ports[Lane.CONTROL],
-        data_port=ports[Lane.DATA],
-        bulk_port=ports[Lane.BULK],
+        control_port=ports[Channel.CONTROL],
+        data_port=ports[Channel.DATA],
+        bulk_port=ports[Channel.BULK],
     )
 
 
--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -20,7 +20,7 @@
     ConfigService,
     InstanceView,
     JobService,
-    Lane,
+    Channel,
     Links,
     Members,
     Stamp,
@@ -236,7 +236,7 @@
             **ports.stamp.head(ports.config.current.version),
             reason=reason,
         )
-        if not await ports.links.send(name, Lane.CONTROL, message):
+        if not await ports.links.send(name, Channel.CONTROL, message):
             hint = "its agent is not connected to this entry; retry, or use another entry"
             return problem(Failure(Code.NO_INSTANCE, f"{name!r} could not be notified", hint))
         log_event("INFO", "drain_requested", instance=name, reason=reason)
--- a/sapphirelead/entry_attempts.py
+++ b/sapphirelead/entry_attempts.py
@@ -10,7 +10,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_placing import Placer
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.entry_service_state import OpenAttempt, OpenRequest, ServiceCounters
 from sapphirelead.errors import Outcome
 from sapphirelead.logs import log_event
@@ -34,7 +34,7 @@
         """Call ``handler`` with each received message of ``kind``."""
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         """Send without waiting; ``False`` means that the message was certainly not sent."""
 
@@ -97,7 +97,7 @@
         self._open[(req.id, number)] = attempt
         req.open[number] = attempt
         req.tried.append(instance)
-        if self._links.send_now(instance, Lane.DATA, message, incarnation):
+        if self._links.send_now(instance, Channel.DATA, message, incarnation):
             req.attempts = number
             return True
         self._counters.unsent += 1
@@ -153,11 +153,11 @@
             request_id=attempt.request.id,
             attempt=attempt.number,
         )
-        self._links.send_now(attempt.instance, Lane.DATA, message, attempt.incarnation)
+        self._links.send_now(attempt.instance, Channel.DATA, message, attempt.incarnation)
 
-    def on_lane_change(self, instance: str, incarnation: str, lane: Lane) -> None:
+    def on_channel_change(self, instance: str, incarnation: str, lane: Channel) -> None:
         """Mark the attempts sent on a connection that the agent has replaced as suspect."""
-        if lane is Lane.CONTROL:
+        if lane is Channel.CONTROL:
             return
         for attempt in self._open.values():
             if (attempt.instance, attempt.incarnation) == (instance, incarnation):
@@ -189,7 +189,7 @@
             sent_to=attempt.incarnation,
         )
         # The data lane may be the failed connection, so the query uses the control lane.
-        self._links.send_now(attempt.instance, Lane.CONTROL, message)
+        self._links.send_now(attempt.instance, Channel.CONTROL, message)
 
 
 def _end_of(answer: ServiceAnswer) -> AttemptEnd:
--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from sapphirelead.entry_lease import LeaseManager
-from sapphirelead.entry_ports import AuditRecord, Lane, Links, Members, MemberVersion, Stamp
+from sapphirelead.entry_ports import AuditRecord, Channel, Links, Members, MemberVersion, Stamp
 from sapphirelead.entry_table import Change, EntryTable, Unit, absent, commit_failure
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
@@ -223,7 +223,7 @@
         )
         for view in self._members.live():
             if view.config_version < message.version:
-                await self._links.send(view.id, Lane.CONTROL, message)
+                await self._links.send(view.id, Channel.CONTROL, message)
         for peer in self._leases.live_entries:
             if peer != self._stamp.sender:
                 await self._links.send_peer(peer, message)
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -25,12 +25,12 @@
 from result import Err
 from zmq.auth.asyncio import AsyncioAuthenticator
 
-from sapphirelead.entry_ports import Lane, Stamp
+from sapphirelead.entry_ports import Channel, Stamp
 from sapphirelead.keys import Keys, start_authenticator
 from sapphirelead.logs import log_event
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_codec import decode, encode
-from sapphirelead.wire_messages import AnyMessage, LaneHello
+from sapphirelead.wire_messages import AnyMessage, ChannelHello
 from sapphirelead.wire_sockets import bind_router, connect_dealer, make_context, send_frame
 
 POLLIN: Final = int(zmq.POLLIN)
@@ -38,7 +38,7 @@
 MAX_BATCH_MESSAGES: Final = 512
 MAX_INCARNATIONS: Final = 3
 
-LaneListener = Callable[[str, str, Lane], None]
+ChannelListener = Callable[[str, str, Channel], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
     instance: str
     incarnation: str
-    lane: Lane
+    lane: Channel
     number: int
 
     @classmethod
@@ -61,7 +61,7 @@
         """Parse a routing identity; ``None`` if ``raw`` is not one of an agent."""
         try:
             instance, incarnation, lane, number = raw.decode().split("|")
-            return cls(instance, incarnation, Lane(lane), int(number))
+            return cls(instance, incarnation, Channel(lane), int(number))
         except ValueError:
             return None
 
@@ -160,7 +160,7 @@
     :ivar ports: bound port of each channel, once started.
     """
 
-    ports: dict[Lane, int]
+    ports: dict[Channel, int]
     counters: LinkCounters
     _settings: EntrySettings
     _stamp: Stamp
@@ -168,9 +168,9 @@
     _keys: Keys | None
     _authenticator: AsyncioAuthenticator | None
     _handlers: dict[type[AnyMessage], list[Callable[[Any], None]]]
-    _lane_listeners: list[LaneListener]
-    _routers: dict[Lane, _Router]
-    _routes: dict[str, dict[str, dict[Lane, _Route]]]
+    _channel_listeners: list[ChannelListener]
+    _routers: dict[Channel, _Router]
+    _routes: dict[str, dict[str, dict[Channel, _Route]]]
     _current: dict[str, str]
     _peers: dict[str, tuple[str, zmq.asyncio.Socket]]
     _peer_number: int
@@ -188,7 +188,7 @@
         self._keys = keys
         self._authenticator = None
         self._handlers = {}
-        self._lane_listeners = []
+        self._channel_listeners = []
         self._routers = {}
         self._routes = {}
         self._current = {}
@@ -212,9 +212,9 @@
         """Bind the three routers and start reading them."""
         self._authenticator = start_authenticator(self._ctx, self._keys)
         configured = {
-            Lane.CONTROL: self._settings.control_port,
-            Lane.DATA: self._settings.data_port,
-            Lane.BULK: self._settings.bulk_port,
+            Channel.CONTROL: self._settings.control_port,
+            Channel.DATA: self._settings.data_port,
+            Channel.BULK: self._settings.bulk_port,
         }
         for lane, port in configured.items():
             host = self._settings.bind_host
@@ -240,20 +240,20 @@
         """Call ``handler`` with each received message of ``kind``."""
         self._handlers.setdefault(kind, []).append(handler)
 
-    def on_lane_change(self, listener: LaneListener) -> None:
+    def on_channel_change(self, listener: ChannelListener) -> None:
         """Call ``listener(instance, incarnation, lane)`` when an agent replaces a connection."""
-        self._lane_listeners.append(listener)
+        self._channel_listeners.append(listener)
 
     def set_current(self, instance: str, incarnation: str) -> None:
         """Set the incarnation that :meth:`send` reaches."""
         self._current[instance] = incarnation
 
-    async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, instance: str, lane: Channel, message: AnyMessage) -> bool:
         """Send to the current incarnation; ``False`` guarantees that nothing was sent."""
         return self.send_now(instance, lane, message)
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         """Send to ``incarnation`` or the current one; ``False`` guarantees nothing was sent."""
         known = self._routes.get(instance, {})
@@ -270,7 +270,7 @@
         peer = self._peers.get(entry)
         frame = encode(message)
         sent = peer is not None and await send_frame(peer[1], frame)
-        self._count_sent(sent, len(frame), Lane.CONTROL)
+        self._count_sent(sent, len(frame), Channel.CONTROL)
         return sent
 
     def set_peers(self, peers: dict[str, str]) -> None:
@@ -290,30 +290,30 @@
         timeout_s = self._settings.lease.silence_seconds
         return connect_dealer(self._ctx, identity, host, int(port), timeout_s, self._keys)
 
-    def _count_sent(self, sent: bool, size: int, lane: Lane) -> None:
+    def _count_sent(self, sent: bool, size: int, lane: Channel) -> None:
         counters = self.counters
         if not sent:
             counters.unsent += 1
             return
         counters.sent += 1
         counters.bytes_sent += size
-        if lane is Lane.CONTROL:
+        if lane is Channel.CONTROL:
             counters.control_bytes_sent += size
 
-    async def _read(self, lane: Lane) -> None:
+    async def _read(self, lane: Channel) -> None:
         router = self._routers[lane]
-        delay_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
+        delay_s = CONTROL_BATCH_INTERVAL_S if lane is Channel.CONTROL else 0.0
         while True:
             for frames in await router.receive():
                 self._handle_message(lane, frames)
             await asyncio.sleep(delay_s)
 
-    def _handle_message(self, lane: Lane, frames: list[bytes]) -> None:
+    def _handle_message(self, lane: Channel, frames: list[bytes]) -> None:
         if len(frames) != 2:
             self.counters.undecodable += 1
             return
         self.counters.bytes_received += len(frames[1])
-        if lane is Lane.CONTROL:
+        if lane is Channel.CONTROL:
             self.counters.control_bytes_received += len(frames[1])
         match decode(frames[1]):
             case Err(failure):
@@ -323,7 +323,7 @@
                 self._update_route(lane, frames[0])
                 self._dispatch(lane, frames[0], ok.unwrap())
 
-    def _update_route(self, lane: Lane, raw: bytes) -> None:
+    def _update_route(self, lane: Channel, raw: bytes) -> None:
         known = self._find_route(lane, raw)
         if known is not None and known.identity == raw:
             return
@@ -339,10 +339,10 @@
         self._current.setdefault(parsed.instance, parsed.incarnation)
         self._evict_old_incarnations(parsed.instance)
         if old is not None:
-            for listener in self._lane_listeners:
+            for listener in self._channel_listeners:
                 listener(parsed.instance, parsed.incarnation, lane)
 
-    def _find_route(self, lane: Lane, raw: bytes) -> _Route | None:
+    def _find_route(self, lane: Channel, raw: bytes) -> _Route | None:
         instance, _, rest = raw.partition(b"|")
         incarnation = rest.partition(b"|")[0]
         try:
@@ -358,10 +358,10 @@
             if incarnation != self._current.get(instance):
                 del incarnations[incarnation]
 
-    def _dispatch(self, lane: Lane, raw: bytes, message: AnyMessage) -> None:
+    def _dispatch(self, lane: Channel, raw: bytes, message: AnyMessage) -> None:
         name = type(message).__name__
         self.counters.received[name] = self.counters.received.get(name, 0) + 1
-        if isinstance(message, LaneHello):
+        if isinstance(message, ChannelHello):
             self._reply_hello(lane, raw)
         for handler in self._handlers.get(type(message), ()):
             # A handler that raises on one message must not stop the channel for all instances.
@@ -371,8 +371,8 @@
                 self.counters.handler_errors += 1
                 log_event("ERROR", "handler_failed", message=name, error=repr(exc))
 
-    def _reply_hello(self, lane: Lane, raw: bytes) -> None:
-        hello = LaneHello(
+    def _reply_hello(self, lane: Channel, raw: bytes) -> None:
+        hello = ChannelHello(
             **self._stamp.head(self._config_version()),
             lane=lane.value,
         )
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -24,7 +24,7 @@
 from sapphirelead.entry_interference import FleetInterference
 from sapphirelead.entry_links import EntryLinks
 from sapphirelead.entry_members import EntryMembers
-from sapphirelead.entry_ports import Lane, Stamp
+from sapphirelead.entry_ports import Channel, Stamp
 from sapphirelead.entry_service import ServiceDispatcher
 from sapphirelead.entry_situation import EntrySituation
 from sapphirelead.errors import Failure
@@ -102,7 +102,7 @@
         """Bind the sockets, start all components and serve callers."""
         self._started_at = now()
         await self.links.start()
-        control = f"{self._settings.bind_host}:{self.links.ports[Lane.CONTROL]}"
+        control = f"{self._settings.bind_host}:{self.links.ports[Channel.CONTROL]}"
         self.core = EntryCore.from_settings(
             self._settings,
             self.stamp,
@@ -125,7 +125,7 @@
             entry=self.stamp.sender,
             incarnation=self.stamp.incarnation,
             http_port=self.api.port,
-            control_port=self.links.ports[Lane.CONTROL],
+            control_port=self.links.ports[Channel.CONTROL],
         )
 
     async def _start_fleet(self) -> None:
@@ -192,7 +192,7 @@
         ).slowdown
         self.dispatcher.store_up = lambda: self.core.table.up
         self.dispatcher.slowdown = situation.slowdown.of
-        self.links.on_lane_change(self.dispatcher.attempts.on_lane_change)
+        self.links.on_channel_change(self.dispatcher.attempts.on_channel_change)
         ports = CallerPorts(
             self.dispatcher,
             self.core.jobs,
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -10,7 +10,7 @@
 from typing import Any, Final, Protocol
 
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.logs import log_event
 from sapphirelead.model_membership import MembershipTable
 from sapphirelead.settings import EntrySettings
@@ -28,7 +28,7 @@
         """Call ``handler`` with each received message of ``kind``."""
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         """Send a message; ``False`` guarantees that nothing was sent."""
 
@@ -153,7 +153,7 @@
             committed=committed,
             fenced=fenced,
         )
-        self._links.send_now(instance, Lane.CONTROL, ack, incarnation)
+        self._links.send_now(instance, Channel.CONTROL, ack, incarnation)
 
     def _notify(self, view: InstanceView) -> None:
         live = self._table.is_live(view, now())
--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -14,7 +14,7 @@
 
 from sapphirelead.entry_job_notifier import JobNotifier
 from sapphirelead.entry_job_rows import JobRows, StoredJob
-from sapphirelead.entry_ports import ConfigService, Lane, Links, Stamp
+from sapphirelead.entry_ports import ConfigService, Channel, Links, Stamp
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_config import JobClassPolicy
@@ -153,4 +153,4 @@
             key=key,
             epoch=epoch,
         )
-        await self._links.send(instance, Lane.CONTROL, ack)
+        await self._links.send(instance, Channel.CONTROL, ack)
--- a/sapphirelead/entry_ports.py
+++ b/sapphirelead/entry_ports.py
@@ -17,7 +17,7 @@
 from sapphirelead.wire_messages import AnyMessage, ClassSample, ServiceSample, WatchEvent
 
 
-class Lane(StrEnum):
+class Channel(StrEnum):
     """The channels between an entry and an agent, one connection each."""
 
     CONTROL = "control"
@@ -80,7 +80,7 @@
     def on(self, kind: type[AnyMessage], handler: Callable[[Any], None]) -> None:
         """Call ``handler`` with each received message of ``kind``; handlers must not block."""
 
-    async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, instance: str, lane: Channel, message: AnyMessage) -> bool:
         """Send to an instance; ``False`` guarantees that nothing was sent."""
 
     async def send_peer(self, entry: str, message: AnyMessage) -> bool:
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -25,7 +25,7 @@
 from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_lease_rows import Registration
 from sapphirelead.entry_moves import JobMoves
-from sapphirelead.entry_ports import Lane, Links, Members
+from sapphirelead.entry_ports import Channel, Links, Members
 from sapphirelead.entry_scheduler import Scheduler
 from sapphirelead.entry_start import ADOPTION_OFFER_ID, JobStarter
 from sapphirelead.errors import Code, Failure
@@ -138,7 +138,7 @@
             return
         self._queried_at[key] = now()
         fate = Fate(**self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation)
-        await self._links.send(holder.instance, Lane.CONTROL, fate)
+        await self._links.send(holder.instance, Channel.CONTROL, fate)
 
     def _is_confirmed(self, job: Job, incarnation: str) -> bool:
         at = self._scheduler.runs.confirmed_at(job.spec.key, job.epoch, incarnation)
@@ -152,7 +152,7 @@
             cancel=True,
             reason="cancelled",
         )
-        await self._links.send(instance, Lane.CONTROL, stop)
+        await self._links.send(instance, Channel.CONTROL, stop)
 
     def _mark_lost(self, job: Job, reason: str) -> None:
         epoch = job.epoch
@@ -196,7 +196,7 @@
         if held is not None and held.job.holder == holder and held.job.epoch == answer.epoch:
             # An agent renews an adopted task only after this confirmation of the claim.
             confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
-            await self._links.send(answer.sender, Lane.CONTROL, confirmation)
+            await self._links.send(answer.sender, Channel.CONTROL, confirmation)
 
     async def _handle_lost(self, answer: FateAnswer) -> None:
         """Release the claim: the instance's current incarnation does not know the task."""
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -18,7 +18,7 @@
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
-from sapphirelead.entry_ports import ConfigService, Head, InstanceView, Lane, Links, Stamp
+from sapphirelead.entry_ports import ConfigService, Head, InstanceView, Channel, Links, Stamp
 from sapphirelead.errors import Code
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job
@@ -143,7 +143,7 @@
         epoch = claimed.job.epoch
         log_event("INFO", "job_placed", job=spec.key, epoch=epoch, instance=view.id, rule=rule)
         start = self.start_message(offer_id, claimed.job)
-        if not await self._links.send(view.id, Lane.CONTROL, start):
+        if not await self._links.send(view.id, Channel.CONTROL, start):
             # The start message was not sent, so the task cannot have started.
             reporter = Holder(view.id, view.incarnation)
             await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
@@ -163,7 +163,7 @@
             urgent=urgent,
         )
         try:
-            if not await self._links.send(view.id, Lane.CONTROL, message):
+            if not await self._links.send(view.id, Channel.CONTROL, message):
                 return False
             async with asyncio.timeout(URGENT_OFFER_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
                 return await fut
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -4,7 +4,7 @@
 configuration version.  A receiver with an older version fetches the newer one before it makes
 decisions.
 
-Messages use three channels (lanes), each on its own connection, so that large answers do not delay
+Messages use three channels, each on its own connection, so that large answers do not delay
 heartbeats or small answers: ``control`` (all but requests and answers), ``data`` (service requests,
 and answers up to ``BULK_THRESHOLD_BYTES``) and ``bulk`` (larger answers).  An agent connects to all
 entries in its settings; an entry connects to the control channel of its peers.
@@ -325,7 +325,7 @@
     attempt: int
 
 
-class LaneHello(Message, frozen=True, kw_only=True):
+class ChannelHello(Message, frozen=True, kw_only=True, tag="LaneHello"):
     """First message and heartbeat of a data or bulk channel; the receiver replies with one."""
 
     lane: str
@@ -354,5 +354,5 @@
     | ServiceAnswer
     | AttemptFate
     | CancelAttempt
-    | LaneHello
+    | ChannelHello
 )
--- a/tests/process/test_connections.py
+++ b/tests/process/test_connections.py
@@ -68,16 +68,16 @@
     when the late answers come, gets whole answers of its own (the checker compares markers).
     """
     async with Cluster.running(tmp_path, lease=LEASE) as cluster:
-        lanes = cluster.instances[0].entry_proxies
-        for lane in lanes:
-            lane.freeze("up")
+        channels = cluster.instances[0].entry_proxies
+        for channel in channels:
+            channel.freeze("up")
         first = [cluster.serve(f"a{n}", size=n, X_Request_Deadline_Ms="500") for n in range(8)]
         for answer in await asyncio.gather(*first):
             assert answer.outcome in ("unknown", "not_run")
         second = [asyncio.create_task(cluster.serve(f"b{n}", 200, size=n)) for n in range(8)]
         await cluster.wait_seen("request_start", "b0", timeout_s=3)
-        for lane in lanes:
-            lane.thaw()
+        for channel in channels:
+            channel.thaw()
         assert {answer.outcome for answer in await asyncio.gather(*second)} == {"done"}
 
 
--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -11,7 +11,7 @@
 from sapphirelead.agent_ports import Handler, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_resources import Resources
 from sapphirelead.ports import (
@@ -230,7 +230,7 @@
 
     def __init__(self, sender: Sender) -> None:
         self.sender = sender
-        self.sent: list[tuple[Lane, AnyMessage]] = []
+        self.sent: list[tuple[Channel, AnyMessage]] = []
         self.committing = True
         self.fencing = False
         self.connected = True
@@ -262,7 +262,7 @@
     def reconnect_unresponsive(self) -> None:
         pass
 
-    async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, index: int, lane: Channel, message: AnyMessage) -> bool:
         if not self.connected:
             return False
         self.sent.append((lane, message))
@@ -275,7 +275,7 @@
         return True
 
     async def broadcast(self, message: AnyMessage) -> None:
-        await self.send(0, Lane.CONTROL, message)
+        await self.send(0, Channel.CONTROL, message)
 
     async def close(self) -> None:
         pass
--- a/tests/unit/fakes.py
+++ b/tests/unit/fakes.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from sapphirelead.entry_core import EntryCore
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_job import JobSpec, Kind
 from sapphirelead.model_resources import Resources
@@ -96,7 +96,7 @@
         for handler in self.handlers[type(message)]:
             handler(message)
 
-    async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, instance: str, lane: Channel, message: AnyMessage) -> bool:
         if instance in self.unresponsive:
             return False
         self.sent[instance].append(message)
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -9,10 +9,10 @@
 from sapphirelead.agent_links import AgentLinks
 from sapphirelead.agent_ports import Sender
 from sapphirelead.background import Background
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_codec import decode, encode
-from sapphirelead.wire_messages import Amount, Beat, BeatAck, LaneHello
+from sapphirelead.wire_messages import Amount, Beat, BeatAck, ChannelHello
 from sapphirelead.wire_sockets import bind_router, make_context
 from tests.unit.agent_fakes import ENTRY, settings
 
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.ctx = make_context()
-        bound = [bind_router(self.ctx, "127.0.0.1", 0) for _ in Lane]
+        bound = [bind_router(self.ctx, "127.0.0.1", 0) for _ in Channel]
         self.sockets = [sock for sock, _ in bound]
         self.ports = [port for _, port in bound]
         self.identities: set[bytes] = set()
@@ -39,11 +39,11 @@
             identity, frame = await sock.recv_multipart()
             self.identities.add(identity)
             message = decode(frame).unwrap()
-            answer: BeatAck | LaneHello | None = None
+            answer: BeatAck | ChannelHello | None = None
             if isinstance(message, Beat) and self.acknowledging:
                 head = {**ENTRY, "incarnation": self.incarnation}
                 answer = BeatAck(counter=message.counter, committed=0, **head)
-            elif isinstance(message, LaneHello):
+            elif isinstance(message, ChannelHello):
                 answer = message
             if answer:
                 await sock.send_multipart([identity, encode(answer)])
@@ -84,7 +84,7 @@
                 tasks=0,
                 **self.sender.head(),
             )
-            await self.links.send(0, Lane.CONTROL, beat)
+            await self.links.send(0, Channel.CONTROL, beat)
             await asyncio.sleep(LEASE.beat_interval_seconds)
 
 
@@ -106,10 +106,10 @@
     assert heartbeating.crashes == []
 
 
-async def test_three_lanes_under_one_identity(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
+async def test_three_channels_under_one_identity(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
     entry, heartbeating = pair
     await wait_until(lambda: len(entry.identities) == 3 and heartbeating.links.live() == [0])
-    assert entry.identities == {f"i1|run1|{lane}|1".encode() for lane in Lane}
+    assert entry.identities == {f"i1|run1|{lane}|1".encode() for lane in Channel}
 
 
 async def test_unresponsive_entry_is_reconnected(pair: tuple[BareEntry, HeartbeatingLinks]) -> None:
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sapphirelead.agent_service import MAX_SEEN_ATTEMPTS, AttemptHistory
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure
 from sapphirelead.wire_messages import (
     BULK_THRESHOLD_BYTES,
@@ -89,8 +89,8 @@
             request(1) if repeat == "request" else AttemptFate(request_id="1", attempt=1, **ENTRY)
         )
         await rig.send(again)
-        lanes = [lane for lane, m in rig.links.sent if isinstance(m, ServiceAnswer)]
-        assert lanes == [Lane.BULK, Lane.BULK] and len(rig.target.bodies) == 1
+        channels = [channel for channel, m in rig.links.sent if isinstance(m, ServiceAnswer)]
+        assert channels == [Channel.BULK, Channel.BULK] and len(rig.target.bodies) == 1
 
 
 @pytest.mark.parametrize(("own", "ran"), [(True, "not_run"), (False, "unknown")])
@@ -135,5 +135,5 @@
     async with Rig() as rig:
         await rig.send(request(1))
         await rig.send(AttemptFate(request_id="1", attempt=1, **ENTRY))
-        lanes = [lane for lane, m in rig.links.sent if isinstance(m, ServiceAnswer)]
-        assert lanes == [Lane.DATA, Lane.CONTROL]
+        channels = [channel for channel, m in rig.links.sent if isinstance(m, ServiceAnswer)]
+        assert channels == [Channel.DATA, Channel.CONTROL]
--- a/tests/unit/test_entry_members.py
+++ b/tests/unit/test_entry_members.py
@@ -10,7 +10,7 @@
 
 from bench.bench_decision import make_view
 from sapphirelead.entry_members import EntryMembers
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.entry_situation import EntrySituation, SlowdownEstimate, sum_batch
 from sapphirelead.model_job import JobSpec, Kind
 from sapphirelead.model_resources import Resources
@@ -40,9 +40,9 @@
         self.current[instance] = incarnation
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        assert isinstance(message, BeatAck) and lane is Lane.CONTROL
+        assert isinstance(message, BeatAck) and lane is Channel.CONTROL
         self.acks.append((incarnation, message.counter, message.committed, message.fenced))
         return True
 
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bench.bench_decision import make_view
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import InstanceView, Channel, Stamp
 from sapphirelead.entry_service import ServiceDispatcher
 from sapphirelead.entry_service_state import ServiceCall, ServiceReply
 from sapphirelead.errors import Code, Outcome
@@ -38,7 +38,7 @@
     def __init__(self, script: Script, count: int = 2, **document: Any) -> None:
         self.current = Config(1, ConfigDocument.model_validate(document))
         self.script = script
-        self.sent: list[tuple[str, Lane, AnyMessage]] = []
+        self.sent: list[tuple[str, Channel, AnyMessage]] = []
         self.unreachable: set[str] = set()
         self.outcome_reply: dict[str, Any] | None = None
         self.views = {f"i{n}": replace(make_view(n, 0), zone="z0") for n in range(count)}
@@ -68,7 +68,7 @@
             listener(view, live)
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         if instance in self.unreachable:
             return False
@@ -263,7 +263,7 @@
     while not (queries := cluster.all_sent(AttemptFate)):
         await asyncio.sleep(0.05)
     assert asyncio.get_running_loop().time() < 1.0
-    assert cluster.sent[-1][1] is Lane.CONTROL and queries[0].sent_to == "a"
+    assert cluster.sent[-1][1] is Channel.CONTROL and queries[0].sent_to == "a"
     instance, _, req = cluster.sent[0]
     assert isinstance(req, ServiceRequest)
     cluster.answer(instance, req, "done")
