--- a/bench/fake_agents.py
+++ b/bench/fake_agents.py
@@ -22,7 +22,7 @@
     Amount,
     Announce,
     AnyMessage,
-    Beat,
+    Heartbeat,
     Completed,
     EndAck,
     Offer,
@@ -59,7 +59,7 @@
     def _head(self) -> dict[str, Any]:
         return {"sender": self._name, "incarnation": self._incarnation, "config_version": 0}
 
-    async def run(self, beat_s: float) -> None:
+    async def run(self, heartbeat_interval_s: float) -> None:
         """Announce, then beat for good."""
         announce = Announce(
             **self._head(),
@@ -75,16 +75,16 @@
         receiving = asyncio.create_task(self._receive())
         try:
             while True:
-                await send(self._sock, self._beat())
+                await send(self._sock, self._make_heartbeat())
                 for report in list(self._unacked.values()):
                     await send(self._sock, report)
-                await asyncio.sleep(beat_s)
+                await asyncio.sleep(heartbeat_interval_s)
         finally:
             receiving.cancel()
 
-    def _beat(self) -> Beat:
+    def _make_heartbeat(self) -> Heartbeat:
         self._counter += 1
-        return Beat(
+        return Heartbeat(
             **self._head(),
             counter=self._counter,
             zone=self._zone,
@@ -125,12 +125,12 @@
     ctx.set(zmq.MAX_SOCKETS, 8192)
     first = int(args["--first"])
     agents = [FakeAgent(ctx, args, first + n) for n in range(int(args["--count"]))]
-    beat_s = float(args["--beat-s"] or 1.0)
+    heartbeat_interval_s = float(args["--beat-s"] or 1.0)
     print("ready", flush=True)
     async with asyncio.TaskGroup() as group:
         for agent in agents:
-            group.create_task(agent.run(beat_s))
-            await asyncio.sleep(beat_s / len(agents))
+            group.create_task(agent.run(heartbeat_interval_s))
+            await asyncio.sleep(heartbeat_interval_s / len(agents))
 
 
 if __name__ == "__main__":
--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -26,7 +26,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.settings import AgentSettings, EntryAddress
 from sapphirelead.wire_codec import decode
-from sapphirelead.wire_messages import AnyMessage, BeatAck, ChannelHello
+from sapphirelead.wire_messages import AnyMessage, HeartbeatAck, ChannelHello
 from sapphirelead.wire_sockets import connect_dealer, send
 
 MAX_BATCH_FRAMES: Final = 256
@@ -273,7 +273,7 @@
                 self._undecodable[index] += 1
                 log_event("WARNING", "frame_undecodable", link=index, reason=failure.message)
             case Ok(message):
-                if isinstance(message, BeatAck):
+                if isinstance(message, HeartbeatAck):
                     self._links[index].record_ack(message.incarnation)
                 handler = self._handlers.get(type(message))
                 if handler:
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -42,7 +42,7 @@
 from sapphirelead.platform.local_worker import HttpWorker
 from sapphirelead.ports import Target, TaskInfo, TaskState, Worker, WorkerView
 from sapphirelead.settings import AgentSettings
-from sapphirelead.wire_messages import Amount, Announce, Beat, BeatAck, Drain
+from sapphirelead.wire_messages import Amount, Announce, Heartbeat, HeartbeatAck, Drain
 
 WORKER_RETRY_SECONDS: Final = 0.5
 DRAIN_POLL_SECONDS: Final = 0.05
@@ -144,7 +144,7 @@
 
     async def start(self) -> None:
         """Start the agent's loops; the worker is taken over in the background."""
-        self._links.on(BeatAck, self._on_beat_ack)
+        self._links.on(HeartbeatAck, self._on_heartbeat_ack)
         self._links.on(Drain, self._on_drain)
         self._config.register(self._links)
         self._service.register()
@@ -225,10 +225,10 @@
             **self._sender.head(),
         )
 
-    def _make_heartbeat(self, counter: int) -> Beat:
+    def _make_heartbeat(self, counter: int) -> Heartbeat:
         ledger = self._context.ledger
         ledger.expire_reservations(now())
-        return Beat(
+        return Heartbeat(
             counter=counter,
             zone=self._settings.zone,
             draining=self._context.draining,
@@ -245,7 +245,7 @@
             **self._sender.head(),
         )
 
-    def _on_beat_ack(self, _index: int, ack: BeatAck) -> None:
+    def _on_heartbeat_ack(self, _index: int, ack: HeartbeatAck) -> None:
         if not ack.fenced:
             self._context.lease.record_ack(ack.committed)
         elif not self._fencing:
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -28,7 +28,7 @@
 from sapphirelead.settings import AgentSettings
 from sapphirelead.wire_messages import (
     BULK_THRESHOLD_BYTES,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
@@ -141,7 +141,7 @@
     def register(self) -> None:
         """Subscribe to the messages about service requests."""
         self._links.on(ServiceRequest, self._on_request)
-        self._links.on(AttemptFate, self._on_fate)
+        self._links.on(AttemptOutcomeQuery, self._on_outcome_query)
         self._links.on(CancelAttempt, self._on_cancel)
 
     def add_incarnation(self) -> None:
@@ -222,14 +222,14 @@
         if attempt in self._running:
             self._cancellation_stored.add(attempt)
 
-    def _on_fate(self, index: int, fate: AttemptFate) -> None:
-        attempt = (fate.request_id, fate.attempt)
+    def _on_outcome_query(self, index: int, query: AttemptOutcomeQuery) -> None:
+        attempt = (query.request_id, query.attempt)
         # Answered on the control lane if the size allows, because the entry may have lost the
         # other lanes.
         if self._history.seen(attempt):
             self._resend(index, attempt, Channel.CONTROL)
         elif attempt not in self._running:
-            never_arrived = fate.sent_to in self._incarnations and self._history.complete(now())
+            never_arrived = query.sent_to in self._incarnations and self._history.complete(now())
             outcome = Outcome.NOT_RUN if never_arrived else Outcome.UNKNOWN
             self._finish(index, self._answer(attempt, outcome, "never arrived"), Channel.CONTROL)
 
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -35,14 +35,14 @@
     Accepted,
     AnyMessage,
     EndAck,
-    FateAnswer,
+    OutcomeAnswer,
     Offer,
     Refused,
     Start,
     Started,
     Stop,
 )
-from sapphirelead.wire_messages import Fate as FateRequest
+from sapphirelead.wire_messages import Fate as OutcomeQuery
 
 START_LEASE_SECONDS: Final = 5.0
 RETRY_INTERVAL_S: Final = 0.2
@@ -86,7 +86,7 @@
         self._links.on(Start, self._on_start)
         self._links.on(Stop, self._on_stop)
         self._links.on(EndAck, self._on_end_ack)
-        self._links.on(FateRequest, self._on_fate)
+        self._links.on(OutcomeQuery, self._on_outcome_query)
 
     def adopt(self, info: TaskInfo) -> None:
         """Add a task that the worker has from before this incarnation."""
@@ -332,14 +332,14 @@
         if isinstance(await self._context.session.remove(key), Ok):
             self._unremoved.discard(key)
 
-    def _on_fate(self, index: int, request: FateRequest) -> None:
+    def _on_outcome_query(self, index: int, request: OutcomeQuery) -> None:
         if not self._context.ready:
             # Tasks of an earlier incarnation are not listed yet; the entry will retry.
             return
         claimed_here = request.claimed_by == self._context.sender.incarnation
         fate = self._task_table.fate(request.key, request.epoch, claimed_here)
         head = self._context.sender.head()
-        self._send(index, FateAnswer(key=request.key, epoch=request.epoch, fate=fate, **head))
+        self._send(index, OutcomeAnswer(key=request.key, epoch=request.epoch, fate=fate, **head))
         if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
             self._outcome_reporter.wake()
 
--- a/sapphirelead/entry_attempts.py
+++ b/sapphirelead/entry_attempts.py
@@ -17,7 +17,7 @@
 from sapphirelead.policy_routing import AttemptEnd
 from sapphirelead.wire_messages import (
     AnyMessage,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
@@ -182,7 +182,7 @@
         """Query the agent for the outcome of an attempt."""
         attempt.outcome_queries += 1
         self._counters.fates_asked += 1
-        message = AttemptFate(
+        message = AttemptOutcomeQuery(
             **self._stamp.head(self._config_version()),
             request_id=attempt.request.id,
             attempt=attempt.number,
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -14,7 +14,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.model_membership import MembershipTable
 from sapphirelead.settings import EntrySettings
-from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck
+from sapphirelead.wire_messages import Announce, AnyMessage, Heartbeat, HeartbeatAck
 
 CHECKS_PER_TIMEOUT: Final = 10
 
@@ -56,7 +56,7 @@
         self._notified_live = {}
         self._task = None
         links.on(Announce, self._on_announce)
-        links.on(Beat, self._on_heartbeat)
+        links.on(Heartbeat, self._on_heartbeat)
 
     @classmethod
     def from_settings(
@@ -125,7 +125,7 @@
         self._links.set_current(message.sender, message.incarnation)
         self._after_message(message)
 
-    def _on_heartbeat(self, message: Beat) -> None:
+    def _on_heartbeat(self, message: Heartbeat) -> None:
         verdict = self._table.heartbeat(message, now())
         if not verdict.known:
             return
@@ -139,7 +139,7 @@
         if not verdict.fenced:
             self._after_message(message)
 
-    def _after_message(self, message: Announce | Beat) -> None:
+    def _after_message(self, message: Announce | Heartbeat) -> None:
         view = self._table.get(message.sender)
         if view is not None:
             self._notify(view)
@@ -147,7 +147,7 @@
     def _acknowledge(
         self, instance: str, incarnation: str, counter: int, committed: int, fenced: bool
     ) -> None:
-        ack = BeatAck(
+        ack = HeartbeatAck(
             **self._stamp.head(self._config_version()),
             counter=counter,
             committed=committed,
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -31,7 +31,7 @@
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job, JobState
-from sapphirelead.wire_messages import Fate, FateAnswer, Stop
+from sapphirelead.wire_messages import Fate, OutcomeAnswer, Stop
 
 RECONCILE_INTERVAL_S: Final = 0.5
 QUERY_INTERVAL_S: Final = 2.0
@@ -70,7 +70,7 @@
         self._queried_at = {}
         self._refreshed_at = {}
         self._task = None
-        links.on(FateAnswer, self._on_fate_answer)
+        links.on(OutcomeAnswer, self._on_outcome_answer)
 
     def start(self) -> None:
         """Start the periodic checks."""
@@ -167,7 +167,7 @@
 
         self._moves.run_once("lose", job.spec.key, epoch, lose())
 
-    def _on_fate_answer(self, answer: FateAnswer) -> None:
+    def _on_outcome_answer(self, answer: OutcomeAnswer) -> None:
         """Handle a task's reported state; task ends arrive as separate messages."""
         if answer.fate == "running":
             self._moves.run_once("adopt", answer.key, answer.epoch, self._handle_running(answer))
@@ -180,7 +180,7 @@
         elif answer.fate == "lost":
             self._moves.run_once("lose", answer.key, answer.epoch, self._handle_lost(answer))
 
-    async def _handle_running(self, answer: FateAnswer) -> None:
+    async def _handle_running(self, answer: OutcomeAnswer) -> None:
         """Confirm the claim, and move it to the replying incarnation if it has another holder."""
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is None:
@@ -198,7 +198,7 @@
             confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
             await self._links.send(answer.sender, Channel.CONTROL, confirmation)
 
-    async def _handle_lost(self, answer: FateAnswer) -> None:
+    async def _handle_lost(self, answer: OutcomeAnswer) -> None:
         """Release the claim: the instance's current incarnation does not know the task."""
 
         def transition(job: Job) -> Result[Job, Failure]:
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -4,7 +4,7 @@
 attempt to end, a hedge or outcome query to fall due, or the deadline.  ``not_run`` is returned only
 if every attempt was unsent or rejected by the incarnation that it was sent to.  An attempt that is
 open much longer than the estimated latency, or whose connection was replaced, is resolved by an
-``AttemptFate`` query: the agent resends a lost answer or proves that the attempt never arrived.
+``AttemptOutcomeQuery`` query: the agent resends a lost answer or proves that the attempt never arrived.
 """
 
 import asyncio
--- a/sapphirelead/model_membership.py
+++ b/sapphirelead/model_membership.py
@@ -18,7 +18,7 @@
 from sapphirelead.entry_ports import InstanceView
 from sapphirelead.model_resources import Resources
 from sapphirelead.settings import LeaseSettings
-from sapphirelead.wire_messages import Announce, Beat
+from sapphirelead.wire_messages import Announce, Heartbeat
 
 MAX_PAST_INCARNATIONS: Final = 8
 REMOVE_AFTER_TIMEOUTS: Final = 20.0
@@ -100,7 +100,7 @@
         member.view = _after_reannouncement(member.view, message, at)
         return True
 
-    def heartbeat(self, message: Beat, at: float) -> HeartbeatReply:
+    def heartbeat(self, message: Heartbeat, at: float) -> HeartbeatReply:
         """Process a heartbeat and return how to reply to it."""
         member = self._members.get(message.sender)
         if member is None or message.incarnation in member.replaced:
@@ -202,7 +202,7 @@
     )
 
 
-def _after_heartbeat(view: InstanceView, message: Beat, at: float) -> InstanceView:
+def _after_heartbeat(view: InstanceView, message: Heartbeat, at: float) -> InstanceView:
     return replace(
         view,
         free=message.free.to_resources(),
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -78,7 +78,7 @@
     throttled: int = 0
 
 
-class Beat(Message, frozen=True, kw_only=True):
+class Heartbeat(Message, frozen=True, kw_only=True, tag="Beat"):
     """Heartbeat, lease renewal request and load report.
 
     :ivar counter: increases with every heartbeat of this incarnation; committing it renews the
@@ -152,7 +152,7 @@
     event: Any
 
 
-class FateAnswer(Message, frozen=True, kw_only=True):
+class OutcomeAnswer(Message, frozen=True, kw_only=True, tag="FateAnswer"):
     """Outcome of a claim, as known to the agent.
 
     :ivar fate: ``running``, ``completed`` or ``failed`` (a :class:`Completed` follows), ``stopped``
@@ -168,7 +168,7 @@
 # Entry to agent, control channel.
 
 
-class BeatAck(Message, frozen=True, kw_only=True):
+class HeartbeatAck(Message, frozen=True, kw_only=True, tag="BeatAck"):
     """Acknowledges a heartbeat.
 
     :ivar committed: highest counter of this incarnation that is committed in the table; only this
@@ -306,7 +306,7 @@
     slots: int = 0
 
 
-class AttemptFate(Message, frozen=True, kw_only=True):
+class AttemptOutcomeQuery(Message, frozen=True, kw_only=True, tag="AttemptFate"):
     """Requests the outcome of an attempt whose answer may have been lost with its connection.
 
     :ivar sent_to: incarnation to which the attempt was sent.  Only that one can know that the
@@ -333,15 +333,15 @@
 
 AnyMessage = (
     Announce
-    | Beat
+    | Heartbeat
     | Accepted
     | Refused
     | Started
     | Completed
     | Checkpointed
     | WatchEvent
-    | FateAnswer
-    | BeatAck
+    | OutcomeAnswer
+    | HeartbeatAck
     | Offer
     | Start
     | Stop
@@ -352,7 +352,7 @@
     | Nudge
     | ServiceRequest
     | ServiceAnswer
-    | AttemptFate
+    | AttemptOutcomeQuery
     | CancelAttempt
     | ChannelHello
 )
--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -22,7 +22,7 @@
     WorkerView,
 )
 from sapphirelead.settings import AgentSettings, LeaseSettings
-from sapphirelead.wire_messages import Amount, AnyMessage, Beat, BeatAck, Offer, Start
+from sapphirelead.wire_messages import Amount, AnyMessage, Heartbeat, HeartbeatAck, Offer, Start
 
 M = TypeVar("M")
 
@@ -266,9 +266,9 @@
         if not self.connected:
             return False
         self.sent.append((lane, message))
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             self._committed = message.counter if self.committing else self._committed
-            ack = BeatAck(
+            ack = HeartbeatAck(
                 counter=message.counter, committed=self._committed, fenced=self.fencing, **ENTRY
             )
             asyncio.get_running_loop().call_soon(self.deliver, ack)
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -12,7 +12,7 @@
 from sapphirelead.entry_ports import Channel
 from sapphirelead.settings import LeaseSettings
 from sapphirelead.wire_codec import decode, encode
-from sapphirelead.wire_messages import Amount, Beat, BeatAck, ChannelHello
+from sapphirelead.wire_messages import Amount, Heartbeat, HeartbeatAck, ChannelHello
 from sapphirelead.wire_sockets import bind_router, make_context
 from tests.unit.agent_fakes import ENTRY, settings
 
@@ -39,10 +39,10 @@
             identity, frame = await sock.recv_multipart()
             self.identities.add(identity)
             message = decode(frame).unwrap()
-            answer: BeatAck | ChannelHello | None = None
-            if isinstance(message, Beat) and self.acknowledging:
+            answer: HeartbeatAck | ChannelHello | None = None
+            if isinstance(message, Heartbeat) and self.acknowledging:
                 head = {**ENTRY, "incarnation": self.incarnation}
-                answer = BeatAck(counter=message.counter, committed=0, **head)
+                answer = HeartbeatAck(counter=message.counter, committed=0, **head)
             elif isinstance(message, ChannelHello):
                 answer = message
             if answer:
@@ -72,7 +72,7 @@
         self.links.open()
         while True:
             self.links.reconnect_unresponsive()
-            beat = Beat(
+            heartbeat = Heartbeat(
                 counter=1,
                 zone="z1",
                 draining=False,
@@ -84,7 +84,7 @@
                 tasks=0,
                 **self.sender.head(),
             )
-            await self.links.send(0, Channel.CONTROL, beat)
+            await self.links.send(0, Channel.CONTROL, heartbeat)
             await asyncio.sleep(LEASE.beat_interval_seconds)
 
 
--- a/tests/unit/test_agent_service.py
+++ b/tests/unit/test_agent_service.py
@@ -10,7 +10,7 @@
 from sapphirelead.errors import Code, Failure
 from sapphirelead.wire_messages import (
     BULK_THRESHOLD_BYTES,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     Drain,
     ServiceAnswer,
@@ -86,7 +86,9 @@
     async with Rig() as rig:
         await rig.send(request(1, body=b"x" * (BULK_THRESHOLD_BYTES + 1)))
         again = (
-            request(1) if repeat == "request" else AttemptFate(request_id="1", attempt=1, **ENTRY)
+            request(1)
+            if repeat == "request"
+            else AttemptOutcomeQuery(request_id="1", attempt=1, **ENTRY)
         )
         await rig.send(again)
         channels = [channel for channel, m in rig.links.sent if isinstance(m, ServiceAnswer)]
@@ -98,7 +100,7 @@
     """The entry times out and queries an attempt whose request arrives later."""
     async with Rig() as rig:
         sent_to = rig.agent.incarnation if own else "earlier"
-        await rig.send(AttemptFate(request_id="1", attempt=1, sent_to=sent_to, **ENTRY))
+        await rig.send(AttemptOutcomeQuery(request_id="1", attempt=1, sent_to=sent_to, **ENTRY))
         await rig.send(request(1))
         assert [end for end, _ in answers(rig)] == [ran, ran]
         assert rig.target.bodies == []
@@ -131,9 +133,9 @@
     assert not history.complete(3.0) and history.complete(1000.0)
 
 
-async def test_a_fate_is_answered_on_the_control_lane() -> None:
+async def test_outcome_query_is_answered_on_the_control_channel() -> None:
     async with Rig() as rig:
         await rig.send(request(1))
-        await rig.send(AttemptFate(request_id="1", attempt=1, **ENTRY))
+        await rig.send(AttemptOutcomeQuery(request_id="1", attempt=1, **ENTRY))
         channels = [channel for channel, m in rig.links.sent if isinstance(m, ServiceAnswer)]
         assert channels == [Channel.DATA, Channel.CONTROL]
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -14,7 +14,7 @@
     Drain,
     EndAck,
     Fate,
-    FateAnswer,
+    OutcomeAnswer,
     Refused,
     Started,
     Stop,
@@ -83,7 +83,7 @@
         me = rig.agent.incarnation
         await rig.send(Fate(key="a", epoch=1, claimed_by=me, **ENTRY))
         await rig.send(start("a", claimed_by=me))
-        assert [m.fate for m in rig.links.got(FateAnswer)] == ["never_started"]
+        assert [m.fate for m in rig.links.got(OutcomeAnswer)] == ["never_started"]
         assert rig.worker.starts == []
         await rig.send(start("a", 2, claimed_by=me))
         assert rig.worker.starts == [("a", 2)]
@@ -97,18 +97,18 @@
         await rig.send(start("a", claimed_by=me))
         await rig.send(Fate(key="a", epoch=1, claimed_by=me, **ENTRY))
         assert [m.epoch for m in rig.links.got(Refused)] == [1]
-        assert [m.fate for m in rig.links.got(FateAnswer)] == ["never_started"]
+        assert [m.fate for m in rig.links.got(OutcomeAnswer)] == ["never_started"]
         assert rig.worker.starts == []
 
 
 @pytest.mark.parametrize(
     ("claimed_by", "fate"), [("earlier", "lost"), ("", "lost"), (None, "never_started")]
 )
-async def test_fate_of_an_unknown_claim(claimed_by: str | None, fate: str) -> None:
+async def test_outcome_of_an_unknown_claim(claimed_by: str | None, fate: str) -> None:
     async with Rig() as rig:
         name = rig.agent.incarnation if claimed_by is None else claimed_by
         await rig.send(Fate(key="a", epoch=1, claimed_by=name, **ENTRY))
-        assert [m.fate for m in rig.links.got(FateAnswer)] == [fate]
+        assert [m.fate for m in rig.links.got(OutcomeAnswer)] == [fate]
 
 
 @pytest.mark.parametrize("lost", ["start", "checkpoint_stop", "stop", "view", "remove"])
@@ -194,7 +194,7 @@
         await rig.send(start("e"), 0.3)
         assert [m.key for m in rig.links.got(Refused)] == ["e"]
         await rig.send(Fate(key="a", epoch=3, claimed_by="earlier", **ENTRY), 0.1)
-        assert [m.fate for m in rig.links.got(FateAnswer)] == ["running"]
+        assert [m.fate for m in rig.links.got(OutcomeAnswer)] == ["running"]
         await rig.send(start("a", 3, claimed_by=rig.agent.incarnation), 12.0)
         assert rig.worker.running() == {"a", "d"}
         assert {m.key for m in rig.links.got(Checkpointed)} == {"b", "c"}
--- a/tests/unit/test_agent_throttle.py
+++ b/tests/unit/test_agent_throttle.py
@@ -11,7 +11,7 @@
     LatencyWindow,
 )
 from sapphirelead.model_resources import Resources
-from sapphirelead.wire_messages import Beat, Checkpointed, ConfigPush, ServiceRequest
+from sapphirelead.wire_messages import Heartbeat, Checkpointed, ConfigPush, ServiceRequest
 from tests.unit.agent_fakes import ENTRY, Rig, start
 
 pytestmark = pytest.mark.looptime
@@ -59,7 +59,7 @@
         shares = {rig.worker.tasks[key].info.throttle for key in rig.worker.running()}
         assert shares and max(shares) <= share + 0.1 and min(shares) >= min(share, 0.25) - 0.01
         assert bool(rig.links.got(Checkpointed)) == evicted
-        sample = rig.links.got(Beat)[-1]
+        sample = rig.links.got(Heartbeat)[-1]
         assert sample.services[0].count > 0 and sample.classes[0].tasks == len(rig.worker.running())
 
 
@@ -80,7 +80,7 @@
         await asyncio.sleep(2.0)
         assert {m.key for m in rig.links.got(Checkpointed)} == evicted
         assert rig.worker.tasks["a"].info.throttle == pytest.approx(throttle)
-        assert rig.links.got(Beat)[-1].free.cpu_millicores <= 3000
+        assert rig.links.got(Heartbeat)[-1].free.cpu_millicores <= 3000
 
 
 async def test_rule_sets_a_share_and_a_late_lower_version_changes_nothing() -> None:
@@ -91,7 +91,7 @@
         await rig.send(push(3, {"nonsense": 1}))
         await rig.send(start("a", rule="slow"))
         assert rig.worker.tasks["a"].info.throttle == 0.5
-        assert rig.links.got(Beat)[-1].config_version == 2
+        assert rig.links.got(Heartbeat)[-1].config_version == 2
 
 
 async def test_few_requests_are_accumulated_over_several_intervals() -> None:
--- a/tests/unit/test_entry_core.py
+++ b/tests/unit/test_entry_core.py
@@ -18,7 +18,7 @@
     Checkpointed,
     Completed,
     Fate,
-    FateAnswer,
+    OutcomeAnswer,
     Offer,
     Refused,
     Start,
@@ -195,13 +195,13 @@
             1,
         ),
         (
-            FateAnswer(**head("a"), key="j", epoch=1, fate="never_started"),
+            OutcomeAnswer(**head("a"), key="j", epoch=1, fate="never_started"),
             False,
             JobState.CLAIMED,
             2,
         ),
-        (FateAnswer(**head("a"), key="j", epoch=1, fate="lost"), False, JobState.UNKNOWN, 1),
-        (FateAnswer(**head("a"), key="j", epoch=1, fate="lost"), True, JobState.CLAIMED, 2),
+        (OutcomeAnswer(**head("a"), key="j", epoch=1, fate="lost"), False, JobState.UNKNOWN, 1),
+        (OutcomeAnswer(**head("a"), key="j", epoch=1, fate="lost"), True, JobState.CLAIMED, 2),
     ],
 )
 @in_world
@@ -276,7 +276,7 @@
 
     def restarted(instance: str, message: AnyMessage) -> list[AnyMessage]:
         if isinstance(message, Fate):
-            answer = FateAnswer(
+            answer = OutcomeAnswer(
                 **head(instance, "i2"), key=message.key, epoch=message.epoch, fate="running"
             )
             return [answer]
--- a/tests/unit/test_entry_members.py
+++ b/tests/unit/test_entry_members.py
@@ -15,7 +15,7 @@
 from sapphirelead.model_job import JobSpec, Kind
 from sapphirelead.model_resources import Resources
 from sapphirelead.settings import EntrySettings
-from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck, ServiceSample
+from sapphirelead.wire_messages import Announce, AnyMessage, Heartbeat, HeartbeatAck, ServiceSample
 from tests.unit.test_membership import ANNOUNCE, HEARTBEAT
 
 pytestmark = pytest.mark.looptime
@@ -42,11 +42,11 @@
     def send_now(
         self, instance: str, lane: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        assert isinstance(message, BeatAck) and lane is Channel.CONTROL
+        assert isinstance(message, HeartbeatAck) and lane is Channel.CONTROL
         self.acks.append((incarnation, message.counter, message.committed, message.fenced))
         return True
 
-    def receive(self, message: Announce | Beat, **changes: Any) -> None:
+    def receive(self, message: Announce | Heartbeat, **changes: Any) -> None:
         self.handlers[type(message)](msgspec.structs.replace(message, **changes))
 
 
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -18,7 +18,7 @@
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import (
     AnyMessage,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
@@ -75,14 +75,14 @@
         self.sent.append((instance, lane, message))
         if isinstance(message, ServiceRequest):
             self.script(self, instance, message)
-        if isinstance(message, AttemptFate) and self.outcome_reply is not None:
+        if isinstance(message, AttemptOutcomeQuery) and self.outcome_reply is not None:
             self.answer(instance, message, **self.outcome_reply)
         return True
 
     def answer(
         self,
         instance: str,
-        req: ServiceRequest | AttemptFate,
+        req: ServiceRequest | AttemptOutcomeQuery,
         ran: str,
         delay_s: float = 0.01,
         **fields: Any,
@@ -260,7 +260,7 @@
     """
     cluster = FakeCluster(scripted(None))
     calling = asyncio.create_task(cluster.call(5.0, idempotent=False))
-    while not (queries := cluster.all_sent(AttemptFate)):
+    while not (queries := cluster.all_sent(AttemptOutcomeQuery)):
         await asyncio.sleep(0.05)
     assert asyncio.get_running_loop().time() < 1.0
     assert cluster.sent[-1][1] is Channel.CONTROL and queries[0].sent_to == "a"
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -4,7 +4,7 @@
 import pytest
 
 from sapphirelead.model_membership import MembershipTable
-from sapphirelead.wire_messages import Amount, Announce, Beat
+from sapphirelead.wire_messages import Amount, Announce, Heartbeat
 
 TIMEOUT_S = 3.0
 ANNOUNCE = Announce(
@@ -18,7 +18,7 @@
     connections=64,
     services=["checks"],
 )
-HEARTBEAT = Beat(
+HEARTBEAT = Heartbeat(
     sender="i1",
     incarnation="a",
     config_version=0,
@@ -38,7 +38,7 @@
     return msgspec.structs.replace(ANNOUNCE, incarnation=incarnation, sender=sender)
 
 
-def heartbeat(incarnation: str = "a", counter: int = 1, draining: bool = False) -> Beat:
+def heartbeat(incarnation: str = "a", counter: int = 1, draining: bool = False) -> Heartbeat:
     return msgspec.structs.replace(
         HEARTBEAT, incarnation=incarnation, counter=counter, draining=draining
     )
@@ -56,7 +56,7 @@
     return [view.incarnation for view in table.live(at)]
 
 
-HISTORIES: dict[str, tuple[list[Announce | Beat], list[str]]] = {
+HISTORIES: dict[str, tuple[list[Announce | Heartbeat], list[str]]] = {
     "announced": ([announce()], ["a"]),
     "heartbeat without announcement": ([heartbeat()], []),
     "draining": ([announce(), heartbeat(draining=True)], []),
