--- a/bench/bench_leader.py
+++ b/bench/bench_leader.py
@@ -175,8 +175,10 @@
         sched = self._sched
         instance = sched.fleet.instance(agent)
         starts, stops, stored = sched.orders_for(agent, self._at)
-        press = sched.press.pair_weights_on(instance)
-        orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, 1, press=press)
+        interference = sched.interference.pair_weights_on(instance)
+        orders = Orders(
+            1, "e1", "b", 0, 0, "w", starts, stops, stored, 1, interference=interference
+        )
         ENCODER.encode(orders)
         return orders
 
--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -161,7 +161,7 @@
     pace: PaceControl = field(default_factory=PaceControl)
     runs: dict[tuple[str, int], _Working] = field(default_factory=dict)
     ends: list[RunEnded] = field(default_factory=list)
-    beat: int = 0
+    report_number: int = 0
     next_report: float = 0.0
 
 
@@ -198,7 +198,7 @@
         self._rate = rate
         self._sched = Scheduler(Bounds(), 0.0)
         if knows_all:
-            self._sched.press.model = TrueModel(self._truth, lambda: self._at)
+            self._sched.interference.model = TrueModel(self._truth, lambda: self._at)
         self._workers = [
             _Worker(f"g{n}", self._rng.uniform(0, LIST_S)) for n in range(size.workers)
         ]
@@ -291,13 +291,15 @@
 
     def _take_orders(self, worker: _Worker) -> None:
         starts, stops, stored = self._sched.orders_for(worker.name, self._at)
-        press = self._sched.press.pair_weights_on(self._sched.fleet.instance(worker.name))
-        orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, press=press)
+        interference = self._sched.interference.pair_weights_on(
+            self._sched.fleet.instance(worker.name)
+        )
+        orders = Orders(1, "e1", "b", 0, 0, "w", starts, stops, stored, interference=interference)
         self._obey(worker, orders)
 
     def _obey(self, worker: _Worker, orders: Orders) -> None:
         """Let an agent carry its orders out."""
-        worker.pace.learn(orders.press)
+        worker.pace.learn(orders.interference)
         for start in orders.starts:
             ref = TaskRef.parse(start.task)
             assert ref is not None
@@ -386,14 +388,22 @@
             )
             for run in worker.runs.values()
         ]
-        worker.beat += 1
+        worker.report_number += 1
         info = WorkerInfo(
             f"w-{worker.name}", "svc", "z", Resources(self._size.cpu, 128_000, 0), ("a", "r1")
         )
         ends, worker.ends = worker.ends, []
         self._deliver(
             AgentReport(
-                worker.name, "b", worker.beat, 1, 1, info, full, statuses if full else [], ends
+                worker.name,
+                "b",
+                worker.report_number,
+                1,
+                1,
+                info,
+                full,
+                statuses if full else [],
+                ends,
             )
         )
 
--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -138,7 +138,7 @@
         )
         if reply.kind is not ReplyKind.OK:
             return _error_response(reply, id=job_id)
-        if reply.other:
+        if reply.conflicting:
             text = f"id {job_id!r} is already used by a job with different content"
             return problem(Failure(Code.KEY_REUSED, text, "use a new id"), id=job_id)
         return _job_response(queue, job_id, reply, 202)
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -33,7 +33,7 @@
     EntryAddress,
     EntryBeat,
     Handover,
-    LeaderBeat,
+    LeaderHeartbeat,
     Leads,
     Orders,
     Reply,
@@ -206,14 +206,14 @@
         self._entries_version += 1
         self._links.set_entries(list(self._entries.values()))
 
-    def _replace_entries(self, beat: LeaderBeat) -> None:
+    def _replace_entries(self, heartbeat: LeaderHeartbeat) -> None:
         """Replace the list of entries by the leader's, if the heartbeat carries one."""
-        if beat.entries is None:
+        if heartbeat.entries is None:
             return
-        self._entries = {entry.name: entry for entry in beat.entries}
+        self._entries = {entry.name: entry for entry in heartbeat.entries}
         self._entries[self.name] = self.node.address
-        self._entries_version = beat.entries_version
-        self._entries_epoch = beat.epoch
+        self._entries_version = heartbeat.entries_version
+        self._entries_epoch = heartbeat.epoch
         self._links.set_entries(list(self._entries.values()))
 
     # Election
@@ -247,7 +247,7 @@
 
     def _send_heartbeat(self) -> None:
         election = self._election
-        beat = EntryBeat(
+        heartbeat = EntryBeat(
             self.node.address,
             election.epoch,
             election.store_ok,
@@ -256,7 +256,7 @@
             # List versions are comparable only within one leader's epoch.
             self._entries_version if self._entries_epoch == election.epoch else 0,
         )
-        self._links.send(election.leader, beat)
+        self._links.send(election.leader, heartbeat)
 
     async def _read_head(self) -> None:
         found = await read_head(self._table)
@@ -351,7 +351,7 @@
                 self._agents[message.sender] = identity
                 self._hub.send(identity, self._leads_message())
             case EntryBeat():
-                self._on_entry_beat(identity, message)
+                self._on_follower_heartbeat(identity, message)
             case Call():
                 self._on_call(identity, message)
             case Leads():
@@ -388,16 +388,16 @@
             )
         return self._hub.send(identity, orders)
 
-    def _on_entry_beat(self, identity: bytes, beat: EntryBeat) -> None:
-        self._add_entry(beat.address)
-        self._handover.on_heartbeat(beat)
+    def _on_follower_heartbeat(self, identity: bytes, heartbeat: EntryBeat) -> None:
+        self._add_entry(heartbeat.address)
+        self._handover.on_heartbeat(heartbeat)
         if self.leader is None:
             self._hub.send(identity, self._leads_message())
             return
-        if beat.config_version > self.config.version:
+        if heartbeat.config_version > self.config.version:
             self.on_newer_config()
-        known = beat.epoch == self.leader.head.epoch and beat.entries_version
-        answer = LeaderBeat(
+        known = heartbeat.epoch == self.leader.head.epoch and heartbeat.entries_version
+        answer = LeaderHeartbeat(
             self.leader.head.epoch,
             self.name,
             self.leader.serving,
@@ -430,8 +430,8 @@
 
     def _on_link(self, name: str, message: AnyNodeMessage) -> None:
         match message:
-            case LeaderBeat():
-                self._on_leader_beat(message)
+            case LeaderHeartbeat():
+                self._on_leader_heartbeat(message)
             case Leads():
                 self._on_leads(message)
             case Reply():
@@ -439,15 +439,15 @@
             case _:
                 log_event("WARNING", "message_unexpected", kind=type(message).__name__, peer=name)
 
-    def _on_leader_beat(self, beat: LeaderBeat) -> None:
+    def _on_leader_heartbeat(self, heartbeat: LeaderHeartbeat) -> None:
         if not self._election.on_heartbeat(
-            beat.epoch, beat.leader, beat.serving, now(), beat.strongest
+            heartbeat.epoch, heartbeat.leader, heartbeat.serving, now(), heartbeat.strongest
         ):
             return
-        self._replace_entries(beat)
-        if beat.config_version > self.config.version:
+        self._replace_entries(heartbeat)
+        if heartbeat.config_version > self.config.version:
             self.on_newer_config()
-        if beat.serving:
+        if heartbeat.serving:
             self._calls.changed.set()
 
     # Callers
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -24,9 +24,9 @@
         self._heartbeats = {}
         self._offers = Counter()
 
-    def on_heartbeat(self, beat: EntryBeat, at: float) -> None:
+    def on_heartbeat(self, heartbeat: EntryBeat, at: float) -> None:
         """Record a heartbeat."""
-        self._heartbeats[beat.address.name] = (at, beat)
+        self._heartbeats[heartbeat.address.name] = (at, heartbeat)
 
     def since_last_heartbeat_s(self, at: float) -> float:
         """Return the time since the latest heartbeat of any follower; 0 if there was none."""
@@ -68,11 +68,11 @@
         Entries that are shutting down are excluded, because they ignore offers.
         """
         return {
-            name: beat.address.cores
-            for name, (heard_at, beat) in self._heartbeats.items()
+            name: heartbeat.address.cores
+            for name, (heard_at, heartbeat) in self._heartbeats.items()
             if at - heard_at < HEARTBEAT_TIMEOUT_S
-            and not beat.leaving
-            and (beat.store_ok or not with_store)
+            and not heartbeat.leaving
+            and (heartbeat.store_ok or not with_store)
         }
 
 
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -51,9 +51,9 @@
         self._offered_at = -1e9
         self._checked_at = -1e9
 
-    def on_heartbeat(self, beat: EntryBeat) -> None:
+    def on_heartbeat(self, heartbeat: EntryBeat) -> None:
         """Record a follower's heartbeat."""
-        self.followers.on_heartbeat(beat, now())
+        self.followers.on_heartbeat(heartbeat, now())
 
     def check(self, leader: Leader) -> None:
         """Resign if isolated; offer the leadership if the store is unreachable or a peer is better.
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -388,14 +388,14 @@
             self._wake.set()
         instance = self.sched.fleet.instance(report.agent)
         if at - instance.answered_at >= MIN_ACK_INTERVAL_S or report.agent in self.sched.outgoing:
-            self._answer(report.agent, at, report.beat)
-        elif instance.beat - instance.answered_beat > MAX_UNANSWERED_REPORTS:
+            self._answer(report.agent, at, report.report_number)
+        elif instance.report_number - instance.answered_report_number > MAX_UNANSWERED_REPORTS:
             self._answer(report.agent, at, 0)
 
-    def _answer(self, agent: str, at: float, beat: int) -> None:
+    def _answer(self, agent: str, at: float, report_number: int) -> None:
         """Send pending orders to ``agent``.
 
-        :param beat: number of the report to acknowledge, which renews the agent's lease; 0 for
+        :param report_number: number of the report to acknowledge, which renews the agent's lease; 0 for
             none.
         """
         instance = self.sched.fleet.instance(agent)
@@ -408,24 +408,26 @@
             self.head.epoch,
             self.head.leader,
             instance.boot,
-            beat if renews else 0,
-            instance.beat,
+            report_number if renews else 0,
+            instance.report_number,
             instance.worker.worker if instance.worker else "",
             starts,
             stops,
             stored,
             instance.entries_version,
-            press=self.sched.press.pair_weights_on(instance) if beat or starts else [],
+            interference=(
+                self.sched.interference.pair_weights_on(instance) if report_number or starts else []
+            ),
             number=instance.orders_sent,
         )
-        if renews and beat:
+        if renews and report_number:
             instance.renewed_at = at
         if not self._send(agent, orders):
             instance.unsent_at = at
             log_event("INFO", "orders_not_sent", agent=agent, starts=len(starts), stops=len(stops))
             return
-        instance.answered_beat = orders.after_beat
-        if orders.beat:
+        instance.answered_report_number = orders.after_beat
+        if orders.report_number:
             instance.answered_at = at
         for start in starts:
             log_event("INFO", "start_sent", task=start.task, attempt=start.attempt, agent=agent)
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -168,7 +168,7 @@
             )
         spec = decode_spec(call.job)
         known = self._leadership.sched.jobs.get(spec.job_id)
-        other = known is not None and not same_content(known.spec, spec)
+        conflicting = known is not None and not same_content(known.spec, spec)
         ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
         def answer(kind: ReplyKind, text: str) -> None:
@@ -193,7 +193,7 @@
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
             self.notify_changed()
         reply = await self._outcome(call, ended, until)
-        return msgspec.structs.replace(reply, other=True) if other else reply
+        return msgspec.structs.replace(reply, conflicting=True) if conflicting else reply
 
     def _record_refused(self, call: Call) -> None:
         """Record a refused submission, so that a retry of the same call is refused as well."""
--- a/sapphirelead/node_messages.py
+++ b/sapphirelead/node_messages.py
@@ -14,7 +14,7 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True):
-    """Base of all messages; the class name is the tag on the wire."""
+    """Base of all messages; the tag on the wire is the class name unless ``tag`` is set."""
 
 
 class EntryAddress(msgspec.Struct, array_like=True, frozen=True):
@@ -59,8 +59,8 @@
     """Status of a run that has not ended.
 
     :ivar percent: progress; 100 for a long-running task that is working.
-    :ivar figure: rough measurement over the last half second: tail latency in milliseconds of a
-        latency-critical task, CPU usage in millicores of others; -1 if unknown.
+    :ivar measurement: approximate value over the last half second: tail latency in milliseconds of
+        a latency-critical task, CPU usage in millicores of others; -1 if unknown.
     :ivar paced: pace set by the agent in percent of full speed, 0 to 100; -1 if unknown.
     :ivar saved: latest saved progress.
     :ivar order_known: ``False`` for a run started by an earlier process of the agent, until the
@@ -71,7 +71,7 @@
     attempt: int
     phase: RunPhase
     percent: int = 0
-    figure: int = -1
+    measurement: int = -1
     paced: int = 100
     saved: str = ""
     order_known: bool = True
@@ -95,26 +95,26 @@
     """State report of an agent; also its heartbeat.
 
     :ivar boot: random id of the agent's process.
-    :ivar beat: sequence number of the report, increasing.
+    :ivar report_number: sequence number of the report, increasing.
     :ivar epoch: epoch of the followed leader.
     :ivar entries_version: version of the agent's list of entries.
     :ivar worker: ``None`` while no worker is known to be alive.
     :ivar full: whether ``runs`` lists every run, or only those whose phase has changed.
-    :ivar gone: ended workers of this agent; all their runs have ended.
+    :ivar ended_workers: ended workers of this agent; all their runs have ended.
     :ivar orders: number of the latest orders that this process of the agent has received from the
         leader of ``epoch``; 0 for none.
     """
 
     agent: str
     boot: str
-    beat: int
+    report_number: int
     epoch: int
     entries_version: int
     worker: WorkerInfo | None
     full: bool
     runs: list[RunStatus]
     ends: list[RunEnded]
-    gone: tuple[str, ...] = ()
+    ended_workers: tuple[str, ...] = ()
     orders: int = 0
 
 
@@ -151,7 +151,7 @@
     cpu_millicores: int = 0
 
 
-class ServingPress(NamedTuple):
+class InterferenceEstimate(NamedTuple):
     """Interference of best-effort images with a latency-critical image.
 
     See :mod:`sapphirelead.policy_pressure`.
@@ -176,13 +176,14 @@
 class Orders(Message, frozen=True):
     """The leader's response to a report, with its orders.
 
-    :ivar beat: latest report received, which extends the agent's lease; 0 does not extend it.
+    :ivar report_number: latest report received, which extends the agent's lease; 0 does not extend
+        it.
     :ivar after_beat: latest report known when the orders were made.  Agents refuse starts based on
         an outdated report.
     :ivar worker: worker that the orders and ``stored`` refer to.
     :ivar stored: ended runs that are stored; the agent may acknowledge them to the worker.
     :ivar entries: set if the agent's list of entries is outdated.
-    :ivar press: interference estimates for the pairs of images on the worker.
+    :ivar interference: estimates for the pairs of images on the worker.
     :ivar number: sequence number of this leader's messages to the agent, which acknowledges it in
         its reports.
     """
@@ -190,7 +191,7 @@
     epoch: int
     leader: str
     boot: str
-    beat: int
+    report_number: int
     after_beat: int
     worker: str
     starts: list[StartOrder]
@@ -198,7 +199,7 @@
     stored: list[tuple[str, int]]
     entries_version: int = 0
     entries: list[EntryAddress] | None = None
-    press: list[ServingPress] = []
+    interference: list[InterferenceEstimate] = []
     number: int = 0
 
 
@@ -219,7 +220,7 @@
     entries_version: int = 0
 
 
-class LeaderBeat(Message, frozen=True):
+class LeaderHeartbeat(Message, frozen=True, tag="LeaderBeat"):
     """The leader's response to a follower's heartbeat.
 
     :ivar serving: whether it has loaded the stored state and accepts calls.
@@ -297,7 +298,7 @@
     :ivar state: state of the job, if requested.
     :ivar waiting: number of waiting jobs, if requested.
     :ivar retry_after_s: delay after which the caller may retry.
-    :ivar other: whether the known job with the submitted id has a different specification.
+    :ivar conflicting: whether the known job with the submitted id has a different specification.
     :ivar epoch: epoch of the addressed leader, as in the call.
     """
 
@@ -308,10 +309,10 @@
     retry_after_s: float = 0.0
     detail: str = ""
     config_version: int = 0
-    other: bool = False
+    conflicting: bool = False
     epoch: int = 0
 
 
 AnyNodeMessage = (
-    AgentReport | WhoLeads | Leads | Orders | EntryBeat | LeaderBeat | Handover | Call | Reply
+    AgentReport | WhoLeads | Leads | Orders | EntryBeat | LeaderHeartbeat | Handover | Call | Reply
 )
--- a/sapphirelead/node_ports.py
+++ b/sapphirelead/node_ports.py
@@ -18,7 +18,7 @@
     """A run as listed by the worker.
 
     :ivar percent: progress; 100 for a long-running task that is working.
-    :ivar figure: tail latency in milliseconds of a latency-critical task, else CPU usage in
+    :ivar measurement: tail latency in milliseconds of a latency-critical task, else CPU usage in
         millicores, over about the last half second; -1 if the worker reports none.
     """
 
@@ -26,7 +26,7 @@
     attempt: int
     saved: str
     percent: int
-    figure: int
+    measurement: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/sapphirelead/node_report_merge.py
+++ b/sapphirelead/node_report_merge.py
@@ -24,7 +24,7 @@
         the agent or from two workers, carry too many ended runs, or the newer one is a partial
         report to another leader.
     """
-    if older.boot != newer.boot or newer.beat <= older.beat:
+    if older.boot != newer.boot or newer.report_number <= older.report_number:
         return None
     if _worker_id(older) != _worker_id(newer):
         return None
@@ -40,7 +40,7 @@
         full=newer.full or older.full,
         runs=_runs(older, newer, saved, ends),
         ends=list(ends.values()),
-        gone=tuple(dict.fromkeys((*older.gone, *newer.gone))),
+        ended_workers=tuple(dict.fromkeys((*older.ended_workers, *newer.ended_workers))),
     )
 
 
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -20,7 +20,7 @@
 from sapphirelead.node_messages import (
     RunEnded,
     RunPhase,
-    ServingPress,
+    InterferenceEstimate,
     StartOrder,
     StopOrder,
     WorkerInfo,
@@ -462,7 +462,7 @@
 
     # Pace
 
-    def learn_interference(self, interference: list[ServingPress]) -> None:
+    def learn_interference(self, interference: list[InterferenceEstimate]) -> None:
         """Take the interference estimates that the leader sends for images on this worker."""
         self._pace.learn(interference)
 
@@ -470,9 +470,9 @@
         """Set the pace of filling runs from the tail latencies of the serving runs."""
         runs = list(self.registry.runs.values())
         tails = [
-            TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
+            TailLatency(run.task, run.order.image, run.measurement, run.order.target_ms)
             for run in runs
-            if run.order is not None and run.order.target_ms and run.figure >= 0
+            if run.order is not None and run.order.target_ms and run.measurement >= 0
         ]
         self._pace.update(
             tails, self.registry.filling_usage(), now(), self.registry.filling_demand()
--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.policy_interference import InterferenceModel, ServiceReport
 from sapphirelead.policy_pressure import (
     LoadBudget,
@@ -181,7 +181,7 @@
                 image, INITIAL_LEVEL
             )
 
-    def learn(self, interference: Sequence[ServingPress]) -> None:
+    def learn(self, interference: Sequence[InterferenceEstimate]) -> None:
         """Take the leader's interference estimates for pairs of images."""
         for serving in interference:
             self._idle_ms[serving.image] = serving.idle_ms
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -52,7 +52,7 @@
     phase: RunPhase
     order: StartOrder | None = None
     percent: int = 0
-    figure: int = -1
+    measurement: int = -1
     saved: str = ""
     paced: int = 100
     stop_requested_at: float = 0.0
@@ -107,7 +107,7 @@
         used: dict[str, float] = {}
         for run in self.runs.values():
             if run.order is not None and run.order.fills and run.phase is RunPhase.RUNNING:
-                share = max(run.figure, 0) / capacity
+                share = max(run.measurement, 0) / capacity
                 used[run.order.image] = used.get(run.order.image, 0.0) + share
         return used
 
@@ -165,7 +165,7 @@
                 run = self.runs[name] = self._new_listed_run(name)
             self.started(run)
             run.percent = item.percent
-            run.figure = item.figure
+            run.measurement = item.measurement
             run.saved = item.saved
         new = self._record_listed_ends(view)
         if len(view.ended) < MAX_LISTED_ENDS:
@@ -237,7 +237,7 @@
                     run.attempt,
                     run.phase,
                     run.percent,
-                    run.figure,
+                    run.measurement,
                     run.paced,
                     saved,
                     run.order is not None,
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -304,10 +304,10 @@
             except TimeoutError:
                 return
 
-    def _record_processed(self, beat: int) -> None:
+    def _record_processed(self, report_number: int) -> None:
         """Record the newest report that the leader has processed."""
-        if beat > self._processed_seq:
-            self._processed_seq = beat
+        if report_number > self._processed_seq:
+            self._processed_seq = report_number
             self._report_processed.set()
 
     def _find_leader(self, at: float) -> None:
@@ -391,15 +391,15 @@
         self._last_orders_at = now()
         self._orders = orders.number
         self._record_processed(orders.after_beat)
-        if orders.beat:
-            self._lease.acknowledged(orders.beat)
+        if orders.report_number:
+            self._lease.acknowledged(orders.report_number)
         if orders.entries is not None:
             self._links.set_entries(orders.entries)
             self._entries_version = orders.entries_version
         life = self._life
         if life is None or life.registry.info.worker != orders.worker:
             return
-        life.learn_interference(orders.press)
+        life.learn_interference(orders.interference)
         for task, attempt in orders.stored:
             life.stored((task, attempt))
         # Stops never become stale: they are final for an attempt, and a rerun is a new attempt.
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -96,7 +96,7 @@
     no_room: InfeasibleCache
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
-    press: GuardedInterferenceModel
+    interference: GuardedInterferenceModel
     cancel_latency: CancelLatency
 
     def __init__(
@@ -116,7 +116,7 @@
         self.no_room = InfeasibleCache()
         self.avoid = {}
         self.moves = {}
-        self.press = GuardedInterferenceModel()
+        self.interference = GuardedInterferenceModel()
         self.cancel_latency = cancel_latency or CancelLatency(Metrics(lambda: at), lambda: at)
         self._dirty = {}
         self._unstored = set()
@@ -411,7 +411,7 @@
             self.visible_states.pop(job_id, None)
             self._dirty.pop(job_id, None)
             self._removed.add(job_id)
-            self.press.forget(job_id)
+            self.interference.forget(job_id)
         for ended in running:
             heappush(self._ended, ended)
 
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -48,7 +48,7 @@
     :ivar percent: latest progress; -1 before the first report.
     :ivar watch: observed progress.
     :ivar reviewed_at: time of the report by which its speed was last reviewed.
-    :ivar figure: reported tail latency of a serving task in milliseconds, or CPU use of another
+    :ivar measurement: reported tail latency of a serving task in milliseconds, or CPU use of another
         task in millicores; -1 if unknown.
     :ivar paced: pace in percent; -1 if unknown.
     :ivar stop_wanted: a stop has been requested; sent again until the run has ended.
@@ -70,7 +70,7 @@
     percent: int = -1
     watch: RunWatch = field(default_factory=RunWatch)
     reviewed_at: float = 0.0
-    figure: int = -1
+    measurement: int = -1
     paced: int = 100
     stop_wanted: bool = False
     stop_reason: str = ""
@@ -85,7 +85,7 @@
     @property
     def has_tail_latency(self) -> bool:
         """Whether it is a running serving task whose tail latency has been reported."""
-        return self.step.target_ms > 0 and self.figure >= 0 and self.phase is Phase.RUNNING
+        return self.step.target_ms > 0 and self.measurement >= 0 and self.phase is Phase.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
     """Report of a previous agent process, received while the current one is unresponsive."""
 
     boot: str
-    beat: int
+    report_number: int
     at: float
 
 
@@ -108,9 +108,9 @@
     :ivar renewed_at: when its lease was last renewed; after a leader change the latest time, which
         may be in the future, at which the previous leader can have renewed it.
     :ivar answered_at: when this leader last acknowledged a report.
-    :ivar answered_beat: number of the last report covered by orders sent to it.
+    :ivar answered_report_number: number of the last report covered by orders sent to it.
     :ivar listed_at: when its last full report arrived.
-    :ivar beat: number of its last report.
+    :ivar report_number: number of its last report.
     :ivar orders_sent: number of the last orders message sent to it.
     :ivar leaves_at: earliest time at which a draining worker leaves; 0 if it is not draining.
     :ivar changes: version of the runs and the last report, for caching derived values.
@@ -130,9 +130,9 @@
     unsent_at: float = -1e9
     renewed_at: float = 0.0
     answered_at: float = -1e9
-    answered_beat: int = 0
+    answered_report_number: int = 0
     listed_at: float = 0.0
-    beat: int = 0
+    report_number: int = 0
     orders_sent: int = 0
     entries_version: int = 0
     leaves_at: float = 0.0
@@ -210,7 +210,7 @@
         return sum(
             run.step.cpu_millicores
             for run in self.runs.values()
-            if run.step.fills and run.figure <= 0
+            if run.step.fills and run.measurement <= 0
         )
 
     def add(self, run: Run) -> None:
--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Final
 
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.policy_pressure import (
     CPU_USED_SHARE,
     LevelAllocation,
@@ -149,15 +149,15 @@
         found: dict[GroupKey, list[int]] = {}
         images: dict[GroupKey, str] = {}
         for run in instance.runs.values():
-            if not run.has_tail_latency or run.figure == 0:
+            if not run.has_tail_latency or run.measurement == 0:
                 continue
             key, image = run.ref[:3], run.step.image
             known = self.idle_ms.get(image, INITIAL_IDLE_SHARE * run.step.target_ms)
-            self.idle_ms[image] = min(float(run.figure), known)
-            run.load = load_from_tail(run.figure, self.idle_ms[image])
+            self.idle_ms[image] = min(float(run.measurement), known)
+            run.load = load_from_tail(run.measurement, self.idle_ms[image])
             began = self._began.setdefault(key, run.running_at)
             if run.running_at - began < WARMUP_S or at - run.running_at >= WARMUP_S:
-                found.setdefault(key, []).append(run.figure)
+                found.setdefault(key, []).append(run.measurement)
                 images[key] = image
         return {key: (images[key], statistics.median(tails)) for key, tails in found.items()}
 
@@ -260,14 +260,14 @@
     def _estimated_weight(self, serving: str, filling: str) -> float:
         return self._belief(serving, filling).weight
 
-    def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
+    def pair_weights_on(self, instance: Instance) -> list[InterferenceEstimate]:
         """Return the weights of the pairs of images on an instance."""
         serving = {run.step.image for run in instance.runs.values() if run.step.target_ms}
         filling = {run.step.image for run in instance.runs.values() if run.step.fills}
         found = []
         for one in sorted(serving & self.idle_ms.keys()):
             weights = {other: round(self.weight(one, other), 3) for other in filling}
-            found.append(ServingPress(one, self.idle_ms[one], weights))
+            found.append(InterferenceEstimate(one, self.idle_ms[one], weights))
         return found
 
     def pace_beside(self, instance: Instance, image: str, cpu_millicores: int) -> float:
@@ -365,6 +365,6 @@
     found: dict[str, float] = {}
     capacity = max(1, instance.capacity_cpu)
     for run in instance.runs.values():
-        if run.step.fills and run.figure > 0:
-            found[run.step.image] = found.get(run.step.image, 0.0) + run.figure / capacity
+        if run.step.fills and run.measurement > 0:
+            found[run.step.image] = found.get(run.step.image, 0.0) + run.measurement / capacity
     return found
--- a/sapphirelead/sched_interference_guard.py
+++ b/sapphirelead/sched_interference_guard.py
@@ -8,7 +8,7 @@
 from typing import Final, TypeVar
 
 from sapphirelead.logs import log_event
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_interference import InterferenceModel
 
@@ -37,9 +37,9 @@
         """Return whether the interference of a best-effort image is known for any image."""
         return self._guard("knows", lambda: self.model.knows(filling), False)
 
-    def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
+    def pair_weights_on(self, instance: Instance) -> list[InterferenceEstimate]:
         """Return the weights of the pairs of images on an instance."""
-        nothing: list[ServingPress] = []
+        nothing: list[InterferenceEstimate] = []
         return self._guard("press_on", lambda: self.model.pair_weights_on(instance), nothing)
 
     def pace_beside(self, instance: Instance, image: str, cpu_millicores: int) -> float:
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -55,7 +55,7 @@
     :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
     :ivar starving: the job has had nothing running for a while; best-effort tasks then need no
         spare CPU.
-    :ivar press: interference model, or ``None`` to ignore interference.
+    :ivar interference: interference model, or ``None`` to ignore interference.
     :ivar tasks: number of tasks of the step to place.
     """
 
@@ -63,21 +63,21 @@
     service: str
     tickets: dict[str, str] | None = None
     starving: bool = False
-    press: GuardedInterferenceModel | None = None
+    interference: GuardedInterferenceModel | None = None
     tasks: int = 1
 
     def pace(self, instance: Instance) -> float:
         """Return the expected pace of one more task on ``instance``, from 0 to 1."""
-        if self.press is None or not instance.serving:
+        if self.interference is None or not instance.serving:
             return 1.0
-        return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
+        return self.interference.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
     def gets_pace(self, instance: Instance, min_pace: float) -> bool:
         """Return whether the expected pace of one more task is at least ``min_pace``."""
-        if self.press is None or not instance.serving:
+        if self.interference is None or not instance.serving:
             return True
         step = self.step
-        return self.press.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
+        return self.interference.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
 
 
 def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
@@ -175,8 +175,8 @@
     pace = min(request.pace(instance), LOW_INTERFERENCE_PACE)
     light = (
         pace >= LOW_INTERFERENCE_PACE
-        and request.press is not None
-        and request.press.knows(request.step.image)
+        and request.interference is not None
+        and request.interference.knows(request.step.image)
     )
     return 2.0 if light else pace
 
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -196,7 +196,7 @@
     if candidates:
         sched.no_room.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
-    feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
+    feasible = FeasibleWorkers(sched.no_room, plain, sched.interference, at)
     for item in scan_order.order(
         candidates, sched.ready_since, at, partial(_has_new_room, feasible)
     ):
@@ -214,7 +214,7 @@
             ready.policy.service,
             item.tickets,
             item.starving,
-            sched.press,
+            sched.interference,
             len(ready.tasks),
         )
         if ready.step.gang:
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -33,9 +33,9 @@
         return False
     if report.boot != instance.boot:
         _replace_boot(instance, report.boot)
-    if report.beat <= instance.beat:
+    if report.report_number <= instance.report_number:
         return False
-    instance.beat = report.beat
+    instance.report_number = report.report_number
     instance.heard_at = at
     instance.returning_boot = None
     instance.changes += 1
@@ -47,7 +47,7 @@
         _apply_status(sched, instance, status, at)
     if report.full:
         instance.listed_at = at
-        sched.press.learn(instance, at)
+        sched.interference.learn(instance, at)
     if report.full and report.epoch == epoch:
         _resend_missing_orders(sched, instance, report, at)
     return True
@@ -63,9 +63,9 @@
         return False
     first = instance.returning_boot
     if first is None or first.boot != report.boot:
-        instance.returning_boot = ReturningBoot(report.boot, report.beat, at)
+        instance.returning_boot = ReturningBoot(report.boot, report.report_number, at)
         return False
-    return report.beat > first.beat and at - first.at >= MIN_BOOT_RETURN_S
+    return report.report_number > first.report_number and at - first.at >= MIN_BOOT_RETURN_S
 
 
 def _replace_boot(instance: Instance, boot: str) -> None:
@@ -76,8 +76,8 @@
     else:
         log_event("INFO", "agent_joined", agent=instance.agent, boot=boot)
     instance.boot = boot
-    instance.beat = 0
-    instance.answered_beat = 0
+    instance.report_number = 0
+    instance.answered_report_number = 0
     for run in instance.runs.values():
         run.watch.interrupt()
 
@@ -91,7 +91,7 @@
         instance.track = TrackRecord()
         log_event("INFO", "worker_changed", agent=instance.agent, worker=now_id)
     for run in list(instance.runs.values()):
-        if run.worker in report.gone or (now_id and run.worker != now_id):
+        if run.worker in report.ended_workers or (now_id and run.worker != now_id):
             sched.end(run, EndKind.LOST, "", "worker_gone", at)
 
 
@@ -154,7 +154,7 @@
         run.seen_percent = status.percent
     run.percent = max(run.percent, status.percent)
     run.watch.observe(status.percent, at)
-    run.figure = status.figure
+    run.measurement = status.measurement
     run.paced = status.paced
     if status.saved:
         _set_saved(sched, run, status.saved)
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -144,7 +144,7 @@
 
     _no_room: InfeasibleCache
     _smallest: dict[Kind, StepSpec]
-    _press: GuardedInterferenceModel
+    _interference: GuardedInterferenceModel
     _at: float
     _found: dict[Kind, set[str]]
 
@@ -152,7 +152,7 @@
         self,
         no_room: InfeasibleCache,
         waiting: Iterable[tuple[Kind, StepSpec]],
-        press: GuardedInterferenceModel,
+        interference: GuardedInterferenceModel,
         at: float,
     ) -> None:
         """Find the smallest task of each kind for which several steps wait.
@@ -161,7 +161,7 @@
         """
         self._no_room = no_room
         self._smallest = {}
-        self._press = press
+        self._interference = interference
         self._at = at
         self._found = {}
         first: dict[Kind, StepSpec] = {}
@@ -185,7 +185,7 @@
     def _find_feasible(self, kind: Kind) -> set[str]:
         smallest = self._smallest[kind]
         request = PlacementRequest(
-            smallest, kind.service, starving=kind.starving, press=self._press
+            smallest, kind.service, starving=kind.starving, interference=self._interference
         )
         found = {
             place.agent
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -200,7 +200,7 @@
         tickets = sched.advice.valid(run.ref[:3], at)
     kind = Kind.of(run.step, policy.service)
     places = sched.no_room.places(kind, run.step) if tickets is None else sched.fleet.live()
-    request = PlacementRequest(run.step, policy.service, tickets, press=sched.press)
+    request = PlacementRequest(run.step, policy.service, tickets, interference=sched.interference)
     avoid = sched.avoid.get(run.ref, frozenset())
     best: Instance | None = None
     any_room = False
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -50,7 +50,7 @@
     live = list(sched.fleet.live())
     running = [run for run in sched.fleet.runs.values() if run.phase is Phase.RUNNING]
     fills = [run for run in running if run.step.fills]
-    tails = [run.figure / run.step.target_ms for run in running if run.has_tail_latency]
+    tails = [run.measurement / run.step.target_ms for run in running if run.has_tail_latency]
     waiting = list(waiting_tasks(sched))
     return Survey(
         workers=len(live),
@@ -60,7 +60,7 @@
         others_waiting=sum(tasks for step, tasks in waiting if not step.fills),
         fills_running=len(fills),
         fill_cores=sum(run.step.cpu_millicores for run in fills) // 1000,
-        used_cores=sum(max(0, run.figure) for run in fills) // 1000,
+        used_cores=sum(max(0, run.measurement) for run in fills) // 1000,
         paced=_mean([float(run.paced) for run in fills], 100),
         over_target=sum(1 for tail in tails if tail > 1),
         tails=_mean([tail * 100 for tail in tails], 0),
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -20,7 +20,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, kw_only=True):
-    """Fields of every message."""
+    """Fields of every message; the tag on the wire is the class name unless ``tag`` is set."""
 
     sender: str
     incarnation: str
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -37,7 +37,7 @@
             self.reports.append(message)
             self.reported_at.append(now())
             if self.acknowledges:
-                self.order(message.beat, beat=message.beat)
+                self.order(message.report_number, report_number=message.report_number)
         return True
 
     def send_all(self, message: AnyNodeMessage) -> None:
@@ -52,7 +52,7 @@
     def order(
         self,
         after_beat: int,
-        beat: int = 0,
+        report_number: int = 0,
         starts: Iterable[StartOrder] = (),
         stops: Iterable[StopOrder] = (),
     ) -> None:
@@ -63,7 +63,7 @@
             self.epoch,
             "e",
             boot,
-            beat,
+            report_number,
             after_beat,
             "w1",
             list(starts),
--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -109,7 +109,7 @@
     attempt: int
     ends_at: float
     kind: str = "done"
-    figure: int = -1
+    measurement: int = -1
 
 
 class FakeWorker:
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -79,10 +79,10 @@
         self._received.append((at, orders))
         if orders.starts or orders.stops:
             self._due = min(self._due, at + STOP_DURATION_S + REPORT_DELAY_S)
-        if orders.beat:
+        if orders.report_number:
             if at > self.leased_until:
                 self.lapses.append(at)
-            self.leased_until = self._made_at[orders.beat] + self.lease_s
+            self.leased_until = self._made_at[orders.report_number] + self.lease_s
 
     def reports(self, until: float) -> list[AgentReport]:
         """Return the reports made since the last call."""
--- a/tests/sched/test_boots.py
+++ b/tests/sched/test_boots.py
@@ -12,11 +12,16 @@
 
 
 def report(
-    sched: Scheduler, boot: str, beat: int, at: float, worker: str = "w-g1", run: Run | None = None
+    sched: Scheduler,
+    boot: str,
+    report_number: int,
+    at: float,
+    worker: str = "w-g1",
+    run: Run | None = None,
 ) -> bool:
     """Apply a report of an agent process; return whether it was accepted."""
     runs = [RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10)] if run else []
-    message = AgentReport("g1", boot, beat, 1, 1, worker_info(worker), True, runs, [])
+    message = AgentReport("g1", boot, report_number, 1, 1, worker_info(worker), True, runs, [])
     return apply_report(sched, message, 1, at)
 
 
@@ -38,7 +43,10 @@
     sched = scheduler()
     assert report(sched, "new", 1, 0.0)
     assert report(sched, "old", 90, 0.1)
-    taken = [report(sched, "new", beat, beat * MAX_REPORT_INTERVAL_S) for beat in range(2, 6)]
+    taken = [
+        report(sched, "new", report_number, report_number * MAX_REPORT_INTERVAL_S)
+        for report_number in range(2, 6)
+    ]
     assert taken[-1]
     assert sched.fleet.instance("g1").boot == "new"
 
--- a/tests/sched/test_burst_load.py
+++ b/tests/sched/test_burst_load.py
@@ -133,7 +133,15 @@
             status = RunStatus(run.ref.text(), 1, RunPhase.RUNNING, 1, 10, 0)
             instance = sched.fleet.instance(run.agent)
             agent_report = AgentReport(
-                run.agent, "b", instance.beat + 1, 1, 1, instance.worker, True, [status], []
+                run.agent,
+                "b",
+                instance.report_number + 1,
+                1,
+                1,
+                instance.worker,
+                True,
+                [status],
+                [],
             )
             assert apply_report(sched, agent_report, 1, at)
 
--- a/tests/sched/test_inbox.py
+++ b/tests/sched/test_inbox.py
@@ -28,8 +28,8 @@
     return Call(number, kind, "q", job or f"j{number}", 1, body)
 
 
-def report(agent: str, beat: int, worker: str = "w") -> AgentReport:
-    return AgentReport(agent, "b", beat, 1, 1, worker_info(worker), False, [], [])
+def report(agent: str, report_number: int, worker: str = "w") -> AgentReport:
+    return AgentReport(agent, "b", report_number, 1, 1, worker_info(worker), False, [], [])
 
 
 def drained(inbox: Inbox, at: float = 0.0) -> list[AnyNodeMessage]:
@@ -47,8 +47,12 @@
 
 def test_messages_are_taken_by_priority() -> None:
     inbox = Inbox(QUERY_TIMEOUT_S)
-    cancel, submit, beat = call(2, CallKind.CANCEL), call(3, CallKind.SUBMIT), report("g1", 1)
-    for message in (call(1), submit, beat, cancel):
+    cancel, submit, report_number = (
+        call(2, CallKind.CANCEL),
+        call(3, CallKind.SUBMIT),
+        report("g1", 1),
+    )
+    for message in (call(1), submit, report_number, cancel):
         inbox.put(b"e1", message, 0.0)
     others: list[AnyNodeMessage] = [
         EntryBeat(ADDRESS, 1, True, 1),
@@ -58,7 +62,7 @@
     ]
     for other in others:
         inbox.put(b"e1", other, 0.0)
-    assert drained(inbox) == [*others, cancel, beat, submit, call(1)]
+    assert drained(inbox) == [*others, cancel, report_number, submit, call(1)]
 
 
 def test_newest_heartbeat_of_a_sender_replaces_older_ones() -> None:
@@ -75,20 +79,20 @@
 
 def test_reports_of_an_agent_are_merged_and_agents_taken_by_age() -> None:
     inbox = Inbox(QUERY_TIMEOUT_S)
-    for beat in range(1, 20):
+    for report_number in range(1, 20):
         for agent in ("g2", "g1"):
-            inbox.put(agent.encode(), report(agent, beat), float(beat))
+            inbox.put(agent.encode(), report(agent, report_number), float(report_number))
     assert drained(inbox) == [report("g2", 19), report("g1", 19)]
 
 
 def test_reports_that_cannot_be_merged_are_bounded_and_in_order() -> None:
     inbox = Inbox(QUERY_TIMEOUT_S)
-    for beat in range(1, MAX_REPORTS_PER_AGENT + 3):
-        inbox.put(b"g1", report("g1", beat, f"w{beat}"), 0.0)
+    for report_number in range(1, MAX_REPORTS_PER_AGENT + 3):
+        inbox.put(b"g1", report("g1", report_number, f"w{report_number}"), 0.0)
     inbox.put(b"g2", report("g2", 1), 0.0)
     found = drained(inbox)
     own = [
-        message.beat
+        message.report_number
         for message in found
         if isinstance(message, AgentReport) and message.agent == "g1"
     ]
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -43,11 +43,13 @@
 BUSY_REPORTS_PER_S = 30.0
 
 
-def report(agent: bytes, beat: int, at: float) -> AgentReport:
+def report(agent: bytes, report_number: int, at: float) -> AgentReport:
     """Return a report with one ended run, whose reason carries the time."""
-    end = RunEnded(beat, f"j.0.{beat}.1", 1, "done", "", f"{at}")
+    end = RunEnded(report_number, f"j.0.{report_number}.1", 1, "done", "", f"{at}")
     name = agent.decode()
-    return AgentReport(name, "b", beat, 1, 1, worker_info(f"w-{name}"), beat % 4 == 0, [], [end])
+    return AgentReport(
+        name, "b", report_number, 1, 1, worker_info(f"w-{name}"), report_number % 4 == 0, [], [end]
+    )
 
 
 def times(per_s: float, offset: float = 0.0) -> Iterator[tuple[int, float]]:
@@ -67,10 +69,10 @@
     """Return the arriving messages at ``share`` times the base rate; a call's job is its time."""
     found: list[Arrival] = []
     for number, agent in enumerate(AGENTS):
-        for beat, at in times(share * REPORTS_PER_S, number / 1000):
-            found.append((at, agent, report(agent, beat, at)))
-    for beat, at in times(share * BUSY_REPORTS_PER_S):
-        found.append((at, BUSIEST, report(BUSIEST, beat, at)))
+        for report_number, at in times(share * REPORTS_PER_S, number / 1000):
+            found.append((at, agent, report(agent, report_number, at)))
+    for report_number, at in times(share * BUSY_REPORTS_PER_S):
+        found.append((at, BUSIEST, report(BUSIEST, report_number, at)))
     for number, name in enumerate(FOLLOWERS):
         address = EntryAddress(name.decode(), "h", 1)
         for count, at in times(share * CALLS_PER_S, number / 1000):
--- a/tests/sched/test_interference_load.py
+++ b/tests/sched/test_interference_load.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.policy_pressure import CPU_USED_SHARE
 from sapphirelead.runner_pace import PaceControl, TailLatency
 from sapphirelead.sched_consolidate import Consolidation
@@ -107,13 +107,16 @@
                 report(agents, sched, agent, 26, 3.0 + number * 0.1)
     places = list(sched.fleet.live())
     for image, allowed in (("heavy", False), ("light", True)):
-        request = PlacementRequest(fill(image), "svc", press=sched.press)
+        request = PlacementRequest(fill(image), "svc", interference=sched.interference)
         assert (choose(places, request, TaskRef("x", 0, 0, 0)) is not None) is allowed
-    assert sched.press.pace_beside(places[0], "heavy", 4000) < MIN_PACE
+    assert sched.interference.pace_beside(places[0], "heavy", 4000) < MIN_PACE
     # The agent throttles it as well, given the same weights.
     control = PaceControl()
-    weight, idle_ms = sched.press.model.weight("serve", "heavy"), sched.press.model.idle_ms["serve"]
-    control.learn([ServingPress("serve", idle_ms, {"heavy": weight})])
+    weight, idle_ms = (
+        sched.interference.model.weight("serve", "heavy"),
+        sched.interference.model.idle_ms["serve"],
+    )
+    control.learn([InterferenceEstimate("serve", idle_ms, {"heavy": weight})])
     wanted = {"heavy": CPU_USED_SHARE * 4000 / 32_000}
     control.update([TailLatency("s.0.0.0", "serve", 26, TARGET_MS)], {"heavy": 0.0}, 0.0, wanted)
     assert control.percent("heavy") < 100 * MIN_PACE
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -179,7 +179,7 @@
 
         leader._send = send
         leader.on_report(AgentReport("g1", "b2", 3, 2, 1, worker_info("w2"), True, [], []))
-    assert 3 in [orders.beat for orders in sent]
+    assert 3 in [orders.report_number for orders in sent]
 
 
 async def cancel(leader: Leader, wait_s: float) -> Reply:
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -69,7 +69,7 @@
 def test_cache_finds_the_same_worker_as_a_full_scan(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = InfeasibleCache(), GuardedInterferenceModel()
+    no_room, interference = InfeasibleCache(), GuardedInterferenceModel()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
@@ -78,11 +78,13 @@
         no_room.begin(live, at)
         steps = [random_step(rng) for _ in range(6)]
         kinds = [Kind.of(step, "svc", rng.random() < 0.2) for step in steps]
-        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), press, at)
+        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), interference, at)
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
-            request = PlacementRequest(step, "svc", starving=kind.starving, press=press)
+            request = PlacementRequest(
+                step, "svc", starving=kind.starving, interference=interference
+            )
             expected = choose(
                 [item for item in live if is_eligible(item, request, at)], request, ref
             )
--- a/tests/sched/test_plan_cost.py
+++ b/tests/sched/test_plan_cost.py
@@ -33,7 +33,7 @@
 ) -> None:
     """Guards against recomputing unchanged pair weights."""
     sched = mixed_fleet(6)
-    model, instance = sched.press.model, sched.fleet.instance("g0")
+    model, instance = sched.interference.model, sched.fleet.instance("g0")
     asked = 0
     weight = InterferenceModel.weight
 
@@ -117,7 +117,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sched = mixed_fleet(6)
-    model, instance = sched.press.model, sched.fleet.instance("g0")
+    model, instance = sched.interference.model, sched.fleet.instance("g0")
     sizes = range(200, 32_000, 200)
     paces = {size: model.pace_beside(instance, "new", size) for size in sizes}
     first = next(size for size in sizes if paces[size] < MIN_PACE)
@@ -136,7 +136,7 @@
 
 def test_pace_is_recomputed_for_smaller_tasks_and_changed_workers() -> None:
     sched = mixed_fleet(2)
-    model, instance = sched.press.model, sched.fleet.instance("g0")
+    model, instance = sched.interference.model, sched.fleet.instance("g0")
     assert not model.gives_pace(instance, "new", 8000, MIN_PACE)
     assert model.gives_pace(instance, "new", 400, MIN_PACE)
     for run in [run for run in instance.runs.values() if run.step.fills]:
--- a/tests/sched/test_platform.py
+++ b/tests/sched/test_platform.py
@@ -207,7 +207,7 @@
     server = await start_peer(peer)
     worker = PlatformWorker(HttpCaller.connect(str(server.make_url("")), 1.0), "w1")
     view = (await worker.hold(7, 2, 0, 0)).unwrap()
-    assert [run.figure for run in view.running] == [-1, 37]
+    assert [run.measurement for run in view.running] == [-1, 37]
     assert (view.ended[0].number, view.ended[0].kind) == (3, "done")
     sent = json.loads(peer.requests[0][1])
     assert "deadline_ms" not in sent
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.pressure_world import play
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.policy_pressure_filter import MAX_IMAGES, PressureFilter
 from sapphirelead.policy_pressure_pair import HEAVY_PRIOR, Belief, pair_belief
 from sapphirelead.runner_pace import PaceControl, TailLatency
@@ -95,11 +95,11 @@
         raise KeyError("f0")
 
     sched, agents = serving_fleet(2)
-    learnt = sched.press.model
+    learnt = sched.interference.model
     monkeypatch.setattr(InterferenceModel, "learn", fails)
     report(agents, sched, "g0", TARGET_MS // 2, 1.0)
     assert sched.fleet.instance("g0").heard_at == 1.0
-    assert sched.press.model is not learnt
+    assert sched.interference.model is not learnt
 
 
 def unknown(_: str) -> Belief:
@@ -110,7 +110,7 @@
 def test_known_light_work_keeps_its_pace_while_the_load_rises() -> None:
     """Guards against throttling of light work when a latency-critical task's own load rises."""
     control = PaceControl()
-    control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05})])
+    control.learn([InterferenceEstimate("serve", IDLE_MS, {"light": 0.05})])
     for number, tail in enumerate((33, 36, 41, 48, 56, 64)):
         control.update(
             [TailLatency("s.0.0.0", "serve", tail, TARGET_MS)],
@@ -123,7 +123,7 @@
 
 def test_known_image_starts_at_the_pace_that_tail_latencies_allow() -> None:
     control = PaceControl()
-    control.learn([ServingPress("serve", IDLE_MS, {"light": 0.05, "heavy": 3.0})])
+    control.learn([InterferenceEstimate("serve", IDLE_MS, {"light": 0.05, "heavy": 3.0})])
     control.update([TailLatency("s.0.0.0", "serve", 60, TARGET_MS)], {}, 0.0, {})
     control.begin("light", {"light": 0.2})
     control.begin("heavy", {"light": 0.2, "heavy": 0.2})
@@ -134,7 +134,7 @@
 def test_measurements_override_a_wrong_pair_weight() -> None:
     """Guards against a tail latency that stays over its target because of a wrong weight."""
     control = PaceControl()
-    control.learn([ServingPress("serve", IDLE_MS, {"light": 0.0})])
+    control.learn([InterferenceEstimate("serve", IDLE_MS, {"light": 0.0})])
     for number in range(5):
         control.update(
             [TailLatency("s.0.0.0", "serve", 200, TARGET_MS)],
--- a/tests/sched/test_report_merge.py
+++ b/tests/sched/test_report_merge.py
@@ -21,16 +21,18 @@
 
 
 def report(
-    beat: int,
+    report_number: int,
     full: bool = False,
     runs: list[RunStatus] | None = None,
     ends: list[RunEnded] | None = None,
     worker: WorkerInfo | None = BIG,
     boot: str = "b",
     epoch: int = 1,
-    gone: tuple[str, ...] = (),
+    ended_workers: tuple[str, ...] = (),
 ) -> AgentReport:
-    return AgentReport("g1", boot, beat, epoch, 1, worker, full, runs or [], ends or [], gone)
+    return AgentReport(
+        "g1", boot, report_number, epoch, 1, worker, full, runs or [], ends or [], ended_workers
+    )
 
 
 def run(number: int, percent: int = 10, saved: str = "") -> RunStatus:
@@ -67,7 +69,7 @@
         report(1, full=True, runs=[run(1, saved="s"), run(2)]),
         report(2, runs=[run(1, 20), run(3)], ends=[end(2)]),
     )
-    assert found.full and found.beat == 2
+    assert found.full and found.report_number == 2
     assert found.runs == [run(1, 20, "s"), run(3)]
     assert found.ends == [end(2)]
 
@@ -86,8 +88,10 @@
 
 
 def test_ended_workers_are_kept() -> None:
-    found = merged(report(1, gone=("w1",), worker=None), report(2, gone=("w2",), worker=None))
-    assert found.gone == ("w1", "w2")
+    found = merged(
+        report(1, ended_workers=("w1",), worker=None), report(2, ended_workers=("w2",), worker=None)
+    )
+    assert found.ended_workers == ("w1", "w2")
 
 
 @pytest.mark.parametrize(
@@ -96,7 +100,7 @@
         (report(1), report(2, boot="c")),
         (report(2), report(2)),
         (report(1), report(2, worker=worker_info("w2"))),
-        (report(1), report(2, worker=None, gone=("w-g1",))),
+        (report(1), report(2, worker=None, ended_workers=("w-g1",))),
         (report(1), report(2, epoch=2)),
     ],
 )
@@ -128,16 +132,18 @@
         """Return the leader's state that depends on reports."""
         instance = self.sched.fleet.instance("g1")
         runs = {
-            (run.ref.text(), run.attempt): (run.phase, run.percent, run.figure, run.paced)
+            (run.ref.text(), run.attempt): (run.phase, run.percent, run.measurement, run.paced)
             for run in self.sched.fleet.runs.values()
         }
         tasks = self.sched.jobs["a1"].occurrences[0].tasks[0]
         saved = [(task.done, task.saved) for task in tasks]
-        return runs, saved, instance.beat, instance.worker, self.sched.unstored_ends
+        return runs, saved, instance.report_number, instance.worker, self.sched.unstored_ends
 
 
-def make_report(registry: RunRegistry, beat: int, full: bool) -> AgentReport:
-    return report(beat, full, registry.statuses(full), registry.report_ends(full), registry.info)
+def make_report(registry: RunRegistry, report_number: int, full: bool) -> AgentReport:
+    return report(
+        report_number, full, registry.statuses(full), registry.report_ends(full), registry.info
+    )
 
 
 def advance(registry: RunRegistry, rng: random.Random, numbers: list[int]) -> None:
@@ -166,9 +172,9 @@
     for task, attempt in one_by_one.names:
         registry.runs[task, attempt] = RunnerRun(task, attempt, RunPhase.STARTING)
     pending: AgentReport | None = None
-    for beat in range(2, 12):
+    for report_number in range(2, 12):
         advance(registry, rng, numbers)
-        new = make_report(registry, beat, rng.random() < 0.3)
+        new = make_report(registry, report_number, rng.random() < 0.3)
         one_by_one.take(new)
         pending = new if pending is None else merged(pending, new)
     assert pending is not None
--- a/tests/sched/test_resend.py
+++ b/tests/sched/test_resend.py
@@ -24,8 +24,10 @@
 
 def report_without_runs(sched: Scheduler, orders: int, at: float) -> bool:
     """Apply a full report that lists no run; return whether a start is queued."""
-    beat = sched.fleet.instance("g1").beat + 1
-    report = AgentReport("g1", "b", beat, 1, 1, worker_info("w-g1"), True, [], [], orders=orders)
+    report_number = sched.fleet.instance("g1").report_number + 1
+    report = AgentReport(
+        "g1", "b", report_number, 1, 1, worker_info("w-g1"), True, [], [], orders=orders
+    )
     assert apply_report(sched, report, 1, at)
     return "g1" in sched.outgoing and bool(sched.outgoing["g1"].starts)
 
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -46,8 +46,8 @@
     """Guards against lapsed runs and refused starts while reports are frequent."""
     lease = RunnerLease(9.5, 0.0)
     count = int(MAX_ORDER_AGE_S / runner_service.MIN_REPORT_INTERVAL_S)
-    for beat in range(1, count + 1):
-        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    for report_number in range(1, count + 1):
+        lease.sent(report_number, report_number * runner_service.MIN_REPORT_INTERVAL_S)
     at = count * runner_service.MIN_REPORT_INTERVAL_S
     assert lease.allows_starts(1, at)
     lease.acknowledged(1)
@@ -57,8 +57,8 @@
 def test_send_times_of_reports_are_dropped_after_a_lease() -> None:
     """Guards against unbounded growth of the recorded send times."""
     lease = RunnerLease(9.5, 0.0)
-    for beat in range(1, 10_000):
-        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    for report_number in range(1, 10_000):
+        lease.sent(report_number, report_number * runner_service.MIN_REPORT_INTERVAL_S)
     assert lease.report_count <= 9.5 / runner_service.MIN_REPORT_INTERVAL_S + 2
     lease.acknowledged(1)
     assert lease.until == 0.0
@@ -81,21 +81,21 @@
     """Guards against runs of a hanging worker that stay claimed and are never restarted."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
         await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s - 1)
         assert reported_worker(leader) == "w1"
         await asyncio.sleep(3)
         assert reported_worker(leader) == ""
-        assert leader.reports[-1].gone == ("w1",)
+        assert leader.reports[-1].ended_workers == ("w1",)
 
 
 async def test_an_unresponsive_worker_is_reported_gone_despite_start_orders() -> None:
     """Guards against runs of a hanging worker that stay claimed while start orders continue."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
         silent_at = now()
@@ -103,7 +103,7 @@
         while reported_worker(leader) and now() - silent_at < 60:
             number += 1
             small = order(f"b{number}.0.0.0", room=Resources(1, 1))
-            leader.order(leader.reports[-1].beat, starts=[small])
+            leader.order(leader.reports[-1].report_number, starts=[small])
             await asyncio.sleep(1)
         assert now() - silent_at < UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s + 3
 
@@ -130,7 +130,7 @@
     """Guards against runs that lapse because a few calls got no answer."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
         worker.silent = True
         await asyncio.sleep(7)
@@ -143,7 +143,7 @@
     """Guards against a leader that treats starts as lost after reading an old report late."""
     async with run_agent(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
-        leader.order(leader.reports[-1].beat)
+        leader.order(leader.reports[-1].report_number)
         await asyncio.sleep(2 * runner_service.MAX_REPORT_INTERVAL_S)
         assert leader.reports[-1].orders == leader.order_count
         leader.epoch = 2
@@ -169,11 +169,11 @@
             await asyncio.sleep(self.spacing_s)
             if len(self.taken_at) == len(self.reports):
                 continue
-            beat = self.reports[len(self.taken_at)].beat
+            report_number = self.reports[len(self.taken_at)].report_number
             self.taken_at.append(now())
             if now() - answered_at >= MIN_ACK_INTERVAL_S:
                 answered_at = now()
-                self.order(beat, beat=beat)
+                self.order(report_number, report_number=report_number)
 
 
 @pytest.mark.parametrize("reports_per_s", [2.5, 5, 20])
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -91,7 +91,7 @@
 async def test_an_agent_that_shuts_down_logs_remaining_runs(events: list[dict[str, Any]]) -> None:
     """Guards against runs that continue without an agent and without a log line."""
     async with run_agent(FakeWorker(work_s=60)) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(1)
     (line,) = events_named(events, "runs_left")
     assert (line["runs"], line["stopping"]) == (1, 0)
@@ -102,7 +102,7 @@
     """Guards against a run that a slow leader keeps alive but cannot stop."""
     worker = FakeWorker(work_s=60)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order(), order("a.0.0.1")])
+        leader.order(leader.reports[-1].report_number, starts=[order(), order("a.0.0.1")])
         await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, starts=[order("a.0.0.2")], stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(0.5)
@@ -113,7 +113,7 @@
     """Guards against a delayed stop order that ends a later attempt."""
     worker = FakeWorker(work_s=60)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order(attempt=2)])
+        leader.order(leader.reports[-1].report_number, starts=[order(attempt=2)])
         await asyncio.sleep(MAX_ORDER_AGE_S + 1)
         leader.order(1, stops=[StopOrder(TASK, 1)])
         await asyncio.sleep(2)
@@ -294,9 +294,9 @@
     """Guards against a cancelled task that keeps running because its agent shut down first."""
     worker = FakeWorker(work_s=60)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(1)
-        leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
+        leader.order(leader.reports[-1].report_number, stops=[StopOrder(TASK, 1)])
     assert worker.runs == {}
 
 
@@ -305,7 +305,7 @@
     worker = FakeWorker(work_s=60)
     async with run_agent(worker) as leader:
         worker.stops_unanswered.add(TASK)
-        leader.order(leader.reports[-1].beat, stops=[StopOrder(TASK, 1)])
+        leader.order(leader.reports[-1].report_number, stops=[StopOrder(TASK, 1)])
         ends_at = now()
     assert now() - ends_at <= runner_life.FINAL_STOPS_TIMEOUT_S + 0.1
 
@@ -316,14 +316,14 @@
     """Guards against a start call interrupted by shutdown, whose result is unknown."""
     worker = FakeWorker(work_s=60)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order("a.0.0.1")])
+        leader.order(leader.reports[-1].report_number, starts=[order("a.0.0.1")])
         await asyncio.sleep(1)
         worker.stops_unanswered.add(TASK)
-        beat = leader.reports[-1].beat
-        leader.order(beat, stops=[StopOrder(TASK, 1)])
+        report_number = leader.reports[-1].report_number
+        leader.order(report_number, stops=[StopOrder(TASK, 1)])
         loop = asyncio.get_running_loop()
-        loop.call_later(0.3, lambda: leader.order(beat, starts=[order("a.0.0.2")]))
-        loop.call_later(0.3, lambda: leader.order(beat, stops=[StopOrder("a.0.0.1", 1)]))
+        loop.call_later(0.3, lambda: leader.order(report_number, starts=[order("a.0.0.2")]))
+        loop.call_later(0.3, lambda: leader.order(report_number, stops=[StopOrder("a.0.0.1", 1)]))
     assert worker.starts == 1
     assert worker.runs == {}
     assert [line["starts"] for line in events_named(events, "starts_left")] == [1]
@@ -341,9 +341,9 @@
                 taken < len(self.reports)
                 and now() - self.reported_at[taken] >= ACKNOWLEDGEMENT_DELAY_S
             ):
-                beat = self.reports[taken].beat
+                report_number = self.reports[taken].report_number
                 taken += 1
-                self.order(beat, beat=beat, stops=[StopOrder(TASK, 1)])
+                self.order(report_number, report_number=report_number, stops=[StopOrder(TASK, 1)])
 
 
 async def test_a_slow_leader_can_stop_a_cancelled_run() -> None:
@@ -352,7 +352,7 @@
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
         runner = leader.runner
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(1)
         late = LateLeader(runner)
         late.acknowledges = False
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -321,9 +321,9 @@
     agents = Agents(sched)
     agents.report(boot="old", at=1.0)
     agents.report(boot="new", at=2.0)
-    before = sched.fleet.instance("g1").beat
+    before = sched.fleet.instance("g1").report_number
     agents.report(boot="old", at=3.0)
-    assert sched.fleet.instance("g1").beat == before
+    assert sched.fleet.instance("g1").report_number == before
 
 
 def test_run_without_claim_is_stopped() -> None:
@@ -340,8 +340,10 @@
     run = only_run(sched)
     status = RunStatus(run.ref.text(), run.attempt, RunPhase.RUNNING, 10, order_known=False)
     info = worker_info("w-g1")
-    for beat, at in ((1, 5.0), (2, 5.1)):
-        apply_report(sched, AgentReport("g1", "b2", beat, 1, 1, info, True, [status], []), 1, at)
+    for report_number, at in ((1, 5.0), (2, 5.1)):
+        apply_report(
+            sched, AgentReport("g1", "b2", report_number, 1, 1, info, True, [status], []), 1, at
+        )
     starts, stops, _ = sched.orders_for("g1", 5.2)
     assert [(order.task, order.attempt) for order in starts] == [(run.ref.text(), run.attempt)]
     assert not stops
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -182,19 +182,27 @@
             and message.epoch <= self.epoch
             and apply_report(self.sched, message, self.epoch, now())
         ):
-            self.answer(slot, message.beat)
+            self.answer(slot, message.report_number)
 
-    def answer(self, slot: Slot, beat: int) -> None:
+    def answer(self, slot: Slot, report_number: int) -> None:
         sched, runner = self.sched, slot.runner
         if sched is None or runner is None:
             return
         instance = sched.fleet.instance(slot.name)
         starts, stops, stored = sched.orders_for(slot.name, now())
         worker = instance.worker.worker if instance.worker else ""
-        if beat:
+        if report_number:
             instance.renewed_at = now()
         orders = Orders(
-            self.epoch, LEADER, instance.boot, beat, instance.beat, worker, starts, stops, stored
+            self.epoch,
+            LEADER,
+            instance.boot,
+            report_number,
+            instance.report_number,
+            worker,
+            starts,
+            stops,
+            stored,
         )
         if not slot.partitioned:
             self.deliver_later(lambda: runner._on_message(LEADER, orders))
@@ -253,9 +261,9 @@
         runner._links = cast(Any, FaultyLinks(self, slot))
         slot.runner = runner
         runner.start()
-        await self.beat(slot)
+        await self.report_number(slot)
 
-    async def beat(self, slot: Slot) -> None:
+    async def report_number(self, slot: Slot) -> None:
         """Send a heartbeat from a worker to its agent."""
         if slot.runner is not None and not slot.worker.dead:
             seq = int(now() * 100)
@@ -266,7 +274,7 @@
         while True:
             for slot in self.slots:
                 slot.worker.advance()
-                await self.beat(slot)
+                await self.report_number(slot)
             await asyncio.sleep(0.3)
 
     async def inject_faults(self) -> None:
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -180,7 +180,7 @@
         "submit", Reply(1, ReplyKind.UNKNOWN, retry_after_s=2), (504, "SL-402", "unknown"),
     ),
     "other content": (
-        "submit", Reply(1, ReplyKind.OK, "running", other=True), (422, "SL-105", "not_run"),
+        "submit", Reply(1, ReplyKind.OK, "running", conflicting=True), (422, "SL-105", "not_run"),
     ),
     "no such job": ("ask", Reply(1, ReplyKind.ABSENT), (404, "SL-103", "unknown")),
     "state unknown": (
