--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -52,14 +52,14 @@
         rows = JobRows(store, settings.shards)
         if metrics is not None:
             rows.on_move = JobMeter(metrics).count_transition
-        board = JobNotifier()
-        moves = JobMoves(rows, board, links, config, stamp)
-        starter = JobStarter(stamp, rows, board, moves, leases, links, config)
+        notifier = JobNotifier()
+        moves = JobMoves(rows, notifier, links, config, stamp)
+        starter = JobStarter(stamp, rows, notifier, moves, leases, links, config)
         scheduler = Scheduler(
-            stamp, store, rows, board, moves, leases, starter, members, links, config
+            stamp, store, rows, notifier, moves, leases, starter, members, links, config
         )
         reconciler = Reconciler(scheduler, starter, moves, leases, members, links)
-        jobs = Jobs(store, rows, board, members, links, config, scheduler.usage.queued_of)
+        jobs = Jobs(store, rows, notifier, members, links, config, scheduler.usage.queued_of)
         return cls(store, leases, config, jobs, moves, scheduler, reconciler)
 
     def start(self) -> None:
--- a/sapphirelead/entry_moves.py
+++ b/sapphirelead/entry_moves.py
@@ -31,17 +31,22 @@
     """Applies state transitions and acknowledges reports."""
 
     _rows: JobRows
-    _board: JobNotifier
+    _notifier: JobNotifier
     _links: Links
     _config: ConfigService
     _stamp: Stamp
     _running: dict[tuple[str, str, int], "asyncio.Task[None]"]
 
     def __init__(
-        self, rows: JobRows, board: JobNotifier, links: Links, config: ConfigService, stamp: Stamp
+        self,
+        rows: JobRows,
+        notifier: JobNotifier,
+        links: Links,
+        config: ConfigService,
+        stamp: Stamp,
     ) -> None:
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._links = links
         self._config = config
         self._stamp = stamp
@@ -104,7 +109,7 @@
         moved = await self._rows.move(stored, updated.ok_value, guards)
         if isinstance(moved, Err):
             return None if moved.err_value.code is Code.STORE_CONFLICT else False
-        self._board.publish_committed(moved.ok_value)
+        self._notifier.publish_committed(moved.ok_value)
         return True
 
     async def release_unstarted(self, key: str, epoch: int, reporter: Holder, reason: str) -> None:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -66,7 +66,7 @@
     _stamp: Stamp
     _table: EntryTable
     _rows: JobRows
-    _board: JobNotifier
+    _notifier: JobNotifier
     _moves: JobMoves
     _leases: LeaseManager
     _starter: JobStarter
@@ -83,7 +83,7 @@
         stamp: Stamp,
         table: EntryTable,
         rows: JobRows,
-        board: JobNotifier,
+        notifier: JobNotifier,
         moves: JobMoves,
         leases: LeaseManager,
         starter: JobStarter,
@@ -99,7 +99,7 @@
         self._stamp = stamp
         self._table = table
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._moves = moves
         self._leases = leases
         self._starter = starter
@@ -111,7 +111,7 @@
         self._tasks = []
         self._background_tasks = set()
         config.on_change(self._on_config)
-        board.listen(self._on_move)
+        notifier.listen(self._on_move)
         links.on(Started, self._on_started)
         links.on(Nudge, self._on_nudge)
 
@@ -248,7 +248,7 @@
             return
         moved = await self._rows.move(stored, updated.ok_value)
         if isinstance(moved, Ok):
-            self._board.publish_committed(moved.ok_value)
+            self._notifier.publish_committed(moved.ok_value)
 
     def _on_config(self, config: Config) -> None:
         self._rules = RuleSet.from_config(config.document)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -39,7 +39,7 @@
     records: dict[str, InstanceRecord]
     _stamp: Stamp
     _rows: JobRows
-    _board: JobNotifier
+    _notifier: JobNotifier
     _moves: JobMoves
     _leases: LeaseManager
     _links: Links
@@ -51,7 +51,7 @@
         self,
         stamp: Stamp,
         rows: JobRows,
-        board: JobNotifier,
+        notifier: JobNotifier,
         moves: JobMoves,
         leases: LeaseManager,
         links: Links,
@@ -60,7 +60,7 @@
         self.records = {}
         self._stamp = stamp
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._moves = moves
         self._leases = leases
         self._links = links
@@ -183,14 +183,14 @@
             return None
         moved = await self._rows.move(stored, updated.ok_value, (guard,))
         if isinstance(moved, Ok):
-            self._board.publish_committed(moved.ok_value)
+            self._notifier.publish_committed(moved.ok_value)
             return moved.ok_value
         log_event("INFO", "claim_failed", job=stored.job.spec.key, reason=moved.err_value)
         if moved.err_value.code is Code.STORE_CONFLICT:
             await self._leases.refresh(view.id)
             found = await self._rows.read(stored.job.spec.key)
             if isinstance(found, Ok) and found.ok_value is not None:
-                self._board.publish(found.ok_value)
+                self._notifier.publish(found.ok_value)
         return None
 
     def _on_accepted(self, message: Accepted) -> None:
