--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -64,7 +64,7 @@
     def get(self, _instance: str) -> InstanceView | None:
         return None
 
-    def beat(self) -> None:
+    def refresh_views(self) -> None:
         for number in range(INSTANCES):
             view = make_view(number, self._used[f"i{number}"])
             self._show(replace(view, zone="z0"), True)
@@ -170,7 +170,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + self.figures.seconds
         callers: set[asyncio.Task[None]] = set()
-        beating = asyncio.create_task(self._beat())
+        refreshing = asyncio.create_task(self._refresh_views())
         await asyncio.sleep(0)
         while loop.time() < end:
             await asyncio.sleep(self._rng.expovariate(self._load * CAPACITY))
@@ -178,12 +178,12 @@
             callers.add(caller)
             caller.add_done_callback(callers.discard)
         await asyncio.gather(*callers)
-        beating.cancel()
+        refreshing.cancel()
         return self.figures
 
-    async def _beat(self) -> None:
+    async def _refresh_views(self) -> None:
         while True:
-            self._back.beat()
+            self._back.refresh_views()
             await asyncio.sleep(1.0)
 
     async def _call(self, end: float) -> None:
--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -25,7 +25,7 @@
 """Patience of a caller that leaves early."""
 
 TRIES: Final = 5
-LOOK_S: Final = 1.0
+CHECK_INTERVAL_S: Final = 1.0
 MISSES: Final = 2
 HOST_NAME: Final = "queues.example"
 
@@ -39,13 +39,13 @@
 
     async def run(self) -> None:
         """Look at every entry each second, until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=LOOK_S)
+        timeout = aiohttp.ClientTimeout(total=CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                looks = (self._look(session, entry) for entry in self._entries)
-                await asyncio.gather(asyncio.sleep(LOOK_S), *looks)
+                checks = (self._check(session, entry) for entry in self._entries)
+                await asyncio.gather(asyncio.sleep(CHECK_INTERVAL_S), *checks)
 
-    async def _look(self, session: aiohttp.ClientSession, entry: Node) -> None:
+    async def _check(self, session: aiohttp.ClientSession, entry: Node) -> None:
         good = False
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             url = f"http://{entry.host}:{READY_PORT}/readiness"
--- a/bench/platform_site.py
+++ b/bench/platform_site.py
@@ -36,7 +36,7 @@
 CPU: Final = 4_000
 THIS: Final = "soak"
 STORE: Final = "store"
-LOOK_S: Final = 0.25
+SAMPLE_INTERVAL_S: Final = 0.25
 STARVED_S: Final = 0.2
 """A process that waits so long for a processor within one look counts as disturbed.  The kernel's
 own account tells it, not the time that something took."""
@@ -154,21 +154,21 @@
     async def _watch(self) -> None:
         """Write down which processes wait for a processor, and which end by themselves."""
         waited: dict[int, float] = {}
-        looked = now()
+        sampled_at = now()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             for who, pid in self._pids():
                 before, waited[pid] = waited.get(pid, 0.0), _waited_s(pid)
                 if waited[pid] - before > STARVED_S:
                     shared = who in (THIS, STORE)
-                    self._disturbed(f"starved {who}", looked, EVERYTHING if shared else who)
+                    self._disturbed(f"starved {who}", sampled_at, EVERYTHING if shared else who)
             # Also where it waited for a process that it had started: nothing is seen meanwhile.
-            if now() - looked > LOOK_S + STARVED_S:
-                self._disturbed(f"starved {THIS}", looked, EVERYTHING)
+            if now() - sampled_at > SAMPLE_INTERVAL_S + STARVED_S:
+                self._disturbed(f"starved {THIS}", sampled_at, EVERYTHING)
             for node in (*self.entries, *self.agents):
                 if not node.proc.running and not node.busy.locked():
                     self.history.record("died", node=node.name, code=node.proc.code)
-            looked = now()
+            sampled_at = now()
 
     def _pids(self) -> list[tuple[str, int]]:
         others = [(node.name, node.proc.pid) for node in (*self.entries, *self.agents)]
@@ -237,7 +237,7 @@
         """
         async with node.busy:
             while node.proc.running and not _takes(node.proc.pid, signal.SIGHUP):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(SAMPLE_INTERVAL_S)
             path = self.folder / f"{node.name}.toml"
             path.write_text(f"# changed at {now()}\n{path.read_text()}")
             with self.fault(f"reload {node.name}", node.name, planned=True):
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -107,7 +107,7 @@
     folder.mkdir(parents=True)
     async with Site.running(folder, plan.entries, plan.agents) as site:
         callers = Callers(site, random.Random(seed), Balancer(site.entries))
-        looking = asyncio.create_task(callers.balancer.run())
+        balancing = asyncio.create_task(callers.balancer.run())
         await _until_served(callers)
         load = [
             asyncio.create_task(task)
@@ -120,7 +120,7 @@
         injected = await _inject(site, callers, rng, plan)
         await _end(load)
         await _finish(callers)
-        await _end([looking])
+        await _end([balancing])
     events = read_histories(sorted(folder.glob("*.jsonl")))
     violations = check(events)
     return Verdict(seed, violations, events, _summary(events, injected))
--- a/bench/platform_standin_worker.py
+++ b/bench/platform_standin_worker.py
@@ -103,7 +103,7 @@
     _late: set["asyncio.Task[None]"]
     _seq: int
     _noted: int
-    _lapsed_at: float
+    _lease_ended_at: float
 
     def __init__(self, history: History, settings: WorkerSettings) -> None:
         super().__init__(history)
@@ -116,7 +116,7 @@
         self._late = set()
         self._seq = 0
         self._noted = 0
-        self._lapsed_at = 0.0
+        self._lease_ended_at = 0.0
 
     def routes(self) -> list[web.RouteDef]:
         """Return the agent's calls and the switch of the behaviour."""
@@ -147,8 +147,8 @@
         for end in self.life.advance(now()):
             self._record_end(end)
         until = self.life.lease_until
-        if self._lapsed_at < until <= now():
-            self._lapsed_at = until
+        if self._lease_ended_at < until <= now():
+            self._lease_ended_at = until
             self.history.record("lapse", until)
 
     def _record_end(self, end: End) -> None:
@@ -262,7 +262,7 @@
 
     # What the worker says of itself.
 
-    async def beat(self, session: aiohttp.ClientSession) -> bool:
+    async def send_heartbeat(self, session: aiohttp.ClientSession) -> bool:
         """Send a heartbeat and say whether it was acknowledged."""
         self._seq += 1
         cfg = self._cfg
@@ -306,7 +306,7 @@
     ticking = asyncio.create_task(worker.tick())
     async with aiohttp.ClientSession() as session:
         while not stopping.is_set():
-            await worker.beat(session)
+            await worker.send_heartbeat(session)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(stopping.wait(), HEARTBEAT_S)
         await _drain(worker, session, settings.drain_s)
@@ -318,12 +318,12 @@
 async def _drain(worker: StandInWorker, session: aiohttp.ClientSession, drain_s: float) -> None:
     worker.draining = True
     for _ in range(4):
-        if await worker.beat(session):
+        if await worker.send_heartbeat(session):
             worker.history.record("draining_known")
             break
     until = now() + drain_s
     while now() < until:
-        await worker.beat(session)
+        await worker.send_heartbeat(session)
         await asyncio.sleep(HEARTBEAT_S)
     await worker.leave(session)
 
--- a/bench/pressure_world.py
+++ b/bench/pressure_world.py
@@ -106,13 +106,13 @@
         """Draw one."""
         suffers = [rng.sample(range(RESOURCES), rng.choice((1, 1, 2))) for _ in range(RESOURCES)]
         suffers = [rng.choice(suffers) for _ in range(size.serving_images)]
-        presses = [rng.randrange(-2, RESOURCES) for _ in range(size.filling_images)]
+        contended = [rng.randrange(-2, RESOURCES) for _ in range(size.filling_images)]
         weights = {}
         for serving in range(size.serving_images):
             for filling in range(size.filling_images):
                 heavy = rng.random() < HEAVY_SHARE
                 if size.shared:
-                    heavy = presses[filling] in suffers[serving]
+                    heavy = contended[filling] in suffers[serving]
                 weight = rng.uniform(0.8, 3.0) if heavy else rng.uniform(0.0, 0.4)
                 weights[f"s{serving}", f"f{filling}"] = weight
         jobs = range(size.serving_jobs)
--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -57,9 +57,9 @@
     store_ok: bool
     seen_version: int
     _leading: bool
-    _heard_at: float
+    _leader_seen_at: float
     _serving: bool
-    _beat_at: float
+    _heartbeat_sent_at: float
     _read_at: float
     _seen: HeadRow | None
     _seen_at: float
@@ -76,9 +76,9 @@
         self.store_ok = True
         self.seen_version = 0
         self._leading = False
-        self._heard_at = -1e9
+        self._leader_seen_at = -1e9
         self._serving = False
-        self._beat_at = -1e9
+        self._heartbeat_sent_at = -1e9
         self._read_at = -1e9
         self._seen = None
         self._seen_at = 0.0
@@ -95,7 +95,7 @@
         """Whether another entry leads, accepts calls and has been heard from recently."""
         if self._leading or not self.leader or not self._serving:
             return False
-        return at - self._heard_at < LEADER_TIMEOUT_S
+        return at - self._leader_seen_at < LEADER_TIMEOUT_S
 
     def next_move(self, at: float) -> Move:
         """Return the action to take at time ``at``."""
@@ -103,7 +103,7 @@
             return Move.NOTHING
         if self._offered and not self._leaving:
             return Move.TAKE
-        if self.leader and at - self._heard_at < LEADER_TIMEOUT_S:
+        if self.leader and at - self._leader_seen_at < LEADER_TIMEOUT_S:
             return Move.NOTHING
         if self._may_take(at):
             return Move.TAKE
@@ -118,9 +118,9 @@
         Heartbeats also go to a leader that has not responded: a leader sends its own only in
         reply, so a follower whose link was interrupted would otherwise never reconnect.
         """
-        if self._leading or not self.leader or at - self._beat_at < HEARTBEAT_INTERVAL_S:
+        if self._leading or not self.leader or at - self._heartbeat_sent_at < HEARTBEAT_INTERVAL_S:
             return False
-        self._beat_at = at
+        self._heartbeat_sent_at = at
         return True
 
     def _may_take(self, at: float) -> bool:
@@ -177,7 +177,7 @@
             self._offered = 0
         self.epoch = epoch
         self.leader = leader
-        self._heard_at = at
+        self._leader_seen_at = at
         self._serving = serving
 
     def offered(self, epoch: int) -> None:
@@ -236,4 +236,4 @@
         self._leading = False
         self.leader = ""
         self._seen = None
-        self._heard_at = -1e9
+        self._leader_seen_at = -1e9
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -30,7 +30,7 @@
 
     def since_last_heartbeat_s(self, at: float) -> float:
         """Return the time since the latest heartbeat of any follower; 0 if there was none."""
-        return at - max((heard_at for heard_at, _ in self._heartbeats.values()), default=at)
+        return at - max((heartbeat_at for heartbeat_at, _ in self._heartbeats.values()), default=at)
 
     def next_successor(self, at: float, with_store: bool) -> str:
         """Return the entry to offer the leadership to next; empty for none.
@@ -69,8 +69,8 @@
         """
         return {
             name: heartbeat.address.cores
-            for name, (heard_at, heartbeat) in self._heartbeats.items()
-            if at - heard_at < HEARTBEAT_TIMEOUT_S
+            for name, (heartbeat_at, heartbeat) in self._heartbeats.items()
+            if at - heartbeat_at < HEARTBEAT_TIMEOUT_S
             and not heartbeat.leaving
             and (heartbeat.store_ok or not with_store)
         }
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -65,7 +65,7 @@
         self._merged = self._backlog.merged
         self._dropped = self._backlog.dropped
 
-    def took(self, kind: str, waited_s: float) -> None:
+    def count_message(self, kind: str, waited_s: float) -> None:
         """Count a message that was taken from the queue after ``waited_s``."""
         self._taken[kind] += 1
         self._waits[kind] = max(self._waits.get(kind, 0.0), waited_s)
--- a/sapphirelead/node_intake.py
+++ b/sapphirelead/node_intake.py
@@ -51,7 +51,7 @@
         self._taken = 0
         self._began_at = 0.0
 
-    async def took(self) -> float:
+    async def count_message(self) -> float:
         """Count a message; at the end of a batch, yield for one iteration of the event loop.
 
         :return: duration of that iteration in seconds; 0 if the batch goes on.
@@ -116,7 +116,7 @@
             if message is not None:
                 self.inbox.put(identity, message, now())
                 self._arrived.set()
-            await yielder.took()
+            await yielder.count_message()
 
     async def _handle_messages(self) -> None:
         yielder = LoopYielder(MAX_BATCH, MAX_BATCH_S)
@@ -127,9 +127,9 @@
                 self._arrived.clear()
                 await self._arrived.wait()
                 continue
-            self._meter.took(message_kind(item.message), at - item.arrived_at)
+            self._meter.count_message(message_kind(item.message), at - item.arrived_at)
             self._handler(item.identity, item.message)
-            yielded_s = await yielder.took()
+            yielded_s = await yielder.count_message()
             if yielded_s:
                 self._meter.record_turn(yielded_s)
             self._meter.export_if_due(now())
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -17,7 +17,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_leader_advice import AdviceDispatcher
-from sapphirelead.node_leader_calls import LeaderCalls, MayCome
+from sapphirelead.node_leader_calls import LeaderCalls, MayArrive
 from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LoopLoad, Part
 from sapphirelead.node_messages import (
     AgentReport,
@@ -116,11 +116,11 @@
         advice: AdviceService,
         send: SendOrders,
         metrics: Metrics | None = None,
-        may_come: MayCome = lambda _: False,
+        may_arrive: MayArrive = lambda _: False,
     ) -> None:
         """Begin a term of leadership.
 
-        :param may_come: whether a submission of a job, sent before other calls for that job, may
+        :param may_arrive: whether a submission of a job, sent before other calls for that job, may
             still arrive.
         """
         self.head = head
@@ -133,7 +133,7 @@
         self._resigned = False
         self._finishing = False
         self._config = QueueConfig()
-        self._calls = LeaderCalls(self, may_come)
+        self._calls = LeaderCalls(self, may_arrive)
         self._advice = AdviceDispatcher(self.sched, advice, self.metrics, self._wake.set)
         self._ended = asyncio.Event()
         self._idle = asyncio.Event()
@@ -364,10 +364,12 @@
         known = [
             instance
             for instance in self.sched.fleet.instances.values()
-            if instance.heard_at and at - instance.heard_at < KNOWN_AGENT_WINDOW_S
+            if instance.last_report_at and at - instance.last_report_at < KNOWN_AGENT_WINDOW_S
         ]
-        heard = sum(1 for instance in known if at - instance.heard_at < ISOLATION_TIMEOUT_S)
-        return len(known) > 1 and heard * 2 < len(known)
+        responsive = sum(
+            1 for instance in known if at - instance.last_report_at < ISOLATION_TIMEOUT_S
+        )
+        return len(known) > 1 and responsive * 2 < len(known)
 
     async def wait_ended(self) -> None:
         """Wait for the end of this term of leadership."""
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -27,7 +27,7 @@
 """Number of refused submissions that are remembered."""
 
 
-MayCome = Callable[[str], bool]
+MayArrive = Callable[[str], bool]
 """Whether a submission of the job, sent before other calls for it, may still arrive."""
 
 
@@ -66,13 +66,13 @@
     """The calls of one term of leadership."""
 
     _leadership: Leadership
-    _may_come: MayCome
+    _may_arrive: MayArrive
     _refused: dict[int, None]
     _changed: asyncio.Event
 
-    def __init__(self, leadership: Leadership, may_come: MayCome) -> None:
+    def __init__(self, leadership: Leadership, may_arrive: MayArrive) -> None:
         self._leadership = leadership
-        self._may_come = may_come
+        self._may_arrive = may_arrive
         self._refused = {}
         self._changed = asyncio.Event()
 
@@ -133,7 +133,7 @@
         if sched.state(call.job_id) is not None:
             return None
         if self._may_be_accepted(call):
-            behind = self._may_come(call.job_id)
+            behind = self._may_arrive(call.job_id)
             detail = "the leader is behind" if behind else "the store is away"
             return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=STORE_RETRY_AFTER_S)
         return self._reply(call, ReplyKind.ABSENT)
@@ -150,7 +150,7 @@
 
         That is by another leader, by a write in progress, or by a submission sent before this call.
         """
-        if self._may_come(call.job_id):
+        if self._may_arrive(call.job_id):
             return True
         being_stored = call.kind is CallKind.CANCEL and call.job_id in self._leadership.sched.jobs
         return (
--- a/sapphirelead/node_links.py
+++ b/sapphirelead/node_links.py
@@ -116,7 +116,7 @@
             message = decode_node(frame, self.address.name)
             if message is not None:
                 self._handler(message)
-            await yielder.took()
+            await yielder.count_message()
 
     async def stop(self) -> None:
         """Stop receiving and close the socket."""
--- a/sapphirelead/node_ports.py
+++ b/sapphirelead/node_ports.py
@@ -117,11 +117,11 @@
     """
 
     async def hold(
-        self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         """List runs and ended runs; wait up to ``wait_ms`` for another run to end.
 
-        :param noted: acknowledges ended runs up to this number, which the worker may forget.
+        :param stored_through: acknowledges ended runs up to this number, which the worker may forget.
         :param lease_ms: new lease expiry on the worker's clock; 0 does not extend it.
         """
 
--- a/sapphirelead/platform/local_runs.py
+++ b/sapphirelead/platform/local_runs.py
@@ -47,10 +47,10 @@
         await self._http.close()
 
     async def hold(
-        self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         """List running and ended runs, and extend the lease."""
-        fields = {"fencing_token": fencing_token, "noted": noted, "lease_ms": lease_ms}
+        fields = {"fencing_token": fencing_token, "noted": stored_through, "lease_ms": lease_ms}
         timeout_s = wait_ms / 1000 + LIST_TIMEOUT_MARGIN_S
         return await self._call("hold", WorkerView, timeout_s, wait_ms=wait_ms, **fields)
 
--- a/sapphirelead/platform/worker.py
+++ b/sapphirelead/platform/worker.py
@@ -97,10 +97,10 @@
         return cls(http, worker)
 
     async def hold(
-        self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         """List running and ended runs, and extend the lease."""
-        body: dict[str, Any] = {"fence_token": fencing_token, "seen_upto": noted}
+        body: dict[str, Any] = {"fence_token": fencing_token, "seen_upto": stored_through}
         if lease_ms:
             body["deadline_ms"] = lease_ms
         if wait_ms:
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -127,7 +127,7 @@
     _tasks: set["asyncio.Task[None]"]
     _pending_stops: set["asyncio.Task[None]"]
     _refusals: int
-    _silent: bool
+    _not_responding: bool
     _reported_at: float
     _end_stored: asyncio.Event
 
@@ -153,14 +153,14 @@
         self._tasks = set()
         self._pending_stops = set()
         self._refusals = 0
-        self._silent = False
+        self._not_responding = False
         self._reported_at = -1e9
         self._end_stored = asyncio.Event()
 
     @property
-    def silent(self) -> bool:
+    def not_responding(self) -> bool:
         """Whether the worker is unresponsive and all its runs have lapsed."""
-        return self._silent
+        return self._not_responding
 
     async def adopt(self) -> CallFailure | None:
         """List the worker's runs without renewing its lease; return the failure, if any."""
@@ -213,8 +213,8 @@
     def _apply_view(self, view: WorkerView, sent_at: float) -> bool:
         """Apply a list from the worker; return whether it contains a new outcome."""
         self._refusals = 0
-        if self._silent:
-            self._silent = False
+        if self._not_responding:
+            self._not_responding = False
             log_event("INFO", "worker_regained", worker=self.registry.info.worker)
             self.on_change()
         self._lease.update_clock(view.clock_ms, awake_now())
@@ -301,9 +301,9 @@
     def _handle_no_answer(self) -> None:
         at = awake_now()
         self._lease.note_unanswered(at)
-        if self._lease.all_expired(at) and not self._silent:
+        if self._lease.all_expired(at) and not self._not_responding:
             # The worker may still be running but unreachable; its leases have expired.
-            self._silent = True
+            self._not_responding = True
             info = self.registry.info
             log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.registry.runs))
             self.on_change()
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -240,7 +240,7 @@
     def end_runs_of_lost_agents(self, at: float) -> None:
         """End the runs of agents whose lease has certainly expired."""
         for instance in list(self.fleet.instances.values()):
-            since = max(instance.renewed_at, instance.heard_at)
+            since = max(instance.renewed_at, instance.last_report_at)
             if not instance.runs or at - since <= self.bounds.loss_s:
                 continue
             log_event(
@@ -248,7 +248,7 @@
                 "agent_lost",
                 agent=instance.agent,
                 runs=len(instance.runs),
-                silent_s=at - instance.heard_at,
+                silent_s=at - instance.last_report_at,
                 since_renewal_s=at - instance.renewed_at,
             )
             instance.worker = None
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -103,7 +103,7 @@
 
     :ivar boot: id of the agent process.
     :ivar worker: ``None`` while no worker is known to be alive.
-    :ivar heard_at: when its last report arrived.
+    :ivar last_report_at: when its last report arrived.
     :ivar unsent_at: when sending orders to it last failed for lack of a connection.
     :ivar renewed_at: when its lease was last renewed; after a leader change the latest time, which
         may be in the future, at which the previous leader can have renewed it.
@@ -126,7 +126,7 @@
     agent: str
     boot: str = ""
     worker: WorkerInfo | None = None
-    heard_at: float = 0.0
+    last_report_at: float = 0.0
     unsent_at: float = -1e9
     renewed_at: float = 0.0
     answered_at: float = -1e9
@@ -152,7 +152,7 @@
     @property
     def reachable(self) -> bool:
         """Whether it has reported since sending orders to it last failed."""
-        return self.unsent_at < self.heard_at
+        return self.unsent_at < self.last_report_at
 
     @property
     def rack(self) -> str:
--- a/sapphirelead/sched_reports.py
+++ b/sapphirelead/sched_reports.py
@@ -36,7 +36,7 @@
     if report.report_number <= instance.report_number:
         return False
     instance.report_number = report.report_number
-    instance.heard_at = at
+    instance.last_report_at = at
     instance.returning_boot = None
     instance.changes += 1
     instance.entries_version = report.entries_version
@@ -59,7 +59,7 @@
     Requires two reports: after a stall, the leader may read the last report of an ended process
     before those of its successor, and must not count the successor's runs as lost.
     """
-    if at - instance.heard_at < BOOT_TIMEOUT_S:
+    if at - instance.last_report_at < BOOT_TIMEOUT_S:
         return False
     first = instance.returning_boot
     if first is None or first.boot != report.boot:
--- a/tests/sched/fakes.py
+++ b/tests/sched/fakes.py
@@ -118,7 +118,7 @@
     :ivar sealed: highest attempt by task that may not be started again.
     :ivar faults: faults of the next start calls: ``lost`` (executed, no reply), ``late`` (executed
         after ``late_s``, no reply) or ``unanswered`` (not executed, no reply).
-    :ivar silent: calls are neither executed nor answered.
+    :ivar not_responding: calls are neither executed nor answered.
     :ivar refuses: calls fail with a refused connection.
     :ivar stops_unanswered: tasks whose stops are neither executed nor answered.
     :ivar stops_without_effect: number of stops that are confirmed but not executed.
@@ -133,7 +133,7 @@
         self.sealed: dict[str, int] = {}
         self.token = 0
         self.lease_ms = 0
-        self.silent = False
+        self.not_responding = False
         self.refuses = False
         self.faults: list[str] = []
         self.late_s = 3.0
@@ -177,7 +177,7 @@
         self.advance()
         if self.refuses:
             return CallFailure.REFUSED
-        if self.silent:
+        if self.not_responding:
             await self._no_answer()
             return CallFailure.NO_ANSWER
         return None
@@ -191,7 +191,7 @@
             self._unanswered -= 1
 
     async def hold(
-        self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         self.holds += 1
         failure = await self._injected_failure()
@@ -201,7 +201,7 @@
             return Err(CallFailure.FENCED)
         self.token = fencing_token
         self.lease_ms = max(self.lease_ms, lease_ms)
-        self.ended = [end for end in self.ended if end.number > noted]
+        self.ended = [end for end in self.ended if end.number > stored_through]
         until = now() + wait_ms / 1000
         while not self.ended and now() < until:
             await asyncio.sleep(0.05)
--- a/tests/sched/loaded.py
+++ b/tests/sched/loaded.py
@@ -50,7 +50,7 @@
     """An agent with its own processor: it reports in time even if reports are read late.
 
     :ivar leased_until: end of its lease.
-    :ivar lapses: times at which a renewal arrived after the lease had expired.
+    :ivar late_renewals: times at which a renewal arrived after the lease had expired.
     :ivar ended_at: time at which each run ended, by task and attempt.
     :ivar stored_at: time at which the leader confirmed that the end of a run is stored.
     :ivar starts: number of start orders received for each run.
@@ -59,13 +59,13 @@
     name: str
     lease_s: float
     leased_until: float = 1e9
-    lapses: list[float] = field(default_factory=list)
+    late_renewals: list[float] = field(default_factory=list)
     ended_at: dict[tuple[str, int], float] = field(default_factory=dict)
     stored_at: dict[tuple[str, int], float] = field(default_factory=dict)
     starts: dict[tuple[str, int], int] = field(default_factory=dict)
     _epoch: int = 0
     _orders: int = 0
-    _beat: int = 0
+    _report_number: int = 0
     _due: float = 0.0
     _full_at: float = -1e9
     _made_at: dict[int, float] = field(default_factory=dict)
@@ -81,7 +81,7 @@
             self._due = min(self._due, at + STOP_DURATION_S + REPORT_DELAY_S)
         if orders.report_number:
             if at > self.leased_until:
-                self.lapses.append(at)
+                self.late_renewals.append(at)
             self.leased_until = self._made_at[orders.report_number] + self.lease_s
 
     def reports(self, until: float) -> list[AgentReport]:
@@ -98,12 +98,12 @@
         full = at - self._full_at >= FULL_REPORT_INTERVAL_S
         if full:
             self._full_at = at
-        self._beat += 1
-        self._made_at[self._beat] = at
+        self._report_number += 1
+        self._made_at[self._report_number] = at
         return AgentReport(
             self.name,
             "b",
-            self._beat,
+            self._report_number,
             self._epoch,
             1,
             worker_info(f"w-{self.name}", cpu=32_000),
@@ -155,7 +155,7 @@
         self.agents = {name: SimulatedAgent(name, lease_s) for name in names}
         self.leader_losses: list[float] = []
         self._election = Election("e2")
-        self._beat_due = 0.0
+        self._heartbeat_due_at = 0.0
 
     def send(self, agent: str, orders: Orders) -> bool:
         """Deliver orders to an agent."""
@@ -171,9 +171,9 @@
                 for report in agent.reports(at):
                     self.work(self._read_s)
                     self.leader.on_report(report)
-                    await turns.took()
-            if at >= self._beat_due:
-                self._beat_due = at + HEARTBEAT_INTERVAL_S
+                    await turns.count_message()
+            if at >= self._heartbeat_due_at:
+                self._heartbeat_due_at = at + HEARTBEAT_INTERVAL_S
                 if at > HEARTBEAT_INTERVAL_S and not self._election.has_live_leader(at):
                     self.leader_losses.append(at)
                 self._election.on_heartbeat(self.leader.head.epoch, "e1", True, at)
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -147,14 +147,14 @@
     assert election.heartbeat_due(1.1 + HEARTBEAT_INTERVAL_S)
 
 
-def time_until_take(election: Election, last_heard_at: float) -> float:
+def time_until_take(election: Election, leader_seen_at: float) -> float:
     """Return the time until an entry takes an unchanged row, in seconds."""
     head = HeadRow(7, 3, "e2", "t")
-    at = last_heard_at + LEADER_TIMEOUT_S
+    at = leader_seen_at + LEADER_TIMEOUT_S
     while election.next_move(at) is not Move.TAKE:
         election.on_head_read(head, at)
         at += 0.02
-    return at - last_heard_at - LEADER_TIMEOUT_S
+    return at - leader_seen_at - LEADER_TIMEOUT_S
 
 
 @pytest.mark.parametrize(
--- a/tests/sched/test_foreign_rows.py
+++ b/tests/sched/test_foreign_rows.py
@@ -33,7 +33,7 @@
 from sapphirelead.sched_reports import _end_kind
 from sapphirelead.sched_spec import AdvicePolicy, QueuePolicy
 
-BEAT: dict[str, Any] = {
+HEARTBEAT: dict[str, Any] = {
     "service": "svc",
     "addr": "10.0.0.9:80",
     "zone": "z1",
@@ -92,7 +92,7 @@
     await server.close()
 
 
-async def beat(body: bytes, worker: str = "w1") -> tuple[int, RunnerSpy]:
+async def post_heartbeat(body: bytes, worker: str = "w1") -> tuple[int, RunnerSpy]:
     """Send a heartbeat; return the response status and the accepted workers."""
     spy = RunnerSpy()
     side = WorkerRequestHandler(spy, "svc")  # type: ignore[arg-type]
@@ -103,7 +103,7 @@
 
 
 async def test_a_valid_heartbeat_is_accepted() -> None:
-    status, spy = await beat(json.dumps(BEAT).encode())
+    status, spy = await post_heartbeat(json.dumps(HEARTBEAT).encode())
     assert status == 200
     expected = WorkerInfo("w1", "svc", "z1", Resources(16_000, 32_768, 0), ("a", "r1"))
     assert spy.taken == [(expected, "10.0.0.9:80", 4)]
@@ -112,9 +112,11 @@
 @pytest.mark.parametrize("name", ["service", "addr", "state", "capacity", "labels", "seq", "zone"])
 async def test_a_heartbeat_with_a_missing_field_is_rejected(name: str) -> None:
     """Guards against accepting an incomplete heartbeat, such as with a capacity of 0."""
-    status, spy = await beat(json.dumps({**BEAT, name: None}).encode())
+    status, spy = await post_heartbeat(json.dumps({**HEARTBEAT, name: None}).encode())
     assert (status, spy.taken) == (400, [])
-    status, spy = await beat(json.dumps({k: v for k, v in BEAT.items() if k != name}).encode())
+    status, spy = await post_heartbeat(
+        json.dumps({k: v for k, v in HEARTBEAT.items() if k != name}).encode()
+    )
     assert (status, spy.taken) == (400, [])
 
 
@@ -144,19 +146,19 @@
 )
 async def test_a_heartbeat_with_an_invalid_field_is_rejected(change: dict[str, Any]) -> None:
     """Guards against treating an unknown state as ready, and against numbers over 64 bits."""
-    status, spy = await beat(json.dumps({**BEAT, **change}).encode())
+    status, spy = await post_heartbeat(json.dumps({**HEARTBEAT, **change}).encode())
     assert (status, spy.taken) == (400, [])
 
 
 @pytest.mark.parametrize("body", [*UNREADABLE, b'{"service":"\xff"}'])
 async def test_an_undecodable_heartbeat_is_rejected(body: bytes) -> None:
-    status, spy = await beat(body)
+    status, spy = await post_heartbeat(body)
     assert (status, spy.taken) == (400, [])
 
 
 @pytest.mark.parametrize("worker", ["%20", "w%0d%0aX:y", "w%2fx", "a" * 300])
 async def test_a_worker_id_that_is_invalid_in_a_header_is_rejected(worker: str) -> None:
-    status, spy = await beat(json.dumps(BEAT).encode(), worker)
+    status, spy = await post_heartbeat(json.dumps(HEARTBEAT).encode(), worker)
     assert (status, spy.taken) == (404, [])
 
 
@@ -317,7 +319,7 @@
 
 
 @NO_DEADLINE
-@given(st.sampled_from(sorted(BEAT)), JSON)
+@given(st.sampled_from(sorted(HEARTBEAT)), JSON)
 def test_no_heartbeat_fails_the_agent(name: str, value: object) -> None:
     side = WorkerRequestHandler(RunnerSpy(), "svc")  # type: ignore[arg-type]
-    side._decode(json.dumps({**BEAT, name: value}).encode())
+    side._decode(json.dumps({**HEARTBEAT, name: value}).encode())
--- a/tests/sched/test_hub_meter.py
+++ b/tests/sched/test_hub_meter.py
@@ -34,7 +34,7 @@
     metrics = Metrics(lambda: 0.0)
     meter = HubMeter(metrics, Backlog(), 0.0)
     for _ in range(3):
-        meter.took("report", BEHIND_THRESHOLD_S)
+        meter.count_message("report", BEHIND_THRESHOLD_S)
     meter.record_turn(BEHIND_THRESHOLD_S)
     meter.export_if_due(EXPORT_INTERVAL_S)
     assert not lines
@@ -44,8 +44,8 @@
 
 def test_a_long_turn_is_logged_once_a_second(lines: list[dict[str, Any]]) -> None:
     meter = HubMeter(Metrics(lambda: 0.0), Backlog(), 0.0)
-    meter.took("report", 0.0)
-    meter.took("cancel", 0.0)
+    meter.count_message("report", 0.0)
+    meter.count_message("cancel", 0.0)
     meter.record_turn(1.1 * BEHIND_THRESHOLD_S)
     for at in (
         0.5 * EXPORT_INTERVAL_S,
@@ -59,8 +59,8 @@
 
 def test_a_long_wait_is_logged_with_what_still_waits(lines: list[dict[str, Any]]) -> None:
     meter = HubMeter(Metrics(lambda: 0.0), Backlog(), 0.0)
-    meter.took("cancel", 2 * BEHIND_THRESHOLD_S)
-    meter.took("cancel", 0.0)
+    meter.count_message("cancel", 2 * BEHIND_THRESHOLD_S)
+    meter.count_message("cancel", 0.0)
     meter.export_if_due(EXPORT_INTERVAL_S)
     (line,) = lines
     assert line["waits_ms"] == f"cancel:{2000 * BEHIND_THRESHOLD_S:g}"
--- a/tests/sched/test_leader.py
+++ b/tests/sched/test_leader.py
@@ -18,7 +18,7 @@
 from sapphirelead.node_entry import EntryNode, FleetEntry
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_leader import FINAL_COMMIT_TIMEOUT_S, Leader
-from sapphirelead.node_leader_calls import MayCome
+from sapphirelead.node_leader_calls import MayArrive
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
@@ -72,7 +72,9 @@
 
 
 @asynccontextmanager
-async def leading(table: SlowTable, may_arrive: MayCome = lambda _: False) -> AsyncIterator[Leader]:
+async def leading(
+    table: SlowTable, may_arrive: MayArrive = lambda _: False
+) -> AsyncIterator[Leader]:
     """Run a leader on ``table``."""
     head = await Head.take(table, (await read_head(table)).unwrap(), "e1")
     assert head is not None
@@ -235,19 +237,19 @@
     async with leading(table) as leader:
         table.unavailable = True
         await asyncio.sleep(3.0)
-        looks = 0
+        scans = 0
         real = Scheduler.state
 
         def state(sched: Scheduler, job_id: str) -> JobState | None:
-            nonlocal looks
-            looks += 1
+            nonlocal scans
+            scans += 1
             return real(sched, job_id)
 
         monkeypatch.setattr(Scheduler, "state", state)
         calls = [Call(number, CallKind.CANCEL, "q", f"a{number}", 1) for number in range(500)]
         replies = await asyncio.gather(*(leader.call(call, now() + 2.5) for call in calls))
         assert {reply.kind for reply in replies} == {ReplyKind.NOT_RUN}
-        assert looks <= 4 * len(calls)
+        assert scans <= 4 * len(calls)
 
 
 async def test_a_waiting_cancel_is_answered_when_the_store_is_back() -> None:
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -56,7 +56,7 @@
 def change(rng: random.Random, places: list[Instance], at: float) -> None:
     """Apply random changes to some of the workers."""
     for place in places:
-        place.heard_at = at if rng.random() < 0.97 else place.heard_at
+        place.last_report_at = at if rng.random() < 0.97 else place.last_report_at
         if place.runs and rng.random() < 0.2:
             place.drop(rng.choice(list(place.runs.values())))
         if rng.random() < 0.05:
@@ -163,7 +163,7 @@
         large = StepSpec(cpu_millicores=2500, memory_mb=1, estimate_ms=20_000)
         sched.submit(job(f"large{number}", large), lambda *_: None)
     for cpu in sizes:
-        sched.fleet.instance(f"g{cpu}").heard_at = at
+        sched.fleet.instance(f"g{cpu}").last_report_at = at
     plan(sched, at, 0)
     plan(sched, at + 0.05, 0)
     assert [instance.free_cpu for instance in sched.fleet.live()] == [0, 0, 0]
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -172,7 +172,7 @@
         await asyncio.sleep(20.0)
         assert world.placement_s - placement_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
         assert not world.leader_losses
-        assert not [at for agent in world.agents.values() for at in agent.lapses]
+        assert not [at for agent in world.agents.values() for at in agent.late_renewals]
         held_ms = world.leader.metrics.percentiles_ms
         assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_HOLD_S * 1000
         assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_HOLD_S * 1000
--- a/tests/sched/test_pressure.py
+++ b/tests/sched/test_pressure.py
@@ -98,7 +98,7 @@
     learnt = sched.interference.model
     monkeypatch.setattr(InterferenceModel, "learn", fails)
     report(agents, sched, "g0", TARGET_MS // 2, 1.0)
-    assert sched.fleet.instance("g0").heard_at == 1.0
+    assert sched.fleet.instance("g0").last_report_at == 1.0
     assert sched.interference.model is not learnt
 
 
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -60,9 +60,9 @@
         await life.close()
 
 
-def silent(life: RunnerLife) -> bool:
-    """Return the current value of ``life.silent``, which mypy does not narrow in a call."""
-    return life.silent
+def not_responding(life: RunnerLife) -> bool:
+    """Return the current value of ``life.not_responding``, which mypy does not narrow in a call."""
+    return life.not_responding
 
 
 def kinds(life: RunnerLife) -> dict[str, str]:
@@ -131,7 +131,7 @@
         assert worker.runs == {}
 
 
-async def test_a_run_lapses_when_the_leader_no_longer_acknowledges() -> None:
+async def test_runs_end_when_the_leader_no_longer_acknowledges() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
@@ -165,14 +165,14 @@
     async with life_of(worker) as (life, lease):
         life.start(order())
         await asyncio.sleep(1)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(lease.expiry_bound - now() - 0.5)
-        assert not silent(life)
+        assert not not_responding(life)
         await asyncio.sleep(3)
-        assert silent(life)
-        worker.silent = False
+        assert not_responding(life)
+        worker.not_responding = False
         await asyncio.sleep(2)
-        assert not silent(life)
+        assert not not_responding(life)
         assert kinds(life) == {"a.0.0.0": "lapsed"}
 
 
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -83,7 +83,7 @@
     async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s - 1)
         assert reported_worker(leader) == "w1"
         await asyncio.sleep(3)
@@ -97,7 +97,7 @@
     async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         silent_at = now()
         number = 0
         while reported_worker(leader) and now() - silent_at < 60:
@@ -113,13 +113,13 @@
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         await asyncio.sleep(1)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + 1.5)
         life.start(order())
         await asyncio.sleep(0.1)
         assert worker.starts == 0
         assert kinds(life) == {TASK: "not_started"}
-        worker.silent = False
+        worker.not_responding = False
         await asyncio.sleep(1.5)
         life.start(order(attempt=2))
         await asyncio.sleep(0.1)
@@ -132,9 +132,9 @@
     async with run_agent(worker) as leader:
         leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(7)
-        worker.silent = False
+        worker.not_responding = False
         await asyncio.sleep(10)
         assert list(worker.runs) == [(TASK, 1)]
 
--- a/tests/sched/test_runner_stops.py
+++ b/tests/sched/test_runner_stops.py
@@ -60,13 +60,13 @@
     async with life_of(worker) as (life, _):
         life.start(order())
         await asyncio.sleep(1)
-        worker.silent = True
+        worker.not_responding = True
         life.stop(StopOrder(TASK, 1))
         await asyncio.sleep(4)
         slow = events_named(events, "stop_slow")
         assert [line["confirmed_s"] for line in slow] == [-1.0]
         assert slow[0]["stop_s"] > runner_life.SLOW_STOP_S
-        worker.silent = False
+        worker.not_responding = False
         await asyncio.sleep(2)
         (end,) = events_named(events, "run_end_seen")
         assert end["stop_s"] >= end["confirmed_s"] > 3.9
@@ -213,7 +213,7 @@
     most = 1 + runner_life.MAX_CONCURRENT_CALLS + runner_life.MAX_CONCURRENT_STOPS
     assert most <= MAX_CONNECTIONS
     async with life_of(worker) as (life, _):
-        worker.silent = True
+        worker.not_responding = True
         for number in range(40):
             life.start(order(f"b.0.0.{number}", room=Resources(10, 10)))
             life.stop(StopOrder(f"c.0.0.{number}", 1))
--- a/tests/sched/test_scan_order.py
+++ b/tests/sched/test_scan_order.py
@@ -187,7 +187,7 @@
         store(sched)
         sched.fleet.drop(run)
         for instance in sched.fleet.live():
-            instance.heard_at = at
+            instance.last_report_at = at
     assert scan_order.behind
     order = list(dict.fromkeys(started))
     assert [name[0] for name in order[:5]] == ["0"] * 5
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -51,11 +51,13 @@
             self.simulation.done.add(run.task)
         super().end(run, kind)
 
-    async def hold(self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int) -> Any:
+    async def hold(
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
+    ) -> Any:
         for end in self.ended:
-            if end.number <= noted and end.kind == EndKind.DONE:
+            if end.number <= stored_through and end.kind == EndKind.DONE:
                 self.simulation.acknowledged_done.add(end.task)
-        return await super().hold(fencing_token, noted, lease_ms, wait_ms)
+        return await super().hold(fencing_token, stored_through, lease_ms, wait_ms)
 
     def crash(self) -> None:
         self.dead = True
@@ -289,9 +291,9 @@
                     slot.generation += 1
                     slot.worker = CheckedWorker(self)
                 case 1:
-                    slot.worker.silent = True
+                    slot.worker.not_responding = True
                     await asyncio.sleep(self.rng.uniform(0.5, 4))
-                    slot.worker.silent = False
+                    slot.worker.not_responding = False
                 case 2 if slot.runner is not None:
                     runner, slot.runner = slot.runner, None
                     await runner.stop()
--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -100,10 +100,10 @@
         self.tasks[key].info = replace(self.tasks[key].info, **changes)
 
     def running(self) -> set[str]:
-        self._lapse()
+        self._expire_leases()
         return {k for k, t in self.tasks.items() if t.info.state is TaskState.RUNNING}
 
-    def _lapse(self) -> None:
+    def _expire_leases(self) -> None:
         for task in self.tasks.values():
             if task.info.state is TaskState.RUNNING and task.lease_until <= self.clock():
                 task.info = replace(task.info, state=TaskState.STOPPED, reason="lease")
@@ -115,7 +115,7 @@
         await asyncio.sleep(self.delay_s)
         if self.down:
             return unavailable
-        self._lapse()
+        self._expire_leases()
         answer = effect()
         if self.lose.get(name, 0):
             self.lose[name] -= 1
