--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -70,7 +70,7 @@
             self._show(replace(view, zone="z0"), True)
 
     def send_now(
-        self, instance: str, _lane: Channel, message: AnyMessage, incarnation: str = ""
+        self, instance: str, _channel: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         if isinstance(message, ServiceRequest):
             asyncio.get_running_loop().call_later(HOP_S, self._take, instance, message)
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -257,8 +257,8 @@
     ) -> bool:
         """Send to ``incarnation`` or the current one; ``False`` guarantees nothing was sent."""
         known = self._routes.get(instance, {})
-        lanes = known.get(incarnation or self._current.get(instance, ""), {})
-        route = lanes.get(lane)
+        channels = known.get(incarnation or self._current.get(instance, ""), {})
+        route = channels.get(lane)
         router = self._routers.get(lane)
         frame = encode(message)
         sent = route is not None and router is not None and router.send(route.identity, frame)
@@ -331,11 +331,11 @@
         if parsed is None or parsed.lane is not lane:
             return
         incarnations = self._routes.setdefault(parsed.instance, {})
-        lanes = incarnations.setdefault(parsed.incarnation, {})
-        old = lanes.get(lane)
+        channels = incarnations.setdefault(parsed.incarnation, {})
+        old = channels.get(lane)
         if old is not None and old.number >= parsed.number:
             return
-        lanes[lane] = _Route(parsed.number, raw)
+        channels[lane] = _Route(parsed.number, raw)
         self._current.setdefault(parsed.instance, parsed.incarnation)
         self._evict_old_incarnations(parsed.instance)
         if old is not None:
--- a/tests/process/test_callers.py
+++ b/tests/process/test_callers.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("fault", ["silent for good", "reads nothing"])
-async def test_caller_that_goes_silent_holds_no_slot(tmp_path: Path, fault: str) -> None:
+async def test_unresponsive_caller_holds_no_slot(tmp_path: Path, fault: str) -> None:
     """Eight surveyors drive out of range while their answers, 4 MB each, are due.
 
     All eight slots of the target and all requests that the entry takes were theirs.  Eight others
--- a/tests/process/test_connections.py
+++ b/tests/process/test_connections.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(("edge", "fault"), CASES)
-async def test_silence_is_noticed(tmp_path: Path, edge: str, fault: str) -> None:
+async def test_unresponsive_connection_is_detected(tmp_path: Path, edge: str, fault: str) -> None:
     """Something between two processes forgets their open connections, or one way for a while.
 
     Requests are in progress and a rollover runs.  No error arrives anywhere.  The requests end
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -160,7 +160,7 @@
         assert life.over
 
 
-async def test_a_silent_worker_counts_as_lost_only_after_its_lease() -> None:
+async def test_an_unresponsive_worker_counts_as_lost_only_after_its_lease() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
--- a/tests/sched/test_scheduler.py
+++ b/tests/sched/test_scheduler.py
@@ -164,7 +164,7 @@
     assert runs(sched) == []
 
 
-def test_lapsed_runs_do_not_count_as_failures() -> None:
+def test_runs_with_expired_leases_do_not_count_as_failures() -> None:
     sched = scheduler()
     agents = Agents(sched)
     agents.report(at=1.0)
