--- a/sapphirelead/node_ports.py
+++ b/sapphirelead/node_ports.py
@@ -121,7 +121,7 @@
     ) -> Result[WorkerView, CallFailure]:
         """List runs and ended runs; wait up to ``wait_ms`` for another run to end.
 
-        :param stored_through: acknowledges ended runs up to this number; the worker may forget them.
+        :param stored_through: acknowledges ended runs up to this number, which may be forgotten.
         :param lease_ms: new lease expiry on the worker's clock; 0 does not extend it.
         """
 
