--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -97,7 +97,7 @@
         """Number of requests that were read but not yet answered."""
         return self._call_tracker.in_progress
 
-    def turn_away(self) -> None:
+    def redirect_callers(self) -> None:
         """Close each connection after its next response, so that callers reconnect elsewhere."""
         self._call_tracker.leaving = True
 
--- a/sapphirelead/node_leaving.py
+++ b/sapphirelead/node_leaving.py
@@ -37,7 +37,7 @@
     def in_progress(self) -> int:
         """Number of requests that have been read but not answered."""
 
-    def turn_away(self) -> None:
+    def redirect_callers(self) -> None:
         """Tell the load balancer and callers with open connections to go elsewhere."""
 
     async def close(self) -> None:
@@ -48,7 +48,7 @@
     """Shut down an entry's service; its remaining parts can be stopped in any order."""
     grace_s = entry.node.bounds.grace_s
     until = now() + max(grace_s - SHUTDOWN_RESERVE_S, grace_s / 2)
-    callers.turn_away()
+    callers.redirect_callers()
     handing_over = spawn(entry.drain(until), "drain")
     await asyncio.gather(asyncio.sleep(min(DRAIN_S, grace_s / 2)), handing_over)
     log_event("INFO", "callers_closing", in_progress=callers.in_progress)
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -163,7 +163,7 @@
         for server, address in zip(self._servers, (callers, ready), strict=True):
             await server.start(address)
 
-    def turn_away(self) -> None:
+    def redirect_callers(self) -> None:
         """Fail the readiness probe and close callers' connections after their next response."""
         self._account.leaving = True
 
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -248,7 +248,7 @@
         held = asyncio.create_task(send_request(http, "POST", JOB, **steps(STEP)))
         while not harness.fleet.calls:
             await asyncio.sleep(0.01)
-        harness.routes.turn_away()
+        harness.routes.redirect_callers()
         draining = asyncio.create_task(harness.api.drain(5.0))
         closing = asyncio.create_task(_close_later(harness.routes))
         assert harness.routes.in_progress == 1
