--- a/sapphirelead/fleet_http.py
+++ b/sapphirelead/fleet_http.py
@@ -59,7 +59,7 @@
     _entry: FleetEntry
     _config: ConfigService
     _advice_configured: bool
-    _call_tracker: RequestTracker
+    _request_tracker: RequestTracker
     _closed: bool
 
     def __init__(
@@ -77,7 +77,7 @@
         self._entry = entry
         self._config = config
         self._advice_configured = advice_configured
-        self._call_tracker = RequestTracker(entry, EXPECTED_STATUSES)
+        self._request_tracker = RequestTracker(entry, EXPECTED_STATUSES)
         self._closed = False
 
     def routes(self) -> list[web.AbstractRouteDef]:
@@ -95,22 +95,22 @@
     @property
     def in_progress(self) -> int:
         """Number of requests that were read but not yet answered."""
-        return self._call_tracker.in_progress
+        return self._request_tracker.in_progress
 
     def redirect_callers(self) -> None:
         """Close each connection after its next response, so that callers reconnect elsewhere."""
-        self._call_tracker.leaving = True
+        self._request_tracker.leaving = True
 
     async def close(self) -> None:
         """Reject new requests and wait until the pending ones are answered."""
         self._closed = True
-        await self._call_tracker.wait_until_idle()
+        await self._request_tracker.wait_until_idle()
 
     # Request handlers.
 
     def _tracked(self, handler: Handler) -> Handler:
         async def answer(request: web.Request) -> web.StreamResponse:
-            return await self._call_tracker.answer(request, handler)
+            return await self._request_tracker.answer(request, handler)
 
         return answer
 
--- a/sapphirelead/node_callers.py
+++ b/sapphirelead/node_callers.py
@@ -30,18 +30,18 @@
     leaving: bool
     in_progress: int
     _entry: FleetEntry
-    _quiet_statuses: frozenset[int]
+    _expected_statuses: frozenset[int]
     _idle: asyncio.Event
 
-    def __init__(self, entry: FleetEntry, quiet_statuses: frozenset[int]) -> None:
+    def __init__(self, entry: FleetEntry, expected_statuses: frozenset[int]) -> None:
         """Create a tracker without requests.
 
-        :param quiet_statuses: statuses that are logged only for slow responses.
+        :param expected_statuses: statuses that are logged only for slow responses.
         """
         self.leaving = False
         self.in_progress = 0
         self._entry = entry
-        self._quiet_statuses = quiet_statuses
+        self._expected_statuses = expected_statuses
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -70,7 +70,7 @@
         took_ms = (now() - began) * 1000
         self._entry.metrics.latency("call_ms", took_ms, method=request.method)
         self._entry.metrics.count("calls_total", method=request.method, status=str(response.status))
-        if response.status not in self._quiet_statuses or took_ms > SLOW_RESPONSE_MS:
+        if response.status not in self._expected_statuses or took_ms > SLOW_RESPONSE_MS:
             log_event(
                 "INFO",
                 "call_ended",
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -141,12 +141,12 @@
 class Ingress:
     """Serves the callers of one entry."""
 
-    _account: RequestTracker
+    _request_tracker: RequestTracker
     _entry: FleetEntry
     _servers: list[HttpServer]
 
     def __init__(self, entry: FleetEntry) -> None:
-        self._account = RequestTracker(entry, EXPECTED_STATUSES)
+        self._request_tracker = RequestTracker(entry, EXPECTED_STATUSES)
         self._entry = entry
         # The entry answers pending calls within the grace period.  A shorter timeout would cancel
         # them, and callers would see a closed connection.
@@ -156,7 +156,7 @@
     @property
     def in_progress(self) -> int:
         """Number of requests that have been read but not answered."""
-        return self._account.in_progress
+        return self._request_tracker.in_progress
 
     async def start(self, callers: Address, ready: Address) -> None:
         """Listen for callers and for readiness probes."""
@@ -165,7 +165,7 @@
 
     def redirect_callers(self) -> None:
         """Fail the readiness probe and close callers' connections after their next response."""
-        self._account.leaving = True
+        self._request_tracker.leaving = True
 
     async def close(self) -> None:
         """Stop accepting connections, finish the requests in progress, and close."""
@@ -174,12 +174,12 @@
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer the readiness probe."""
-        may_connect = self._entry.ready and not self._account.leaving
+        may_connect = self._entry.ready and not self._request_tracker.leaving
         return web.Response(status=200 if may_connect else 503)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request of a caller."""
-        return await self._account.answer(request, self._answer)
+        return await self._request_tracker.answer(request, self._answer)
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         config = self._entry.config
