--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -18,7 +18,7 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_leader_advice import AdviceDispatcher
 from sapphirelead.node_leader_calls import LeaderCalls, MayCome
-from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LoopLoad, Part
+from sapphirelead.node_leader_load import MAX_ROUND_BLOCKING_S, LoopLoad, Part
 from sapphirelead.node_messages import (
     AgentReport,
     Call,
@@ -52,7 +52,7 @@
 """Maximum time between two rounds and minimum time between two reviews; bounds the delay of
 timers."""
 
-PLAN_BUDGET_S: Final = MAX_ROUND_HOLD_S / 2
+PLAN_BUDGET_S: Final = MAX_ROUND_BLOCKING_S / 2
 """Budget of a round for placement and reviews; the rest is for storing and sending."""
 
 FINAL_COMMIT_TIMEOUT_S: Final = MIN_STORE_TIMEOUT_S
--- a/sapphirelead/node_leader_load.py
+++ b/sapphirelead/node_leader_load.py
@@ -15,7 +15,7 @@
 from sapphirelead.sched_core import Scheduler
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
-MAX_ROUND_HOLD_S: Final = HEARTBEAT_INTERVAL_S / 4
+MAX_ROUND_BLOCKING_S: Final = HEARTBEAT_INTERVAL_S / 4
 """Longest time for which a round should block the loop; heartbeats, reports and cancels are delayed
 by as much."""
 
@@ -99,7 +99,7 @@
         self._total_s += total_s
         self._rounds += 1
         at = now()
-        behind = round_s > MAX_ROUND_HOLD_S or waited_s > MAX_PLANNING_WAIT_S
+        behind = round_s > MAX_ROUND_BLOCKING_S or waited_s > MAX_PLANNING_WAIT_S
         if behind and at - self._behind_logged_at >= LOG_INTERVAL_S:
             self._behind_logged_at = at
             self._log_behind(sched, round_s, took_s, waited_s)
@@ -115,7 +115,7 @@
             "WARNING",
             "leader_behind",
             held_s=round(round_s, 3),
-            over_s=round(max(0.0, round_s - MAX_ROUND_HOLD_S), 3),
+            over_s=round(max(0.0, round_s - MAX_ROUND_BLOCKING_S), 3),
             part=longest,
             part_s=round(took_s.get(longest, 0.0), 3),
             unplanned_s=round(waited_s, 3),
--- a/tests/sched/test_leader_load.py
+++ b/tests/sched/test_leader_load.py
@@ -12,7 +12,7 @@
 from sapphirelead.node_leader_load import (
     LOG_INTERVAL_S,
     MAX_PLANNING_WAIT_S,
-    MAX_ROUND_HOLD_S,
+    MAX_ROUND_BLOCKING_S,
     LoopLoad,
     Part,
 )
@@ -62,18 +62,18 @@
     sched = scheduler()
     for _ in range(3):
         with load.measure(Part.REVIEW):
-            work(MAX_ROUND_HOLD_S / 4)
+            work(MAX_ROUND_BLOCKING_S / 4)
         with load.measure(Part.PLAN):
-            work(MAX_ROUND_HOLD_S)
+            work(MAX_ROUND_BLOCKING_S)
         with load.measure(Part.REPORTS):
-            work(MAX_ROUND_HOLD_S)
+            work(MAX_ROUND_BLOCKING_S)
         load.round_ended(sched)
     behind = _of(lines, "leader_behind")
     assert len(behind) == 1, "one line a second"
     assert "held_s=0.125 over_s=0.025 part=plan part_s=0.1" in behind[0]
     await asyncio.sleep(LOG_INTERVAL_S)
     with load.measure(Part.PLAN):
-        work(MAX_ROUND_HOLD_S / 2)
+        work(MAX_ROUND_BLOCKING_S / 2)
     load.round_ended(sched)
     assert len(_of(lines, "leader_behind")) == 1
     (load_line,) = _of(lines, "leader_load")
--- a/tests/sched/test_overload.py
+++ b/tests/sched/test_overload.py
@@ -12,7 +12,7 @@
 import sapphirelead.sched_head as sched_head
 from sapphirelead.clock import now
 from sapphirelead.node_leader import Leader
-from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S
+from sapphirelead.node_leader_load import MAX_ROUND_BLOCKING_S
 from sapphirelead.node_messages import Call, CallKind, ReplyKind
 from sapphirelead.sched_fleet import Instance, Phase
 from sapphirelead.sched_head import Head, read_head
@@ -170,12 +170,12 @@
         submit_fills(world.leader, estimate_ms)
         began, placement_s = now(), world.placement_s
         await asyncio.sleep(20.0)
-        assert world.placement_s - placement_s <= (now() - began) / 2 + MAX_ROUND_HOLD_S
+        assert world.placement_s - placement_s <= (now() - began) / 2 + MAX_ROUND_BLOCKING_S
         assert not world.leader_losses
         assert not [at for agent in world.agents.values() for at in agent.lapses]
         held_ms = world.leader.metrics.percentiles_ms
-        assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_HOLD_S * 1000
-        assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_HOLD_S * 1000
+        assert held_ms("loop_held_ms", part="plan")[99.9] <= MAX_ROUND_BLOCKING_S * 1000
+        assert held_ms("loop_held_ms", part="review")[99.9] <= MAX_ROUND_BLOCKING_S * 1000
 
 
 async def test_an_overloaded_leader_does_not_resend_starts(
