--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -105,8 +105,8 @@
     _journal: Journal
     _store_timeout: StoreTimeout
     _load: LoopLoad
-    _turn: ScanOrder
-    _decide_due: float
+    _scan_order: ScanOrder
+    _decide_due_at: float
 
     def __init__(
         self,
@@ -143,8 +143,8 @@
         self._journal = Journal()
         self._store_timeout = StoreTimeout()
         self._load = LoopLoad(self.metrics, now())
-        self._turn = ScanOrder()
-        self._decide_due = 0.0
+        self._scan_order = ScanOrder()
+        self._decide_due_at = 0.0
 
     def set_config(self, config: QueueConfig) -> None:
         """Apply ``config`` to all further decisions."""
@@ -250,7 +250,7 @@
         with self._load.measure(Part.UPKEEP):
             self.sched.end_runs_of_lost_agents(at)
             self.sched.evict_ended(wall_ms())
-        if self._turn.behind:
+        if self._scan_order.truncated:
             if not await self._save():
                 return False
             # Let answers go out before planning blocks the loop again.
@@ -260,12 +260,12 @@
             return False
         if not self.sched.has_pending_writes:
             self._idle.set()
-        self._load.round_ended(self.sched, self._turn.waited_s)
+        self._load.round_ended(self.sched, self._scan_order.waited_s)
         return True
 
     def _decide(self, at: float) -> None:
         """Review running work and plan pending work, within the time budget."""
-        if at < self._decide_due:
+        if at < self._decide_due_at:
             self._wake.set()
             return
         budget = Budget(now, at + PLAN_BUDGET_S)
@@ -273,11 +273,11 @@
         self._log_survey(at)
         if not self._finishing:
             with self._load.measure(Part.PLAN):
-                self._turn.budget = budget
-                self._advice.put(plan(self.sched, at, wall_ms(), self._turn))
+                self._scan_order.budget = budget
+                self._advice.put(plan(self.sched, at, wall_ms(), self._scan_order))
         # Planning takes at most half of the loop's time.
-        self._decide_due = 2 * now() - at
-        if self._turn.behind:
+        self._decide_due_at = 2 * now() - at
+        if self._scan_order.truncated:
             self._wake.set()
 
     def _review(self, at: float, budget: Budget) -> None:
--- a/sapphirelead/sched_scan_order.py
+++ b/sapphirelead/sched_scan_order.py
@@ -77,7 +77,7 @@
         self._scanned = set()
 
     @property
-    def behind(self) -> bool:
+    def truncated(self) -> bool:
         """Whether the last call was truncated before it had scanned every step."""
         return bool(self._scanned_at)
 
--- a/tests/sched/test_scan_order.py
+++ b/tests/sched/test_scan_order.py
@@ -65,7 +65,7 @@
     planner = PlannerCalls()
     for _ in range(3):
         assert planner.call(range(5)) == [0, 1, 2, 3, 4]
-        assert not planner.scan_order.behind
+        assert not planner.scan_order.truncated
         assert planner.scan_order.waited_s == 0
 
 
@@ -82,7 +82,7 @@
     """Guards against an urgent step that waits for the end of a long pass."""
     planner = PlannerCalls()
     planner.call(range(1, 500))
-    assert planner.scan_order.behind
+    assert planner.scan_order.truncated
     assert planner.call(range(500))[0] == 0
 
 
@@ -188,7 +188,7 @@
         sched.fleet.drop(run)
         for instance in sched.fleet.live():
             instance.heard_at = at
-    assert scan_order.behind
+    assert scan_order.truncated
     order = list(dict.fromkeys(started))
     assert [name[0] for name in order[:5]] == ["0"] * 5
     assert len(order) > 5, "the others get what is left"
