--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -13,9 +13,9 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_planner import AdviceAsk
+from sapphirelead.sched_planner import AdviceRequest
 
-MAX_CONCURRENT_ASKS: Final = 2
+MAX_CONCURRENT_REQUESTS: Final = 2
 """Requests to the service in flight at once; it processes them one at a time."""
 
 RETRY_DELAY_S: Final = 0.1
@@ -32,7 +32,7 @@
     _sched: Scheduler
     _service: AdviceService
     _wake: Callable[[], None]
-    _asks: "asyncio.PriorityQueue[tuple[float, int, AdviceAsk]]"
+    _requests: "asyncio.PriorityQueue[tuple[float, int, AdviceAsk]]"
     _number: int
     _tasks: list["asyncio.Task[None]"]
 
@@ -47,14 +47,15 @@
         self._sched = sched
         self._service = service
         self._wake = wake
-        self._asks = asyncio.PriorityQueue()
+        self._requests = asyncio.PriorityQueue()
         self._number = 0
         self._tasks = []
 
     def start(self) -> None:
         """Start the tasks that send requests."""
         self._tasks = [
-            spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)
+            spawn(self._request_loop(), f"advice-{number}")
+            for number in range(MAX_CONCURRENT_REQUESTS)
         ]
 
     def stop(self) -> None:
@@ -62,15 +63,15 @@
         for task in self._tasks:
             task.cancel()
 
-    def put(self, asks: Iterable[AdviceAsk]) -> None:
+    def put(self, asks: Iterable[AdviceRequest]) -> None:
         """Enqueue questions."""
         for ask in asks:
             self._number += 1
-            self._asks.put_nowait((float(ask.policy.priority), self._number, ask))
+            self._requests.put_nowait((float(ask.policy.priority), self._number, ask))
 
-    async def _ask_loop(self) -> None:
+    async def _request_loop(self) -> None:
         while True:
-            _, _, ask = await self._asks.get()
+            _, _, ask = await self._requests.get()
             job = self._sched.jobs.get(ask.key[0])
             policy = ask.policy.advice
             if job is None or not job.open or policy is None:
@@ -87,7 +88,7 @@
             self._sched.advice.add_tickets(ask.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
-    async def _handle_failure(self, ask: AdviceAsk, failure: Failure) -> None:
+    async def _handle_failure(self, ask: AdviceRequest, failure: Failure) -> None:
         log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
         await asyncio.sleep(RETRY_DELAY_S)
         self._sched.advice.request_failed(ask.key, ask.workers)
--- a/sapphirelead/sched_advice.py
+++ b/sapphirelead/sched_advice.py
@@ -25,13 +25,13 @@
     """Answers and open requests of one step.
 
     :ivar tickets: ticket and its expiry time, by worker that may run the step.
-    :ivar asked: workers with an answer, positive or not, or an open request.
-    :ivar times: number of requests by worker.
+    :ivar requested: workers with an answer, positive or not, or an open request.
+    :ivar request_counts: number of requests by worker.
     """
 
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
-    asked: set[str] = field(default_factory=set)
-    times: Counter[str] = field(default_factory=Counter)
+    requested: set[str] = field(default_factory=set)
+    request_counts: Counter[str] = field(default_factory=Counter)
 
 
 class TicketTable:
@@ -68,11 +68,13 @@
         for worker, (_, expires_at) in list(step.tickets.items()):
             if expires_at - at <= TICKET_MARGIN_S:
                 del step.tickets[worker]
-                step.asked.discard(worker)
-        wanted = [worker for worker in workers if worker not in step.asked]
-        wanted = sorted(wanted, key=lambda worker: step.times[worker])[:MAX_WORKERS_PER_REQUEST]
-        step.asked.update(wanted)
-        step.times.update(wanted)
+                step.requested.discard(worker)
+        wanted = [worker for worker in workers if worker not in step.requested]
+        wanted = sorted(wanted, key=lambda worker: step.request_counts[worker])[
+            :MAX_WORKERS_PER_REQUEST
+        ]
+        step.requested.update(wanted)
+        step.request_counts.update(wanted)
         return wanted
 
     def add_tickets(self, key: StepKey, good: dict[str, str], expires_at: float) -> None:
@@ -86,13 +88,13 @@
         step = self._steps.get(ref[:3])
         if step is not None:
             step.tickets.pop(worker, None)
-            step.asked.discard(worker)
+            step.requested.discard(worker)
 
     def request_failed(self, key: StepKey, workers: list[str]) -> None:
         """Allow workers of a failed request to be requested again."""
         step = self._steps.get(key)
         if step is not None:
-            step.asked.difference_update(workers)
+            step.requested.difference_update(workers)
 
     def forget(self, job_id: str) -> None:
         """Drop the tickets of a job's steps."""
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceAsk:
+class AdviceRequest:
     """A request to the advice service for tickets of a step."""
 
     key: StepKey
@@ -183,14 +183,14 @@
 
 def plan(
     sched: Scheduler, at: float, wall_ms: int, scan_order: ScanOrder | None = None
-) -> list[AdviceAsk]:
+) -> list[AdviceRequest]:
     """Claim workers for the tasks that can start; return requests for the advice service.
 
     :param scan_order: holds the time budget; without it every step is scanned.
     """
     scan_order = scan_order or ScanOrder()
     add_due_occurrences(sched, wall_ms)
-    questions: list[AdviceAsk] = []
+    questions: list[AdviceRequest] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
@@ -305,7 +305,7 @@
     return waiting + paced
 
 
-def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceAsk]:
+def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceRequest]:
     workers = [
         instance.worker.worker
         for instance in sched.fleet.live()
@@ -314,7 +314,7 @@
         and not instance.worker.draining
     ]
     wanted = sched.advice.start_request(ready.key, workers, at)
-    return [AdviceAsk(ready.key, wanted, ready.policy)] if wanted else []
+    return [AdviceRequest(ready.key, wanted, ready.policy)] if wanted else []
 
 
 def _place_tasks(
