--- a/sapphirelead/node_store_timeout.py
+++ b/sapphirelead/node_store_timeout.py
@@ -10,7 +10,7 @@
 
 MAX_STORE_TIMEOUT_S: Final = 1.0
 
-TIMEOUT_COMMITS: Final = 2.5
+COMMIT_DURATION_FACTOR: Final = 2.5
 """Timeout in commit durations: the commit in flight, the submission's own, and a margin."""
 
 
@@ -41,4 +41,6 @@
         >>> store_timeout.timeout_s
         1.0
         """
-        return min(max(MIN_STORE_TIMEOUT_S, TIMEOUT_COMMITS * self._took_s), MAX_STORE_TIMEOUT_S)
+        return min(
+            max(MIN_STORE_TIMEOUT_S, COMMIT_DURATION_FACTOR * self._took_s), MAX_STORE_TIMEOUT_S
+        )
