--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -64,9 +64,9 @@
 
         Delayed start orders may have been cancelled since; the leader repeats those still valid.
         """
-        return self.report_age(report_seq, at) <= MAX_ORDER_AGE_S
+        return self.report_age_s(report_seq, at) <= MAX_ORDER_AGE_S
 
-    def report_age(self, report_seq: int, at: float) -> float:
+    def report_age_s(self, report_seq: int, at: float) -> float:
         """Return the seconds since a report was sent; infinite if its send time is not known."""
         return at - self._sent.get(report_seq, -math.inf)
 
@@ -92,7 +92,7 @@
         self._clock = (clock_ms, at)
         self._unanswered_since = None
 
-    def note_unanswered(self, at: float) -> None:
+    def record_unanswered(self, at: float) -> None:
         """Record that a call has got no answer by ``at``."""
         if self._unanswered_since is None:
             self._unanswered_since = at
@@ -104,14 +104,14 @@
             and at - self._unanswered_since > UNRESPONSIVE_TIMEOUT_S
         )
 
-    def worker_time(self, at: float) -> int:
+    def worker_time_ms(self, at: float) -> int:
         """Return a lower bound of the worker's clock at ``at``."""
         if self._clock is None:
             return 0
         clock_ms, seen_at = self._clock
         return clock_ms + int((at - seen_at) * (1 - CLOCK_DRIFT_SHARE) * 1000)
 
-    def worker_lease(self, at: float) -> int:
+    def worker_lease_ms(self, at: float) -> int:
         """Return the lease to request, as a time on the worker's clock; 0 for none.
 
         Allows for a slow worker clock, so runs lapse no later than the agent's own lease.
@@ -121,15 +121,15 @@
         if self.unresponsive(at):
             return 0
         self.expiry_bound = max(self.expiry_bound, self.until)
-        return self.worker_time(self.until)
+        return self.worker_time_ms(self.until)
 
-    def start_deadline(self, at: float, within_s: float) -> int:
+    def start_deadline_ms(self, at: float, within_s: float) -> int:
         """Return the deadline on the worker's clock for a start call sent at ``at``.
 
         Extends ``expiry_bound``, so callers first check that the worker is not ``unresponsive``.
         """
         self.expiry_bound = max(self.expiry_bound, at + within_s * (1 + 2 * CLOCK_DRIFT_SHARE))
-        return self.worker_time(at) + int(within_s * 1000)
+        return self.worker_time_ms(at) + int(within_s * 1000)
 
     def all_expired(self, at: float) -> bool:
         """Whether all runs on the worker have lapsed by ``at``."""
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -182,7 +182,7 @@
             found = await self._worker.hold(
                 self._token.value,
                 self.registry.stored_through,
-                self._lease.worker_lease(awake_now()),
+                self._lease.worker_lease_ms(awake_now()),
                 LIST_WAIT_MS,
             )
             if isinstance(found, Ok):
@@ -300,7 +300,7 @@
 
     def _handle_no_answer(self) -> None:
         at = awake_now()
-        self._lease.note_unanswered(at)
+        self._lease.record_unanswered(at)
         if self._lease.all_expired(at) and not self._silent:
             # The worker may still be running but unreachable; its leases have expired.
             self._silent = True
@@ -420,7 +420,7 @@
             order.payload,
             order.saved,
             order.ticket,
-            self._lease.start_deadline(awake_now(), START_DEADLINE_S),
+            self._lease.start_deadline_ms(awake_now(), START_DEADLINE_S),
             self._token.value,
         )
 
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -429,7 +429,7 @@
             "orders_stale",
             starts=self._stale_starts,
             after_beat=orders.after_beat,
-            age_s=self._lease.report_age(orders.after_beat, awake_now()),
+            age_s=self._lease.report_age_s(orders.after_beat, awake_now()),
             lease_left_s=self._lease.remaining_s(awake_now()),
         )
         self._stale_starts = 0
