--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -110,12 +110,12 @@
 class RunnerLife:
     """One worker life: watches its runs and carries out the leader's orders.
 
-    :ivar over: whether this life is known to have ended.
+    :ivar has_ended: whether this life is known to have ended.
     :ivar on_change: called when there is something new to report.
     """
 
     registry: RunRegistry
-    over: bool
+    has_ended: bool
     on_change: Callable[[], None]
     _kill_grace_s: float
     _worker: RunWorker
@@ -141,7 +141,7 @@
         kill_grace_s: float,
     ) -> None:
         self.registry = RunRegistry(info)
-        self.over = False
+        self.has_ended = False
         self.on_change = on_change
         self._kill_grace_s = kill_grace_s
         self._worker = worker
@@ -176,7 +176,7 @@
     async def watch(self) -> None:
         """List runs and outcomes and renew the worker's lease until the life is over."""
         pause = MIN_LIST_PAUSE_S
-        while not self.over:
+        while not self.has_ended:
             self._log_slow_stops()
             sent_at = now()
             found = await self._worker.hold(
@@ -192,7 +192,7 @@
                     await self._pause(pause)
                 continue
             self._handle_failure(found.err_value)
-            if not self.over:
+            if not self.has_ended:
                 await asyncio.sleep(RETRY_DELAY_S)
 
     async def _pause(self, max_s: float) -> None:
@@ -310,9 +310,9 @@
 
     def end(self, reason: str) -> None:
         """Mark the life and all its runs as ended."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         log_event(
             "WARNING",
             "worker_ended",
@@ -383,7 +383,7 @@
         reason = "no_answer"
         for _ in range(MAX_START_TRIES):
             async with self._calls:
-                if run.phase is not RunPhase.STARTING or self.over:
+                if run.phase is not RunPhase.STARTING or self.has_ended:
                     return
                 if self._lease.unresponsive(awake_now()):
                     # A start may be carried out without an answer, so each call would postpone
@@ -445,7 +445,7 @@
     async def _confirm_stop(self, run: RunnerRun) -> None:
         """Retry the stop call until the worker confirms it; the outcome comes with a later list."""
         tries = 0
-        while not self.over and self.registry.runs.get(run.name) is run:
+        while not self.has_ended and self.registry.runs.get(run.name) is run:
             async with self._stops.slot(tries):
                 found = await self._worker.stop(run.task, run.attempt, self._token.value)
             tries += 1
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -336,7 +336,7 @@
         if full:
             self._last_full_report_at = now()
         worker = life.registry.info if life is not None else None
-        if life is not None and (life.over or life.silent):
+        if life is not None and (life.has_ended or life.silent):
             gone.append(life.registry.info.worker)
             worker = None
         report = AgentReport(
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -157,7 +157,7 @@
         await asyncio.sleep(1)
         worker.refuses = True
         await asyncio.sleep(1.5)
-        assert life.over
+        assert life.has_ended
 
 
 async def test_a_silent_worker_counts_as_lost_only_after_its_lease() -> None:
