--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -41,11 +41,11 @@
 LIST_WAIT_MS: Final = 450
 """Longest time that a list call waits for a run to end."""
 
-MIN_LIST_PAUSE_S: Final = 0.04
+MIN_LIST_DELAY_S: Final = 0.04
 """Pause after a list that contains outcomes.  Limits the rate of list calls, because the worker
 answers at once while it holds outcomes that are not stored."""
 
-MAX_LIST_PAUSE_S: Final = 0.32
+MAX_LIST_DELAY_S: Final = 0.32
 """Limit up to which that pause doubles while lists contain no new outcome."""
 
 PROGRESS_REPORT_INTERVAL_S: Final = 0.4
@@ -175,7 +175,7 @@
 
     async def watch(self) -> None:
         """List runs and outcomes and renew the worker's lease until the life is over."""
-        pause = MIN_LIST_PAUSE_S
+        pause = MIN_LIST_DELAY_S
         while not self.has_ended:
             self._log_slow_stops()
             sent_at = now()
@@ -187,20 +187,20 @@
             )
             if isinstance(found, Ok):
                 has_new_ends = self._apply_view(found.ok_value, sent_at)
-                pause = MIN_LIST_PAUSE_S if has_new_ends else min(2 * pause, MAX_LIST_PAUSE_S)
+                pause = MIN_LIST_DELAY_S if has_new_ends else min(2 * pause, MAX_LIST_DELAY_S)
                 if found.ok_value.ended:
-                    await self._pause(pause)
+                    await self._wait_for_next_list(pause)
                 continue
             self._handle_failure(found.err_value)
             if not self.has_ended:
                 await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _pause(self, max_s: float) -> None:
-        """Wait until an outcome is stored, between :data:`MIN_LIST_PAUSE_S` and ``max_s``."""
+    async def _wait_for_next_list(self, max_s: float) -> None:
+        """Wait until an outcome is stored, between :data:`MIN_LIST_DELAY_S` and ``max_s``."""
         self._end_stored.clear()
-        await asyncio.sleep(MIN_LIST_PAUSE_S)
+        await asyncio.sleep(MIN_LIST_DELAY_S)
         try:
-            async with asyncio.timeout(max_s - MIN_LIST_PAUSE_S):
+            async with asyncio.timeout(max_s - MIN_LIST_DELAY_S):
                 await self._end_stored.wait()
         except TimeoutError:
             return
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -284,9 +284,9 @@
             if self._leader:
                 self._report()
             reported_at = now()
-            await self._pause(reported_at)
+            await self._wait_for_next_report(reported_at)
 
-    async def _pause(self, reported_at: float) -> None:
+    async def _wait_for_next_report(self, reported_at: float) -> None:
         """Wait until the next report may be sent."""
         while True:
             unprocessed = max(0, self._report_seq - self._processed_seq - 1)
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -252,7 +252,7 @@
         assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
         assert ends == 4, "an order for an ended run is answered with its outcome"
-        assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
+        assert worker.holds <= 10 / runner_life.MAX_LIST_DELAY_S + 12
 
 
 async def test_polling_resumes_once_an_outcome_is_stored() -> None:
