--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -145,7 +145,7 @@
     _idle_ms: dict[str, float]
     _baseline: BaselineLoads
     _known_levels: dict[str, float]
-    _rooms: list[LoadBudget]
+    _load_budgets: list[LoadBudget]
     _last_below_target_at: float
     _model: InterferenceModel
     _levels: dict[str, float]
@@ -159,7 +159,7 @@
         self._idle_ms = {}
         self._baseline = BaselineLoads()
         self._known_levels = {}
-        self._rooms = []
+        self._load_budgets = []
         self._last_below_target_at = -1e9
         self._model = InterferenceModel(DRIFT_VARIANCE)
         self._levels = {}
@@ -174,12 +174,12 @@
 
     def begin(self, image: str, wanted: Mapping[str, float]) -> None:
         """Set the initial level of a new image if its interference with all tails is known."""
-        if image in self._known_levels or image in self._levels or not self._rooms:
+        if image in self._known_levels or image in self._levels or not self._load_budgets:
             return
-        if all((room.image, image) in self._learned_weights for room in self._rooms):
-            self._known_levels[image] = allocate_levels(self._rooms, wanted, self._weight).get(
-                image, INITIAL_LEVEL
-            )
+        if all((room.image, image) in self._learned_weights for room in self._load_budgets):
+            self._known_levels[image] = allocate_levels(
+                self._load_budgets, wanted, self._weight
+            ).get(image, INITIAL_LEVEL)
 
     def learn(self, interference: Sequence[ServingPress]) -> None:
         """Take the leader's interference estimates for pairs of images."""
@@ -204,7 +204,7 @@
             self.worst = 0.0
             self._levels = dict.fromkeys(filling, 1.0)
             self._known_levels = {}
-            self._rooms = []
+            self._load_budgets = []
             return
         for image in [image for image in self._levels if image not in filling]:
             del self._levels[image]
@@ -227,9 +227,9 @@
             self._cut(worst, filling, at)
         if self.worst < OVERLOAD_SHARE:
             self._restore(tails, at)
-        self._allot(tails, filling, wanted or {}, at)
+        self._update_known_levels(tails, filling, wanted or {}, at)
 
-    def _allot(
+    def _update_known_levels(
         self,
         tails: list[TailLatency],
         filling: Mapping[str, float],
@@ -244,10 +244,10 @@
         }
         images = {task: tail.image for task, tail in known_tails.items()}
         self._baseline.observe(loads, images, filling, self._weight, at)
-        self._rooms = []
+        self._load_budgets = []
         for task, tail in known_tails.items():
             limit = load_from_tail(tail.target_ms, self._idle_ms[tail.image])
-            self._rooms.append(LoadBudget(tail.image, self._baseline.predicted(task), limit))
+            self._load_budgets.append(LoadBudget(tail.image, self._baseline.predicted(task), limit))
         known = {
             image: share
             for image, share in wanted.items()
@@ -255,7 +255,7 @@
         }
         before = self._known_levels
         overload_s = at - self._last_below_target_at if self.worst >= OVERLOAD_SHARE else 0.0
-        self._known_levels = allocate_levels(self._rooms, known, self._weight)
+        self._known_levels = allocate_levels(self._load_budgets, known, self._weight)
         for image, level in self._known_levels.items():
             # Tails respond with a delay, so a level rises in steps.
             level = min(level, before.get(image, 1.0) + MAX_LEVEL_RISE)
