--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -80,7 +80,7 @@
     _last_query_at: float
     _last_directory_read_at: float
     _entries_version: int
-    _orders: int
+    _last_orders_number: int
     _life: RunnerLife | None
     _life_task: "asyncio.Task[None] | None"
     _gone_workers: list[str]
@@ -120,7 +120,7 @@
         self._last_query_at = -1e9
         self._last_directory_read_at = -1e9
         self._entries_version = 0
-        self._orders = 0
+        self._last_orders_number = 0
         self._life = None
         self._life_task = None
         self._gone_workers = []
@@ -350,7 +350,7 @@
             life.registry.statuses(full) if life is not None and worker is not None else [],
             life.registry.report_ends(full) if life is not None else [],
             tuple(gone),
-            self._orders,
+            self._last_orders_number,
         )
         self._lease.sent(self._report_seq, awake_now())
         if not self._links.send(self._leader, report):
@@ -379,7 +379,7 @@
             # A new leader needs a full report: it knows only what is stored.
             self._last_full_report_at = -1e9
             # Order numbers are per leader.
-            self._orders = 0
+            self._last_orders_number = 0
             self._record_processed(self._report_seq)
         self._epoch = epoch
         self._leader = leader
@@ -389,7 +389,7 @@
             return
         self._follow(orders.epoch, orders.leader)
         self._last_orders_at = now()
-        self._orders = orders.number
+        self._last_orders_number = orders.number
         self._record_processed(orders.after_beat)
         if orders.beat:
             self._lease.acknowledged(orders.beat)
