--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -93,7 +93,7 @@
     _answers: dict[str, list[Answer]]
     ready_since: dict[tuple[str, int, int], float]
     retry_at: dict[tuple[str, int, int], float]
-    no_room: InfeasibleCache
+    infeasible_cache: InfeasibleCache
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
     press: GuardedInterferenceModel
@@ -113,7 +113,7 @@
         self.visible_states = {}
         self.ready_since = {}
         self.retry_at = {}
-        self.no_room = InfeasibleCache()
+        self.infeasible_cache = InfeasibleCache()
         self.avoid = {}
         self.moves = {}
         self.press = GuardedInterferenceModel()
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -194,9 +194,9 @@
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
-        sched.no_room.begin(live, at)
+        sched.infeasible_cache.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
-    feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
+    feasible = FeasibleWorkers(sched.infeasible_cache, plain, sched.press, at)
     for item in scan_order.order(
         candidates, sched.ready_since, at, partial(_has_new_room, feasible)
     ):
@@ -223,7 +223,7 @@
             eligible = _eligible(places, request, at)
             all_placed = _place_tasks(sched, ready, eligible, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
-                sched.no_room.record_infeasible(item.kind, ready.step)
+                sched.infeasible_cache.record_infeasible(item.kind, ready.step)
     return questions
 
 
@@ -263,7 +263,7 @@
         # A step of the same job was placed earlier in this pass, which ended the starvation.
         # ``feasible`` was computed without this step among those of its new kind.
         item.starving = False
-        return sched.no_room.places(item.kind, item.ready.step)
+        return sched.infeasible_cache.places(item.kind, item.ready.step)
     return feasible.places(item.kind, item.ready.step)
 
 
--- a/sapphirelead/sched_room.py
+++ b/sapphirelead/sched_room.py
@@ -77,13 +77,13 @@
 
     _version: int
     _seen: dict[str, _WorkerVersion]
-    _newest: list[_WorkerVersion]
+    _by_version: list[_WorkerVersion]
     _failed: dict[Kind, dict[tuple[int, int], int]]
 
     def __init__(self) -> None:
         self._version = 0
         self._seen = {}
-        self._newest = []
+        self._by_version = []
         self._failed = {}
 
     def begin(self, instances: Iterable[Instance], at: float) -> None:
@@ -100,12 +100,12 @@
             same = seen is not None and seen.state == state
             version = seen.version if seen is not None and same else self._version
             self._seen[instance.agent] = _WorkerVersion(instance, number, state, version)
-        self._newest = sorted(self._seen.values(), key=lambda seen: -seen.version)
+        self._by_version = sorted(self._seen.values(), key=lambda seen: -seen.version)
 
     def places(self, kind: Kind, step: StepSpec) -> list[Instance]:
         """Return the workers that may have room for a task of the step, in the fleet's order."""
         since = self._infeasible_version(kind, step)
-        changed = list(takewhile(lambda seen: seen.version > since, self._newest))
+        changed = list(takewhile(lambda seen: seen.version > since, self._by_version))
         return [seen.instance for seen in sorted(changed, key=lambda seen: seen.number)]
 
     def record_infeasible(self, kind: Kind, step: StepSpec) -> None:
@@ -142,7 +142,7 @@
     tasks and skipped for all of them if that does not fit.
     """
 
-    _no_room: InfeasibleCache
+    _infeasible_cache: InfeasibleCache
     _smallest: dict[Kind, StepSpec]
     _press: GuardedInterferenceModel
     _at: float
@@ -150,16 +150,16 @@
 
     def __init__(
         self,
-        no_room: InfeasibleCache,
+        infeasible_cache: InfeasibleCache,
         waiting: Iterable[tuple[Kind, StepSpec]],
         press: GuardedInterferenceModel,
         at: float,
     ) -> None:
         """Find the smallest task of each kind for which several steps wait.
 
-        :param at: time of the pass that ``no_room`` has begun.
+        :param at: time of the pass that ``infeasible_cache`` has begun.
         """
-        self._no_room = no_room
+        self._infeasible_cache = infeasible_cache
         self._smallest = {}
         self._press = press
         self._at = at
@@ -174,7 +174,7 @@
 
     def places(self, kind: Kind, step: StepSpec) -> list[Instance]:
         """Return the workers that may have room for a task of the step, in the fleet's order."""
-        places = self._no_room.places(kind, step)
+        places = self._infeasible_cache.places(kind, step)
         if not places or kind not in self._smallest:
             return places
         found = self._found.get(kind)
@@ -189,11 +189,11 @@
         )
         found = {
             place.agent
-            for place in self._no_room.places(kind, smallest)
+            for place in self._infeasible_cache.places(kind, smallest)
             if is_eligible(place, request, self._at) and has_room(place, request, UNPLACED_TASK)
         }
         if not found:
-            self._no_room.record_infeasible(kind, smallest)
+            self._infeasible_cache.record_infeasible(kind, smallest)
         return found
 
 
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -85,7 +85,7 @@
             run.reviewed_at = listed_at
     slow = _worth_moving(sched, suspects, at)
     if slow:
-        sched.no_room.begin(sched.fleet.live(), at)
+        sched.infeasible_cache.begin(sched.fleet.live(), at)
     slow.sort(key=lambda item: item[0].reviewed_at)
     for number, (run, speed) in enumerate(slow):
         if number and budget is not None and budget.spent:
@@ -199,7 +199,9 @@
     if policy.advice is not None:
         tickets = sched.advice.valid(run.ref[:3], at)
     kind = Kind.of(run.step, policy.service)
-    places = sched.no_room.places(kind, run.step) if tickets is None else sched.fleet.live()
+    places = (
+        sched.infeasible_cache.places(kind, run.step) if tickets is None else sched.fleet.live()
+    )
     request = PlacementRequest(run.step, policy.service, tickets, press=sched.press)
     avoid = sched.avoid.get(run.ref, frozenset())
     best: Instance | None = None
@@ -213,5 +215,5 @@
         if best is None or instance.spare_cpu > best.spare_cpu:
             best = instance
     if tickets is None and not any_room:
-        sched.no_room.record_infeasible(kind, run.step)
+        sched.infeasible_cache.record_infeasible(kind, run.step)
     return best
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -69,16 +69,16 @@
 def test_cache_finds_the_same_worker_as_a_full_scan(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = InfeasibleCache(), GuardedInterferenceModel()
+    infeasible_cache, press = InfeasibleCache(), GuardedInterferenceModel()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
         change(rng, fleet, at)
         live = rng.sample(fleet, 12) if rng.random() < 0.1 else fleet
-        no_room.begin(live, at)
+        infeasible_cache.begin(live, at)
         steps = [random_step(rng) for _ in range(6)]
         kinds = [Kind.of(step, "svc", rng.random() < 0.2) for step in steps]
-        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), press, at)
+        feasible = FeasibleWorkers(infeasible_cache, zip(kinds, steps, strict=True), press, at)
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
@@ -92,7 +92,7 @@
             )
             assert found is expected
             if found is None:
-                no_room.record_infeasible(kind, step)
+                infeasible_cache.record_infeasible(kind, step)
                 missed += 1
             else:
                 found.add(Run(ref, 1, found.agent, "w", step, claimed_at=at))
@@ -105,38 +105,38 @@
 
 
 def test_oldest_kind_is_evicted_from_a_full_cache() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
-    no_room.begin(fleet, 0.0)
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache.begin(fleet, 0.0)
     steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MAX_KINDS + 1)]
     for step in steps:
-        no_room.record_infeasible(Kind.of(step, "svc"), step)
-    tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
+        infeasible_cache.record_infeasible(Kind.of(step, "svc"), step)
+    tried = [step for step in steps if infeasible_cache.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_oldest_size_is_evicted_from_a_full_cache() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
-    no_room.begin(fleet, 0.0)
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache.begin(fleet, 0.0)
     steps = [
         StepSpec(cpu_millicores=100 + number, memory_mb=100 - number)
         for number in range(MAX_SIZES_PER_KIND + 1)
     ]
     for step in steps:
-        no_room.record_infeasible(Kind.of(step, "svc"), step)
-    tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
+        infeasible_cache.record_infeasible(Kind.of(step, "svc"), step)
+    tried = [step for step in steps if infeasible_cache.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_removed_worker_is_not_kept() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
     step = StepSpec()
     kind = Kind.of(step, "svc")
-    no_room.begin(fleet, 0.0)
-    assert no_room.places(kind, step) == fleet
-    no_room.record_infeasible(kind, step)
-    no_room.begin([], 0.1)
-    no_room.begin(fleet, 0.2)
-    assert no_room.places(kind, step) == fleet
+    infeasible_cache.begin(fleet, 0.0)
+    assert infeasible_cache.places(kind, step) == fleet
+    infeasible_cache.record_infeasible(kind, step)
+    infeasible_cache.begin([], 0.1)
+    infeasible_cache.begin(fleet, 0.2)
+    assert infeasible_cache.places(kind, step) == fleet
 
 
 def test_step_that_stops_starving_in_a_pass_uses_free_workers() -> None:
