--- a/sapphirelead/sched_head.py
+++ b/sapphirelead/sched_head.py
@@ -25,8 +25,8 @@
 
 HEAD_KEY: Final = "fleet/head"
 
-RETRY_MIN_S: Final = 0.05
-RETRY_MAX_S: Final = 0.4
+MIN_RETRY_DELAY_S: Final = 0.05
+MAX_RETRY_DELAY_S: Final = 0.4
 """Backoff between attempts while the store is unavailable."""
 
 MAX_TXN_ROWS: Final = 90
@@ -159,7 +159,7 @@
         transaction = Txn(
             txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value))
         )
-        pause = RETRY_MIN_S
+        pause = MIN_RETRY_DELAY_S
         self.waiting_since = now()
         tries = 0
         while True:
@@ -174,7 +174,7 @@
                     return outcome
             # Retries with the same condition, so that at most one of the attempts takes effect.
             await asyncio.sleep(pause)
-            pause = min(pause * 2, RETRY_MAX_S)
+            pause = min(pause * 2, MAX_RETRY_DELAY_S)
 
     async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> HeadEnd | None:
         """Check who changed the row; return ``None`` if it cannot be read."""
