--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -46,7 +46,7 @@
     _backlog: Backlog
     _began_at: float
     _taken: Counter[str]
-    _waits: dict[str, float]
+    _max_waits_s: dict[str, float]
     _turn_s: float
     _merged: Counter[str]
     _dropped: Counter[str]
@@ -60,7 +60,7 @@
     def _begin(self, at: float) -> None:
         self._began_at = at
         self._taken = Counter()
-        self._waits = {}
+        self._max_waits_s = {}
         self._turn_s = 0.0
         self._merged = self._backlog.merged
         self._dropped = self._backlog.dropped
@@ -68,7 +68,7 @@
     def took(self, kind: str, waited_s: float) -> None:
         """Count a message that was taken from the queue after ``waited_s``."""
         self._taken[kind] += 1
-        self._waits[kind] = max(self._waits.get(kind, 0.0), waited_s)
+        self._max_waits_s[kind] = max(self._max_waits_s.get(kind, 0.0), waited_s)
 
     def record_turn(self, took_s: float) -> None:
         """Record for how long other tasks had the loop between two turns of the hub."""
@@ -83,10 +83,10 @@
         for name, counts in (("taken", self._taken), ("merged", merged), ("dropped", dropped)):
             for kind, count in counts.items():
                 self._metrics.count(f"hub_{name}_total", count, kind=kind)
-        for kind, wait_s in self._waits.items():
+        for kind, wait_s in self._max_waits_s.items():
             self._metrics.latency("hub_wait_ms", wait_s * 1000, kind=kind)
         self._metrics.latency("hub_turn_ms", self._turn_s * 1000)
-        if dropped or max(self._turn_s, *self._waits.values(), 0.0) > BEHIND_THRESHOLD_S:
+        if dropped or max(self._turn_s, *self._max_waits_s.values(), 0.0) > BEHIND_THRESHOLD_S:
             self._log_behind(at, merged, dropped)
         self._begin(at)
 
@@ -97,7 +97,7 @@
             period_s=at - self._began_at,
             taken=format_counts(self._taken),
             waits_ms=format_counts(
-                {kind: round(wait_s * 1000) for kind, wait_s in self._waits.items()}
+                {kind: round(wait_s * 1000) for kind, wait_s in self._max_waits_s.items()}
             ),
             waiting=format_counts(self._backlog.counts()),
             merged=format_counts(merged),
