--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -54,13 +54,13 @@
 MIN_USED_SHARE: Final = 0.001
 """Least share of a worker that a best-effort task is assumed to use."""
 
-FORECAST_S: Final = 2.0
+LOAD_PREDICTION_S: Final = 2.0
 """Time by which a rising load is extrapolated for placement."""
 
 TREND_WINDOW_S: Final = 2.5
 """Time over which the trend of a job's load is measured."""
 
-MAX_FORECAST_RISE: Final = 0.2
+MAX_PREDICTED_RISE: Final = 0.2
 """Largest load added for a rising trend."""
 
 GroupKey = tuple[str, int, int]
@@ -87,13 +87,13 @@
     """Expected paces on one instance, valid until its next report or change of runs.
 
     :ivar changes: the instance's change counter at the time of computation.
-    :ivar allotment: CPU shares that its runs get beside each other.
+    :ivar allocation: CPU shares that its runs get beside each other.
     :ivar paces: computed paces, by image and millicores.
     :ivar refused: smallest size in millicores that gets less than a pace, by image and pace.
     """
 
     changes: int
-    allotment: LevelAllocation
+    allocation: LevelAllocation
     paces: dict[tuple[str, int], float] = field(default_factory=dict)
     refused: dict[tuple[str, float], int] = field(default_factory=dict)
 
@@ -108,12 +108,12 @@
     _filters: dict[str, PressureFilter]
     _groups: dict[GroupKey, dict[str, _Reading]]
     _history: dict[GroupKey, deque[tuple[float, float]]]
-    _began: dict[GroupKey, float]
+    _began_at: dict[GroupKey, float]
     _shares: dict[str, Mapping[str, float]]
     _pace_caches: dict[str, _PaceCache]
     _prior: PairPrior
     _prior_at: float
-    _beliefs: dict[str, dict[str, Belief]]
+    _posteriors: dict[str, dict[str, Belief]]
     _known: frozenset[str]
 
     def __init__(self) -> None:
@@ -121,12 +121,12 @@
         self._filters = {}
         self._groups = {}
         self._history = {}
-        self._began = {}
+        self._began_at = {}
         self._shares = {}
         self._pace_caches = {}
         self._prior = PairPrior({})
         self._prior_at = -math.inf
-        self._beliefs = {}
+        self._posteriors = {}
         self._known = frozenset()
 
     def learn(self, instance: Instance, at: float) -> None:
@@ -155,7 +155,7 @@
             known = self.idle_ms.get(image, INITIAL_IDLE_SHARE * run.step.target_ms)
             self.idle_ms[image] = min(float(run.figure), known)
             run.load = load_from_tail(run.figure, self.idle_ms[image])
-            began = self._began.setdefault(key, run.running_at)
+            began = self._began_at.setdefault(key, run.running_at)
             if run.running_at - began < WARMUP_S or at - run.running_at >= WARMUP_S:
                 found.setdefault(key, []).append(run.figure)
                 images[key] = image
@@ -169,7 +169,7 @@
             # The job runs on no other worker: compare with its own previous reading.
             others = self._consistent(image, [before], reading.at)
         if others:
-            self._compare(image, reading, others)
+            self._update_weights(image, reading, others)
         readings[agent] = reading
         history = self._history.setdefault(key, deque())
         history.append((reading.at, self._load_without_fill(image, reading)))
@@ -191,7 +191,7 @@
     def _load_without_fill(self, image: str, reading: _Reading) -> float:
         return reading.load - added_load(image, reading.shares, self._estimated_weight)
 
-    def _compare(self, image: str, reading: _Reading, others: list[_Reading]) -> None:
+    def _update_weights(self, image: str, reading: _Reading, others: list[_Reading]) -> None:
         """Update the weights by the difference of a reading to the mean of other workers."""
         count = len(others)
         load = sum(other.load for other in others) / count
@@ -207,24 +207,24 @@
             found = self._filters.get(image)
             if found is None:
                 found = self._filters[image] = PressureFilter(reading.at)
-            expected = partial(self._prior_belief, image)
+            expected = partial(self._prior_of, image)
             found.observe(reading.load - load, shares, noise, expected, reading.at)
-            self._beliefs.pop(image, None)
+            self._posteriors.pop(image, None)
 
-    def _prior_belief(self, serving: str, filling: str) -> Belief:
+    def _prior_of(self, serving: str, filling: str) -> Belief:
         return pair_belief(self._prior.heavy(serving, filling))
 
-    def _belief(self, serving: str, filling: str) -> Belief:
+    def _posterior(self, serving: str, filling: str) -> Belief:
         """Return the belief about a pair, from its observations and the prior."""
-        beliefs = self._beliefs.setdefault(serving, {})
-        found = beliefs.get(filling)
+        posteriors = self._posteriors.setdefault(serving, {})
+        found = posteriors.get(filling)
         if found is None:
             evidence = (
                 self._filters[serving].evidence(filling)
                 if serving in self._filters
                 else NO_EVIDENCE
             )
-            found = beliefs[filling] = pair_belief(self._prior.heavy(serving, filling), evidence)
+            found = posteriors[filling] = pair_belief(self._prior.heavy(serving, filling), evidence)
         return found
 
     def _update_prior(self, at: float) -> None:
@@ -232,19 +232,19 @@
         if at - self._prior_at < PRIOR_INTERVAL_S:
             return
         self._prior_at = at
-        beliefs = {
-            (serving, filling): self._belief(serving, filling).heavy
+        posteriors = {
+            (serving, filling): self._posterior(serving, filling).heavy
             for serving, found in self._filters.items()
             for filling in found.weights
         }
         known = {
             pair: heavy
-            for pair, heavy in beliefs.items()
+            for pair, heavy in posteriors.items()
             if max(heavy, 1 - heavy) >= KNOWN_PROBABILITY
         }
         self._prior = PairPrior(known)
         self._known = frozenset(filling for _, filling in known)
-        self._beliefs = {}
+        self._posteriors = {}
 
     def knows(self, filling: str) -> bool:
         """Return whether the interference of a best-effort image is known for any image."""
@@ -255,10 +255,10 @@
 
         Uncertainty raises the estimate.
         """
-        return self._belief(serving, filling).upper_bound
+        return self._posterior(serving, filling).upper_bound
 
     def _estimated_weight(self, serving: str, filling: str) -> float:
-        return self._belief(serving, filling).weight
+        return self._posterior(serving, filling).weight
 
     def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
         """Return the weights of the pairs of images on an instance."""
@@ -279,7 +279,7 @@
         pace = cache.paces.get((image, cpu_millicores))
         if pace is None:
             share = max(_requested_share(cpu_millicores, instance), MIN_USED_SHARE)
-            gained = cache.allotment.used_with(image, share) - cache.allotment.used
+            gained = cache.allocation.used_with(image, share) - cache.allocation.used
             pace = cache.paces[image, cpu_millicores] = max(0.0, gained) / share
         return pace
 
@@ -318,7 +318,9 @@
                 wanted[image] = wanted.get(image, 0.0) + share
             elif run.has_tail_latency and image in self.idle_ms:
                 max_load = load_from_tail(run.step.target_ms, self.idle_ms[image])
-                room = LoadBudget(image, self._user_load(run.ref[:3], image, instance), max_load)
+                room = LoadBudget(
+                    image, self._expected_load(run.ref[:3], image, instance), max_load
+                )
                 known = rooms.get(image)
                 if known is None or room.max_load - room.own_load < known.max_load - known.own_load:
                     rooms[image] = room
@@ -326,23 +328,23 @@
             instance.changes, LevelAllocation(list(rooms.values()), wanted, self.weight)
         )
 
-    def _user_load(self, key: GroupKey, image: str, instance: Instance) -> float:
-        """Return the load expected from a job's users in the next :data:`FORECAST_S`."""
+    def _expected_load(self, key: GroupKey, image: str, instance: Instance) -> float:
+        """Return the load expected from a job's users in the next :data:`LOAD_PREDICTION_S`."""
         reading = self._groups.get(key, {}).get(instance.agent)
         if reading is None:
             return 0.0
         own_load = self._load_without_fill(image, reading)
-        return max(own_load, 0.0) + _forecast_rise(self._history.get(key, deque()))
+        return max(own_load, 0.0) + _predicted_rise(self._history.get(key, deque()))
 
     def forget(self, job_id: str) -> None:
         """Drop the readings of a job."""
         for key in [key for key in self._groups if key[0] == job_id]:
             del self._groups[key]
             self._history.pop(key, None)
-            self._began.pop(key, None)
+            self._began_at.pop(key, None)
 
 
-def _forecast_rise(history: Sequence[tuple[float, float]]) -> float:
+def _predicted_rise(history: Sequence[tuple[float, float]]) -> float:
     """Return the expected rise of a load, from the means of its older and newer half."""
     half = len(history) // 2
     if half < 1:
@@ -352,7 +354,7 @@
     new_at, new = (statistics.fmean(column) for column in zip(*points[half:], strict=True))
     if new_at - old_at < TREND_WINDOW_S / 4:
         return 0.0
-    return min(max((new - old) / (new_at - old_at) * FORECAST_S, 0.0), MAX_FORECAST_RISE)
+    return min(max((new - old) / (new_at - old_at) * LOAD_PREDICTION_S, 0.0), MAX_PREDICTED_RISE)
 
 
 def _requested_share(cpu_millicores: int, instance: Instance) -> float:
