--- a/sapphirelead/sched_job.py
+++ b/sapphirelead/sched_job.py
@@ -124,12 +124,12 @@
     """One execution of the steps of a job.
 
     :ivar tasks: tasks by step.
-    :ivar left: number of unfinished tasks by step.
+    :ivar unfinished: number of unfinished tasks by step.
     """
 
     number: int
     tasks: list[list[Task]]
-    left: list[int]
+    unfinished: list[int]
 
     @classmethod
     def fresh(cls, number: int, steps: tuple[StepSpec, ...]) -> "Occurrence":
@@ -140,11 +140,11 @@
     @property
     def done(self) -> bool:
         """Whether every task is done."""
-        return not any(self.left)
+        return not any(self.unfinished)
 
     def step_ready(self, step: StepSpec) -> bool:
         """Return whether all steps that ``step`` depends on are done."""
-        return all(self.left[earlier] == 0 for earlier in step.after)
+        return all(self.unfinished[earlier] == 0 for earlier in step.after)
 
 
 class EndEffect(StrEnum):
@@ -322,7 +322,7 @@
         task.attempts = claim.attempt
         task.claims = [*task.claims, claim]
         self.started = True
-        self._touch(ref)
+        self._mark_changed(ref)
         return claim
 
     def end_run(self, ref: TaskRef, attempt: int, kind: EndKind, saved: str) -> EndEffect:
@@ -334,7 +334,7 @@
         if claim is None:
             return EndEffect.IGNORED
         task.claims = [open_claim for open_claim in task.claims if open_claim is not claim]
-        self._touch(ref)
+        self._mark_changed(ref)
         if self.spec.steps[ref.step].gang:
             # The end of one member can change the state of all members.
             for number in range(self.spec.steps[ref.step].tasks):
@@ -370,7 +370,7 @@
             if not task.done:
                 task.done = True
                 task.saved = ""
-                occurrence.left[ref.step] -= 1
+                occurrence.unfinished[ref.step] -= 1
         if occurrence.done:
             self.finished.add(occurrence.number)
         completed = self.state is JobState.COMPLETED
@@ -394,7 +394,7 @@
         if not any(task.claims for tasks in occurrence.tasks for task in tasks):
             del self.occurrences[number]
 
-    def _touch(self, ref: TaskRef) -> None:
+    def _mark_changed(self, ref: TaskRef) -> None:
         self._changed_tasks.add((ref.occurrence, ref.step, ref.number))
 
     @property
@@ -430,7 +430,7 @@
             occurrence = self.occurrences.get(item.occurrence)
             if occurrence is not None:
                 before = occurrence.tasks[item.step][item.number]
-                occurrence.left[item.step] += int(before.done) - int(item.task.done)
+                occurrence.unfinished[item.step] += int(before.done) - int(item.task.done)
                 occurrence.tasks[item.step][item.number] = item.task
 
     def _set_flags(self, flags: JobFlags) -> None:
@@ -471,7 +471,7 @@
             occurrence = job.occurrences[row.number]
             for item in row.tasks:
                 occurrence.tasks[item.step][item.index] = item.task
-                occurrence.left[item.step] -= item.task.done
+                occurrence.unfinished[item.step] -= item.task.done
         return job
 
 
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -74,8 +74,8 @@
         """Estimated work left in the occurrence, in core-seconds."""
         steps = self.job.spec.steps
         return sum(
-            left * step.cpu_millicores * step.estimate_ms / 1e6
-            for left, step in zip(self.occurrence.left, steps, strict=True)
+            unfinished * step.cpu_millicores * step.estimate_ms / 1e6
+            for unfinished, step in zip(self.occurrence.unfinished, steps, strict=True)
         )
 
     @property
@@ -144,7 +144,7 @@
             if occurrence.done:
                 continue
             for number, step in enumerate(job.spec.steps):
-                if occurrence.left[number] == 0 or not occurrence.step_ready(step):
+                if occurrence.unfinished[number] == 0 or not occurrence.step_ready(step):
                     continue
                 key = (job.spec.job_id, occurrence.number, number)
                 if at < sched.retry_at.get(key, 0.0):
