--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -30,7 +30,7 @@
 """Typical time from the decision to the start on another worker."""
 LOW_PACE_PERCENT: Final = 70
 """A best-effort run that saves progress counts as throttled below this pace."""
-STALLED_PACE_PERCENT: Final = 25
+MAX_JUDGED_PACE_PERCENT: Final = 25
 """A best-effort run between this pace and full pace is not judged by its speed."""
 MAX_THROTTLED_MOVES: Final = 6
 """Most moves of one throttled task."""
@@ -120,7 +120,7 @@
     if run.step.fills and run.paced < 0 and not stalled:
         # The pace is unknown after an agent's restart or a missing answer: it may be throttled.
         return None
-    if run.step.fills and STALLED_PACE_PERCENT < run.paced < 100:
+    if run.step.fills and MAX_JUDGED_PACE_PERCENT < run.paced < 100:
         # Mildly throttled: the agent restores the pace when tail latencies allow it.
         return None
     speed = speed_of(run, restore_s)
