--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -93,7 +93,7 @@
         return False
     # A worker on trial gets one run at a time.
     track = instance.track
-    return not (track.on_trial and instance.newest_claim_at >= track.paused_until)
+    return not (track.on_trial and instance.newest_claim_at >= track.cooldown_until)
 
 
 def is_eligible(instance: Instance, request: PlacementRequest, at: float) -> bool:
--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -12,8 +12,8 @@
 SLOW_SPEED_THRESHOLD: Final = 0.45
 SPEED_SMOOTHING_FACTOR: Final = 0.35
 """Weight of the latest run in the moving average of a worker's speed."""
-MIN_PAUSE_S: Final = 2.0
-MAX_PAUSE_S: Final = 12.0
+MIN_COOLDOWN_S: Final = 2.0
+MAX_COOLDOWN_S: Final = 12.0
 
 
 @dataclass(slots=True)
@@ -22,16 +22,16 @@
 
     :ivar speed: moving average of the speed relative to the estimates.
     :ivar failures: consecutive failed runs.
-    :ivar pause_s: length of the latest pause, 0 after a good trial.
-    :ivar paused_until: no new work before this time.
+    :ivar cooldown_s: length of the latest pause, 0 after a good trial.
+    :ivar cooldown_until: no new work before this time.
     :ivar on_trial: the next run decides whether the worker is restored or paused again.
     :ivar last_fault_at: time of the last failed or slow run.
     """
 
     speed: float = 1.0
     failures: int = 0
-    pause_s: float = 0.0
-    paused_until: float = 0.0
+    cooldown_s: float = 0.0
+    cooldown_until: float = 0.0
     on_trial: bool = False
     last_fault_at: float = -1e9
 
@@ -41,31 +41,31 @@
         self._update_speed(speed)
         if self.speed >= SLOW_SPEED_THRESHOLD:
             self.on_trial = False
-            self.pause_s = 0.0
+            self.cooldown_s = 0.0
 
     def record_failure(self, at: float) -> None:
         """Record a failed run."""
         self.last_fault_at = at
         self.failures += 1
         if self.on_trial or self.failures >= FAILURE_THRESHOLD:
-            self._start_pause(at)
+            self._start_cooldown(at)
 
     def record_slow(self, at: float, speed: float) -> None:
         """Record a run that progresses slowly or not at all."""
         self.last_fault_at = at
         self._update_speed(speed)
         if self.on_trial or self.speed < SLOW_SPEED_THRESHOLD:
-            self._start_pause(at)
+            self._start_cooldown(at)
 
     def _update_speed(self, speed: float) -> None:
         bounded = min(max(speed, 0.0), 1.5)
         self.speed += SPEED_SMOOTHING_FACTOR * (bounded - self.speed)
 
-    def _start_pause(self, at: float) -> None:
-        if at < self.paused_until:
+    def _start_cooldown(self, at: float) -> None:
+        if at < self.cooldown_until:
             return
-        self.pause_s = min(max(MIN_PAUSE_S, self.pause_s * 2), MAX_PAUSE_S)
-        self.paused_until = at + self.pause_s
+        self.cooldown_s = min(max(MIN_COOLDOWN_S, self.cooldown_s * 2), MAX_COOLDOWN_S)
+        self.cooldown_until = at + self.cooldown_s
         self.on_trial = True
         # Resets the history, so that only the trial counts.
         self.speed = 1.0
@@ -73,4 +73,4 @@
 
     def sound(self, at: float) -> bool:
         """Return whether the worker may get work at time ``at``."""
-        return at >= self.paused_until
+        return at >= self.cooldown_until
--- a/tests/sched/test_track.py
+++ b/tests/sched/test_track.py
@@ -1,6 +1,6 @@
 """Tests of track records: unsound workers are paused, and restored after a successful trial."""
 
-from sapphirelead.sched_track import MAX_PAUSE_S, MIN_PAUSE_S, TrackRecord
+from sapphirelead.sched_track import MAX_COOLDOWN_S, MIN_COOLDOWN_S, TrackRecord
 
 
 def test_worker_is_paused_after_consecutive_failures() -> None:
@@ -19,7 +19,7 @@
     track.record_failure(1.0)
     track.record_failure(1.0)
     assert track.on_trial
-    assert track.sound(1.0 + MIN_PAUSE_S)
+    assert track.sound(1.0 + MIN_COOLDOWN_S)
     track.record_success(0.9)
     assert not track.on_trial
 
@@ -30,10 +30,10 @@
     track.record_failure(at)
     for _ in range(6):
         track.record_failure(at)
-        pauses.append(track.paused_until - at)
-        at = track.paused_until
-    assert pauses[:3] == [MIN_PAUSE_S, 2 * MIN_PAUSE_S, 4 * MIN_PAUSE_S]
-    assert pauses[-1] == MAX_PAUSE_S
+        pauses.append(track.cooldown_until - at)
+        at = track.cooldown_until
+    assert pauses[:3] == [MIN_COOLDOWN_S, 2 * MIN_COOLDOWN_S, 4 * MIN_COOLDOWN_S]
+    assert pauses[-1] == MAX_COOLDOWN_S
 
 
 def test_slow_worker_is_paused_after_a_few_runs() -> None:
