--- a/sapphirelead/sched_choice.py
+++ b/sapphirelead/sched_choice.py
@@ -27,7 +27,7 @@
 class PlacementHeap:
     """Workers with room for one more task of a step, ordered by score."""
 
-    _need: PlacementRequest
+    _request: PlacementRequest
     _ref: TaskRef
     _numbers: dict[str, int]
     _heap: list[_Place]
@@ -40,7 +40,7 @@
         :param ref: any task of the step.
         """
         listed = list(instances)
-        self._need = request
+        self._request = request
         self._ref = ref
         self._numbers = {instance.agent: number for number, instance in enumerate(listed)}
         self._heap = [self._scored(item) for item in listed if has_room(item, request, ref)]
@@ -61,9 +61,9 @@
 
     def put_back(self, instance: Instance) -> None:
         """Add a worker again after it has got a task, if it has room for one more."""
-        if has_room(instance, self._need, self._ref):
+        if has_room(instance, self._request, self._ref):
             heappush(self._heap, self._scored(instance))
 
     def _scored(self, instance: Instance) -> _Place:
-        value = score(instance, self._need, self._ref)
+        value = score(instance, self._request, self._ref)
         return _Place(-value, self._numbers[instance.agent], instance)
--- a/sapphirelead/sched_scan_order.py
+++ b/sapphirelead/sched_scan_order.py
@@ -110,7 +110,7 @@
         for step in rest:
             if len(self._scanned) > by_rank and self.budget.spent:
                 self.waited_s = at - self._waits_since(step, since)
-                self._forget_others(since)
+                self._forget_removed(since)
                 return
             yield step
         self.waited_s = 0.0
@@ -119,7 +119,7 @@
     def _waits_since(self, step: Ranked, since: Mapping[StepKey, float]) -> float:
         return self._scanned_at.get(step.key, since[step.key])
 
-    def _forget_others(self, since: Mapping[StepKey, float]) -> None:
+    def _forget_removed(self, since: Mapping[StepKey, float]) -> None:
         for key in [key for key in self._scanned_at if key not in since]:
             del self._scanned_at[key]
 
--- a/sapphirelead/standin_target.py
+++ b/sapphirelead/standin_target.py
@@ -80,7 +80,7 @@
     async def start(self, host: str, port: int) -> int:
         """Start listening and polling the load of the colocated worker."""
         if self._cfg.worker_url:
-            self._poller = asyncio.create_task(self._follow_load(self._cfg.worker_url))
+            self._poller = asyncio.create_task(self._poll_load(self._cfg.worker_url))
         return await super().start(host, port)
 
     async def stop(self) -> None:
@@ -95,7 +95,7 @@
         """Return the HTTP routes of the target."""
         return [web.post("/control", self._set_control), web.post("/{service}", self._serve)]
 
-    async def _follow_load(self, url: str) -> None:
+    async def _poll_load(self, url: str) -> None:
         http = HttpCaller.connect(url, 1.0)
         try:
             while True:
