--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -27,7 +27,7 @@
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
-from sapphirelead.sched_room import InfeasibleCache
+from sapphirelead.sched_feasibility import InfeasibleCache
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -21,7 +21,7 @@
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
 from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
-from sapphirelead.sched_room import FeasibleWorkers, Kind
+from sapphirelead.sched_feasibility import FeasibleWorkers, Kind
 from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, chain_ms
 
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -11,7 +11,7 @@
 from sapphirelead.sched_job import TaskRef
 from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
 from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
-from sapphirelead.sched_room import (
+from sapphirelead.sched_feasibility import (
     MAX_KINDS,
     MAX_SIZES_PER_KIND,
     FeasibleWorkers,
