--- a/sapphirelead/node_call_queue.py
+++ b/sapphirelead/node_call_queue.py
@@ -193,19 +193,19 @@
         if dropped.call.kind is CallKind.SUBMIT:
             self._dropped_submits.record(dropped.call.job_id, at)
 
-    def _remove(self, gone: QueuedCall) -> QueuedCall:
-        key = gone.key
+    def _remove(self, removed: QueuedCall) -> QueuedCall:
+        key = removed.key
         del self._waiting[key]
-        self._bytes -= len(gone.call.job)
+        self._bytes -= len(removed.call.job)
         self._cancels.pop(key, None)
         self._queries.pop(key, None)
-        self._remove_from_sender(gone)
-        if gone.call.kind is CallKind.SUBMIT:
-            submits = self._submits[gone.call.job_id]
+        self._remove_from_sender(removed)
+        if removed.call.kind is CallKind.SUBMIT:
+            submits = self._submits[removed.call.job_id]
             del submits[key]
             if not submits:
-                del self._submits[gone.call.job_id]
-        return gone
+                del self._submits[removed.call.job_id]
+        return removed
 
     def _remove_from_sender(self, call: QueuedCall) -> None:
         sender = self._senders.get(call.identity)
--- a/sapphirelead/node_calls.py
+++ b/sapphirelead/node_calls.py
@@ -175,7 +175,7 @@
             if not maybe_stored:
                 began = now()
                 if not await self._wait_for_admission(call, until, end):
-                    return _unanswered(call, ReplyKind.NOT_RUN, "the leader is behind")
+                    return _unanswered(call, ReplyKind.NOT_RUN, "the leader is overloaded")
                 until = min(end, until + (now() - began))
             reply = await self._send_to_leader(call, min(until, self._closes_at), end, retry_s)
             if reply is None:
@@ -301,5 +301,5 @@
             return
 
 
-def _unanswered(call: Call, kind: ReplyKind, detail: str = "no leader answers") -> Reply:
+def _unanswered(call: Call, kind: ReplyKind, detail: str = "no leader responds") -> Reply:
     return Reply(call.number, kind, retry_after_s=RETRY_AFTER_S, detail=detail)
--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -142,8 +142,10 @@
             self._seen = head
             self._seen_at = at
             self.seen_version = head.version
-        news = head.epoch > self.epoch or (head.epoch == self.epoch and head.leader != self.leader)
-        if news and head.leader not in (NO_LEADER, self.own):
+        changed = head.epoch > self.epoch or (
+            head.epoch == self.epoch and head.leader != self.leader
+        )
+        if changed and head.leader not in (NO_LEADER, self.own):
             self._follow(head.epoch, head.leader, at, serving=False)
 
     def on_store_failure(self, at: float) -> None:
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -186,15 +186,15 @@
 
     async def _register(self) -> None:
         """Write this entry's row and read all rows, retrying until both succeed."""
-        pause = 0.1
+        delay_s = 0.1
         written = False
         while True:
             written = written or await write_entry(self._table, self.node.address)
             found = await read_entries(self._table)
             if written and isinstance(found, Ok):
                 break
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, 1.0)
+            await asyncio.sleep(delay_s)
+            delay_s = min(delay_s * 2, 1.0)
         for address in found.ok_value:
             self._add_entry(address)
         log_event("INFO", "entries_read", entries=len(found.ok_value))
@@ -473,13 +473,13 @@
             if call.config_version > self.config.version:
                 self.on_newer_config()
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
-            late = asyncio.get_running_loop().call_later(
+            taken_timer = asyncio.get_running_loop().call_later(
                 TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken
             )
             try:
                 reply = await leader.call(call, now() + forwarded_call_timeout_s(call.kind))
             finally:
-                late.cancel()
+                taken_timer.cancel()
         self._hub.send(identity, msgspec.structs.replace(reply, epoch=call.epoch))
 
     def _on_reply(self, reply: Reply) -> None:
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -61,9 +61,9 @@
         To be called at regular intervals while this entry leads.
         """
         at = now()
-        late = at - self._checked_at > STALL_THRESHOLD_S
+        stalled = at - self._checked_at > STALL_THRESHOLD_S
         self._checked_at = at
-        if not late and self._cut_off(leader, at):
+        if not stalled and self._cut_off(leader, at):
             # The store still confirms this leader and the head row keeps changing, so no other
             # entry would take over.
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
--- a/sapphirelead/node_hub_meter.py
+++ b/sapphirelead/node_hub_meter.py
@@ -12,7 +12,8 @@
 """Interval between exports."""
 
 BEHIND_THRESHOLD_S: Final = HEARTBEAT_INTERVAL_S
-"""Wait or loop turn from which on the hub counts as overloaded: the heartbeat interval."""
+"""The hub counts as overloaded if a message waits, or other tasks occupy the event loop, for longer
+than the heartbeat interval."""
 
 
 def format_counts(counts: Mapping[str, float]) -> str:
@@ -71,7 +72,7 @@
         self._max_waits_s[kind] = max(self._max_waits_s.get(kind, 0.0), waited_s)
 
     def record_turn(self, took_s: float) -> None:
-        """Record for how long other tasks had the loop between two turns of the hub."""
+        """Record how long other tasks occupied the event loop when the hub yielded to it."""
         self._turn_s = max(self._turn_s, took_s)
 
     def export_if_due(self, at: float) -> None:
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -1,4 +1,4 @@
-"""Sends the planner's questions to the advice service, in the order of queue priority."""
+"""Sends the planner's requests for tickets to the advice service, by queue priority."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -19,11 +19,11 @@
 """Requests to the service in flight at once; it processes them one at a time."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Delay before the workers of a failed request may be asked about again."""
+"""Delay before tickets for the workers of a failed request may be requested again."""
 
 
 class AdviceDispatcher:
-    """Queues the planner's questions and passes the answers to the scheduler.
+    """Queues the planner's requests and passes the tickets to the scheduler.
 
     :ivar metrics: receives the response times.
     """
@@ -32,7 +32,7 @@
     _sched: Scheduler
     _service: AdviceService
     _wake: Callable[[], None]
-    _requests: "asyncio.PriorityQueue[tuple[float, int, AdviceAsk]]"
+    _requests: "asyncio.PriorityQueue[tuple[float, int, AdviceRequest]]"
     _number: int
     _tasks: list["asyncio.Task[None]"]
 
@@ -41,7 +41,7 @@
     ) -> None:
         """Create a dispatcher.
 
-        :param wake: called when an answer may allow new starts.
+        :param wake: called when new tickets or a failed request may change what can be planned.
         """
         self.metrics = metrics
         self._sched = sched
@@ -63,33 +63,33 @@
         for task in self._tasks:
             task.cancel()
 
-    def put(self, asks: Iterable[AdviceRequest]) -> None:
-        """Enqueue questions."""
-        for ask in asks:
+    def put(self, requests: Iterable[AdviceRequest]) -> None:
+        """Enqueue requests."""
+        for request in requests:
             self._number += 1
-            self._requests.put_nowait((float(ask.policy.priority), self._number, ask))
+            self._requests.put_nowait((float(request.policy.priority), self._number, request))
 
     async def _request_loop(self) -> None:
         while True:
-            _, _, ask = await self._requests.get()
-            job = self._sched.jobs.get(ask.key[0])
-            policy = ask.policy.advice
+            _, _, request = await self._requests.get()
+            job = self._sched.jobs.get(request.key[0])
+            policy = request.policy.advice
             if job is None or not job.open or policy is None:
                 continue
-            name = f"{ask.key[0]}.{ask.key[1]}.{ask.key[2]}"
+            name = f"{request.key[0]}.{request.key[1]}.{request.key[2]}"
             began = now()
-            found = await self._service.ask(name, ask.workers, policy)
+            found = await self._service.ask(name, request.workers, policy)
             self.metrics.latency("advice_ms", (now() - began) * 1000)
             if isinstance(found, Err):
-                await self._handle_failure(ask, found.err_value)
+                await self._handle_failure(request, found.err_value)
                 continue
             tickets = found.ok_value.tickets
-            log_event("INFO", "advice", step=name, asked=len(ask.workers), good=len(tickets))
-            self._sched.advice.add_tickets(ask.key, tickets, began + policy.valid_ms / 1000)
+            log_event("INFO", "advice", step=name, asked=len(request.workers), good=len(tickets))
+            self._sched.advice.add_tickets(request.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
-    async def _handle_failure(self, ask: AdviceRequest, failure: Failure) -> None:
-        log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
+    async def _handle_failure(self, request: AdviceRequest, failure: Failure) -> None:
+        log_event("WARNING", "advice_failed", step=request.key, reason=str(failure))
         await asyncio.sleep(RETRY_DELAY_S)
-        self._sched.advice.request_failed(ask.key, ask.workers)
+        self._sched.advice.request_failed(request.key, request.workers)
         self._wake()
--- a/sapphirelead/node_leader_calls.py
+++ b/sapphirelead/node_leader_calls.py
@@ -133,8 +133,12 @@
         if sched.state(call.job_id) is not None:
             return None
         if self._may_be_accepted(call):
-            behind = self._may_come(call.job_id)
-            detail = "the leader is behind" if behind else "the store is away"
+            may_arrive = self._may_come(call.job_id)
+            detail = (
+                "an earlier submission of the job may still arrive"
+                if may_arrive
+                else "the store did not confirm the job's state in time"
+            )
             return self._reply(call, ReplyKind.NOT_RUN, detail=detail, retry_s=STORE_RETRY_AFTER_S)
         return self._reply(call, ReplyKind.ABSENT)
 
@@ -164,19 +168,22 @@
         ):
             self._record_refused(call)
             return self._reply(
-                call, ReplyKind.NOT_RUN, detail="the store is away", retry_s=STORE_RETRY_AFTER_S
+                call,
+                ReplyKind.NOT_RUN,
+                detail="the store is unavailable",
+                retry_s=STORE_RETRY_AFTER_S,
             )
         spec = decode_spec(call.job)
         known = self._leadership.sched.jobs.get(spec.job_id)
         other = known is not None and not same_content(known.spec, spec)
-        ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        reply_future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
         def answer(kind: ReplyKind, text: str) -> None:
-            if not ended.done():
+            if not reply_future.done():
                 ok = kind is ReplyKind.OK
                 if not ok:
                     self._record_refused(call)
-                ended.set_result(
+                reply_future.set_result(
                     self._reply(
                         call,
                         kind,
@@ -188,11 +195,11 @@
 
         self._leadership.sched.submit(spec, answer)
         self._leadership.wake()
-        await asyncio.wait({ended}, timeout=self._leadership.store_timeout_s)
-        if not ended.done() and self._leadership.sched.withdraw(call.job_id):
+        await asyncio.wait({reply_future}, timeout=self._leadership.store_timeout_s)
+        if not reply_future.done() and self._leadership.sched.withdraw(call.job_id):
             log_event("INFO", "submission_withdrawn", job=call.job_id, reason="store_away")
             self.notify_changed()
-        reply = await self._outcome(call, ended, until)
+        reply = await self._outcome(call, reply_future, until)
         return msgspec.structs.replace(reply, other=True) if other else reply
 
     def _record_refused(self, call: Call) -> None:
@@ -205,25 +212,27 @@
         refusal = await self._wait_until_known(call, until)
         if refusal is not None:
             return refusal
-        ended: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        reply_future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
         def answer(kind: ReplyKind, state: str) -> None:
-            if not ended.done():
-                ended.set_result(self._reply(call, kind, state))
+            if not reply_future.done():
+                reply_future.set_result(self._reply(call, kind, state))
 
         self._leadership.sched.cancel(call.job_id, answer)
         self._leadership.wake()
-        return await self._outcome(call, ended, until)
+        return await self._outcome(call, reply_future, until)
 
-    async def _outcome(self, call: Call, ended: "asyncio.Future[Reply]", until: float) -> Reply:
+    async def _outcome(
+        self, call: Call, reply_future: "asyncio.Future[Reply]", until: float
+    ) -> Reply:
         """Wait for the call's reply, the end of the leadership or the caller's deadline."""
         wait_ended = asyncio.create_task(self._leadership.wait_ended())
         timeout = max(until - now(), 0.0)
-        either: set[asyncio.Future[Any]] = {ended, wait_ended}
+        either: set[asyncio.Future[Any]] = {reply_future, wait_ended}
         await asyncio.wait(either, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         wait_ended.cancel()
-        if ended.done():
-            return ended.result()
+        if reply_future.done():
+            return reply_future.result()
         if self._leadership.resigned:
             # The call is retried with the next leader, which knows what was stored.
             return self._reply(call, ReplyKind.LEAD_LOST)
--- a/sapphirelead/node_store_timeout.py
+++ b/sapphirelead/node_store_timeout.py
@@ -11,7 +11,8 @@
 MAX_STORE_TIMEOUT_S: Final = 1.0
 
 COMMIT_DURATION_FACTOR: Final = 2.5
-"""Timeout in commit durations: the commit in flight, the submission's own, and a margin."""
+"""Ratio of the timeout to the duration of the latest commit; covers the commit in flight, the
+submission's own commit, and a margin."""
 
 
 class StoreTimeout:
