--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -121,7 +121,7 @@
     """Decode and validate a submission; the error is the reason for its rejection."""
     decoded = decode(_DECODER, body)
     if isinstance(decoded, Err):
-        return Err(f"the body is no job: {decoded.err_value}")
+        return Err(f"the body is not a valid job: {decoded.err_value}")
     wire = decoded.ok_value
     spec = JobSpec(
         job_id=job_id,
@@ -184,7 +184,7 @@
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         config = self._entry.config
         if config.version == 0:
-            return _error_response(503, "no configuration yet", 1.0)
+            return _error_response(503, "no configuration is loaded yet", 1.0)
         route = config.match(request.host.partition(":")[0], request.path)
         if route is None:
             return _error_response(404, "no such queue")
@@ -192,7 +192,9 @@
         if not rest and request.method == "GET":
             return await self._count_waiting(request, route)
         if not JOB_ID.fullmatch(rest):
-            return _error_response(400, "the path does not end with the id of a job")
+            return _error_response(
+                400, "the path does not end with a job id of 1 to 64 hexadecimal digits"
+            )
         match request.method:
             case "POST":
                 return await self._submit(request, route, rest, config)
--- a/sapphirelead/platform/store.py
+++ b/sapphirelead/platform/store.py
@@ -144,7 +144,11 @@
     async def _read(self, path: str, timeout_s: float) -> Result[_WireRows, Failure]:
         found = await self._http.call("GET", path, timeout_s=timeout_s)
         if isinstance(found, Err):
-            return Err(Failure(Code.STORE_UNAVAILABLE, f"no answer: {found.err_value.detail}"))
+            return Err(
+                Failure(
+                    Code.STORE_UNAVAILABLE, f"the store did not answer: {found.err_value.detail}"
+                )
+            )
         answer = found.ok_value
         if answer.status == 410:
             raise FeedGapError
