--- a/sapphirelead/runner_lease.py
+++ b/sapphirelead/runner_lease.py
@@ -114,7 +114,7 @@
     def worker_lease_ms(self, at: float) -> int:
         """Return the lease to request, as a time on the worker's clock; 0 for none.
 
-        Allows for a slow worker clock, so runs lapse no later than the agent's own lease.
+        Allows for a slow worker clock, so the runs' leases expire no later than the agent's own.
         """
         if self._clock is None or self.until <= at:
             return 0
@@ -132,5 +132,5 @@
         return self.worker_time_ms(at) + int(within_s * 1000)
 
     def all_expired(self, at: float) -> bool:
-        """Whether all runs on the worker have lapsed by ``at``."""
+        """Whether the leases of all runs on the worker have expired by ``at``."""
         return at > self.expiry_bound + LOSS_MARGIN_S
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -1,5 +1,7 @@
 """Controls the runs of one worker life through calls to the worker.
 
+A worker life is one process of the worker, from its start to its end.
+
 Calls may be lost, answered late, or carried out seconds after they timed out.  Therefore:
 
 - a start call carries a deadline, after which the worker refuses it;
@@ -42,11 +44,11 @@
 """Longest time that a list call waits for a run to end."""
 
 MIN_LIST_DELAY_S: Final = 0.04
-"""Pause after a list that contains outcomes.  Limits the rate of list calls, because the worker
-answers at once while it holds outcomes that are not stored."""
+"""Minimum delay after a list that contains outcomes.  Limits the rate of list
+calls, because the worker answers at once while it holds outcomes that are not stored."""
 
 MAX_LIST_DELAY_S: Final = 0.32
-"""Limit up to which that pause doubles while lists contain no new outcome."""
+"""Limit up to which that delay doubles while lists contain no new outcome."""
 
 PROGRESS_REPORT_INTERVAL_S: Final = 0.4
 """Interval between reports of progress without new outcomes; just under :data:`LIST_WAIT_MS`."""
@@ -159,7 +161,7 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the worker is unresponsive and all its runs have lapsed."""
+        """Whether the worker is unresponsive and the leases of all its runs have expired."""
         return self._silent
 
     async def adopt(self) -> CallFailure | None:
@@ -174,8 +176,8 @@
         return None
 
     async def watch(self) -> None:
-        """List runs and outcomes and renew the worker's lease until the life is over."""
-        pause = MIN_LIST_DELAY_S
+        """List runs and outcomes and renew the worker's lease until the life has ended."""
+        delay_s = MIN_LIST_DELAY_S
         while not self.has_ended:
             self._log_slow_stops()
             sent_at = now()
@@ -187,9 +189,9 @@
             )
             if isinstance(found, Ok):
                 has_new_ends = self._apply_view(found.ok_value, sent_at)
-                pause = MIN_LIST_DELAY_S if has_new_ends else min(2 * pause, MAX_LIST_DELAY_S)
+                delay_s = MIN_LIST_DELAY_S if has_new_ends else min(2 * delay_s, MAX_LIST_DELAY_S)
                 if found.ok_value.ended:
-                    await self._wait_for_next_list(pause)
+                    await self._wait_for_next_list(delay_s)
                 continue
             self._handle_failure(found.err_value)
             if not self.has_ended:
@@ -463,11 +465,11 @@
     # Pace
 
     def learn_interference(self, interference: list[ServingPress]) -> None:
-        """Take the interference estimates that the leader sends for images on this worker."""
+        """Store the interference estimates that the leader sends for images on this worker."""
         self._pace.learn(interference)
 
     def _control_pace(self) -> None:
-        """Set the pace of filling runs from the tail latencies of the serving runs."""
+        """Set the pace of best-effort runs from the tail latencies of latency-critical runs."""
         runs = list(self.registry.runs.values())
         tails = [
             TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
@@ -482,13 +484,13 @@
                 continue
             percent = self._pace.percent(run.order.image)
             # Small changes are skipped to save calls, except to a full stop or full speed.
-            last_step = percent in (0, 100) and percent != run.paced
-            if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or last_step:
+            reaches_limit = percent in (0, 100) and percent != run.paced
+            if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or reaches_limit:
                 self._record_pace(run, percent)
                 self._spawn(self._set_pace(run, percent))
 
     async def _apply_initial_pace(self, run: RunnerRun, order: StartOrder) -> None:
-        """Slow a new filling run at once, instead of running at full speed until the next list."""
+        """Throttle a new best-effort run at once instead of after the next list."""
         if order.fills:
             self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
--- a/sapphirelead/runner_pace.py
+++ b/sapphirelead/runner_pace.py
@@ -1,10 +1,10 @@
-"""Controls the pace of filling tasks so that tail latencies of serving tasks stay within target.
+"""Controls the pace of best-effort tasks so that tail latencies stay within their targets.
 
-Handles undeclared interference by adjusting one level per filling image on a worker.  If the leader
-has sent estimates for an image with all serving images here, its level follows from the headroom of
-their tails (:mod:`sapphirelead.policy_pressure`).  Other images, and all of them during
-a sustained overload, get levels by feedback: the images that contribute most to the worst tail are
-cut while it is above its setpoint, and levels are restored gradually while it is below.
+Handles undeclared interference by adjusting one level per best-effort image on a worker.  If the
+leader has sent estimates for an image with all latency-critical images here, its level follows from
+the headroom of their tails (:mod:`sapphirelead.policy_pressure`).  Other images, and all of them
+during a sustained overload, get levels by feedback: the images that contribute most to the worst
+tail are cut while it is above its setpoint, and levels are restored gradually while it is below.
 """
 
 import statistics
@@ -33,7 +33,7 @@
 MIN_LEVEL: Final = 0.04
 """A lower level stops the image's tasks; they keep their memory."""
 INITIAL_LEVEL: Final = 0.25
-"""Level of a new image beside serving tasks, while its effect is unknown."""
+"""Level of a new image beside latency-critical tasks, while its effect is unknown."""
 MIN_UPDATE_INTERVAL_S: Final = 0.4
 """Tail figures that arrive earlier do not reflect the last change yet."""
 LIGHTEST_RESTORE_STEP: Final = 0.12
@@ -53,7 +53,7 @@
 SUSTAINED_OVERLOAD_S: Final = 0.8
 """Time over a target after which images with known interference are limited by feedback as well."""
 USAGE_HALF_LIFE_S: Final = 0.4
-"""Half-life of the smoothed usage of filling images, as that of a tail that settles."""
+"""Half-life of the smoothed usage of best-effort images; matches the settling of tails."""
 LOAD_PREDICTION_S: Final = 0.8
 """Horizon to which baseline loads are extrapolated."""
 MAX_PREDICTED_RISE: Final = 0.1
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TailLatency:
-    """Newest tail latency of a serving task, and its target."""
+    """Newest tail latency of a latency-critical task, and its target."""
 
     task: str
     image: str
@@ -78,7 +78,7 @@
 
 
 class BaselineLoads:
-    """Loads of the serving jobs on a worker without the interference of filling tasks."""
+    """Loads of the latency-critical jobs on a worker, without interference of best-effort tasks."""
 
     _smoothed_usage: dict[str, float]
     _history: dict[str, deque[tuple[float, float]]]
@@ -97,7 +97,7 @@
         weight: WeightLookup,
         at: float,
     ) -> None:
-        """Record the newest loads, less the load that filling images add."""
+        """Record the newest loads, less the load that best-effort images add."""
         keep = 0.5 ** ((at - self._at) / USAGE_HALF_LIFE_S)
         self._at = at
         self._smoothed_usage = {
@@ -135,13 +135,13 @@
 
 
 class PaceControl:
-    """The levels of the filling images on one worker.
+    """The levels of the best-effort images on one worker.
 
     :ivar worst: worst extrapolated tail, as a share of its target.
     """
 
     worst: float
-    _learned_weights: dict[tuple[str, str], float]
+    _estimated_weights: dict[tuple[str, str], float]
     _idle_ms: dict[str, float]
     _baseline: BaselineLoads
     _known_levels: dict[str, float]
@@ -155,7 +155,7 @@
 
     def __init__(self) -> None:
         self.worst = 0.0
-        self._learned_weights = {}
+        self._estimated_weights = {}
         self._idle_ms = {}
         self._baseline = BaselineLoads()
         self._known_levels = {}
@@ -176,17 +176,17 @@
         """Set the initial level of a new image if its interference with all tails is known."""
         if image in self._known_levels or image in self._levels or not self._load_budgets:
             return
-        if all((room.image, image) in self._learned_weights for room in self._load_budgets):
+        if all((budget.image, image) in self._estimated_weights for budget in self._load_budgets):
             self._known_levels[image] = allocate_levels(
                 self._load_budgets, wanted, self._weight
             ).get(image, INITIAL_LEVEL)
 
     def learn(self, interference: Sequence[ServingPress]) -> None:
-        """Take the leader's interference estimates for pairs of images."""
+        """Store the leader's interference estimates for pairs of images."""
         for serving in interference:
             self._idle_ms[serving.image] = serving.idle_ms
             for filling, weight in serving.weights.items():
-                self._learned_weights[serving.image, filling] = weight
+                self._estimated_weights[serving.image, filling] = weight
 
     def update(
         self,
@@ -197,8 +197,8 @@
     ) -> None:
         """Update the levels from the newest tails.
 
-        :param filling: by filling image, the share of the worker's processors that it used.
-        :param wanted: by filling image, the share that it would use at full pace.
+        :param filling: by best-effort image, the share of the worker's processors that it used.
+        :param wanted: by best-effort image, the share that it would use at full pace.
         """
         if not tails:
             self.worst = 0.0
@@ -251,7 +251,7 @@
         known = {
             image: share
             for image, share in wanted.items()
-            if all((tail.image, image) in self._learned_weights for tail in tails)
+            if all((tail.image, image) in self._estimated_weights for tail in tails)
         }
         before = self._known_levels
         overload_s = at - self._last_below_target_at if self.worst >= OVERLOAD_SHARE else 0.0
@@ -266,7 +266,7 @@
 
     def _weight(self, serving: str, filling: str) -> float:
         """Return the estimated weight of a pair; 0 leaves unknown interference in the baseline."""
-        return self._learned_weights.get((serving, filling), 0.0)
+        return self._estimated_weights.get((serving, filling), 0.0)
 
     def _predict_tails(self, tails: list[TailLatency], at: float) -> list[TailLatency]:
         """Extrapolate the tails by their change since the last update."""
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -23,10 +23,10 @@
 RunName = tuple[str, int]
 
 MAX_LISTED_ENDS: Final = 500
-"""Most outcomes in one list of the worker.  A run missing from a full list may still have ended."""
+"""Maximum number of outcomes in a list.  A run missing from a full list may still have ended."""
 
 MAX_REPORTED_ENDS: Final = 200
-"""Most outcomes in one report; the rest follow once these are stored."""
+"""Maximum number of outcomes in one report; the rest follow once these are stored."""
 
 
 UNKNOWN_PACE: Final = -1
@@ -102,7 +102,7 @@
         return used
 
     def filling_usage(self) -> dict[str, float]:
-        """Return the share of the worker's processors that each filling image uses."""
+        """Return the share of the worker's processors that each best-effort image uses."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         used: dict[str, float] = {}
         for run in self.runs.values():
@@ -112,7 +112,7 @@
         return used
 
     def filling_demand(self) -> dict[str, float]:
-        """Return the share that each filling image would use at full pace."""
+        """Return the share that each best-effort image would use at full pace."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         wanted: dict[str, float] = {}
         for run in self.runs.values():
