--- a/sapphirelead/sched_advice.py
+++ b/sapphirelead/sched_advice.py
@@ -1,8 +1,8 @@
 """Permissions from the advice service: which workers may run a step, and the tickets for them.
 
 The service's decision on a worker is final, but a ticket expires and is valid for one lifetime of
-the worker.  Each worker is requested once per step; an expiring ticket is requested again only when
-a start needs it.
+the worker.  A ticket is requested once per step and worker; an expiring one is requested again only
+while the step has tasks to start.
 """
 
 from collections import Counter
@@ -59,7 +59,7 @@
         }
 
     def start_request(self, key: StepKey, workers: list[str], at: float) -> list[str]:
-        """Return the workers for the next request and mark them as asked.
+        """Return the workers for the next request and mark them as requested.
 
         Workers with the fewest requests go first, so that renewals do not delay first requests on
         a large fleet.
@@ -91,7 +91,7 @@
             step.requested.discard(worker)
 
     def request_failed(self, key: StepKey, workers: list[str]) -> None:
-        """Allow workers of a failed request to be requested again."""
+        """Allow tickets for the workers of a failed request to be requested again."""
         step = self._steps.get(key)
         if step is not None:
             step.requested.difference_update(workers)
--- a/sapphirelead/sched_baseline_speed.py
+++ b/sapphirelead/sched_baseline_speed.py
@@ -1,7 +1,7 @@
 """Baseline speeds of steps, measured on other workers than the suspected one.
 
-Tells slow workers from wrong estimates: a worker is slow only if other runs of the step are faster
-elsewhere, or if there are none to compare with.
+Distinguishes slow workers from wrong estimates: a worker is slow only if other runs of the step
+are faster elsewhere, or if there are none to compare with.
 """
 
 from sapphirelead.sched_core import Scheduler
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -21,13 +21,13 @@
 """Workers with more long-running tasks are not emptied."""
 
 MIN_SHORTAGE_SHARE: Final = 0.15
-"""Least share of the fleet's CPU that best-effort tasks must lack."""
+"""Minimum share of the fleet's CPU that best-effort tasks must lack."""
 
 COOLDOWN_S: Final = 3.0
-"""Least time between emptying two workers."""
+"""Minimum time between emptying two workers."""
 
 MIN_STAY_S: Final = 12.0
-"""Least time between two moves of a task."""
+"""Minimum time between two moves of a task."""
 
 READY_PERCENT: Final = 100
 
@@ -58,13 +58,13 @@
         if wanted_cpu < MIN_SHORTAGE_SHARE * sum(instance.capacity_cpu for instance in live):
             self._tried.clear()
             return
-        tried = 0
+        checked = 0
         for instance in sorted(live, key=lambda item: item.lasting_cpu / max(1, item.capacity_cpu)):
             if instance.agent in self._tried:
                 continue
-            if tried and budget is not None and budget.spent:
+            if checked and budget is not None and budget.spent:
                 return
-            tried += 1
+            checked += 1
             self._tried.add(instance.agent)
             runs = [run for run in instance.runs.values() if run.step.lasting]
             if not runs or not self._can_evict(sched, instance, runs, at):
@@ -108,14 +108,14 @@
             return False
         # All tasks of the step have to be ready, so that at most one is away at a time.
         others = job.occurrences[run.ref.occurrence].tasks[run.ref.step]
-        at_work = sum(
+        ready = sum(
             1
             for other in sched.fleet.runs.values()
             if other.ref[:3] == run.ref[:3]
             and other.phase is Phase.RUNNING
             and other.percent >= READY_PERCENT
         )
-        return at_work == len(others)
+        return ready == len(others)
 
 
 def _fits_elsewhere(
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -24,10 +24,10 @@
 )
 from sapphirelead.sched_advice import TicketTable
 from sapphirelead.sched_cancels import CancelLatency
+from sapphirelead.sched_feasibility import InfeasibleCache
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
-from sapphirelead.sched_feasibility import InfeasibleCache
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
@@ -72,7 +72,11 @@
     :ivar visible_states: stored states, as reported to callers.
     :ivar effects: callbacks to run once the next batch is stored.
     :ivar unstored_ends: runs whose end has been reported but not stored.
-    :ivar avoid: agents on which a task has failed or did not start.
+    :ivar ready_since: when each ready step became ready.
+    :ivar retry_at: when a best-effort step that found no room is tried again.
+    :ivar avoid: agents on which a task failed, did not start or was slow, or from which it was
+        moved away.
+    :ivar moves: number of times that a slow task was moved or duplicated.
     """
 
     jobs: dict[str, Job]
@@ -271,7 +275,7 @@
         return run
 
     def add_tentative_run(self, job: Job, ref: TaskRef, instance: Instance, attempt: int) -> Run:
-        """Reserve resources for a run without a claim, to test whether a gang fits.
+        """Reserve resources for a run without a claim, to test whether several tasks fit together.
 
         The caller must drop the run afterwards.
         """
@@ -398,7 +402,7 @@
         return batch
 
     def evict_ended(self, wall_ms: int) -> None:
-        """Delete jobs whose retention period after their end has expired."""
+        """Delete jobs without claims that ended more than twice the retention period ago."""
         keep_ms = int(self.bounds.keep_ended_s * 1000) * 2
         running = []
         while self._ended and wall_ms - self._ended[0][0] >= keep_ms:
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -19,11 +19,11 @@
 RunKey = tuple[TaskRef, int]
 
 DEFAULT_LASTING_CPU_SHARE: Final = 0.6
-"""Assumed CPU utilization of a lasting task until its load is known.  An underestimate only slows
-filling tasks."""
+"""Assumed CPU utilization of a long-running task until its load is known.  An underestimate only
+slows best-effort tasks."""
 
 MIN_COUNTED_PACE_PERCENT: Final = 70
-"""Minimum pace assumed for the CPU use of a filling task, since its pace can rise again."""
+"""Minimum pace assumed for the CPU use of a best-effort task, since its pace can rise again."""
 
 
 class Phase(StrEnum):
@@ -48,11 +48,11 @@
     :ivar percent: latest progress; -1 before the first report.
     :ivar watch: observed progress.
     :ivar reviewed_at: time of the report by which its speed was last reviewed.
-    :ivar figure: reported tail latency of a serving task in milliseconds, or CPU use of another
-        task in millicores; -1 if unknown.
+    :ivar figure: reported tail latency of a latency-critical task in milliseconds, or CPU use of
+        another task in millicores; -1 if unknown.
     :ivar paced: pace in percent; -1 if unknown.
     :ivar stop_wanted: a stop has been requested; sent again until the run has ended.
-    :ivar load: estimated CPU utilization of a lasting task, from its latest tail latency.
+    :ivar load: estimated CPU utilization of a long-running task, from its latest tail latency.
     """
 
     ref: TaskRef
@@ -84,7 +84,7 @@
 
     @property
     def has_tail_latency(self) -> bool:
-        """Whether it is a running serving task whose tail latency has been reported."""
+        """Whether it is a running latency-critical task whose tail latency has been reported."""
         return self.step.target_ms > 0 and self.figure >= 0 and self.phase is Phase.RUNNING
 
 
@@ -117,10 +117,10 @@
     :ivar old_boots: ids of previous agent processes.
     :ivar returning_boot: set while a previous agent process may still be alive.
     :ivar used: resources occupied by its runs.
-    :ivar fill_cpu: CPU requested by filling tasks, in millicores.
+    :ivar fill_cpu: CPU requested by best-effort tasks, in millicores.
     :ivar serving: number of runs with a latency target.
-    :ivar lasting: number of runs of lasting tasks.
-    :ivar lasting_cpu: CPU requested by lasting tasks, in millicores.
+    :ivar lasting: number of runs of long-running tasks.
+    :ivar lasting_cpu: CPU requested by long-running tasks, in millicores.
     """
 
     agent: str
@@ -182,14 +182,14 @@
 
     @property
     def spare_cpu(self) -> int:
-        """Estimated CPU available to another filling task, in millicores."""
+        """Estimated CPU available to another best-effort task, in millicores."""
         if self._unused_version != self.changes:
             self._unused_version = self.changes
             self._unused_cpu = self._unused_lasting_cpu() - self._used_fill_cpu()
         return self.free_cpu + self._unused_cpu
 
     def _unused_lasting_cpu(self) -> int:
-        """Return the CPU that lasting tasks requested but are estimated not to use."""
+        """Return the CPU that long-running tasks requested but are estimated not to use."""
         return sum(
             int(run.step.cpu_millicores * (1 - run.load))
             for run in self.runs.values()
@@ -197,7 +197,7 @@
         )
 
     def _used_fill_cpu(self) -> int:
-        """Return the estimated CPU use of filling tasks at their current pace."""
+        """Return the estimated CPU use of best-effort tasks at their current pace."""
         return sum(
             run.step.cpu_millicores * max(run.paced, MIN_COUNTED_PACE_PERCENT) // 100
             for run in self.runs.values()
@@ -206,7 +206,7 @@
 
     @property
     def unseen_fill_cpu(self) -> int:
-        """CPU requested by filling tasks that no report has measured yet, in millicores."""
+        """CPU requested by best-effort tasks that no report has measured yet, in millicores."""
         return sum(
             run.step.cpu_millicores
             for run in self.runs.values()
--- a/sapphirelead/sched_head.py
+++ b/sapphirelead/sched_head.py
@@ -159,7 +159,7 @@
         transaction = Txn(
             txn, (Condition(HEAD_KEY, self._version),), (*writes, Write(HEAD_KEY, value))
         )
-        pause = MIN_RETRY_DELAY_S
+        delay_s = MIN_RETRY_DELAY_S
         self.waiting_since = now()
         tries = 0
         while True:
@@ -173,8 +173,8 @@
                 if outcome is not None:
                     return outcome
             # Retries with the same condition, so that at most one of the attempts takes effect.
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, MAX_RETRY_DELAY_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(delay_s * 2, MAX_RETRY_DELAY_S)
 
     async def _resolve_conflict(self, txn: str, sent_at: float, tries: int) -> HeadEnd | None:
         """Check who changed the row; return ``None`` if it cannot be read."""
--- a/sapphirelead/sched_interference.py
+++ b/sapphirelead/sched_interference.py
@@ -1,7 +1,7 @@
-"""Learns the interference of best-effort images with the tail latency of latency-critical ones.
+"""Estimates the interference of best-effort images with the tail latency of latency-critical ones.
 
-Handles swinging loads of latency-critical jobs by comparing workers: the tasks of one job share its
-load, so a difference in load between workers at one time is the interference of the best-effort
+Handles fluctuating loads of latency-critical jobs by comparing workers: the tasks of one job share
+its load, so a difference in load between workers at one time is the interference of the best-effort
 tasks beside them (:mod:`sapphirelead.policy_pressure`).  Each report corrects the weights of the
 pairs of images by that difference (:mod:`sapphirelead.policy_pressure_filter`).
 """
@@ -52,10 +52,10 @@
 """Readings whose load differs from the median by more, interference excluded, are outliers."""
 
 MIN_USED_SHARE: Final = 0.001
-"""Least share of a worker that a best-effort task is assumed to use."""
+"""Minimum share of a worker that a best-effort task is assumed to use."""
 
 LOAD_PREDICTION_S: Final = 2.0
-"""Time by which a rising load is extrapolated for placement."""
+"""Horizon to which rising loads are extrapolated for placement."""
 
 TREND_WINDOW_S: Final = 2.5
 """Time over which the trend of a job's load is measured."""
@@ -99,7 +99,7 @@
 
 
 class InterferenceModel:
-    """Learnt interference of best-effort images with latency-critical images.
+    """Estimated interference of best-effort images with latency-critical images.
 
     :ivar idle_ms: idle tail latency of each latency-critical image: the lowest one observed.
     """
@@ -130,15 +130,15 @@
         self._known = frozenset()
 
     def learn(self, instance: Instance, at: float) -> None:
-        """Learn from the tail latencies of an instance's newest report."""
+        """Update the estimates from the tail latencies of an instance's newest report."""
         shares = _used_shares(instance)
         before = self._shares.get(instance.agent, shares)
         self._shares[instance.agent] = shares
         # Tail latencies lag behind a change in interference by about one report.
         images = shares.keys() | before.keys()
         lagged = {image: (shares.get(image, 0.0) + before.get(image, 0.0)) / 2 for image in images}
-        moved = sum(abs(shares.get(image, 0.0) - before.get(image, 0.0)) for image in images)
-        noise = LOAD_NOISE + TRANSIENT_NOISE * moved
+        change = sum(abs(shares.get(image, 0.0) - before.get(image, 0.0)) for image in images)
+        noise = LOAD_NOISE + TRANSIENT_NOISE * change
         self._update_prior(at)
         for key, (image, tail_ms) in self._tails(instance, at).items():
             load = load_from_tail(tail_ms, self.idle_ms[image])
@@ -215,7 +215,7 @@
         return pair_belief(self._prior.heavy(serving, filling))
 
     def _posterior(self, serving: str, filling: str) -> Belief:
-        """Return the belief about a pair, from its observations and the prior."""
+        """Return the posterior of a pair, from its observations and the prior."""
         posteriors = self._posteriors.setdefault(serving, {})
         found = posteriors.get(filling)
         if found is None:
@@ -310,7 +310,7 @@
     def _compute_paces(self, instance: Instance) -> _PaceCache:
         """Return a new cache for the runs and the newest report of an instance."""
         wanted: dict[str, float] = {}
-        rooms: dict[str, LoadBudget] = {}
+        budgets: dict[str, LoadBudget] = {}
         for run in instance.runs.values():
             image = run.step.image
             if run.step.fills:
@@ -318,18 +318,21 @@
                 wanted[image] = wanted.get(image, 0.0) + share
             elif run.has_tail_latency and image in self.idle_ms:
                 max_load = load_from_tail(run.step.target_ms, self.idle_ms[image])
-                room = LoadBudget(
+                budget = LoadBudget(
                     image, self._expected_load(run.ref[:3], image, instance), max_load
                 )
-                known = rooms.get(image)
-                if known is None or room.max_load - room.own_load < known.max_load - known.own_load:
-                    rooms[image] = room
+                known = budgets.get(image)
+                if (
+                    known is None
+                    or budget.max_load - budget.own_load < known.max_load - known.own_load
+                ):
+                    budgets[image] = budget
         return _PaceCache(
-            instance.changes, LevelAllocation(list(rooms.values()), wanted, self.weight)
+            instance.changes, LevelAllocation(list(budgets.values()), wanted, self.weight)
         )
 
     def _expected_load(self, key: GroupKey, image: str, instance: Instance) -> float:
-        """Return the load expected from a job's users in the next :data:`LOAD_PREDICTION_S`."""
+        """Return a job's load without interference, extrapolated by :data:`LOAD_PREDICTION_S`."""
         reading = self._groups.get(key, {}).get(instance.agent)
         if reading is None:
             return 0.0
--- a/sapphirelead/sched_interference_guard.py
+++ b/sapphirelead/sched_interference_guard.py
@@ -30,7 +30,7 @@
         self.model = InterferenceModel()
 
     def learn(self, instance: Instance, at: float) -> None:
-        """Learn from the tail latencies of an instance's newest report."""
+        """Update the estimates from the tail latencies of an instance's newest report."""
         self._guard("learn", lambda: self.model.learn(instance, at), None)
 
     def knows(self, filling: str) -> bool:
@@ -62,10 +62,10 @@
         """Drop the readings of a job."""
         self._guard("forget", lambda: self.model.forget(job_id), None)
 
-    def _guard(self, what: str, ask: Callable[[], R], otherwise: R) -> R:
+    def _guard(self, operation: str, call: Callable[[], R], default: R) -> R:
         try:
-            return ask()
+            return call()
         except Exception as exc:
-            log_event("ERROR", "press_model_reset", doing=what, reason=repr(exc))
+            log_event("ERROR", "press_model_reset", doing=operation, reason=repr(exc))
             self.model = InterferenceModel()
-            return otherwise
+            return default
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -1,9 +1,8 @@
 """Selects the tasks to start, their order and their workers.
 
-Ready steps are placed by queue priority, then by the slack left against the job's objective.  Each
-pass tries every ready step once, so a wide step that does not fit does not block smaller ones.
-A pass that exceeds its time budget continues in later calls
-(:mod:`sapphirelead.sched_scan_order`).
+Ready steps are placed by queue priority, then by the slack to the job's objective.  Each pass tries
+every ready step once, so a wide step that does not fit does not block smaller ones.  A pass that
+exceeds its time budget continues in later calls (:mod:`sapphirelead.sched_scan_order`).
 
 Best-effort tasks are those of steps with ``fills``, long-running tasks those of steps with
 ``lasting``.
@@ -18,10 +17,10 @@
 from sapphirelead.sched_advice import StepKey
 from sapphirelead.sched_choice import PlacementHeap
 from sapphirelead.sched_core import Scheduler
+from sapphirelead.sched_feasibility import FeasibleWorkers, Kind
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
 from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
-from sapphirelead.sched_feasibility import FeasibleWorkers, Kind
 from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, chain_ms
 
@@ -71,7 +70,7 @@
 
     @property
     def remaining_core_s(self) -> float:
-        """Estimated work left in the occurrence, in core-seconds."""
+        """Estimated remaining work of the occurrence, in core-seconds."""
         steps = self.job.spec.steps
         return sum(
             unfinished * step.cpu_millicores * step.estimate_ms / 1e6
@@ -117,15 +116,17 @@
     policy: QueuePolicy
 
 
-def slack_s(job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall: int) -> float:
+def slack_s(
+    job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall_ms: int
+) -> float:
     """Return how long the step can wait without missing its job's objective, in seconds."""
     spec = job.spec
     begin_ms = spec.accepted_ms
     if spec.occurrences:
         begin_ms = spec.first_due_ms + occurrence.number * spec.interval_ms
-    rest = chain_ms(spec.steps)
-    objective_ms = policy.stretch * max(rest) + policy.slack_ms
-    return (begin_ms + objective_ms - wall - rest[number]) / 1000
+    remaining_ms = chain_ms(spec.steps)
+    objective_ms = policy.stretch * max(remaining_ms) + policy.slack_ms
+    return (begin_ms + objective_ms - wall_ms - remaining_ms[number]) / 1000
 
 
 def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[ReadyStep]:
@@ -190,7 +191,7 @@
     """
     scan_order = scan_order or ScanOrder()
     add_due_occurrences(sched, wall_ms)
-    questions: list[AdviceRequest] = []
+    requests: list[AdviceRequest] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
@@ -203,7 +204,7 @@
         ready = item.ready
         scan_order.mark_scanned(ready.key, at)
         if ready.policy.advice is not None:
-            questions.extend(_advice_request(sched, ready, at))
+            requests.extend(_advice_request(sched, ready, at))
         places = _places(sched, item, feasible) if item.tickets is None else live
         if not places:
             if ready.step.fills:
@@ -224,7 +225,7 @@
             all_placed = _place_tasks(sched, ready, eligible, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
                 sched.infeasible_cache.record_infeasible(item.kind, ready.step)
-    return questions
+    return requests
 
 
 def _candidates(sched: Scheduler, at: float, wall_ms: int) -> list[Candidate]:
--- a/sapphirelead/sched_scan_order.py
+++ b/sapphirelead/sched_scan_order.py
@@ -14,7 +14,7 @@
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
 RESCAN_INTERVAL_S: Final = HEARTBEAT_INTERVAL_S
-"""Least time between two scans of a step in rank order while passes are truncated."""
+"""Minimum time between two scans of a step in rank order while passes are truncated."""
 
 
 class Ranked(Protocol):
@@ -97,9 +97,9 @@
         :param has_new_room: whether a step may fit on a worker that it has not been tried on.
         """
         self._scanned = set()
-        urgent = self.budget.half()
+        rank_budget = self.budget.half()
         for step in steps:
-            if self._scanned and urgent.spent:
+            if self._scanned and rank_budget.spent:
                 break
             scanned_at = self._scanned_at.get(step.key, -math.inf)
             if at - scanned_at >= RESCAN_INTERVAL_S or has_new_room(step):
--- a/sapphirelead/sched_spec.py
+++ b/sapphirelead/sched_spec.py
@@ -36,10 +36,12 @@
     :ivar near_rack: rack that holds the data; empty for any.
     :ivar per_worker: maximum number of tasks of this step on one worker; 0 for no limit.
     :ivar copies: a task may have several runs at a time; the first to finish counts.
-    :ivar lasting: the tasks run until the job is cancelled, and are restarted whenever they end.
+    :ivar lasting: the tasks are long-running: they run until the job is cancelled, and are
+        restarted whenever they end.
     :ivar image: identifies tasks with the same resource behaviour.
-    :ivar target_ms: upper limit for the tail latency of a lasting task; 0 for none.
-    :ivar fills: the task runs on idle CPU, which is not counted as used.
+    :ivar target_ms: upper limit for the tail latency of a long-running task, which makes it
+        latency-critical; 0 for none.
+    :ivar fills: the tasks are best-effort: they run on idle CPU, which is not counted as used.
     :ivar absent_max: maximum number of tasks that the scheduler may keep stopped at a time.
     """
 
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -11,29 +11,29 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_baseline_speed import baseline_speeds
 from sapphirelead.sched_core import Scheduler
+from sapphirelead.sched_feasibility import Kind
 from sapphirelead.sched_fleet import Instance, Phase, Run
 from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
-from sapphirelead.sched_feasibility import Kind
 from sapphirelead.sched_scan_order import Budget
 
 SLOW_SPEED_SHARE: Final = 0.4
 """A run is slow below this share of its expected speed."""
 MIN_OBSERVATION_S: Final = 0.9
-"""Least time for which a run is observed before its speed is judged."""
+"""Minimum time for which a run is observed before its speed is judged."""
 MIN_OBSERVATION_SHARE: Final = 0.25
-"""Least share of its estimate for which a run is observed."""
+"""Minimum share of its estimate for which a run is observed."""
 MIN_MOVE_GAIN: Final = 1.4
 """Factor by which a move must shorten the remaining time."""
 MAX_MOVES: Final = 3
-"""Most moves of one slow task."""
+"""Maximum number of moves of one slow task."""
 RESTART_DELAY_S: Final = 0.5
 """Typical time from the decision to the start on another worker."""
 LOW_PACE_PERCENT: Final = 70
 """A best-effort run that saves progress counts as throttled below this pace."""
 MAX_JUDGED_PACE_PERCENT: Final = 25
-"""A best-effort run between this pace and full pace is not judged by its speed."""
+"""A throttled best-effort run above this pace is not judged by its speed."""
 MAX_THROTTLED_MOVES: Final = 6
-"""Most moves of one throttled task."""
+"""Maximum number of moves of one throttled task."""
 MIN_SPEED: Final = 0.03
 """Lower bound of the speed in divisions."""
 
@@ -58,10 +58,12 @@
     :param baseline: speed of the step's runs on sound workers.
     """
     estimate_s = run.step.estimate_ms / 1000
-    left = (100 - run.percent) / 100
-    here_s = left * estimate_s / max(speed, MIN_SPEED)
+    remaining_share = (100 - run.percent) / 100
+    here_s = remaining_share * estimate_s / max(speed, MIN_SPEED)
     work_s = estimate_s / max(baseline, MIN_SPEED)
-    elsewhere_s = RESTART_DELAY_S + (left * work_s + restore_s if run.step.saves else work_s)
+    elsewhere_s = RESTART_DELAY_S + (
+        remaining_share * work_s + restore_s if run.step.saves else work_s
+    )
     return here_s > MIN_MOVE_GAIN * elsewhere_s
 
 
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -1,6 +1,6 @@
 """Periodic summary of waiting and running tasks, for the log.
 
-Shows why jobs end late: no room, unsound workers, best-effort tasks throttled beside
+Shows why jobs end late: lack of room, unsound workers, best-effort tasks throttled beside
 latency-critical ones, or tail latencies over their targets.
 """
 
@@ -29,7 +29,7 @@
     :ivar used_cores: cores that they used by the newest reports.
     :ivar paced: mean pace that their agents allow them, in percent.
     :ivar over_target: latency-critical tasks whose tail latency is over its target.
-    :ivar tails: mean tail latency of these tasks as a share of its target, in percent.
+    :ivar tails: mean of all reported tail latencies as a share of their targets, in percent.
     """
 
     workers: int
--- a/sapphirelead/sched_timing.py
+++ b/sapphirelead/sched_timing.py
@@ -43,7 +43,8 @@
     :ivar save_every_s: work between two checkpoints of a task that saves.
     :ivar remote_factor: factor on the run time outside the rack that holds the data.
     :ivar drain_s: time from the notice that a worker leaves until no more work may start there.
-    :ivar harm_s: maximum time for which filling tasks may keep a serving task over its target.
+    :ivar harm_s: maximum time for which best-effort tasks may keep a latency-critical task over its
+        target.
     :ivar pace_s: time until a change of pace takes effect.
     :ivar grace_s: time that a process has to exit after SIGTERM.
     :ivar keep_ended_s: retention period of ended jobs.
--- a/sapphirelead/sched_track.py
+++ b/sapphirelead/sched_track.py
@@ -1,8 +1,8 @@
 """Circuit breaker for workers that fail or slow down the tasks they run.
 
 Tracks each worker's consecutive failures and a moving average of its speed relative to the
-estimates.  An unsound worker gets no work for a pause and then one trial run: a good trial restores
-it, a bad one doubles the pause.
+estimates.  An unsound worker gets no work for a cooldown and then one trial run: a good trial
+restores it, a bad one doubles the cooldown.
 """
 
 from dataclasses import dataclass
@@ -22,9 +22,9 @@
 
     :ivar speed: moving average of the speed relative to the estimates.
     :ivar failures: consecutive failed runs.
-    :ivar cooldown_s: length of the latest pause, 0 after a good trial.
+    :ivar cooldown_s: length of the latest cooldown, 0 after a good trial.
     :ivar cooldown_until: no new work before this time.
-    :ivar on_trial: the next run decides whether the worker is restored or paused again.
+    :ivar on_trial: the next run decides whether the worker is restored or gets another cooldown.
     :ivar last_fault_at: time of the last failed or slow run.
     """
 
