--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -63,7 +63,7 @@
     _read_at: float
     _seen: HeadRow | None
     _seen_at: float
-    _offered: int
+    _offered_epoch: int
     _own_epoch: int
     _leaving: bool
 
@@ -82,14 +82,14 @@
         self._read_at = -1e9
         self._seen = None
         self._seen_at = 0.0
-        self._offered = 0
+        self._offered_epoch = 0
         self._own_epoch = 0
         self._leaving = False
 
     def leave(self) -> None:
         """Never take the leadership again, because this process is shutting down."""
         self._leaving = True
-        self._offered = 0
+        self._offered_epoch = 0
 
     def has_live_leader(self, at: float) -> bool:
         """Whether another entry leads, accepts calls and has been heard from recently."""
@@ -101,7 +101,7 @@
         """Return the action to take at time ``at``."""
         if self._leading:
             return Move.NOTHING
-        if self._offered and not self._leaving:
+        if self._offered_epoch and not self._leaving:
             return Move.TAKE
         if self.leader and at - self._heard_at < LEADER_TIMEOUT_S:
             return Move.NOTHING
@@ -176,46 +176,46 @@
         if epoch != self.epoch:
             # The leader that made the offer has been replaced.  Its heartbeats within the same
             # epoch do not withdraw the offer.
-            self._offered = 0
+            self._offered_epoch = 0
         self.epoch = epoch
         self.leader = leader
         self._heard_at = at
         self._serving = serving
 
-    def offered(self, epoch: int) -> None:
+    def on_offer(self, epoch: int) -> None:
         """Record that the leader of ``epoch`` offers the leadership to this entry."""
         if epoch >= self.epoch and not self._leading:
-            self._offered = epoch
+            self._offered_epoch = epoch
 
     async def take(self, table: Table) -> Head | None:
         """Try to take the leadership; ``None`` if the attempt failed."""
-        offered = self._offered
-        self._offered = 0
-        for _ in range(MAX_TAKE_ATTEMPTS if offered else 1):
+        offer_epoch = self._offered_epoch
+        self._offered_epoch = 0
+        for _ in range(MAX_TAKE_ATTEMPTS if offer_epoch else 1):
             epoch = self.epoch
-            head = await self._take_once(table, offered)
+            head = await self._take_once(table, offer_epoch)
             if head is not None:
                 return head
             if self._leaving or not self.store_ok or self.epoch != epoch:
                 break
         return None
 
-    async def _take_once(self, table: Table, offered: int) -> Head | None:
+    async def _take_once(self, table: Table, offer_epoch: int) -> Head | None:
         """Read the head row and try to take it.
 
-        :param offered: epoch of the leader that offered the leadership; 0 for none.
+        :param offer_epoch: epoch of the leader that offered the leadership; 0 for none.
         """
         found = await read_head(table)
         if found.is_err():
             self.on_store_failure(now())
             return None
         seen = found.unwrap()
-        if offered and seen.epoch > offered:
+        if offer_epoch and seen.epoch > offer_epoch:
             # Another entry has taken the leadership since the offer.
             self.on_head_read(seen, now())
             return None
         watched = self._seen
-        if not offered and watched is not None and seen.version != watched.version:
+        if not offer_epoch and watched is not None and seen.version != watched.version:
             # The row has changed since the last read: the leader is alive, or there is a new one.
             self.on_head_read(seen, now())
             return None
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -426,7 +426,7 @@
             epoch=message.epoch,
             leaving=self._stopping,
         )
-        self._election.offered(message.epoch)
+        self._election.on_offer(message.epoch)
 
     def _on_link(self, name: str, message: AnyNodeMessage) -> None:
         match message:
--- a/tests/sched/test_election.py
+++ b/tests/sched/test_election.py
@@ -62,7 +62,7 @@
     """Guards against dropping an offer when a heartbeat of the same leader arrives after it."""
     election = Election("e1")
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
-    election.offered(3)
+    election.on_offer(3)
     assert election.on_heartbeat(3, "e2", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.TAKE
 
@@ -70,7 +70,7 @@
 def test_an_offer_expires_with_its_epoch() -> None:
     election = Election("e1")
     assert election.on_heartbeat(3, "e2", serving=True, at=1.0)
-    election.offered(3)
+    election.on_offer(3)
     assert election.on_heartbeat(4, "e3", serving=True, at=1.01)
     assert election.next_move(1.02) is Move.NOTHING
 
@@ -88,7 +88,7 @@
     feed_head_row(election, (await read_head(table)).unwrap(), later)
     for step in range(40):
         assert election.next_move(later + step * 0.1) is not Move.TAKE
-    election.offered(9)
+    election.on_offer(9)
     assert election.next_move(later + 5) is not Move.TAKE
 
 
@@ -184,7 +184,7 @@
     assert head is not None
     election = Election("e1", 2.0)
     assert election.on_heartbeat(1, "e2", serving=True, at=now())
-    election.offered(1)
+    election.on_offer(1)
     reads = 0
     rows = table.rows
 
