--- a/sapphirelead/node_directory.py
+++ b/sapphirelead/node_directory.py
@@ -16,7 +16,7 @@
 
 ENTRY_PREFIX: Final = "fleet/entry/"
 
-MAX_TXN_ROWS: Final = 500
+MAX_ENTRIES_READ: Final = 500
 """Maximum number of rows read."""
 
 
@@ -39,7 +39,7 @@
 
 async def read_entries(table: Table) -> Result[list[EntryAddress], Failure]:
     """Read the addresses of all entries."""
-    found = await table.scan(ENTRY_PREFIX, "", MAX_TXN_ROWS)
+    found = await table.scan(ENTRY_PREFIX, "", MAX_ENTRIES_READ)
     if isinstance(found, Err):
         log_event("INFO", "entries_not_read", reason=str(found.err_value))
         return found
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -63,7 +63,7 @@
         at = now()
         stalled = at - self._checked_at > STALL_THRESHOLD_S
         self._checked_at = at
-        if not stalled and self._cut_off(leader, at):
+        if not stalled and self._isolated(leader, at):
             # The store still confirms this leader and the head row keeps changing, so no other
             # entry would take over.
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
@@ -102,7 +102,7 @@
         log_event("WARNING", "lead_handed_over", to=name, reason=reason)
         self._send(name, Handover(leader.head.epoch, leader.head.leader))
 
-    def _cut_off(self, leader: Leader, at: float) -> bool:
+    def _isolated(self, leader: Leader, at: float) -> bool:
         """Whether neither the followers nor most agents have sent anything recently."""
         return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(
             at
--- a/sapphirelead/platform/heartbeats.py
+++ b/sapphirelead/platform/heartbeats.py
@@ -17,7 +17,7 @@
 from sapphirelead.platform.decoding import Count, Name, SocketAddress, decode
 from sapphirelead.runner_service import Runner
 
-PATH: Final = re.compile(r"/instances/([!-.0-~]{1,200})/(heartbeat|leave)")
+WORKER_REQUEST_PATH: Final = re.compile(r"/instances/([!-.0-~]{1,200})/(heartbeat|leave)")
 """The worker id is printable ASCII without a slash, because it is sent as a header value."""
 
 
@@ -66,7 +66,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request."""
-        found = PATH.fullmatch(request.path)
+        found = WORKER_REQUEST_PATH.fullmatch(request.path)
         if found is None or request.method != "POST":
             return web.Response(status=404)
         worker, action = found.groups()
--- a/sapphirelead/sched_feasibility.py
+++ b/sapphirelead/sched_feasibility.py
@@ -146,7 +146,7 @@
     _smallest: dict[Kind, StepSpec]
     _press: GuardedInterferenceModel
     _at: float
-    _found: dict[Kind, set[str]]
+    _feasible_agents: dict[Kind, set[str]]
 
     def __init__(
         self,
@@ -163,7 +163,7 @@
         self._smallest = {}
         self._press = press
         self._at = at
-        self._found = {}
+        self._feasible_agents = {}
         first: dict[Kind, StepSpec] = {}
         for kind, step in waiting:
             known = self._smallest.get(kind) or first.get(kind)
@@ -177,9 +177,9 @@
         places = self._infeasible_cache.places(kind, step)
         if not places or kind not in self._smallest:
             return places
-        found = self._found.get(kind)
+        found = self._feasible_agents.get(kind)
         if found is None:
-            found = self._found[kind] = self._find_feasible(kind)
+            found = self._feasible_agents[kind] = self._find_feasible(kind)
         return [place for place in places if place.agent in found]
 
     def _find_feasible(self, kind: Kind) -> set[str]:
