--- a/sapphirelead/node_directory.py
+++ b/sapphirelead/node_directory.py
@@ -17,7 +17,7 @@
 ENTRY_PREFIX: Final = "fleet/entry/"
 
 MAX_ENTRIES_READ: Final = 500
-"""Maximum number of rows read."""
+"""Maximum number of entries whose rows are read."""
 
 
 class EntryRow(msgspec.Struct, frozen=True):
