--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -121,7 +121,7 @@
     """Decode and validate a submission; the error is the reason for its rejection."""
     decoded = decode(_DECODER, body)
     if isinstance(decoded, Err):
-        return Err(f"the body is not a valid job: {decoded.err_value}")
+        return Err(f"the body contains no job: {decoded.err_value}")
     wire = decoded.ok_value
     spec = JobSpec(
         job_id=job_id,
