--- a/bench/bench_decision.py
+++ b/bench/bench_decision.py
@@ -81,7 +81,7 @@
                 Situation(kind="service", service="checks", load=health.load, deadline_ms=1000)
             )
             queue.ahead(5, at + 1.0)
-            instance = router.pick("checks", at) if limit.has_room else None
+            instance = router.pick("checks", at) if limit.has_capacity else None
             if instance is not None:
                 router.begin(instance, at)
                 limit.begin()
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -44,8 +44,8 @@
 from sapphirelead.settings import AgentSettings
 from sapphirelead.wire_messages import Amount, Announce, Beat, BeatAck, Drain
 
-WORKER_RETRY_SECONDS: Final = 0.5
-DRAIN_POLL_SECONDS: Final = 0.05
+WORKER_RETRY_DELAY_S: Final = 0.5
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
@@ -195,7 +195,7 @@
                     return view
                 case Err(failure):
                     log_event("WARNING", "worker_unavailable", reason=failure.message)
-            await asyncio.sleep(WORKER_RETRY_SECONDS)
+            await asyncio.sleep(WORKER_RETRY_DELAY_S)
 
     async def _run_heartbeats(self) -> None:
         while True:
@@ -330,7 +330,7 @@
         while self._context.task_table.tasks:
             for task in self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING):
                 self._stopper.order(task, order)
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _replaced(self) -> None:
         """Fail because another agent has opened a session with the worker."""
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -105,7 +105,7 @@
     _observe: Observer
     draining: bool
     _running: set[Attempt]
-    _cancellation_stored: set[Attempt]
+    _cancelled_attempts: set[Attempt]
     _history: AttemptHistory
     _incarnations: set[str]
     _operation_count: int
@@ -131,7 +131,7 @@
         self._observe = observe
         self.draining = False
         self._running = set()
-        self._cancellation_stored = set()
+        self._cancelled_attempts = set()
         self._history = AttemptHistory()
         self._incarnations = {sender.incarnation}
         self._operation_count = 0
@@ -183,7 +183,7 @@
             # The slot has been released by now: the answer must not count it in ``slots_used``.
             self._finish(index, self._from_target(attempt, outcome))
         finally:
-            self._cancellation_stored.discard(attempt)
+            self._cancelled_attempts.discard(attempt)
             self._end_operation()
 
     async def _call(
@@ -220,7 +220,7 @@
         """Suppress the answer of an attempt; the call continues and holds its slot."""
         attempt = (cancel.request_id, cancel.attempt)
         if attempt in self._running:
-            self._cancellation_stored.add(attempt)
+            self._cancelled_attempts.add(attempt)
 
     def _on_fate(self, index: int, fate: AttemptFate) -> None:
         attempt = (fate.request_id, fate.attempt)
@@ -238,7 +238,7 @@
         if self._history.seen(attempt):
             return
         self._history.add(attempt, answer, now())
-        if attempt not in self._cancellation_stored:
+        if attempt not in self._cancelled_attempts:
             self._reply(index, answer, lane)
 
     def _resend(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -44,7 +44,7 @@
 )
 from sapphirelead.wire_messages import Fate as FateRequest
 
-START_LEASE_SECONDS: Final = 5.0
+START_LEASE_S: Final = 5.0
 RETRY_INTERVAL_S: Final = 0.2
 EVICTION_TIMEOUT_S: Final = 2.3
 EVICTION_POLL_INTERVAL_S: Final = 0.02
@@ -122,7 +122,7 @@
         refused = Refused(offer_id=offer_id, key=key, epoch=epoch, reason=reason, **head)
         self._send(index, refused)
 
-    def _closed(self) -> str:
+    def _unavailable_reason(self) -> str:
         """Return the reason why no task may be started now, or an empty string."""
         if self._context.draining:
             return "draining"
@@ -131,7 +131,7 @@
         return "" if self._context.lease.may_act(now()) else "no lease"
 
     def _on_offer(self, index: int, offer: Offer) -> None:
-        closed = self._closed()
+        closed = self._unavailable_reason()
         if closed:
             self._refuse(index, offer, closed)
             return
@@ -200,7 +200,7 @@
             return "stale epoch"
         if _kind(start.kind) is None:
             return "unknown kind"
-        return self._closed() or self._drop_earlier_epoch(start.key)
+        return self._unavailable_reason() or self._drop_earlier_epoch(start.key)
 
     def _drop_earlier_epoch(self, key: str) -> str:
         """Remove the task of an earlier epoch of ``key``; return a reason if that is not possible.
@@ -292,7 +292,7 @@
 
     def _start_lease(self) -> float:
         # Kept short, because a start with an unknown result is resolved only after it expires.
-        deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
+        deadline = min(self._context.lease.deadline, now() + START_LEASE_S)
         return self._context.session.lease_until(deadline)
 
     def _spec(self, task: Task, lease_until: float) -> TaskSpec:
--- a/sapphirelead/agent_worker.py
+++ b/sapphirelead/agent_worker.py
@@ -85,42 +85,42 @@
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.start(session, spec))
+        return self._update_health(await self._worker.start(session, spec))
 
     async def renew(self, leases: dict[str, float]) -> Result[None, Failure]:
         """Extend the leases of tasks; times are in worker time."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.renew(session, leases))
+        return self._update_health(await self._worker.renew(session, leases))
 
     async def throttle(self, key: str, share: float) -> Result[None, Failure]:
         """Limit a task to ``share`` of its CPU."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.throttle(session, key, share))
+        return self._update_health(await self._worker.throttle(session, key, share))
 
     async def checkpoint_stop(self, key: str) -> Result[str, Failure]:
         """Stop a task at a checkpoint and return the object key of the checkpoint."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.checkpoint_stop(session, key))
+        return self._update_health(await self._worker.checkpoint_stop(session, key))
 
     async def stop(self, key: str) -> Result[None, Failure]:
         """Stop a task without a checkpoint."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.stop(session, key))
+        return self._update_health(await self._worker.stop(session, key))
 
     async def remove(self, key: str) -> Result[None, Failure]:
         """Remove an ended task from the worker."""
         session = self._session
         if session == NO_SESSION:
             return _CLOSED
-        return self._check_reachable(await self._worker.remove(session, key))
+        return self._update_health(await self._worker.remove(session, key))
 
     def _record_view(self, answer: Result[WorkerView, Failure]) -> Result[WorkerView, Failure]:
         self.healthy = isinstance(answer, Ok)
@@ -128,7 +128,7 @@
             self._clock = WorkerClock(answer.ok_value.clock, now())
         return answer
 
-    def _check_reachable(self, answer: Result[T, Failure]) -> Result[T, Failure]:
+    def _update_health(self, answer: Result[T, Failure]) -> Result[T, Failure]:
         unreachable = (Code.WORKER_UNAVAILABLE, Code.STORE_CONFLICT)
         if isinstance(answer, Err) and answer.err_value.code in unreachable:
             # After a conflict nothing may be started until the next view has checked the session.
--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -36,8 +36,8 @@
 from sapphirelead.wire_messages import Drain
 
 PREFIX: Final = "/v1/admin"
-MAX_LIST: Final = 1_000
-DEFAULT_LIST: Final = 50
+MAX_PAGE_SIZE: Final = 1_000
+DEFAULT_PAGE_SIZE: Final = 50
 
 STATUS_OF: Final[dict[Code, int]] = {
     Code.BAD_REQUEST: 400,
@@ -298,9 +298,9 @@
 
 def read_page(request: web.Request) -> Result[tuple[int, str], Failure]:
     """Parse the ``limit`` and ``after`` parameters of a list request."""
-    text = request.query.get("limit", str(DEFAULT_LIST))
-    if not text.isdecimal() or not 1 <= int(text) <= MAX_LIST:
-        return Err(Failure(Code.BAD_REQUEST, f"limit: must be from 1 to {MAX_LIST}"))
+    text = request.query.get("limit", str(DEFAULT_PAGE_SIZE))
+    if not text.isdecimal() or not 1 <= int(text) <= MAX_PAGE_SIZE:
+        return Err(Failure(Code.BAD_REQUEST, f"limit: must be from 1 to {MAX_PAGE_SIZE}"))
     return Ok((int(text), request.query.get("after", "")))
 
 
--- a/sapphirelead/entry_interference.py
+++ b/sapphirelead/entry_interference.py
@@ -22,7 +22,7 @@
         """Call ``listener(view, live)`` on every new view."""
 
 
-class FleetInterference:
+class RegionInterference:
     """Interference model of a region, updated from heartbeats."""
 
     _model: InterferenceModel
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -23,8 +23,8 @@
 from sapphirelead.policy_placement import fits_any_instance
 from sapphirelead.wire_messages import WatchEvent
 
-POLL_MIN_S: Final = 0.2
-POLL_MAX_S: Final = 2.0
+MIN_POLL_INTERVAL_S: Final = 0.2
+MAX_POLL_INTERVAL_S: Final = 2.0
 MAX_CANCEL_ATTEMPTS: Final = 5
 
 
@@ -79,7 +79,7 @@
     async def get(self, key: str, wait_s: float) -> Result[Job | None, Failure]:
         """Read a job, waiting up to ``wait_s`` seconds for its end."""
         deadline = now() + wait_s
-        poll_delay_s = POLL_MIN_S
+        poll_delay_s = MIN_POLL_INTERVAL_S
         while True:
             found = await self._rows.read(key)
             if isinstance(found, Err):
@@ -91,7 +91,7 @@
             ended = await self._notifier.wait_end(key, min(poll_delay_s, left))
             if ended is not None:
                 return Ok(ended.job)
-            poll_delay_s = min(poll_delay_s * 1.5, POLL_MAX_S)
+            poll_delay_s = min(poll_delay_s * 1.5, MAX_POLL_INTERVAL_S)
 
     async def cancel(self, key: str) -> Result[Job, Failure]:
         """Request a job's cancellation; an ended job is returned unchanged."""
@@ -123,7 +123,7 @@
 
     async def list_jobs(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
         """List open or ended jobs."""
-        return await self._rows.scan_any(ended, after, limit)
+        return await self._rows.scan_all_shards(ended, after, limit)
 
     async def events(self, key: str) -> AsyncIterator[WatchEvent]:
         """Yield events of a watch, from the oldest buffered, until the job has ended."""
@@ -135,7 +135,7 @@
                 mark = event_position(event)
                 yield event
             try:
-                async with asyncio.timeout(POLL_MAX_S):
+                async with asyncio.timeout(MAX_POLL_INTERVAL_S):
                     await tail.changed.wait()
                 continue
             except TimeoutError:
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -21,7 +21,7 @@
 from sapphirelead.entry_admin import AdminPorts, admin_app_routes
 from sapphirelead.entry_core import EntryCore
 from sapphirelead.entry_http import CallerApi, CallerPorts
-from sapphirelead.entry_interference import FleetInterference
+from sapphirelead.entry_interference import RegionInterference
 from sapphirelead.entry_links import EntryLinks
 from sapphirelead.entry_members import EntryMembers
 from sapphirelead.entry_ports import Lane, Stamp
@@ -187,7 +187,7 @@
             lambda: len(self.core.scheduler.shards.jobs),
         )
         self.core.scheduler.situation = situation.of_job
-        self.core.scheduler.slowdown = FleetInterference.from_members(
+        self.core.scheduler.slowdown = RegionInterference.from_members(
             self.members, lambda: config.current.document.interference.report_lag_seconds
         ).slowdown
         self.dispatcher.store_up = lambda: self.core.table.up
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -89,7 +89,7 @@
     def reserve(self, req: OpenRequest) -> str | None:
         """Reserve an instance that has capacity now; ``None`` if there is none."""
         state = req.service
-        if not state.limit.has_room:
+        if not state.limit.has_capacity:
             return None
         then = req.decision.then
         at = now()
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -222,7 +222,7 @@
     def _offer(
         self, item: QueuedJob, decision: Decision, views: list[InstanceView], at: float
     ) -> None:
-        wanted = _wanted(item.job, decision.then)
+        wanted = _placement_request(item.job, decision.then)
         weights = self._config.current.document.weights
         records = self._starter.records
         view = place(wanted, views, records, self.slowdown, weights, at)
@@ -299,7 +299,7 @@
         }
 
 
-def _wanted(job: Job, then: Then) -> PlacementRequest:
+def _placement_request(job: Job, then: Then) -> PlacementRequest:
     return PlacementRequest(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -72,7 +72,7 @@
     _draining: bool
     _idle: asyncio.Event
     _grace_until: float
-    _seen: dict[str, tuple[str, bool]]
+    _last_states: dict[str, tuple[str, bool]]
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self._draining = False
         self._idle = asyncio.Event()
         self._idle.set()
-        self._seen = {}
+        self._last_states = {}
         self._grace_until = now() + settings.lease.silence_seconds
         members.on_view(self._on_view)
         config.on_change(self._on_config)
@@ -277,7 +277,7 @@
 
     def _done(self, req: OpenRequest, answer: ServiceAnswer) -> ServiceReply:
         self.counters.done += 1
-        req.service.pressure.served()
+        req.service.retry_after.served()
         return ServiceReply(
             Outcome.DONE,
             req.decision.rule,
@@ -294,7 +294,7 @@
             self.counters.unknown += 1
         else:
             self.counters.not_run += 1
-        req.service.pressure.refused()
+        req.service.retry_after.refused()
         return ServiceReply(
             outcome,
             req.decision.rule,
@@ -308,8 +308,8 @@
         backlog_s = self._placer.wait_s(service, len(service.queue))
         if failure.code is Code.REFUSED_BY_RULE:
             min_s = req.decision.then.retry_after_ms / 1000
-            return service.pressure.retry_after_s(0.0, min_s)
-        return service.pressure.retry_after_s(backlog_s)
+            return service.retry_after.retry_after_s(0.0, min_s)
+        return service.retry_after.retry_after_s(backlog_s)
 
     def _close(self, req: OpenRequest) -> None:
         """Cancel the attempts that are still open and release the request."""
@@ -374,8 +374,8 @@
     def _on_view(self, view: InstanceView, live: bool) -> None:
         at = now()
         self.router.update(view, live, at)
-        if self._seen.get(view.id) != (view.incarnation, live):
-            self._seen[view.id] = (view.incarnation, live)
+        if self._last_states.get(view.id) != (view.incarnation, live):
+            self._last_states[view.id] = (view.incarnation, live)
             self.attempts.mark_suspect(view, live)
         for service in view.services:
             if (state := self._services.get(service)) is not None:
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -115,7 +115,7 @@
     policy: ServicePolicy
     queue: DeadlineQueue[Waiter]
     limit: ConcurrencyLimit
-    pressure: RetryAfterEstimator
+    retry_after: RetryAfterEstimator
     window: LatencyWindow
     budget: RetryBudget
 
--- a/sapphirelead/policy_budget.py
+++ b/sapphirelead/policy_budget.py
@@ -9,11 +9,11 @@
 
 from sapphirelead.clock import now
 
-BURST_SECONDS: Final = 0.5
+BURST_S: Final = 0.5
 
 
 class TokenBucket:
-    """Limits calls to ``rate`` per second, with bursts of ``BURST_SECONDS`` (at least one call)."""
+    """Limits calls to ``rate`` per second, with bursts of ``BURST_S`` (at least one call)."""
 
     rate: float
     _tokens: float
@@ -37,7 +37,7 @@
         return (1.0 - self._tokens) / self.rate
 
     def _burst(self) -> float:
-        return max(1.0, self.rate * BURST_SECONDS)
+        return max(1.0, self.rate * BURST_S)
 
     def _refill(self, at: float) -> None:
         elapsed = max(0.0, at - self._refilled_at)
--- a/sapphirelead/policy_ejection.py
+++ b/sapphirelead/policy_ejection.py
@@ -33,7 +33,7 @@
     _policy: EjectionPolicy
     _instances: Mapping[str, RoutedInstance]
     _pools: Mapping[str, ServicePool]
-    _returns: list[tuple[float, str]]
+    _reinstatements: list[tuple[float, str]]
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._policy = policy
         self._instances = instances
         self._pools = pools
-        self._returns = []
+        self._reinstatements = []
 
     def configure(self, policy: EjectionPolicy) -> None:
         """Replace the policy."""
@@ -62,8 +62,8 @@
     def reinstate(self, at: float) -> list[RoutedInstance]:
         """Reinstate the instances whose ejection time is over, on probation, and return them."""
         back: list[RoutedInstance] = []
-        while self._returns and self._returns[0][0] <= at:
-            _, instance = heappop(self._returns)
+        while self._reinstatements and self._reinstatements[0][0] <= at:
+            _, instance = heappop(self._reinstatements)
             inst = self._instances.get(instance)
             if inst is None or not inst.ejected or inst.ejected_until > at:
                 continue
@@ -94,4 +94,4 @@
         inst.ejected_until = at + seconds
         for service in inst.services:
             self._pools[service].ejected.add(inst.id)
-        heappush(self._returns, (inst.ejected_until, inst.id))
+        heappush(self._reinstatements, (inst.ejected_until, inst.id))
--- a/sapphirelead/policy_limits.py
+++ b/sapphirelead/policy_limits.py
@@ -135,7 +135,7 @@
         self._open_window(at)
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more attempt may be sent."""
         return self.in_flight < int(self.limit)
 
--- a/sapphirelead/policy_routing.py
+++ b/sapphirelead/policy_routing.py
@@ -326,13 +326,13 @@
 
     def _refresh(self, inst: RoutedInstance, at: float) -> None:
         """Update the instance's membership in the sets, and the pools' sums."""
-        room = inst.room(at)
+        has_capacity = inst.has_capacity(at)
         slots = inst.slots if inst.live else 0
         used = min(float(slots), inst.used(at))
         for service in inst.services:
             pool = self._pools[service]
             ids = pool.zones.setdefault(inst.zone, DrawSet())
-            (ids.add if room else ids.discard)(inst.id)
+            (ids.add if has_capacity else ids.discard)(inst.id)
             pool.used = max(0.0, pool.used + used - inst.counted_used)
             pool.slots += slots - inst.counted_slots
         inst.counted_used = used
--- a/sapphirelead/policy_routing_records.py
+++ b/sapphirelead/policy_routing_records.py
@@ -105,7 +105,7 @@
         age = max(0.0, at - self.reported_at)
         return float(self.own_in_flight + self.others_in_flight * 0.5 ** (age / LOAD_HALF_LIFE_S))
 
-    def room(self, at: float) -> bool:
+    def has_capacity(self, at: float) -> bool:
         """Return whether the instance can take another attempt."""
         if not self.live or self.ejected:
             return False
--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -29,7 +29,7 @@
 MIN_STEP_RATIO: Final = 0.4
 RELEASE_FACTOR: Final = 2.0
 RELEASE_BAND_SHARE: Final = 0.6
-AIM_SHARE: Final = 0.8
+THROTTLE_AIM_SHARE: Final = 0.8
 MEASURED_WEIGHT: Final = 0.3
 REPORTS_BEFORE_RELEASE: Final = 2
 MIN_STEP: Final = 0.02
@@ -96,7 +96,7 @@
     slowdown: float
 
     @property
-    def usual_ms(self) -> float:
+    def baseline_ms(self) -> float:
         """Baseline tail latency at the report's rate; too high if ``measured`` was capped."""
         return self.report.tail_ms / max(self.measured, MIN_STEP)
 
@@ -203,7 +203,7 @@
         self, tuning: Tuning, slowdown: float, job_class: str, contribution: float
     ) -> float:
         share = self.share(job_class)
-        excess = slowdown - _scaled_target(tuning.target, AIM_SHARE)
+        excess = slowdown - _scaled_target(tuning.target, THROTTLE_AIM_SHARE)
         wanted = share * (1.0 - excess / contribution) if contribution > 0 else share
         return max(wanted, share * MIN_STEP_RATIO, tuning.floor)
 
--- a/tests/unit/test_entry_interference.py
+++ b/tests/unit/test_entry_interference.py
@@ -2,13 +2,13 @@
 
 from dataclasses import replace
 
-from sapphirelead.entry_interference import FleetInterference
+from sapphirelead.entry_interference import RegionInterference
 from sapphirelead.wire_messages import ClassSample, ServiceSample
 from tests.unit.fakes import make_view
 
 
 def test_interference_on_one_instance_applies_to_all() -> None:
-    fleet = FleetInterference(lambda: 2.0)
+    fleet = RegionInterference(lambda: 2.0)
     idle = make_view("a")
     for number in range(30):
         sample = ServiceSample("checks", 100 + number % 3, 0, 5.0, 10.0 + number % 2)
@@ -24,7 +24,7 @@
 
 
 def test_repeated_report_is_applied_once() -> None:
-    fleet = FleetInterference(lambda: 2.0)
+    fleet = RegionInterference(lambda: 2.0)
     sample = (ServiceSample("checks", 100, 0, 9.0, 30.0),)
     view = replace(make_view("a"), latency=sample, classes=(ClassSample("estimate", 2, 2000),))
     fleet.observe(view)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -69,7 +69,7 @@
 def run_limit(limit: ConcurrencyLimit, latency_s: float, windows: int, at: float) -> float:
     """Use ``limit`` fully for some windows with attempts of ``latency_s``."""
     for _ in range(windows * 12):
-        while limit.has_room:
+        while limit.has_capacity:
             limit.begin()
         at += 0.05
         limit.end(latency_s, at)
