--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -225,8 +225,8 @@
     def reconnect_unresponsive(self) -> None:
         """Reconnect the links that have timed out.
 
-        If this process was suspended since the last check, the timeouts are restarted instead:
-        nothing was received because nothing was read.
+        If this process was paused since the last check, the timeouts are restarted instead: nothing
+        was received because nothing was read.
         """
         paused = now() - self._checked_at > self._max_check_gap_s
         self._checked_at = now()
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -2,7 +2,7 @@
 
 A request takes a slot in the ledger or is refused as ``not_run``; nothing is queued.  When the
 caller's budget is exhausted the attempt is answered as ``unknown``, but its slot is held until the
-call ends, so that the target is never loaded beyond its size.
+call ends, so that the target never has more calls in progress than slots.
 
 Invariants: ``not_run`` is reported only for attempts that have not reached the target and never
 will.  Each attempt has one outcome, remembered for a bounded time: repeated requests run once, and
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -123,7 +123,7 @@
         self._send(index, refused)
 
     def _unavailable_reason(self) -> str:
-        """Return the reason why no task may be started now, or an empty string."""
+        """Return why no task may be started now, or an empty string."""
         if self._context.draining:
             return "draining"
         if not self._context.ready or not self._context.session.healthy:
@@ -131,9 +131,9 @@
         return "" if self._context.lease.may_act(now()) else "no lease"
 
     def _on_offer(self, index: int, offer: Offer) -> None:
-        closed = self._unavailable_reason()
-        if closed:
-            self._refuse(index, offer, closed)
+        reason = self._unavailable_reason()
+        if reason:
+            self._refuse(index, offer, reason)
             return
         size = offer.resources.to_resources()
         ledger = self._context.ledger
--- a/sapphirelead/agent_throttle.py
+++ b/sapphirelead/agent_throttle.py
@@ -1,4 +1,4 @@
-"""Throttles and evicts batch tasks that interfere with services or exceed the instance's size.
+"""Throttles and evicts batch tasks that interfere with services or exceed the instance's capacity.
 
 The CPU share of a task is the smallest of three: the share of its class, decided once per report
 interval (:mod:`sapphirelead.policy_throttle`); a cap on tasks that use more than they declared,
@@ -124,7 +124,7 @@
             slowdown=worst.slowdown,
             measured=worst.measured,
             tail_ms=worst.report.tail_ms,
-            usual_ms=worst.usual_ms,
+            usual_ms=worst.baseline_ms,
             requests=worst.report.count,
             occupancy=occupancy,
             suspect=suspect or "-",
@@ -150,7 +150,7 @@
                 self._stopper.order(newest, StopOrder(cancel=False, reason="interference"))
 
     def _limit_excess_usage(self) -> None:
-        """Throttle or evict tasks if measured usage exceeds the size of the instance."""
+        """Throttle or evict tasks if measured usage exceeds the capacity of the instance."""
         excess = self._context.ledger.excess()
         for key in excess.evict:
             task = self._context.task_table.tasks.get(key)
--- a/sapphirelead/agent_worker.py
+++ b/sapphirelead/agent_worker.py
@@ -129,8 +129,8 @@
         return answer
 
     def _update_health(self, answer: Result[T, Failure]) -> Result[T, Failure]:
-        unreachable = (Code.WORKER_UNAVAILABLE, Code.STORE_CONFLICT)
-        if isinstance(answer, Err) and answer.err_value.code in unreachable:
+        unhealthy_codes = (Code.WORKER_UNAVAILABLE, Code.STORE_CONFLICT)
+        if isinstance(answer, Err) and answer.err_value.code in unhealthy_codes:
             # After a conflict nothing may be started until the next view has checked the session.
             self.healthy = False
         return answer
--- a/sapphirelead/entry_config.py
+++ b/sapphirelead/entry_config.py
@@ -233,10 +233,10 @@
     return int(row.value["version"]) if row.value is not None else 0
 
 
-def _conflict(base: int, winner: int) -> Failure:
+def _conflict(base: int, current: int) -> Failure:
     return Failure(
         Code.CONFIG_CONFLICT,
-        f"the change was made against version {base}, but version {winner} is in force",
+        f"the change was made against version {base}, but version {current} is in force",
         "read the current version, merge your change into it and apply again",
     )
 
--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -71,7 +71,7 @@
         self.reconciler.start()
 
     async def stop(self) -> None:
-        """Stop in reverse order; transitions in progress may finish, then the lease row is left."""
+        """Stop in reverse order: transitions in progress may finish before the lease ends."""
         await self.reconciler.stop()
         await self.scheduler.stop()
         await self.moves.stop()
--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -161,11 +161,11 @@
         ``WAIT_CUTOFF_S`` before the limit.
         """
         self._draining.set()
-        last_call = asyncio.get_running_loop().call_later(
+        cutoff_timer = asyncio.get_running_loop().call_later(
             max(0.0, limit_s - WAIT_CUTOFF_S), self._closing.set
         )
         await self._idle.wait()
-        last_call.cancel()
+        cutoff_timer.cancel()
 
     async def stop(self) -> None:
         """Close the port and every connection."""
--- a/sapphirelead/entry_http_jobs.py
+++ b/sapphirelead/entry_http_jobs.py
@@ -168,7 +168,7 @@
     async def _follow(self, key: str, after: EventPosition, stream: "EventStream") -> bool:
         """Forward events until the job ends; return ``False`` if the entry drains first."""
         queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
-        pumping = asyncio.create_task(_enqueue_events(self._jobs.events(key), queue))
+        enqueueing = asyncio.create_task(_enqueue_events(self._jobs.events(key), queue))
         draining = asyncio.create_task(self._draining.wait())
         getting = asyncio.create_task(queue.get())
         try:
@@ -189,7 +189,7 @@
                 else:
                     await stream.keep_alive()
         finally:
-            for task in (pumping, draining, getting):
+            for task in (enqueueing, draining, getting):
                 task.cancel()
 
     def _on_config(self, config: Config) -> None:
--- a/sapphirelead/entry_interference.py
+++ b/sapphirelead/entry_interference.py
@@ -37,7 +37,7 @@
     @classmethod
     def from_members(
         cls, members: ViewSource, interval_s: Callable[[], float]
-    ) -> "FleetInterference":
+    ) -> "RegionInterference":
         """Return a model that is updated from the reports that ``members`` receives.
 
         :param interval_s: length of an agent's report interval, in seconds.
@@ -62,5 +62,5 @@
                 self._model.learn(report, intensities)
 
     def slowdown(self, service: str, job_class: str) -> float:
-        """Return the slowdown factor of ``service`` if ``job_class`` filled its instance."""
+        """Return the slowdown factor of ``service`` if ``job_class`` used its whole instance."""
         return 1.0 + self._model.weight(service, job_class)
--- a/sapphirelead/entry_job_rows.py
+++ b/sapphirelead/entry_job_rows.py
@@ -107,7 +107,9 @@
             return found
         return Ok(_decoded(found.ok_value))
 
-    async def scan_all_shards(self, ended: bool, after: str, limit: int) -> Result[list[Job], Failure]:
+    async def scan_all_shards(
+        self, ended: bool, after: str, limit: int
+    ) -> Result[list[Job], Failure]:
         """Read up to ``limit`` jobs of all shards in row order, after the job ``after``."""
         prefix = DONE_PREFIX if ended else OPEN_PREFIX
         make_key = done_key if ended else open_key
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -127,12 +127,12 @@
 
     async def events(self, key: str) -> AsyncIterator[WatchEvent]:
         """Yield events of a watch, from the oldest buffered, until the job has ended."""
-        mark = (0, 0)
+        position = (0, 0)
         while True:
             tail = self._tails.tail(key)
             tail.changed.clear()
-            for event in tail.after(mark):
-                mark = event_position(event)
+            for event in tail.after(position):
+                position = event_position(event)
                 yield event
             try:
                 async with asyncio.timeout(MAX_POLL_INTERVAL_S):
@@ -141,7 +141,7 @@
             except TimeoutError:
                 found = await self._rows.read(key)
             if isinstance(found, Ok) and (found.ok_value is None or found.ok_value.job.ended):
-                for event in tail.after(mark):
+                for event in tail.after(position):
                     yield event
                 return
 
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -3,7 +3,7 @@
 Every round an entry reads the lease rows of its region, ``leases/<zone>``, which hold one counter
 for each live instance and each live entry of the zone.  It merges the counters received in
 heartbeats and commits the row if any advanced, with one write for all renewals of the round.
-Agents are told the counter that the row holds, whichever entry wrote it.
+Acknowledgements to agents carry the committed counter, whichever entry wrote it.
 
 Invariants:
 
@@ -11,7 +11,8 @@
   registration and fencing change both rows in one transaction.
 - An incarnation that was fenced or replaced never registers again.
 - An entry fences an instance only after it has itself observed the counter unchanged for the lease
-  plus a margin (:class:`~sapphirelead.model_lease.LeaseObserver`); a failed read restarts this.
+  plus a margin (:class:`~sapphirelead.model_lease.LeaseObserver`); a failed read restarts the
+  observation.
 
 A zone whose row has not changed for several rounds is renewed by the other entries of the region.
 """
@@ -62,8 +63,8 @@
     _registry: dict[str, Registration]
     _observer: LeaseObserver
     _counter: int
-    _entry_seen: dict[str, tuple[str, int, float]]
-    _zone_rounds: dict[str, tuple[int, int]]
+    _entry_observations: dict[str, tuple[str, int, float]]
+    _unchanged_rounds: dict[str, tuple[int, int]]
     _task: "asyncio.Task[None] | None"
     _leaving: bool
 
@@ -87,8 +88,8 @@
         self._registry = {}
         self._observer = LeaseObserver.from_settings(settings.lease)
         self._counter = 0
-        self._entry_seen = {}
-        self._zone_rounds = {}
+        self._entry_observations = {}
+        self._unchanged_rounds = {}
         self._task = None
         self._leaving = False
 
@@ -114,7 +115,7 @@
         self._task = asyncio.create_task(self._run(), name="lease-rounds")
 
     async def stop(self) -> None:
-        """Stop the rounds and leave the lease row, so that peers take over the shards at once."""
+        """Stop the rounds and remove this entry's record, so that peers take over its shards at once."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -152,9 +153,9 @@
 
         Writes by this entry on their behalf are not counted (see :meth:`_record_write`).
         """
-        version, rounds = self._zone_rounds.get(zone, (row.version, 0))
+        version, rounds = self._unchanged_rounds.get(zone, (row.version, 0))
         rounds = rounds + 1 if version == row.version else 0
-        self._zone_rounds[zone] = (row.version, rounds)
+        self._unchanged_rounds[zone] = (row.version, rounds)
 
     def _responsible(self, zone: str) -> bool:
         """Whether this entry renews and fences in ``zone``.
@@ -163,12 +164,12 @@
         """
         return (
             zone == self._settings.zone
-            or self._zone_rounds.get(zone, (0, 0))[1] >= ORPHANED_ZONE_ROUNDS
+            or self._unchanged_rounds.get(zone, (0, 0))[1] >= ORPHANED_ZONE_ROUNDS
         )
 
     def _record_write(self, zone: str, before: Row, after: Row) -> None:
         if before.version != after.version:
-            self._zone_rounds[zone] = (after.version, self._zone_rounds[zone][1])
+            self._unchanged_rounds[zone] = (after.version, self._unchanged_rounds[zone][1])
 
     def _views(self, zone: str) -> list[InstanceView]:
         return [view for view in self._members.all() if view.zone == zone]
@@ -205,7 +206,7 @@
         row.entries[self._stamp.sender] = EntryRecord(
             self._stamp.incarnation, self._counter, self._control, self.usage
         )
-        for name, (incarnation, counter, since) in self._entry_seen.items():
+        for name, (incarnation, counter, since) in self._entry_observations.items():
             record = row.entries.get(name)
             unchanged = record is not None and (record.incarnation, record.counter) == (
                 incarnation,
@@ -277,10 +278,10 @@
     def _entry_live(self, name: str, record: EntryRecord, at: float) -> bool:
         if name == self._stamp.sender:
             return not self._leaving
-        seen = self._entry_seen.get(name)
+        seen = self._entry_observations.get(name)
         observed = (record.incarnation, record.counter)
         if seen is None or seen[:2] != observed:
-            self._entry_seen[name] = (*observed, at)
+            self._entry_observations[name] = (*observed, at)
             return True
         return at - seen[2] <= PEER_TIMEOUT_ROUNDS * self._settings.lease.renew_interval_seconds
 
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -34,9 +34,9 @@
 from sapphirelead.wire_sockets import bind_router, connect_dealer, make_context, send_frame
 
 POLLIN: Final = int(zmq.POLLIN)
-CONTROL_BATCH_INTERVAL_S: Final = 0.02
+CONTROL_BATCH_DELAY_S: Final = 0.02
 MAX_BATCH_MESSAGES: Final = 512
-MAX_INCARNATIONS: Final = 3
+MAX_ROUTED_INCARNATIONS: Final = 3
 
 LaneListener = Callable[[str, str, Lane], None]
 
@@ -205,7 +205,7 @@
         return cls(settings, stamp, make_context(), keys)
 
     def use_config_version(self, version: Callable[[], int]) -> None:
-        """Set the source of the configuration version that greetings carry."""
+        """Set the source of the configuration version that hello messages carry."""
         self._config_version = version
 
     async def start(self) -> None:
@@ -302,7 +302,7 @@
 
     async def _read(self, lane: Lane) -> None:
         router = self._routers[lane]
-        delay_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
+        delay_s = CONTROL_BATCH_DELAY_S if lane is Lane.CONTROL else 0.0
         while True:
             for frames in await router.receive():
                 self._handle_message(lane, frames)
@@ -353,7 +353,7 @@
     def _evict_old_incarnations(self, instance: str) -> None:
         incarnations = self._routes[instance]
         for incarnation in list(incarnations):
-            if len(incarnations) <= MAX_INCARNATIONS:
+            if len(incarnations) <= MAX_ROUTED_INCARNATIONS:
                 return
             if incarnation != self._current.get(instance):
                 del incarnations[incarnation]
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -4,7 +4,8 @@
 then serve callers.  The entry reports ready once it knows a configuration and a live instance.
 
 Shutdown (SIGTERM): report not ready, refuse new work as not run, finish requests and claims in
-progress, then close the sockets.  Callers of watches and waits are redirected to another entry.
+progress, then close the sockets.  Event streams and waits end early; their callers continue at
+another entry.
 """
 
 import asyncio
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -126,17 +126,17 @@
         self._after_message(message)
 
     def _on_heartbeat(self, message: Beat) -> None:
-        verdict = self._table.heartbeat(message, now())
-        if not verdict.known:
+        reply = self._table.heartbeat(message, now())
+        if not reply.known:
             return
         self._acknowledge(
             message.sender,
             message.incarnation,
             message.counter,
-            verdict.committed,
-            verdict.fenced,
+            reply.committed,
+            reply.fenced,
         )
-        if not verdict.fenced:
+        if not reply.fenced:
             self._after_message(message)
 
     def _after_message(self, message: Announce | Beat) -> None:
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -66,7 +66,7 @@
     async def _queue(self, req: OpenRequest, expires_at: float) -> Result[str, Failure]:
         loop = asyncio.get_running_loop()
         waiter = Waiter(req, loop.create_future())
-        place, displaced = req.service.queue.put(waiter, req.priority, expires_at)
+        position, displaced = req.service.queue.put(waiter, req.priority, expires_at)
         if displaced is not None:
             _resolve(displaced, None)
         timer = loop.call_at(expires_at, _resolve, waiter, None)
@@ -77,7 +77,7 @@
             raise
         finally:
             timer.cancel()
-            req.service.queue.withdraw(place)
+            req.service.queue.withdraw(position)
         return Err(OVERLOADED) if instance is None else Ok(instance)
 
     def _unreserve(self, waiter: Waiter) -> None:
@@ -124,13 +124,13 @@
         for late in state.queue.drop_expired(at):
             _resolve(late, None)
         while (last := state.queue.last()) is not None:
-            place, waiter = last
+            position, waiter = last
             if (
                 at + self.wait_s(state, len(state.queue) - 1) + service_time_s
                 <= waiter.request.deadline
             ):
                 break
-            state.queue.withdraw(place)
+            state.queue.withdraw(position)
             _resolve(waiter, None)
 
     def _dispatch_some(self, state: ServiceState) -> bool:
@@ -140,17 +140,17 @@
         """
         removed = False
         soonest_end = now() + self.service_time_s(state)
-        for place, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
+        for position, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
             # The future of a disconnected caller is cancelled before its coroutine leaves the
             # queue; an instance reserved for it in between would never be released.
             if waiter.future.done() or waiter.request.deadline < soonest_end:
-                state.queue.withdraw(place)
+                state.queue.withdraw(position)
                 _resolve(waiter, None)
                 removed = True
                 continue
             instance = self.reserve(waiter.request)
             if instance is not None:
-                state.queue.withdraw(place)
+                state.queue.withdraw(position)
                 _resolve(waiter, instance)
                 removed = True
             elif not waiter.request.decision.then.zones:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -222,12 +222,12 @@
     def _offer(
         self, item: QueuedJob, decision: Decision, views: list[InstanceView], at: float
     ) -> None:
-        wanted = _placement_request(item.job, decision.then)
+        request = _placement_request(item.job, decision.then)
         weights = self._config.current.document.weights
         records = self._starter.records
-        view = place(wanted, views, records, self.slowdown, weights, at)
+        view = place(request, views, records, self.slowdown, weights, at)
         if view is None and item.urgent:
-            view = place_by_eviction(wanted, views, records, at)
+            view = place_by_eviction(request, views, records, at)
         stored = self.shards.jobs[item.job.spec.key]
         if view is None:
             self._set_aside_if_impossible(stored, item.since, at)
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -313,9 +313,9 @@
 
     def _close(self, req: OpenRequest) -> None:
         """Cancel the attempts that are still open and release the request."""
-        won = not req.open or now() + TIMER_SLACK_S < req.deadline
+        in_time = not req.open or now() + TIMER_SLACK_S < req.deadline
         for attempt in list(req.open.values()):
-            end = AttemptEnd.ABANDONED if won else AttemptEnd.TIMEOUT
+            end = AttemptEnd.ABANDONED if in_time else AttemptEnd.TIMEOUT
             self.attempts.end(attempt, end)
             self.attempts.cancel(attempt)
         self._requests.discard(req)
--- a/sapphirelead/entry_service_state.py
+++ b/sapphirelead/entry_service_state.py
@@ -9,7 +9,7 @@
 from sapphirelead.errors import Failure, Outcome
 from sapphirelead.model_config import ConfigDocument, RetryPolicy, ServicePolicy
 from sapphirelead.policy_limits import ConcurrencyLimit, DeadlineQueue, RetryAfterEstimator
-from sapphirelead.policy_retry import LatencyWindow, RetryBudget
+from sapphirelead.policy_retry import RecentLatency, RetryBudget
 from sapphirelead.policy_rules import Decision
 from sapphirelead.wire_messages import ServiceAnswer
 
@@ -116,7 +116,7 @@
     queue: DeadlineQueue[Waiter]
     limit: ConcurrencyLimit
     retry_after: RetryAfterEstimator
-    window: LatencyWindow
+    window: RecentLatency
     budget: RetryBudget
 
     @classmethod
@@ -131,7 +131,7 @@
             DeadlineQueue(policy.queue_length),
             ConcurrencyLimit(at),
             RetryAfterEstimator(rng),
-            LatencyWindow(at),
+            RecentLatency(at),
             RetryBudget(document.retries.budget_share),
         )
 
--- a/sapphirelead/logs_bounded.py
+++ b/sapphirelead/logs_bounded.py
@@ -38,7 +38,7 @@
     _fd: int
     _clock: Callable[[], float]
     _tokens: float
-    _at: float
+    _refilled_at: float
     _unreported: Counter[str]
     _partial_line: bytes
 
@@ -47,7 +47,7 @@
         self._fd = fd
         self._clock = clock
         self._tokens = BURST_LINES
-        self._at = clock()
+        self._refilled_at = clock()
         self._unreported = Counter()
         self._partial_line = b""
         os.set_blocking(fd, False)
@@ -79,8 +79,8 @@
     def _take_token(self, reserved: float) -> bool:
         """Take a token; return ``False`` if fewer than ``reserved`` would remain."""
         at = self._clock()
-        self._tokens = min(BURST_LINES, self._tokens + (at - self._at) * LINES_PER_S)
-        self._at = at
+        self._tokens = min(BURST_LINES, self._tokens + (at - self._refilled_at) * LINES_PER_S)
+        self._refilled_at = at
         if self._tokens < reserved + 1.0:
             return False
         self._tokens -= 1.0
--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -30,7 +30,7 @@
 Labels = tuple[tuple[str, str], ...]
 
 
-class LatencyWindow:
+class LatencySeries:
     """Latencies of one series over the last one to two windows."""
 
     count: int
@@ -81,7 +81,7 @@
     _clock: Callable[[], float]
     _counters: dict[str, dict[Labels, float]]
     _gauges: dict[str, dict[Labels, Callable[[], float]]]
-    _latencies: dict[str, dict[Labels, LatencyWindow]]
+    _latencies: dict[str, dict[Labels, LatencySeries]]
 
     def __init__(self, clock: Callable[[], float] = now) -> None:
         self._clock = clock
@@ -106,7 +106,7 @@
         key = _bounded_key(series, labels)
         window = series.get(key)
         if window is None:
-            window = series[key] = LatencyWindow(self._clock())
+            window = series[key] = LatencySeries(self._clock())
         window.record(self._clock(), latency_ms)
 
     def value(self, name: str, /, **labels: str) -> float:
@@ -134,7 +134,7 @@
         registry.register(self)
         return generate_latest(registry)
 
-    def _summary(self, name: str, windows: dict[Labels, LatencyWindow]) -> Metric:
+    def _summary(self, name: str, windows: dict[Labels, LatencySeries]) -> Metric:
         family = Metric(PREFIX + name, name, "summary")
         at = self._clock()
         for labels, window in windows.items():
--- a/sapphirelead/model_lease.py
+++ b/sapphirelead/model_lease.py
@@ -40,6 +40,8 @@
 class LeaseHolder:
     """The agent's side of a lease: tracks until when the instance may run its claims.
 
+    The guard is the time before the deadline in which no task may be started or renewed any more.
+
     >>> lease = LeaseHolder(lease_s=20.0, guard_s=5.0)
     >>> counter = lease.next_heartbeat(100.0)
     >>> lease.record_ack(counter)
@@ -84,7 +86,8 @@
     def record_ack(self, committed: int) -> None:
         """Renew the lease from the send time of the heartbeat with the committed counter.
 
-        A counter that was committed before, as sent while the table is down, renews nothing.
+        An acknowledgement that repeats an earlier counter, as sent while the table is down, renews
+        nothing.
         """
         while self._pending and self._pending[0].counter <= committed:
             sent = self._pending.popleft()
--- a/sapphirelead/policy_ejection.py
+++ b/sapphirelead/policy_ejection.py
@@ -61,7 +61,7 @@
 
     def reinstate(self, at: float) -> list[RoutedInstance]:
         """Reinstate the instances whose ejection time is over, on probation, and return them."""
-        back: list[RoutedInstance] = []
+        reinstated: list[RoutedInstance] = []
         while self._reinstatements and self._reinstatements[0][0] <= at:
             _, instance = heappop(self._reinstatements)
             inst = self._instances.get(instance)
@@ -71,8 +71,8 @@
             inst.probes_left = PROBE_SUCCESSES
             for service in inst.services:
                 self._pools[service].ejected.discard(instance)
-            back.append(inst)
-        return back
+            reinstated.append(inst)
+        return reinstated
 
     def _may_eject(self, inst: RoutedInstance) -> bool:
         for service in inst.services:
@@ -80,8 +80,8 @@
             live = len(pool.live | {inst.id})
             # The share of a small pool rounds down to 0: allow one ejection while another
             # instance stays.
-            most = max(1, int(self._policy.max_ejected_share * live)) if live > 1 else 0
-            if len(pool.ejected | {inst.id}) > most:
+            max_ejected = max(1, int(self._policy.max_ejected_share * live)) if live > 1 else 0
+            if len(pool.ejected | {inst.id}) > max_ejected:
                 return False
         return True
 
--- a/sapphirelead/policy_interference.py
+++ b/sapphirelead/policy_interference.py
@@ -3,7 +3,7 @@
 Model: the tail latency of a service over a report interval is
 ``baseline * (1 + sum(w[c] * x[c]))``.  ``x[c]`` is the intensity of job class ``c``: the share of
 the instance's processors that its tasks used after throttling.  ``w[c]`` is the slowdown that the
-class would cause if it filled the instance, estimated by a Kalman filter with diagonal covariance.
+class would cause if it used the whole instance, estimated by a Kalman filter with diagonal covariance.
 
 Baseline: the tail latency without batch, learned per request rate (in powers of two).  Without a
 batch-free interval, the lowest decile of the recent tails is used.
@@ -61,7 +61,7 @@
 
 
 class InterferenceModel:
-    """Interference estimates for one instance."""
+    """Interference estimates from the reports of one instance or of a whole region."""
 
     _estimates: dict[tuple[str, str], _Estimate]
     _baselines: dict[str, _Baseline]
@@ -78,14 +78,14 @@
         self._drift_variance = drift_variance
 
     def weight(self, service: str, job_class: str) -> float:
-        """Return the estimated slowdown of ``service`` if ``job_class`` filled the instance."""
+        """Return the estimated slowdown of ``service`` if ``job_class`` used the whole instance."""
         estimate = self._estimates.get((service, job_class))
         return estimate.weight if estimate else 0.0
 
     def learn(self, report: ServiceReport, intensities: Mapping[str, float]) -> float:
         """Update the estimates with a report and return the measured slowdown, 1.0 for none.
 
-        :param intensities: mean intensity of each job class over the interval.
+        :param intensities: intensity of each job class over the interval.
         """
         active = {c: x for c, x in intensities.items() if x >= MIN_INTENSITY}
         baseline = self._baselines.setdefault(report.service, _Baseline())
--- a/sapphirelead/policy_order.py
+++ b/sapphirelead/policy_order.py
@@ -27,7 +27,7 @@
     """A queued job with what its order depends on.
 
     :ivar since: when this entry first saw the job queued, on the entry's clock.
-    :ivar expected_s: learned or declared run time; 0 if unknown.
+    :ivar expected_s: estimated or declared run time in seconds; 0 if unknown.
     :ivar urgent: as declared, unless the matching rule overrides it.
     :ivar priority: set by the matching rule; 9 is the highest.
     """
--- a/sapphirelead/policy_placement.py
+++ b/sapphirelead/policy_placement.py
@@ -164,11 +164,13 @@
     weights: Weights,
 ) -> float:
     spec = request.job.spec
-    harm = max((slowdown(service, spec.job_class) for service in view.services), default=1.0) - 1.0
+    interference = (
+        max((slowdown(service, spec.job_class) for service in view.services), default=1.0) - 1.0
+    )
     busy = view.slots_used / view.slots if view.slots else 0.0
     left = record.headroom(view) - spec.resources
     fullness = 1.0 - dominant_share(left, view.capacity)
-    cost = weights.tail_latency * (harm * (0.5 + busy) + 0.3 * busy)
+    cost = weights.tail_latency * (interference * (0.5 + busy) + 0.3 * busy)
     cost += weights.batch_throughput * 0.2 * fullness
     if request.zones and view.zone not in request.zones:
         cost += OTHER_ZONE_COST
--- a/sapphirelead/policy_pressure.py
+++ b/sapphirelead/policy_pressure.py
@@ -1,4 +1,5 @@
-"""Queueing model of a serving task's tail latency beside filling (batch) work.  No I/O.
+"""Queueing model of a serving (latency-critical) task's tail latency beside best-effort (filling)
+work.  No I/O.
 
 The tail latency is ``idle / (1 - load)``: ``idle`` is the tail latency of the image without load,
 ``load`` the utilisation of the task by its own users and by interference.  Filling work adds load
--- a/sapphirelead/policy_pressure_filter.py
+++ b/sapphirelead/policy_pressure_filter.py
@@ -45,14 +45,14 @@
     reports: dict[str, int]
     _cov: dict[str, dict[str, float]]
     _priors: dict[str, Evidence]
-    _at: float
+    _observed_at: float
 
     def __init__(self, at: float = 0.0) -> None:
         self.weights = {}
         self.reports = {}
         self._cov = {}
         self._priors = {}
-        self._at = at
+        self._observed_at = at
 
     def observe(
         self,
@@ -70,8 +70,8 @@
         :param expected: returns the prior of a new image.
         :param at: time of the observation in seconds.
         """
-        drift = DRIFT_VARIANCE_PER_S * max(at - self._at, 0.0)
-        self._at = max(at, self._at)
+        drift = DRIFT_VARIANCE_PER_S * max(at - self._observed_at, 0.0)
+        self._observed_at = max(at, self._observed_at)
         for image, row in self._cov.items():
             row[image] += drift
         shares = _largest(shares)
--- a/sapphirelead/policy_retry.py
+++ b/sapphirelead/policy_retry.py
@@ -79,24 +79,24 @@
     return state.idempotent or state.proven_not_run
 
 
-class LatencyWindow:
+class RecentLatency:
     """Percentiles of recent latency, from the current and the last window."""
 
     _current: HdrHistogram
-    _last: HdrHistogram
+    _previous: HdrHistogram
     _opened_at: float
     _cached: dict[float, tuple[float, float | None]]
 
     def __init__(self, at: float) -> None:
         self._current = _histogram()
-        self._last = _histogram()
+        self._previous = _histogram()
         self._opened_at = at
         self._cached = {}
 
     def record(self, latency_s: float, at: float) -> None:
         """Record the latency of a successful attempt."""
         if at - self._opened_at > WINDOW_S:
-            self._last, self._current = self._current, _histogram()
+            self._previous, self._current = self._current, _histogram()
             self._opened_at = at
         self._current.record_value(min(MAX_LATENCY_US, max(1, int(latency_s * 1e6))))
 
@@ -110,15 +110,15 @@
         return value
 
     def _measure(self, percentile: float) -> float | None:
-        counts = (self._current.get_total_count(), self._last.get_total_count())
-        source = self._current if counts[0] >= MIN_SAMPLES else self._last
+        counts = (self._current.get_total_count(), self._previous.get_total_count())
+        source = self._current if counts[0] >= MIN_SAMPLES else self._previous
         if max(counts) < MIN_SAMPLES:
             return None
         return float(source.get_value_at_percentile(percentile)) / 1e6
 
 
 def hedge_after_s(
-    window: LatencyWindow, policy: RetryPolicy, wanted: bool, at: float
+    window: RecentLatency, policy: RetryPolicy, wanted: bool, at: float
 ) -> float | None:
     """Return the seconds after which to send a hedge, or ``None`` for no hedge."""
     if not wanted:
--- a/sapphirelead/policy_rules.py
+++ b/sapphirelead/policy_rules.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
+class CompiledCondition:
     """One compiled field of a rule.
 
     :ivar text: the condition for display, for instance ``load at_least 0.8``.
@@ -78,7 +78,7 @@
     """A rule with compiled conditions."""
 
     decision: Decision
-    conditions: tuple[Condition, ...]
+    conditions: tuple[CompiledCondition, ...]
 
 
 class RuleSet:
@@ -114,7 +114,7 @@
 
 
 def _compile(rule: RuleModel) -> CompiledRule:
-    found: list[Condition] = []
+    found: list[CompiledCondition] = []
     for name in type(rule.when).model_fields:
         matcher: Matcher | None = getattr(rule.when, name)
         if matcher is not None:
@@ -122,21 +122,23 @@
     return CompiledRule(Decision(rule.name, rule.then), tuple(found))
 
 
-def _conditions(name: str, matcher: Matcher) -> list[Condition]:
-    found: list[Condition] = []
+def _conditions(name: str, matcher: Matcher) -> list[CompiledCondition]:
+    found: list[CompiledCondition] = []
     if matcher.eq is not None:
         found.append(
-            Condition(name, f"{name} eq {_format_value(matcher.eq)}", _equals(name, matcher.eq))
+            CompiledCondition(
+                name, f"{name} eq {_format_value(matcher.eq)}", _equals(name, matcher.eq)
+            )
         )
     if matcher.one_of is not None:
         text = f"{name} in [{', '.join(matcher.one_of)}]"
-        found.append(Condition(name, text, _one_of(name, frozenset(matcher.one_of))))
+        found.append(CompiledCondition(name, text, _one_of(name, frozenset(matcher.one_of))))
     if matcher.at_least is not None:
         text = f"{name} at_least {matcher.at_least:g}"
-        found.append(Condition(name, text, _at_least(name, matcher.at_least)))
+        found.append(CompiledCondition(name, text, _at_least(name, matcher.at_least)))
     if matcher.below is not None:
         text = f"{name} below {matcher.below:g}"
-        found.append(Condition(name, text, _below(name, matcher.below)))
+        found.append(CompiledCondition(name, text, _below(name, matcher.below)))
     return found
 
 
--- a/sapphirelead/policy_throttle.py
+++ b/sapphirelead/policy_throttle.py
@@ -144,7 +144,7 @@
     ) -> Action | None:
         """Process the reports of one interval and return the action to take, if any.
 
-        :param intensities: mean intensity over the interval, by job class.
+        :param intensities: peak intensity over the interval, by job class.
         :param tasks: number of running tasks, by job class.
         :param occupancy: mean share of the service slots in use over the interval.
         """
--- a/tests/unit/test_retry.py
+++ b/tests/unit/test_retry.py
@@ -8,7 +8,7 @@
 from sapphirelead.policy_retry import (
     INITIAL_TOKENS,
     AttemptState,
-    LatencyWindow,
+    RecentLatency,
     RetryBudget,
     hedge_after_s,
     may_retry,
@@ -43,7 +43,7 @@
 
 
 def test_hedge_waits_for_the_measured_percentile() -> None:
-    window = LatencyWindow(0.0)
+    window = RecentLatency(0.0)
     policy = RetryPolicy(hedge_percentile=95.0)
     assert hedge_after_s(window, policy, True, 0.0) is None, "nothing measured yet"
     for number in range(1, 101):
@@ -53,7 +53,7 @@
 
 
 def test_percentile_is_kept_across_window_rotation() -> None:
-    window = LatencyWindow(0.0)
+    window = RecentLatency(0.0)
     for _ in range(100):
         window.record(0.05, 1.0)
     window.record(0.05, 20.0)
