--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -170,8 +170,8 @@
         self._links.open()
         self._loops.spawn(self._poller.run(), "poll")
         self._loops.spawn(self._poller.run_leases(), "leases")
-        self._loops.spawn(self._outcome_reporter.run(), "outcomes")
-        self._loops.spawn(self._throttle_manager.run(), "throttle")
+        self._loops.spawn(self._outcome_reporter.run(), "ends")
+        self._loops.spawn(self._throttle_manager.run(), "pressure")
         await self._run_heartbeats()
 
     async def _take_over(self) -> None:
--- a/sapphirelead/policy_interference.py
+++ b/sapphirelead/policy_interference.py
@@ -3,7 +3,8 @@
 Model: the tail latency of a service over a report interval is
 ``baseline * (1 + sum(w[c] * x[c]))``.  ``x[c]`` is the intensity of job class ``c``: the share of
 the instance's processors that its tasks used after throttling.  ``w[c]`` is the slowdown that the
-class would cause if it used the whole instance, estimated by a Kalman filter with diagonal covariance.
+class would cause if it used the whole instance; a Kalman filter with diagonal covariance estimates
+it.
 
 Baseline: the tail latency without batch, learned per request rate (in powers of two).  Without a
 batch-free interval, the lowest decile of the recent tails is used.
