--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -5,7 +5,7 @@
 call ends, so that the target never has more calls in progress than slots.
 
 Invariants: ``not_run`` is reported only for attempts that have not reached the target and never
-will.  Each attempt has one outcome, remembered for a bounded time: repeated requests run once, and
+will.  Each attempt has one outcome, which a bounded history keeps: repeated requests run once, and
 an entry that lost its connection can query the outcome.
 """
 
@@ -48,7 +48,7 @@
 class AttemptHistory:
     """Bounded history of completed attempts.
 
-    Answers are cached for a short time, attempt numbers for longer.  While :meth:`complete` is
+    The latest answers are cached; attempt numbers are kept for longer.  While :meth:`complete` is
     false, numbers were evicted early and an unknown attempt may have run.
     """
 
--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -114,7 +114,8 @@
         ("GET", "/status", api.status),
     ]
     routes: list[web.AbstractRouteDef] = [
-        web.route(method, PREFIX + path, api.guard(handler)) for method, path, handler in guarded
+        web.route(method, PREFIX + path, api.require_token(handler))
+        for method, path, handler in guarded
     ]
     return [*routes, web.get("/metrics", api.metrics)]
 
@@ -127,7 +128,7 @@
     def __init__(self, ports: AdminPorts) -> None:
         self._ports = ports
 
-    def guard(self, handler: Handler) -> Handler:
+    def require_token(self, handler: Handler) -> Handler:
         """Wrap ``handler`` with the check of the operators' token."""
 
         async def guarded(request: web.Request) -> web.Response:
--- a/sapphirelead/entry_http.py
+++ b/sapphirelead/entry_http.py
@@ -4,7 +4,7 @@
 A request that is not idempotent becomes a durable job keyed by its ``Idempotency-Key``, so a retry
 through any entry joins the same job (see :mod:`sapphirelead.entry_http_jobs` for the job routes).
 Every response not produced by a target is a problem document with an ``outcome``.  A draining
-entry rejects new requests as ``not_run`` and completes open ones.  A client disconnect cancels the
+entry refuses new requests as ``not_run`` and completes open ones.  A client disconnect cancels the
 handler, which closes its attempts.
 """
 
@@ -133,11 +133,11 @@
         """Bind and serve.
 
         :param more: routes of other APIs on the same port.
-        :param drain_exempt: path prefixes whose handlers reject requests themselves while draining.
+        :param drain_exempt: path prefixes whose handlers refuse requests themselves while draining.
         """
         self._drain_exempt = drain_exempt
         limits = self._settings.limits
-        app = web.Application(middlewares=[self._guard], client_max_size=limits.body_bytes)
+        app = web.Application(middlewares=[self._admit], client_max_size=limits.body_bytes)
         app.add_routes([*self._own_routes(), *self._routes.routes(), *more])
         self._runner = web.AppRunner(
             app,
@@ -155,7 +155,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def drain(self, limit_s: float) -> None:
-        """Reject new requests and return when all open ones have completed.
+        """Refuse new requests and return when all open ones have completed.
 
         Non-idempotent requests that still wait for their job receive its current state
         ``WAIT_CUTOFF_S`` before the limit.
@@ -182,7 +182,7 @@
     # Request admission.
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _admit(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         refusal = self._refusal(request)
         if refusal is not None:
             return refusal
--- a/sapphirelead/entry_jobs.py
+++ b/sapphirelead/entry_jobs.py
@@ -156,7 +156,7 @@
         return bound > 0 and self._queued_of(team) >= bound
 
     async def _join_or_refuse(self, spec: JobSpec) -> Result[Job, Failure]:
-        """Return the existing job of a repeated key; reject a new job with ``QUOTA``."""
+        """Return the existing job of a repeated key; refuse a new job with ``QUOTA``."""
         found = await self._rows.read(spec.key)
         if isinstance(found, Err):
             return found
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -108,7 +108,7 @@
         state.limit.end(None, at)
 
     def dispatch_queued(self, state: ServiceState) -> None:
-        """Assign free capacity to queued requests, then reject those that cannot be met."""
+        """Assign free capacity to queued requests, then refuse those that cannot meet their deadline."""
         if not len(state.queue):
             return
         while len(state.queue) and self._dispatch_some(state):
@@ -118,7 +118,7 @@
         self._shed(state)
 
     def _shed(self, state: ServiceState) -> None:
-        """Reject queued requests that by the current estimates cannot meet their deadline."""
+        """Refuse queued requests that by the current estimates cannot meet their deadline."""
         at = now()
         service_time_s = self.service_time_s(state)
         for late in state.queue.drop_expired(at):
@@ -158,8 +158,8 @@
         return removed
 
 
-def reject_waiter(waiter: Waiter) -> None:
-    """Reject a queued request."""
+def refuse_waiter(waiter: Waiter) -> None:
+    """Refuse a queued request."""
     _resolve(waiter, None)
 
 
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -2,7 +2,7 @@
 
 One coroutine per request applies the rules, places an attempt or queues, and then waits for an
 attempt to end, a hedge or outcome query to fall due, or the deadline.  ``not_run`` is returned only
-if every attempt was unsent or rejected by the incarnation that it was sent to.  An attempt that is
+if every attempt was unsent or refused by the incarnation that it was sent to.  An attempt that is
 open much longer than the estimated latency, or whose connection was replaced, is resolved by an
 ``AttemptFate`` query: the agent resends a lost answer or proves that the attempt never arrived.
 """
@@ -16,7 +16,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_attempts import AttemptRegistry, ServiceLinks, ServiceMembers
-from sapphirelead.entry_placing import Placer, reject_waiter
+from sapphirelead.entry_placing import Placer, refuse_waiter
 from sapphirelead.entry_ports import ConfigService, InstanceView, Stamp
 from sapphirelead.entry_service_state import (
     OpenAttempt,
@@ -127,7 +127,7 @@
         return len(self._requests)
 
     async def drain(self) -> None:
-        """Reject new requests and return when all open ones have a reply."""
+        """Refuse new requests and return when all open ones have a reply."""
         self._draining = True
         await self._idle.wait()
 
@@ -388,4 +388,4 @@
         for name, state in self._services.items():
             policy = document.services.get(name, ServicePolicy())
             for waiter in state.configure(policy, document.retries):
-                reject_waiter(waiter)
+                refuse_waiter(waiter)
--- a/sapphirelead/entry_table.py
+++ b/sapphirelead/entry_table.py
@@ -305,11 +305,11 @@
             found = await self.rows(keys)
             if isinstance(found, Ok):
                 return resolve_read_back(txn, found.ok_value)
-            self._refuse_pending()
+            self._reject_pending()
             await asyncio.sleep(delay_s)
             delay_s = min(delay_s * 2, MAX_SETTLE_RETRY_DELAY_S)
 
-    def _refuse_pending(self) -> None:
+    def _reject_pending(self) -> None:
         """Reject unsent units that wait behind a transaction that cannot be settled yet."""
         waiting, self._pending = self._pending, []
         _resolve_all(waiting, _rejected("table is down"))
--- a/sapphirelead/logs.py
+++ b/sapphirelead/logs.py
@@ -1,7 +1,7 @@
 """Structured logs: one line of ``key=value`` pairs for each event.
 
 A line is ``at=<UTC> level=<level> event=<event> key=value ...``.  A value is left
-unquoted only if all its characters match ``BARE``; any other value is written as an ASCII JSON
+unquoted only if all its characters match ``BARE_VALUE``; any other value is written as an ASCII JSON
 string, in which line ends, quotes and control characters are escaped.
 
 Invariants:
@@ -20,7 +20,7 @@
 
 from loguru import logger
 
-BARE: Final = re.compile(r"[A-Za-z0-9_.:/@+,\[\]|%-]+")
+BARE_VALUE: Final = re.compile(r"[A-Za-z0-9_.:/@+,\[\]|%-]+")
 MAX_VALUE_CHARS: Final = 2_000
 
 _LAZY: Final = logger.opt(lazy=True)
@@ -81,7 +81,7 @@
 
 
 def quote(value: object) -> str:
-    """Format one value, as a JSON string unless it matches ``BARE``.
+    """Format one value, as a JSON string unless it matches ``BARE_VALUE``.
 
     >>> quote("a=b"), quote(True), quote(0.123456789), quote("")
     ('"a=b"', 'true', '0.123457', '""')
@@ -89,7 +89,7 @@
     text = _text(value)
     if len(text) > MAX_VALUE_CHARS:
         text = text[:MAX_VALUE_CHARS] + "..."
-    if BARE.fullmatch(text):
+    if BARE_VALUE.fullmatch(text):
         return text
     # json.dumps does not escape DEL, a terminal control character.
     return json.dumps(text).replace("\x7f", "\\u007f")
--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -1,8 +1,8 @@
 """Metrics of one process, exported as Prometheus text.
 
 Latencies are recorded in HDR histograms and exported as percentiles.  Each series keeps two
-histograms, for the current and the previous window; an export merges both, so it covers the last
-one to two windows rather than the lifetime of the process.
+histograms, for the current and the previous window; an export merges both, so the percentiles cover
+the last one to two windows rather than the lifetime of the process.
 
 The number of series of one metric is bounded, because label values may come from callers.  Beyond
 the bound, new label values share the series ``other``.
@@ -31,7 +31,11 @@
 
 
 class LatencySeries:
-    """Latencies of one series over the last one to two windows."""
+    """Latencies of one series.
+
+    :ivar count: number of latencies recorded since the start of the series.
+    :ivar total_ms: their sum in milliseconds.
+    """
 
     count: int
     total_ms: float
--- a/sapphirelead/policy_limits.py
+++ b/sapphirelead/policy_limits.py
@@ -13,7 +13,7 @@
 
 - The queue never holds more than its bound; an arrival at a full queue displaces the entry with the
   lowest priority and the latest deadline.
-- A queued entry leaves the queue exactly once: taken, dropped, displaced or withdrawn.
+- A queued entry leaves the queue exactly once: dropped, displaced or withdrawn.
 """
 
 import random
@@ -103,7 +103,7 @@
         return [(position, self._items[position]) for position in self._positions[:count]]
 
     def withdraw(self, position: QueuePosition) -> bool:
-        """Remove an entry whose caller disconnected; return whether it was still queued."""
+        """Remove an entry; return whether it was still queued."""
         if self._items.pop(position, None) is None:
             return False
         del self._positions[bisect_left(self._positions, position)]
--- a/sapphirelead/policy_pressure_filter.py
+++ b/sapphirelead/policy_pressure_filter.py
@@ -1,5 +1,7 @@
 """Kalman filter for the interference weights of filling images with one serving image.  No I/O.
 
+Serving images are latency-critical, filling images best-effort.
+
 The state is the weight of each filling image, modelled as a random walk.  An observation is the
 difference in load of one serving job between two workers, which cancels the load of the job's
 users: the weights times the differences in the images' processor shares, plus noise.  The filter
--- a/sapphirelead/policy_pressure_pair.py
+++ b/sapphirelead/policy_pressure_pair.py
@@ -1,5 +1,7 @@
 """Bayesian estimate of the interference weight of a serving and a filling image.  No I/O.
 
+Serving images are latency-critical, filling images best-effort.
+
 The prior is a mixture of two normal distributions, light and heavy pairs.  Evidence, a measured
 weight with its precision, updates the probability of each kind by its likelihood and the
 distribution within each kind.  A few observations are therefore often enough to classify a pair.
--- a/sapphirelead/policy_pressure_prior.py
+++ b/sapphirelead/policy_pressure_prior.py
@@ -1,5 +1,7 @@
 """Priors for pairs of images that have not run together: collaborative filtering.  No I/O.
 
+A pair is a serving (latency-critical) and a filling (best-effort) image.
+
 Handles fleets with many images, where most pairs are new, by predicting a pair from known pairs in
 its row (same serving image) and its column (same filling image).  Each is weighted by the
 similarity of the two images over the pairs known of both; ``HEAVY_PRIOR`` is always included.
