--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -108,7 +108,7 @@
         state.limit.end(None, at)
 
     def dispatch_queued(self, state: ServiceState) -> None:
-        """Assign free capacity to queued requests, then refuse those that cannot meet their deadline."""
+        """Assign free capacity to queued requests, then refuse those that would be late."""
         if not len(state.queue):
             return
         while len(state.queue) and self._dispatch_some(state):
--- a/sapphirelead/policy_budget.py
+++ b/sapphirelead/policy_budget.py
@@ -28,7 +28,7 @@
         """Set the rate in calls per second."""
         self.rate = max(rate, 0.1)
 
-    def wait_s(self, at: float) -> float:
+    def take_or_wait_s(self, at: float) -> float:
         """Take a token and return 0, or return the seconds until one is available."""
         self._refill(at)
         if self._tokens >= 1.0:
@@ -47,7 +47,7 @@
 
 async def take(bucket: TokenBucket) -> None:
     """Wait for a token and take it."""
-    delay = bucket.wait_s(now())
+    delay = bucket.take_or_wait_s(now())
     while delay > 0:
         await asyncio.sleep(delay)
-        delay = bucket.wait_s(now())
+        delay = bucket.take_or_wait_s(now())
