--- a/sapphirelead/logs.py
+++ b/sapphirelead/logs.py
@@ -1,8 +1,8 @@
 """Structured logs: one line of ``key=value`` pairs for each event.
 
 A line is ``at=<UTC> level=<level> event=<event> key=value ...``.  A value is left unquoted only if
-all its characters match ``BARE_VALUE``; any other value is an ASCII JSON string, in which line ends,
-quotes and control characters are escaped.
+all its characters match ``BARE_VALUE``; any other value is an ASCII JSON string, in which line
+ends, quotes and control characters are escaped.
 
 Invariants:
 
