--- a/sapphirelead/entry_core.py
+++ b/sapphirelead/entry_core.py
@@ -71,7 +71,7 @@
         self.reconciler.start()
 
     async def stop(self) -> None:
-        """Stop in reverse order: transitions in progress may finish before the lease ends."""
+        """Stop in reverse order; transitions may finish before the entry leaves its lease row."""
         await self.reconciler.stop()
         await self.scheduler.stop()
         await self.moves.stop()
--- a/sapphirelead/entry_lease.py
+++ b/sapphirelead/entry_lease.py
@@ -115,7 +115,7 @@
         self._task = asyncio.create_task(self._run(), name="lease-rounds")
 
     async def stop(self) -> None:
-        """Stop the rounds and remove this entry from the lease row, so that peers take over now."""
+        """Stop the rounds and remove this entry's record, so that peers take over its shards."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
