--- a/bench/platform_callers.py
+++ b/bench/platform_callers.py
@@ -1,8 +1,8 @@
-"""Callers of a site: they keep connections open and repeat calls under the same id.
+"""Clients of a site, which keep connections open and retry a submission under the same job key.
 
-A connection is chosen by the balancer, which asks every entry each second whether callers may
-connect, and stays with its entry until that closes it.  Each call goes into the history with how it
-ended: a status, :data:`CUT` or :data:`NO_ANSWER`.
+The balancer selects the entry for each new connection from the results of periodic readiness
+checks.  A connection stays with its entry until either side closes it.  Each call is recorded in
+the history with its HTTP status, :data:`CONNECTION_CUT` or :data:`NO_RESPONSE`.
 """
 
 import asyncio
@@ -17,50 +17,58 @@
 from bench.platform_site import FRONT_PORT, READY_PORT, Node, Site
 from sapphirelead.clock import now
 
-CUT: Final = 0
-NO_ANSWER: Final = -1
-DEADLINE_S: Final = 3.0
-PATIENCE_S: Final = DEADLINE_S + 1.5
-HURRY_S: Final = 0.02
-"""Patience of a caller that leaves early."""
+CONNECTION_CUT: Final = 0
+NO_RESPONSE: Final = -1
+CALL_DEADLINE_S: Final = 3.0
+CALL_TIMEOUT_S: Final = CALL_DEADLINE_S + 1.5
+SHORT_CALL_TIMEOUT_S: Final = 0.02
+"""Timeout of a caller that disconnects early."""
 
-TRIES: Final = 5
-LOOK_S: Final = 1.0
-MISSES: Final = 2
+MAX_SUBMIT_ATTEMPTS: Final = 5
+HEALTH_CHECK_INTERVAL_S: Final = 1.0
+UNHEALTHY_THRESHOLD: Final = 2
 HOST_NAME: Final = "queues.example"
 
 
 class Balancer:
-    """Which entries take new connections: out after two failed looks, in after a good one."""
+    """Selects entries for new connections by health checks.
+
+    An entry is excluded after :data:`UNHEALTHY_THRESHOLD` failed checks in a row and included again
+    after a successful one.  If more than half are excluded, all entries are used.
+    """
 
     def __init__(self, entries: list[Node]) -> None:
         self._entries = entries
-        self._misses = {entry.name: 0 for entry in entries}
+        self._failed_checks = {entry.name: 0 for entry in entries}
 
     async def run(self) -> None:
-        """Look at every entry each second, until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=LOOK_S)
+        """Check every entry each :data:`HEALTH_CHECK_INTERVAL_S`, until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                looks = (self._look(session, entry) for entry in self._entries)
-                await asyncio.gather(asyncio.sleep(LOOK_S), *looks)
+                checks = (self._check_health(session, entry) for entry in self._entries)
+                await asyncio.gather(asyncio.sleep(HEALTH_CHECK_INTERVAL_S), *checks)
 
-    async def _look(self, session: aiohttp.ClientSession, entry: Node) -> None:
-        good = False
+    async def _check_health(self, session: aiohttp.ClientSession, entry: Node) -> None:
+        healthy = False
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             url = f"http://{entry.host}:{READY_PORT}/readiness"
-            async with session.get(url, headers={"Connection": "close"}) as answer:
-                good = answer.status == 200
-        self._misses[entry.name] = 0 if good else self._misses[entry.name] + 1
+            async with session.get(url, headers={"Connection": "close"}) as response:
+                healthy = response.status == 200
+        self._failed_checks[entry.name] = 0 if healthy else self._failed_checks[entry.name] + 1
 
     def choose(self, rng: random.Random) -> Node:
-        """Choose an entry for a new connection."""
-        usable = [entry for entry in self._entries if self._misses[entry.name] < MISSES]
+        """Return a random healthy entry for a new connection."""
+        usable = [
+            entry
+            for entry in self._entries
+            if self._failed_checks[entry.name] < UNHEALTHY_THRESHOLD
+        ]
         return rng.choice(usable if 2 * len(usable) >= len(self._entries) else self._entries)
 
 
 class Connection:
-    """One connection to one entry."""
+    """A persistent HTTP connection to an entry."""
 
     def __init__(
         self, entry: Node, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -72,45 +80,45 @@
 
     @classmethod
     async def open(cls, entry: Node) -> "Connection | None":
-        """Connect; ``None`` where nobody listens."""
+        """Connect; return ``None`` if the connection fails."""
         with contextlib.suppress(OSError, TimeoutError):
-            # Not wait_for, which drops a cancellation that comes together with the connection.
-            async with asyncio.timeout(DEADLINE_S):
+            # wait_for can lose a cancellation that arrives as the connection completes.
+            async with asyncio.timeout(CALL_DEADLINE_S):
                 return cls(entry, *await asyncio.open_connection(entry.host, FRONT_PORT))
         return None
 
     @property
     def usable(self) -> bool:
-        """Whether another call can be made."""
+        """Whether the connection is still open."""
         return not (self._reader.at_eof() or self._writer.is_closing())
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self._writer.close()
 
     async def call(
-        self, method: str, path: str, body: bytes = b"", patience_s: float = PATIENCE_S
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = CALL_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """Make a call and return its status and the answer's body.
+        """Make a call and return its status and the response body.
 
-        :param patience_s: how long the caller waits for the answer.
+        :param timeout_s: time to wait for the response before the connection is closed.
         """
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {HOST_NAME}\r\nContent-Length: {len(body)}\r\n"
-            f"X-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\n\r\n"
+            f"X-Deadline-Ms: {int(CALL_DEADLINE_S * 1000)}\r\n\r\n"
         )
         try:
             self._writer.write(head.encode() + body)
-            async with asyncio.timeout(patience_s):
-                return await self._answer()
+            async with asyncio.timeout(timeout_s):
+                return await self._read_response()
         except TimeoutError:
             self.close()
-            return NO_ANSWER, b""
+            return NO_RESPONSE, b""
         except (OSError, asyncio.IncompleteReadError):
             self.close()
-            return CUT, b""
+            return CONNECTION_CUT, b""
 
-    async def _answer(self) -> tuple[int, bytes]:
+    async def _read_response(self) -> tuple[int, bytes]:
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().lower().split("\r\n")
         fields = dict(line.split(": ", 1) for line in head[1:] if line)
         body = await self._reader.readexactly(int(fields.get("content-length", "0")))
@@ -121,33 +129,33 @@
 
 @dataclass
 class Job:
-    """A job of ours.
+    """A job submitted by the callers.
 
-    :ivar accepted: loop time of the answer that accepted it.
-    :ivar state: as last shown.
+    :ivar accepted: loop time of the first accepting response, 0 before.
+    :ivar state: last reported state.
     """
 
     key: str
     spec: str
     steps: list[dict[str, Any]]
-    lasting: bool = False
+    long_running: bool = False
     accepted: float = 0.0
     state: str = ""
     cancelled: bool = False
 
 
 def make_job(rng: random.Random) -> Job:
-    """Make a job: short or long, with saved progress, with runs that fail, or lasting."""
+    """Make a random job: short, long with checkpoints, failing at first, or long-running."""
     key = f"{rng.getrandbits(64):016x}"
-    kind = rng.choice(["short", "short", "short", "long", "failing", "lasting"])
-    work_ms = {"short": rng.randint(100, 800), "long": rng.randint(2_000, 4_000), "lasting": 0}
+    kind = rng.choice(["short", "short", "short", "long", "failing", "long_running"])
+    work_ms = {"short": rng.randint(100, 800), "long": rng.randint(2_000, 4_000), "long_running": 0}
     script = {
         "work_ms": work_ms.get(kind, 300),
         "fail_runs": 1 if kind == "failing" else 0,
         "saves": kind == "long",
     }
     step: dict[str, Any] = {"count": rng.randint(1, 4), "mem_mb": 64, "cpu": 600}
-    if kind == "lasting":
+    if kind == "long_running":
         step.update(count=2, cpu=200, long_running=True, may_miss=1)
     else:
         step["estimate_ms"] = script["work_ms"]
@@ -156,14 +164,15 @@
     steps = [step]
     if kind == "short":
         steps += [{**step, "count": rng.randint(1, 3), "after": [0]}] * rng.randint(0, 1)
-    return Job(key, msgspec.json.encode(script).decode(), steps, kind == "lasting")
+    return Job(key, msgspec.json.encode(script).decode(), steps, kind == "long_running")
 
 
 @dataclass
 class Callers:
-    """Everything that calls a site.
+    """The client load on a site.
 
-    :ivar version: the configuration in force, or on its way.
+    :ivar version: version of the last configuration published or being published.
+    :ivar marker: number of that configuration, which names its marker route.
     """
 
     site: Site
@@ -174,7 +183,7 @@
     marker: int = 0
 
     async def configure(self) -> None:
-        """Write a newer configuration, whose marker is a route of its own."""
+        """Publish a newer configuration with a marker route of its own."""
         self.version += self.rng.randint(1, 5)
         self.marker += 1
         names = {"q": "/q/", f"m{self.marker}": f"/m{self.marker}/"}
@@ -192,15 +201,15 @@
         method: str,
         path: str,
         body: bytes = b"",
-        patience_s: float = PATIENCE_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make a call and write it down."""
+        """Make a call and record it in the history."""
         sent = now()
-        status, answer = NO_ANSWER, b""
+        status, response = NO_RESPONSE, b""
         try:
-            status, answer = await conn.call(method, path, body, patience_s)
+            status, response = await conn.call(method, path, body, timeout_s)
         finally:
-            # Also where the run ends meanwhile: the entry may yet do what was asked.
+            # Record cancelled calls too: the entry may still execute them.
             self.site.history.record(
                 "call",
                 sent,
@@ -210,33 +219,36 @@
                 method=method,
                 path=path,
                 status=status,
-                answer=answer.decode(errors="replace")[:200],
+                answer=response.decode(errors="replace")[:200],
             )
-        return status, answer
+        return status, response
 
-    async def caller(self, seed: int, pause_s: float) -> None:
-        """Hand in jobs over a connection that is kept open, until cancelled."""
+    async def caller(self, seed: int, mean_interval_s: float) -> None:
+        """Submit jobs over a persistent connection, until cancelled.
+
+        :param mean_interval_s: mean time between two jobs.
+        """
         rng = random.Random(seed)
         conn: Connection | None = None
-        lasting: Job | None = None
+        long_running: Job | None = None
         while True:
-            conn = await self._connected(conn, rng)
+            conn = await self._ensure_connected(conn, rng)
             job = make_job(rng)
             self.jobs[job.key] = job
             self.site.history.record("job", key=job.key, spec=job.spec, steps=job.steps)
             conn = await self._submit(job, conn, rng)
             if rng.random() < 0.1:
-                conn = await self._connected(conn, rng)
+                conn = await self._ensure_connected(conn, rng)
                 await self._cancel(job, conn)
-            elif job.lasting:
-                # One for each caller, or they fill the workers for good.
-                if lasting is not None:
-                    conn = await self._connected(conn, rng)
-                    await self._cancel(lasting, conn)
-                lasting = job
-            await asyncio.sleep(rng.expovariate(1 / pause_s))
-
-    async def _connected(self, conn: Connection | None, rng: random.Random) -> Connection:
+            elif job.long_running:
+                # Keep one per caller, or long-running jobs would exhaust the capacity.
+                if long_running is not None:
+                    conn = await self._ensure_connected(conn, rng)
+                    await self._cancel(long_running, conn)
+                long_running = job
+            await asyncio.sleep(rng.expovariate(1 / mean_interval_s))
+
+    async def _ensure_connected(self, conn: Connection | None, rng: random.Random) -> Connection:
         while conn is None or not conn.usable:
             conn = await Connection.open(self.balancer.choose(rng))
             if conn is None:
@@ -245,10 +257,10 @@
 
     async def _submit(self, job: Job, conn: Connection, rng: random.Random) -> Connection:
         body = msgspec.json.encode({"spec": job.spec, "steps": job.steps})
-        for _ in range(TRIES):
-            conn = await self._connected(conn, rng)
-            patience_s = HURRY_S if rng.random() < 0.03 else PATIENCE_S
-            status, _ = await self.call(conn, "POST", f"/q/{job.key}", body, patience_s)
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
+            conn = await self._ensure_connected(conn, rng)
+            timeout_s = SHORT_CALL_TIMEOUT_S if rng.random() < 0.03 else CALL_TIMEOUT_S
+            status, _ = await self.call(conn, "POST", f"/q/{job.key}", body, timeout_s)
             if status == 200:
                 job.accepted = job.accepted or now()
                 if rng.random() > 0.1:
@@ -263,44 +275,44 @@
         await self.call(conn, "DELETE", f"/q/{job.key}")
 
     async def watcher(self, seed: int) -> None:
-        """Ask for the states of accepted jobs, one after the other, until cancelled."""
+        """Poll the states of accepted jobs, until cancelled."""
         rng = random.Random(seed)
         conn: Connection | None = None
         while True:
-            conn = await self._connected(conn, rng)
-            asked = self.open_jobs() or list(self.jobs.values())[-1:]
-            for job in rng.sample(asked, min(5, len(asked))):
+            conn = await self._ensure_connected(conn, rng)
+            polled = self.open_jobs() or list(self.jobs.values())[-1:]
+            for job in rng.sample(polled, min(5, len(polled))):
                 if conn.usable:
-                    await self.ask(job, conn)
+                    await self.poll_state(job, conn)
             await asyncio.sleep(0.1)
 
-    async def ask(self, job: Job, conn: Connection) -> None:
-        """Ask for a job's state."""
-        status, answer = await self.call(conn, "GET", f"/q/{job.key}")
+    async def poll_state(self, job: Job, conn: Connection) -> None:
+        """Request a job's state and store it in the job."""
+        status, response = await self.call(conn, "GET", f"/q/{job.key}")
         if status == 200:
-            job.state = msgspec.json.decode(answer)["state"]
+            job.state = msgspec.json.decode(response)["state"]
 
-    async def first_job(self, rng: random.Random) -> None:
-        """Try once to hand in a job."""
+    async def submit_one_job(self, rng: random.Random) -> None:
+        """Submit one job over a new connection."""
         job = make_job(rng)
         self.jobs[job.key] = job
         self.site.history.record("job", key=job.key, spec=job.spec, steps=job.steps)
-        conn = await self._connected(None, rng)
+        conn = await self._ensure_connected(None, rng)
         await self._submit(job, conn, rng)
         conn.close()
 
-    def expected(self) -> list[Job]:
-        """Return the accepted jobs that are still to complete."""
+    def incomplete_jobs(self) -> list[Job]:
+        """Return the accepted, uncancelled jobs that have not been reported as completed."""
         jobs = self.jobs.values()
         return [j for j in jobs if j.accepted and not j.cancelled and j.state != "completed"]
 
     def open_jobs(self) -> list[Job]:
-        """Return the accepted jobs that have not been shown to have ended."""
+        """Return the accepted jobs that have not been reported in a terminal state."""
         ended = ("completed", "failed", "cancelled")
         return [job for job in self.jobs.values() if job.accepted and job.state not in ended]
 
     async def prober(self, entry: Node) -> None:
-        """Ask one entry for the routes of the newest configurations, until cancelled."""
+        """Request the two newest marker routes from an entry, until cancelled."""
         conn: Connection | None = None
         while True:
             if conn is None or not conn.usable:
--- a/bench/platform_site.py
+++ b/bench/platform_site.py
@@ -1,9 +1,8 @@
-"""Entries, agents, workers and the store as processes of one machine, with faults between them.
+"""A site of entries, agents, workers and the store as processes of one machine.
 
-Each node has a loopback address of its own and reaches the store through a fault proxy; a proxy
-stands between each agent and its worker too.  Links between nodes have none, since a node listens
-where it says it does.  What is done to the site goes into a history of its own: ``fault`` events
-span the time in which a node or everything is disturbed.
+Each node has its own loopback address.  Connections from nodes to the store and from agents to
+workers pass through fault proxies; connections between nodes are direct.  Operations and faults are
+recorded in the site's history; a ``fault`` event spans the time in which nodes were affected.
 """
 
 import asyncio
@@ -25,27 +24,27 @@
 from sapphirelead.clock import now
 from sapphirelead.standin_history import History
 
-EVERYTHING: Final = "*"
+ALL_NODES: Final = "*"
 FRONT_PORT: Final = 8161
 READY_PORT: Final = 8167
 CONTROL_PORT: Final = 8166
 LINK_PORT: Final = 7720
 WORKER_PORT: Final = 8080
-GRACE_S: Final = 6.0
-RESTART_S: Final = 0.3
-CPU: Final = 4_000
-THIS: Final = "soak"
-STORE: Final = "store"
-LOOK_S: Final = 0.25
-STARVED_S: Final = 0.2
-"""A process that waits so long for a processor within one look counts as disturbed.  The kernel's
-own account tells it, not the time that something took."""
+STOP_GRACE_S: Final = 6.0
+RESTART_DELAY_S: Final = 0.3
+WORKER_CPU: Final = 4_000
+SOAK_NAME: Final = "soak"
+STORE_NAME: Final = "store"
+WATCH_INTERVAL_S: Final = 0.25
+STARVATION_THRESHOLD_S: Final = 0.2
+"""CPU wait within one watch interval, by the kernel's accounting, from which a process counts as
+starved."""
 
 BOUNDS: Final = {
     "hold_max_ms": 10_000,
     "kill_grace_ms": 900,
     "drain_ms": 2_000,
-    "grace_s": int(GRACE_S),
+    "grace_s": int(STOP_GRACE_S),
     "status_s": 120,
     "config_apply_ms": 2_000,
 }
@@ -55,8 +54,8 @@
 class Node:
     """An entry or an agent.
 
-    :ivar busy: held by whoever signals it, so that a paused process is not killed meanwhile.
-    :ivar starts: times it was started.
+    :ivar signal_lock: held while a fault signals the process, so that faults do not interfere.
+    :ivar starts: number of times it was started.
     """
 
     name: str
@@ -64,23 +63,23 @@
     entry: bool
     proc: Proc
     store_proxy: Proxy
-    busy: asyncio.Lock = field(default_factory=asyncio.Lock)
+    signal_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     starts: int = 1
 
 
 @dataclass
 class Worker:
-    """The worker beside an agent; each start of its process is another life."""
+    """The worker of an agent; each start of its process is a new worker instance."""
 
     name: str
     settings: WorkerSettings
     proc: Proc
     proxy: Proxy
-    busy: asyncio.Lock = field(default_factory=asyncio.Lock)
+    signal_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class Site:
-    """The processes of one run."""
+    """The processes of one soak run."""
 
     folder: Path
     history: History
@@ -98,7 +97,7 @@
         self.folder = folder
         self.history = History.open("site", str(folder / "site.jsonl"))
         self.entries, self.agents, self.workers = [], [], []
-        # An address range for each process that runs a site, so that two of them cannot collide.
+        # Derived from the process id, so that sites of concurrent soak processes do not collide.
         self._base = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}"
         self._procs, self._proxies = [], []
         self._store_port = free_port()
@@ -106,7 +105,7 @@
     @classmethod
     @contextlib.asynccontextmanager
     async def running(cls, folder: Path, entries: int, agents: int) -> AsyncIterator["Site"]:
-        """Run a site until the block is left."""
+        """Run a site within the context."""
         site = cls(folder)
         try:
             async with aiohttp.ClientSession() as site._http:
@@ -123,7 +122,7 @@
         hosts = [f"{self._base}.{number + 10}" for number in range(entries + agents)]
         settings = msgspec.json.encode({"hosts": hosts}).decode()
         self._store = await self._spawn(
-            STORE, "platform_standin_store", settings, "--port", str(self._store_port)
+            STORE_NAME, "platform_standin_store", settings, "--port", str(self._store_port)
         )
         await wait_until("the store listens", self._store_listens)
         await self.publish({"version": 1, "routes": []})
@@ -152,28 +151,28 @@
         return proxy
 
     async def _watch(self) -> None:
-        """Write down which processes wait for a processor, and which end by themselves."""
-        waited: dict[int, float] = {}
-        looked = now()
+        """Record CPU starvation of processes and unexpected exits of nodes."""
+        cpu_waits: dict[int, float] = {}
+        checked_at = now()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             for who, pid in self._pids():
-                before, waited[pid] = waited.get(pid, 0.0), _waited_s(pid)
-                if waited[pid] - before > STARVED_S:
-                    shared = who in (THIS, STORE)
-                    self._disturbed(f"starved {who}", looked, EVERYTHING if shared else who)
-            # Also where it waited for a process that it had started: nothing is seen meanwhile.
-            if now() - looked > LOOK_S + STARVED_S:
-                self._disturbed(f"starved {THIS}", looked, EVERYTHING)
+                before, cpu_waits[pid] = cpu_waits.get(pid, 0.0), _cpu_wait_s(pid)
+                if cpu_waits[pid] - before > STARVATION_THRESHOLD_S:
+                    shared = who in (SOAK_NAME, STORE_NAME)
+                    self._record_fault(f"starved {who}", checked_at, ALL_NODES if shared else who)
+            # The event loop was blocked, for example by starting a process.
+            if now() - checked_at > WATCH_INTERVAL_S + STARVATION_THRESHOLD_S:
+                self._record_fault(f"starved {SOAK_NAME}", checked_at, ALL_NODES)
             for node in (*self.entries, *self.agents):
-                if not node.proc.running and not node.busy.locked():
+                if not node.proc.running and not node.signal_lock.locked():
                     self.history.record("died", node=node.name, code=node.proc.code)
-            looked = now()
+            checked_at = now()
 
     def _pids(self) -> list[tuple[str, int]]:
         others = [(node.name, node.proc.pid) for node in (*self.entries, *self.agents)]
         workers = [(worker.name, worker.proc.pid) for worker in self.workers]
-        return [(THIS, os.getpid()), (STORE, self._store.pid), *others, *workers]
+        return [(SOAK_NAME, os.getpid()), (STORE_NAME, self._store.pid), *others, *workers]
 
     # Nodes.
 
@@ -207,37 +206,37 @@
         return proc
 
     async def restart(self, node: Node, by: signal.Signals) -> None:
-        """End a node by SIGTERM, or by SIGKILL as an accident, and start it again."""
+        """Stop a node by SIGTERM (planned) or SIGKILL (unplanned), and start it again."""
         planned = by is signal.SIGTERM
-        async with node.busy:
+        async with node.signal_lock:
             with self.fault(f"{by.name} {node.name}", node.name, planned):
                 if planned:
-                    code = await node.proc.stop(GRACE_S)
+                    code = await node.proc.stop(STOP_GRACE_S)
                     self.history.record("stopped", node=node.name, code=code)
                 else:
                     await node.proc.kill()
-                await asyncio.sleep(RESTART_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 node.proc = await self._spawn_node(node.name)
                 node.starts += 1
                 await asyncio.sleep(1)
 
     async def pause(self, node: Node | Worker, seconds: float) -> None:
-        """Freeze a process for a while."""
-        async with node.busy:
+        """Suspend a process for ``seconds``."""
+        async with node.signal_lock:
             with self.fault(f"pause {node.name}", node.name):
                 node.proc.pause()
                 await asyncio.sleep(seconds)
                 node.proc.resume()
 
     async def reload(self, node: Node) -> None:
-        """Change a node's settings file and tell it so.
+        """Change a node's settings file and send it SIGHUP.
 
-        The signal ends an interpreter that has not come to the program's first line yet, which no
-        program can help; it is sent once it is taken or ignored.
+        Waits until the process handles or ignores SIGHUP, whose default action would terminate a
+        starting interpreter.
         """
-        async with node.busy:
-            while node.proc.running and not _takes(node.proc.pid, signal.SIGHUP):
-                await asyncio.sleep(LOOK_S)
+        async with node.signal_lock:
+            while node.proc.running and not _has_disposition(node.proc.pid, signal.SIGHUP):
+                await asyncio.sleep(WATCH_INTERVAL_S)
             path = self.folder / f"{node.name}.toml"
             path.write_text(f"# changed at {now()}\n{path.read_text()}")
             with self.fault(f"reload {node.name}", node.name, planned=True):
@@ -254,7 +253,7 @@
             WORKER_PORT,
             told=f"{agent.host}:{proxy.port}",
             agent=f"{agent.host}:{CONTROL_PORT}",
-            cpu=CPU,
+            cpu=WORKER_CPU,
             labels=("a", f"r{number % 2}"),
             clock_rate=0.98 + 0.01 * (number % 3),
         )
@@ -265,28 +264,28 @@
         return await self._spawn(name, "platform_standin_worker", text, "--name", name)
 
     async def replace(self, worker: Worker, by: signal.Signals) -> None:
-        """Drain a worker by SIGTERM, or crash it by SIGKILL; another life follows."""
+        """Drain a worker by SIGTERM or kill it by SIGKILL, and start a new one in its place."""
         planned = by is signal.SIGTERM
-        async with worker.busy:
+        async with worker.signal_lock:
             with self.fault(f"{by.name} {worker.name}", worker.name, planned):
                 if planned:
                     await worker.proc.stop(20)
                 else:
                     await worker.proc.kill()
                 self.history.record("worker_gone", name=worker.name)
-                await asyncio.sleep(RESTART_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 worker.proc = await self._spawn_worker(worker.name, worker.settings)
 
-    async def switch(self, worker: Worker, path: str, body: Any) -> None:
-        """Set a worker's faults or its behaviour."""
+    async def post_to_worker(self, worker: Worker, path: str, body: Any) -> None:
+        """Post to a worker's fault or behaviour controls; errors are ignored."""
         url = f"http://{worker.settings.host}:{WORKER_PORT}{path}"
         timeout = aiohttp.ClientTimeout(total=2)
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             async with self._http.post(url, data=msgspec.json.encode(body), timeout=timeout):
                 pass
 
-    async def heartbeat(self, agent: Node, body: bytes) -> None:
-        """Send an agent a heartbeat of a foreign writer."""
+    async def send_heartbeat(self, agent: Node, body: bytes) -> None:
+        """Send an agent a heartbeat of an unknown instance."""
         url = f"http://{agent.host}:{CONTROL_PORT}/instances/i-foreign/heartbeat"
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             async with self._http.post(url, data=body, timeout=aiohttp.ClientTimeout(total=2)):
@@ -296,47 +295,47 @@
 
     async def _post_store(self, path: str, body: Any) -> None:
         url = f"http://127.0.0.1:{self._store_port}{path}"
-        async with self._http.post(url, data=msgspec.json.encode(body)) as answer:
-            assert answer.status == 200, await answer.text()
+        async with self._http.post(url, data=msgspec.json.encode(body)) as response:
+            assert response.status == 200, await response.text()
 
     async def store_fault(self, **faults: Any) -> None:
-        """Let the store misbehave towards nodes; nothing given mends it."""
+        """Set the store's faults for requests of nodes; no arguments clear them."""
         await self._post_store("/faults", {"only": "/rows", **faults})
 
     async def refuse(self, nodes: list[Node], status: int = 503) -> None:
-        """Let the store turn these nodes away, and no others."""
+        """Make the store reject requests of exactly these nodes."""
         await self._post_store("/refuse", [{"host": n.host, "status": status} for n in nodes])
 
     async def forget_history(self) -> None:
-        """Let the store forget all changes so far."""
+        """Make the store drop the changes so far from its change feed."""
         await self._post_store("/forget", {})
 
     async def write_row(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as the operator, or as a writer that nobody knows."""
+        """Write a row through the store's operator endpoint."""
         row = {"table": table, "key": key, "value": base64.b64encode(value).decode()}
         await self._post_store("/operator", {"writes": [row]})
 
     async def publish(self, config: dict[str, Any]) -> None:
-        """Write a configuration."""
+        """Publish a configuration."""
         await self.write_row("op", "config", msgspec.json.encode(config))
 
     @contextlib.contextmanager
-    def fault(self, what: str, who: str = EVERYTHING, planned: bool = False) -> Iterator[None]:
-        """Write down a disturbance that lasts as long as the block.
+    def fault(self, what: str, who: str = ALL_NODES, planned: bool = False) -> Iterator[None]:
+        """Record a fault that lasts as long as the context.
 
-        :param who: the node or worker disturbed, or :data:`EVERYTHING`.
+        :param who: the affected node or worker, or :data:`ALL_NODES`.
         """
         begin = now()
         try:
             yield
         finally:
-            self._disturbed(what, begin, who, planned)
+            self._record_fault(what, begin, who, planned)
 
-    def _disturbed(self, what: str, begin: float, who: str, planned: bool = False) -> None:
+    def _record_fault(self, what: str, begin: float, who: str, planned: bool = False) -> None:
         self.history.record("fault", begin, what=what, who=who, planned=planned, until=now())
 
 
-def _takes(pid: int, signum: signal.Signals) -> bool:
+def _has_disposition(pid: int, signum: signal.Signals) -> bool:
     """Whether a process handles or ignores a signal."""
     with contextlib.suppress(OSError):
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -347,8 +346,8 @@
     return False
 
 
-def _waited_s(pid: int) -> float:
-    """Return how long a process has been ready to run and had no processor, its main thread."""
+def _cpu_wait_s(pid: int) -> float:
+    """Return how long a process's main thread has waited on a run queue, in total."""
     with contextlib.suppress(OSError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     return 0.0
--- a/bench/platform_standin_run.py
+++ b/bench/platform_standin_run.py
@@ -1,7 +1,7 @@
-"""What the stand-in of the platform's worker runs, free of I/O.
+"""Simulated task runs of the platform's stand-in worker, without I/O.
 
-Progress, ends and the lease follow from the clock, so that a worker that was itself paused finds
-everything that came due meanwhile, in its order and at its time.
+Progress, run ends and lease expiry are computed from the clock, so that a worker process that was
+suspended afterwards processes the events that came due meanwhile in order and at their due times.
 """
 
 from dataclasses import dataclass, field
@@ -9,16 +9,16 @@
 
 import msgspec
 
-STOP_SHARE: Final = 0.5
-"""Part of the longest time of a stop that a stop takes."""
+STOP_DURATION_SHARE: Final = 0.5
+"""Share of the kill grace period that a stop takes."""
 
 
 class Script(msgspec.Struct):
     """What a task does, read from its ``spec``.
 
-    :ivar work_ms: run time; 0 for a task that lasts.
-    :ivar fail_runs: so many first runs end as failed.
-    :ivar saves: it has new saved progress with each ``save_every_ms`` of work.
+    :ivar work_ms: run time; 0 for a long-running task.
+    :ivar fail_runs: number of first attempts that fail.
+    :ivar saves: whether it saves a checkpoint for every ``save_every_ms`` of work.
     """
 
     work_ms: int = 0
@@ -27,7 +27,7 @@
 
 
 def decode_script(spec: str) -> Script:
-    """Read a script; a spec that holds none is a task that lasts."""
+    """Decode a script; an invalid spec stands for a long-running task."""
     try:
         return msgspec.json.decode(spec, type=Script)
     except msgspec.DecodeError:
@@ -36,9 +36,12 @@
 
 @dataclass
 class Run:
-    """A run; ``at`` is the loop time up to which its progress is worked out.
+    """A run of a task.
 
-    :ivar ends_at: when its stop is over, once it is being stopped.
+    :ivar at: loop time up to which its progress is computed.
+    :ivar saved: checkpoint as ``milliseconds:task``.
+    :ivar percent: pace, as a share of full speed.
+    :ivar stops_at: loop time at which it ends by a stop.
     """
 
     task: str
@@ -48,19 +51,19 @@
     done_ms: float = 0.0
     saved: str = ""
     percent: int = 100
-    ends_at: float = float("inf")
+    stops_at: float = float("inf")
 
     @property
     def progress(self) -> int:
-        """Percent done; 100 for a task that lasts."""
+        """Progress in percent; 100 for a long-running task."""
         if not self.script.work_ms:
             return 100
         return min(100, int(100 * self.done_ms / self.script.work_ms))
 
 
 @dataclass(frozen=True)
-class End:
-    """An end, at its loop time."""
+class EndedRun:
+    """A run that ended at loop time ``at`` with outcome ``how``."""
 
     number: int
     at: float
@@ -71,12 +74,15 @@
 
 
 @dataclass
-class Life:
-    """Everything that one life of the worker holds.
-
-    :ivar lease_until: loop time at which everything is killed.
-    :ivar frozen: tasks stand still.
-    :ivar failing: every run fails at once.
+class WorkerState:
+    """Runs and lease of one worker process.
+
+    :ivar stop_s: kill grace period.
+    :ivar lease_until: loop time at which the lease expires and all runs end.
+    :ivar frozen: whether tasks make no progress.
+    :ivar failing: whether every run fails immediately.
+    :ivar ended: ended runs that are not yet acknowledged.
+    :ivar closed_attempts: highest ended or stopped attempt of each task, which may not start again.
     """
 
     stop_s: float
@@ -86,66 +92,66 @@
     frozen: bool = False
     failing: bool = False
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
-    ended: list[End] = field(default_factory=list)
-    sealed: dict[str, int] = field(default_factory=dict)
-    numbers: int = 0
+    ended: list[EndedRun] = field(default_factory=list)
+    closed_attempts: dict[str, int] = field(default_factory=dict)
+    last_number: int = 0
 
     def start(self, run: Run) -> None:
-        """Take a run up, from its saved progress."""
+        """Start a run, from its checkpoint if that is of the same task."""
         done, _, task = run.saved.partition(":")
         if task == run.task and done.isdigit():
             run.done_ms = float(done)
         self.runs[run.task, run.attempt] = run
 
     def stop(self, task: str, attempt: int, at: float) -> None:
-        """Stop a run, or see to it that it never starts."""
-        self.sealed[task] = max(self.sealed.get(task, 0), attempt)
+        """Stop a run if it is running, and prevent later starts of this attempt."""
+        self.closed_attempts[task] = max(self.closed_attempts.get(task, 0), attempt)
         run = self.runs.get((task, attempt))
         if run is not None:
-            run.ends_at = min(run.ends_at, at + self.stop_s * STOP_SHARE)
+            run.stops_at = min(run.stops_at, at + self.stop_s * STOP_DURATION_SHARE)
 
-    def advance(self, at: float) -> list[End]:
-        """End what came due up to a loop time; return the new ends in their order."""
-        due = sorted((self._due(run), key) for key, run in self.runs.items())
+    def advance(self, at: float) -> list[EndedRun]:
+        """Advance all runs to a loop time and return the runs that ended, in order of time."""
+        due = sorted((self._due_at(run), key) for key, run in self.runs.items())
         ends = [self._end(self.runs[key], when) for when, key in due if when <= at]
         for run in self.runs.values():
-            self._gain(run, at)
+            self._accrue_progress(run, at)
         return ends
 
-    def _due(self, run: Run) -> float:
+    def _due_at(self, run: Run) -> float:
         if self.failing:
             return run.at
         finished = float("inf")
         if run.script.work_ms and not self.frozen and run.percent:
             left_ms = max(0.0, run.script.work_ms - run.done_ms)
             finished = run.at + left_ms / 10 / run.percent
-        return min(finished, run.ends_at, self.lease_until)
+        return min(finished, run.stops_at, self.lease_until)
 
-    def _end(self, run: Run, at: float) -> End:
-        self._gain(run, at)
-        how = self._how(run, at)
+    def _end(self, run: Run, at: float) -> EndedRun:
+        self._accrue_progress(run, at)
+        how = self._outcome(run, at)
         del self.runs[run.task, run.attempt]
-        self.sealed[run.task] = max(self.sealed.get(run.task, 0), run.attempt)
-        self.numbers += 1
+        self.closed_attempts[run.task] = max(self.closed_attempts.get(run.task, 0), run.attempt)
+        self.last_number += 1
         if how == "stopped" and run.script.saves:
             run.saved = f"{int(run.done_ms)}:{run.task}"
-        end = End(self.numbers, at, run.task, run.attempt, how, run.saved)
+        end = EndedRun(self.last_number, at, run.task, run.attempt, how, run.saved)
         self.ended.append(end)
         return end
 
-    def _how(self, run: Run, at: float) -> str:
+    def _outcome(self, run: Run, at: float) -> str:
         if at >= self.lease_until:
             return "lapsed"
-        if at >= run.ends_at:
+        if at >= run.stops_at:
             return "stopped"
         if self.failing or run.attempt <= run.script.fail_runs:
             return "failed"
         return "done"
 
-    def _gain(self, run: Run, at: float) -> None:
-        gained_ms = 0.0 if self.frozen else max(0.0, at - run.at) * 10 * run.percent
+    def _accrue_progress(self, run: Run, at: float) -> None:
+        accrued_ms = 0.0 if self.frozen else max(0.0, at - run.at) * 10 * run.percent
         run.at = max(run.at, at)
-        run.done_ms += gained_ms
+        run.done_ms += accrued_ms
         saved_ms = run.done_ms // self.save_every_ms * self.save_every_ms
         if run.script.saves and saved_ms:
             run.saved = f"{int(saved_ms)}:{run.task}"
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -31,11 +31,11 @@
 from bench.harness import Cluster
 
 Failure = Callable[[Cluster, random.Random], Coroutine[Any, Any, None]]
-RECOVERY_S: Final = 40.0
+RECOVERY_TIMEOUT_S: Final = 40.0
 
 
 async def kill_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Replace an agent."""
+    """Kill an agent and start another, at once or after its lease has expired."""
     instance = rng.choice(cluster.instances)
     await instance.agent.kill()
     await asyncio.sleep(rng.choice([0.0, 3.0]))
@@ -43,42 +43,42 @@
 
 
 async def pause_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Freeze an agent for less or more than its lease."""
+    """Suspend an agent for less or more than its lease."""
     await _pause(rng.choice(cluster.instances).agent, rng)
 
 
 async def kill_worker(cluster: Cluster, rng: random.Random) -> None:
-    """Replace a worker."""
+    """Kill a worker and start another."""
     await cluster.replace_worker(rng.choice(cluster.instances))
 
 
 async def kill_entry(cluster: Cluster, rng: random.Random) -> None:
-    """Replace an entry."""
+    """Kill an entry and start another."""
     entry = rng.choice(cluster.entries)
     await entry.proc.kill()
     entry.proc = await cluster.spawn_entry(entry.name)
 
 
 async def stop_agent(cluster: Cluster, rng: random.Random) -> None:
-    """Stop an agent as planned and start another."""
+    """Stop an agent by SIGTERM and start another."""
     instance = rng.choice(cluster.instances)
     await instance.agent.stop(40)
     instance.agent = await cluster.spawn_agent(instance.name)
 
 
 async def pause_entry(cluster: Cluster, rng: random.Random) -> None:
-    """Freeze an entry."""
+    """Suspend an entry."""
     await _pause(rng.choice(cluster.entries).proc, rng)
 
 
 async def break_connections(cluster: Cluster, rng: random.Random) -> None:
-    """Make some connections silent for good, or cut them."""
+    """Blackhole or reset existing connections of a third of the proxies."""
     for proxy in rng.sample(cluster.proxies, len(cluster.proxies) // 3):
-        rng.choice([proxy.silence_existing, proxy.cut])()
+        rng.choice([proxy.blackhole_existing, proxy.cut])()
 
 
 async def freeze_connections(cluster: Cluster, rng: random.Random) -> None:
-    """Hold back one direction of some connections for a while."""
+    """Stall one direction of connections for a while, in a third of the proxies."""
     chosen = rng.sample(cluster.proxies, len(cluster.proxies) // 3)
     for proxy in chosen:
         proxy.freeze(rng.choice(["up", "down"]))
@@ -88,7 +88,7 @@
 
 
 async def break_table(cluster: Cluster, rng: random.Random) -> None:
-    """Let the table be down, hang, lose answers or drop writes."""
+    """Make the table unavailable or slow, or lose requests or responses."""
     hang, late = rng.random() < 0.5, rng.random() < 0.5
     kinds: list[dict[str, Any]] = [
         {"down": True, "hang": hang, "late_apply": late, "only": "/table"},
@@ -119,16 +119,18 @@
 ]
 
 
-async def offer_work(cluster: Cluster, rng: random.Random, accepted: set[str]) -> None:
-    """Submit jobs until cancelled, repeating each under its key until it is accepted."""
+async def submit_jobs(cluster: Cluster, rng: random.Random, accepted: set[str]) -> None:
+    """Submit jobs until cancelled, retrying each under its key until it is accepted."""
     for number in itertools.count():
         key = f"k{number}"
         script = {"work_ms": rng.choice([50, 300, 1500])}
         idempotent, cpu = rng.random() < 0.5, rng.choice([500, 1000, 2500])
         for _ in range(5):
             entry = rng.choice(cluster.entries)
-            answer = await cluster.submit(key, entry, idempotent=idempotent, cpu=cpu, input=script)
-            if answer.ok:
+            response = await cluster.submit(
+                key, entry, idempotent=idempotent, cpu=cpu, input=script
+            )
+            if response.ok:
                 accepted.add(key)
                 break
             await asyncio.sleep(0.3)
@@ -137,8 +139,8 @@
         await asyncio.sleep(rng.uniform(0.0, 0.3))
 
 
-async def offer_requests(cluster: Cluster, rng: random.Random) -> None:
-    """Make service requests until cancelled."""
+async def send_requests(cluster: Cluster, rng: random.Random) -> None:
+    """Send service requests until cancelled."""
     for number in itertools.count():
         entry = rng.choice(cluster.entries)
         await cluster.serve(f"m{number}", rng.choice([2, 20]), rng.choice([0, 90_000]), entry)
@@ -146,15 +148,15 @@
 
 
 async def run_seed(seed: int, seconds: float, folder: Path) -> bool:
-    """Run one seed and say whether every guarantee held."""
+    """Run one seed; raise ``AssertionError`` or ``TimeoutError`` if a guarantee was violated."""
     rng = random.Random(seed)
     folder.mkdir(parents=True)
     accepted: set[str] = set()
     with contextlib.redirect_stdout(sys.stderr):
         async with Cluster.running(folder, entries=2, instances=3) as cluster:
             load = [
-                asyncio.create_task(offer_work(cluster, random.Random(seed), accepted)),
-                asyncio.create_task(offer_requests(cluster, random.Random(seed))),
+                asyncio.create_task(submit_jobs(cluster, random.Random(seed), accepted)),
+                asyncio.create_task(send_requests(cluster, random.Random(seed))),
             ]
             until = monotonic() + seconds
             injected: Counter[str] = Counter()
@@ -163,25 +165,28 @@
                 injected.update(failure.__name__ for failure in chosen)
                 await asyncio.gather(*(failure(cluster, rng) for failure in chosen))
                 await asyncio.sleep(rng.uniform(0.0, 1.5))
-            await _end(load)
-            mended = monotonic()
+            await _cancel_tasks(load)
+            repaired_at = monotonic()
             await cluster.wait_live(len(cluster.instances))
-            live_s = monotonic() - mended
+            live_s = monotonic() - repaired_at
             states = [
-                (await cluster.wait_job(key, timeout_s=RECOVERY_S))["state"] for key in accepted
+                (await cluster.wait_job(key, timeout_s=RECOVERY_TIMEOUT_S))["state"]
+                for key in accepted
             ]
-            ended_s = monotonic() - mended
-            told = Counter(e["outcome"] for e in cluster.told if e["event"] == "answer")
+            ended_s = monotonic() - repaired_at
+            outcomes = Counter(
+                e["outcome"] for e in cluster.caller_events if e["event"] == "answer"
+            )
     faults = " ".join(f"{name}={count}" for name, count in sorted(injected.items()))
     ends = " ".join(f"{state}={count}" for state, count in sorted(Counter(states).items()))
-    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(told.items()))
+    answers = " ".join(f"{outcome}={count}" for outcome, count in sorted(outcomes.items()))
     print(
         f"seed={seed} ok live_s={live_s:.1f} ended_s={ended_s:.1f} | {ends} | {answers} | {faults}"
     )
     return True
 
 
-async def _end(load: list[asyncio.Task[None]]) -> None:
+async def _cancel_tasks(load: list[asyncio.Task[None]]) -> None:
     for task in load:
         task.cancel()
     await asyncio.gather(*load, return_exceptions=True)
--- a/sapphirelead/agent_links.py
+++ b/sapphirelead/agent_links.py
@@ -1,8 +1,10 @@
 """The agent's connections: three lanes to each entry in its settings.
 
 Each :class:`EntryLink` has one ZeroMQ dealer per lane, with the identity
-``instance|incarnation|lane|number``.  The number grows with each connection, so that the entry can
-tell the newest one.  The entry acknowledges each heartbeat on the control lane and each hello on
+``instance|incarnation|channel|number``.  The number grows with each connection, so that the
+entry can tell the newest one.
+
+The entry acknowledges each heartbeat on the control lane and each hello on
 the others; a link that received nothing over one lane for ``silence_seconds`` is reconnected.  This
 detects connections that stay open but carry no data.
 
@@ -21,12 +23,12 @@
 from sapphirelead.agent_ports import Handler, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.keys import Keys
 from sapphirelead.logs import log_event
 from sapphirelead.settings import AgentSettings, EntryAddress
 from sapphirelead.wire_codec import decode
-from sapphirelead.wire_messages import AnyMessage, BeatAck, LaneHello
+from sapphirelead.wire_messages import AnyMessage, ChannelHello, HeartbeatAck
 from sapphirelead.wire_sockets import connect_dealer, send
 
 MAX_BATCH_FRAMES: Final = 256
@@ -45,9 +47,9 @@
     _sender: Sender
     _timeout_s: float
     _connection_number: int
-    _sockets: dict[Lane, zmq.asyncio.Socket]
-    _received_at: dict[Lane, float]
-    _active_lanes: set[Lane]
+    _sockets: dict[Channel, zmq.asyncio.Socket]
+    _received_at: dict[Channel, float]
+    _active_channels: set[Channel]
     _acked_at: float
     _peer_incarnation: str
 
@@ -67,7 +69,7 @@
         self._connection_number = 0
         self._sockets = {}
         self._received_at = {}
-        self._active_lanes = set()
+        self._active_channels = set()
         self._acked_at = _NEVER
         self._peer_incarnation = ""
 
@@ -79,7 +81,7 @@
     @property
     def routed(self) -> bool:
         """Whether something was received over every lane of the current connection."""
-        return len(self._active_lanes) == len(Lane)
+        return len(self._active_channels) == len(Channel)
 
     def announce_due(self, ack_timeout_s: float) -> bool:
         """Return whether the entry acknowledged no heartbeat within ``ack_timeout_s``."""
@@ -97,15 +99,15 @@
         self._peer_incarnation = peer_incarnation
         self._acked_at = now() if known else _NEVER
 
-    def open(self) -> dict[Lane, zmq.asyncio.Socket]:
+    def open(self) -> dict[Channel, zmq.asyncio.Socket]:
         """Connect every lane under the next connection number and return the sockets."""
         self._connection_number += 1
         self._acked_at = _NEVER
         self._peer_incarnation = ""
-        self._active_lanes.clear()
-        for lane in Lane:
-            self._sockets[lane] = self._connect(lane)
-            self._received_at[lane] = now()
+        self._active_channels.clear()
+        for channel in Channel:
+            self._sockets[channel] = self._connect(channel)
+            self._received_at[channel] = now()
         return dict(self._sockets)
 
     def close(self, linger_ms: int = 0) -> None:
@@ -114,10 +116,10 @@
             sock.close(linger=linger_ms)
         self._sockets.clear()
 
-    def record_received(self, lane: Lane) -> None:
-        """Record that something was received over ``lane``."""
-        self._received_at[lane] = now()
-        self._active_lanes.add(lane)
+    def record_received(self, channel: Channel) -> None:
+        """Record that something was received over ``channel``."""
+        self._received_at[channel] = now()
+        self._active_channels.add(channel)
 
     def timed_out(self) -> bool:
         """Return whether nothing was received over one of the lanes within the timeout."""
@@ -127,19 +129,19 @@
         """Restart the timeout of every lane."""
         self._received_at = dict.fromkeys(self._received_at, now())
 
-    async def send(self, lane: Lane, message: AnyMessage) -> bool:
-        """Send over ``lane``; ``False`` means that the message was certainly not sent."""
-        sock = self._sockets.get(lane)
+    async def send(self, channel: Channel, message: AnyMessage) -> bool:
+        """Send over ``channel``; ``False`` means that the message was certainly not sent."""
+        sock = self._sockets.get(channel)
         return sock is not None and await send(sock, message)
 
-    def _connect(self, lane: Lane) -> zmq.asyncio.Socket:
+    def _connect(self, channel: Channel) -> zmq.asyncio.Socket:
         sender, address = self._sender, self._address
-        identity = f"{sender.instance}|{sender.incarnation}|{lane}|{self._connection_number}"
+        identity = f"{sender.instance}|{sender.incarnation}|{channel}|{self._connection_number}"
         port = {
-            Lane.CONTROL: address.control_port,
-            Lane.DATA: address.data_port,
-            Lane.BULK: address.bulk_port,
-        }[lane]
+            Channel.CONTROL: address.control_port,
+            Channel.DATA: address.data_port,
+            Channel.BULK: address.bulk_port,
+        }[channel]
         return connect_dealer(self._ctx, identity, address.host, port, self._timeout_s, self._keys)
 
 
@@ -213,20 +215,20 @@
             link.close(LINGER_MS)
         await asyncio.to_thread(self._ctx.term)
 
-    async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, index: int, channel: Channel, message: AnyMessage) -> bool:
         """Send to one entry; ``False`` means that the message was certainly not sent."""
-        return await self._links[index].send(lane, message)
+        return await self._links[index].send(channel, message)
 
     async def broadcast(self, message: AnyMessage) -> None:
         """Send over the control lane of every live link."""
         for index in self.live():
-            await self._links[index].send(Lane.CONTROL, message)
+            await self._links[index].send(Channel.CONTROL, message)
 
     def reconnect_unresponsive(self) -> None:
         """Reconnect the links that have timed out.
 
-        If this process was suspended since the last check, the timeouts are restarted instead:
-        nothing was received because nothing was read.
+        If this process was paused since the last check, the timeouts are restarted instead: nothing
+        was received because nothing was read.
         """
         paused = now() - self._checked_at > self._max_check_gap_s
         self._checked_at = now()
@@ -241,8 +243,10 @@
     def _open(self, index: int) -> None:
         sockets = self._links[index].open()
         self._receivers[index] = [
-            self._background.spawn(self._receive(index, lane, sock), f"receive-{index}-{lane}")
-            for lane, sock in sockets.items()
+            self._background.spawn(
+                self._receive(index, channel, sock), f"receive-{index}-{channel}"
+            )
+            for channel, sock in sockets.items()
         ]
 
     def _reopen(self, index: int) -> None:
@@ -251,7 +255,7 @@
         self._links[index].close()
         self._open(index)
 
-    async def _receive(self, index: int, lane: Lane, sock: zmq.asyncio.Socket) -> None:
+    async def _receive(self, index: int, channel: Channel, sock: zmq.asyncio.Socket) -> None:
         """Receive from one socket until it is closed.
 
         Control messages are received in batches with a short delay in between, which bounds the
@@ -259,12 +263,12 @@
         """
         while True:
             frames = [await sock.recv()]
-            if lane is Lane.CONTROL:
+            if channel is Channel.CONTROL:
                 frames += await _drain(sock)
-            self._links[index].record_received(lane)
+            self._links[index].record_received(channel)
             for frame in frames:
                 self._dispatch(index, frame)
-            if lane is Lane.CONTROL:
+            if channel is Channel.CONTROL:
                 await asyncio.sleep(CONTROL_BATCH_DELAY_S)
 
     def _dispatch(self, index: int, frame: bytes) -> None:
@@ -273,7 +277,7 @@
                 self._undecodable[index] += 1
                 log_event("WARNING", "frame_undecodable", link=index, reason=failure.message)
             case Ok(message):
-                if isinstance(message, BeatAck):
+                if isinstance(message, HeartbeatAck):
                     self._links[index].record_ack(message.incarnation)
                 handler = self._handlers.get(type(message))
                 if handler:
@@ -282,9 +286,9 @@
     async def _send_hellos(self) -> None:
         while True:
             for index in self.indexes:
-                for lane in (Lane.DATA, Lane.BULK):
-                    hello = LaneHello(lane=lane, **self._sender.head())
-                    await self._links[index].send(lane, hello)
+                for channel in (Channel.DATA, Channel.BULK):
+                    hello = ChannelHello(channel=channel, **self._sender.head())
+                    await self._links[index].send(channel, hello)
             await asyncio.sleep(self._hello_interval())
 
     def _hello_interval(self) -> float:
--- a/sapphirelead/agent_main.py
+++ b/sapphirelead/agent_main.py
@@ -32,7 +32,7 @@
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.keys import Keys, read_keys
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
@@ -42,10 +42,10 @@
 from sapphirelead.platform.local_worker import HttpWorker
 from sapphirelead.ports import Target, TaskInfo, TaskState, Worker, WorkerView
 from sapphirelead.settings import AgentSettings
-from sapphirelead.wire_messages import Amount, Announce, Beat, BeatAck, Drain
+from sapphirelead.wire_messages import Amount, Announce, Drain, Heartbeat, HeartbeatAck
 
-WORKER_RETRY_SECONDS: Final = 0.5
-DRAIN_POLL_SECONDS: Final = 0.05
+WORKER_RETRY_DELAY_S: Final = 0.5
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 
@@ -144,7 +144,7 @@
 
     async def start(self) -> None:
         """Start the agent's loops; the worker is taken over in the background."""
-        self._links.on(BeatAck, self._on_beat_ack)
+        self._links.on(HeartbeatAck, self._on_heartbeat_ack)
         self._links.on(Drain, self._on_drain)
         self._config.register(self._links)
         self._service.register()
@@ -195,7 +195,7 @@
                     return view
                 case Err(failure):
                     log_event("WARNING", "worker_unavailable", reason=failure.message)
-            await asyncio.sleep(WORKER_RETRY_SECONDS)
+            await asyncio.sleep(WORKER_RETRY_DELAY_S)
 
     async def _run_heartbeats(self) -> None:
         while True:
@@ -209,8 +209,8 @@
         heartbeat = self._make_heartbeat(self._context.lease.next_heartbeat(now()))
         for index in self._links.indexes:
             if self._links.announce_due(index, ack_timeout_s):
-                await self._links.send(index, Lane.CONTROL, self._make_announce())
-            await self._links.send(index, Lane.CONTROL, heartbeat)
+                await self._links.send(index, Channel.CONTROL, self._make_announce())
+            await self._links.send(index, Channel.CONTROL, heartbeat)
 
     def _make_announce(self) -> Announce:
         settings = self._settings
@@ -225,10 +225,10 @@
             **self._sender.head(),
         )
 
-    def _make_heartbeat(self, counter: int) -> Beat:
+    def _make_heartbeat(self, counter: int) -> Heartbeat:
         ledger = self._context.ledger
         ledger.expire_reservations(now())
-        return Beat(
+        return Heartbeat(
             counter=counter,
             zone=self._settings.zone,
             draining=self._context.draining,
@@ -245,7 +245,7 @@
             **self._sender.head(),
         )
 
-    def _on_beat_ack(self, _index: int, ack: BeatAck) -> None:
+    def _on_heartbeat_ack(self, _index: int, ack: HeartbeatAck) -> None:
         if not ack.fenced:
             self._context.lease.record_ack(ack.committed)
         elif not self._fencing:
@@ -299,11 +299,13 @@
             "task_ended",
             job=task.key,
             epoch=task.epoch,
-            fate=outcome.fate,
+            fate=outcome.claim_outcome,
             checkpoint=outcome.checkpoint,
             reason=outcome.reason,
         )
-        self.metrics.count("agent_tasks_ended_total", fate=outcome.fate, job_class=task.job_class)
+        self.metrics.count(
+            "agent_tasks_ended_total", fate=outcome.claim_outcome, job_class=task.job_class
+        )
         self._outcome_reporter.wake()
 
     def _on_drain(self, _index: int, message: Drain) -> None:
@@ -330,7 +332,7 @@
         while self._context.task_table.tasks:
             for task in self._context.task_table.in_phase(Phase.STARTING, Phase.RUNNING):
                 self._stopper.order(task, order)
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _replaced(self) -> None:
         """Fail because another agent has opened a session with the worker."""
--- a/sapphirelead/agent_outcomes.py
+++ b/sapphirelead/agent_outcomes.py
@@ -8,9 +8,9 @@
 from typing import Final
 
 from sapphirelead.agent_ports import Links, Sender
-from sapphirelead.agent_task_table import Fate, Phase, Task, TaskOutcome, TaskTable
+from sapphirelead.agent_task_table import ClaimOutcome, Phase, Task, TaskOutcome, TaskTable
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.wire_messages import Checkpointed, Completed
 
 REPEAT_INTERVAL_S: Final = 1.0
@@ -60,13 +60,13 @@
                 self._sent_count += 1
                 task.reported_at = now()
                 index = live[self._sent_count % len(live)]
-                await self._links.send(index, Lane.CONTROL, self._message(task, task.outcome))
+                await self._links.send(index, Channel.CONTROL, self._message(task, task.outcome))
 
     def _unacknowledged(self) -> list[Task]:
         return self._task_table.in_phase(Phase.ENDED)
 
     def _message(self, task: Task, outcome: TaskOutcome) -> Completed | Checkpointed:
-        if outcome.fate is Fate.STOPPED:
+        if outcome.claim_outcome is ClaimOutcome.STOPPED:
             return Checkpointed(
                 key=task.key,
                 epoch=task.epoch,
@@ -77,7 +77,7 @@
         return Completed(
             key=task.key,
             epoch=task.epoch,
-            ok=outcome.fate is Fate.COMPLETED,
+            ok=outcome.claim_outcome is ClaimOutcome.COMPLETED,
             result=outcome.result,
             reason=outcome.reason,
             **self._sender.head(),
--- a/sapphirelead/agent_poll.py
+++ b/sapphirelead/agent_poll.py
@@ -18,7 +18,7 @@
 from sapphirelead.agent_context import AgentContext
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import LOST, Stopper, find_task, outcome_of
-from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
+from sapphirelead.agent_task_table import ClaimOutcome, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.clock import now
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -121,14 +121,14 @@
 
     async def _update(self, task: Task, info: TaskInfo | None) -> None:
         if info is None:
-            self._stopper.finish(task, TaskOutcome(Fate.STOPPED, reason=LOST))
+            self._stopper.finish(task, TaskOutcome(ClaimOutcome.STOPPED, reason=LOST))
             return
         self._context.ledger.record_usage(task.key, info.usage)
         await self._forward_events(task, info)
         outcome = outcome_of(info)
         if outcome is None:
             return
-        if outcome.fate is Fate.STOPPED and not outcome.checkpoint:
+        if outcome.claim_outcome is ClaimOutcome.STOPPED and not outcome.checkpoint:
             # Its lease expired at the worker, or the checkpoint is still being written.
             self._stopper.order(task, StopOrder(cancel=False, reason=outcome.reason))
         else:
--- a/sapphirelead/agent_service.py
+++ b/sapphirelead/agent_service.py
@@ -2,10 +2,10 @@
 
 A request takes a slot in the ledger or is refused as ``not_run``; nothing is queued.  When the
 caller's budget is exhausted the attempt is answered as ``unknown``, but its slot is held until the
-call ends, so that the target is never loaded beyond its size.
+call ends, so that the target never has more calls in progress than slots.
 
 Invariants: ``not_run`` is reported only for attempts that have not reached the target and never
-will.  Each attempt has one outcome, remembered for a bounded time: repeated requests run once, and
+will.  Each attempt has one outcome, which a bounded history keeps: repeated requests run once, and
 an entry that lost its connection can query the outcome.
 """
 
@@ -20,7 +20,7 @@
 from sapphirelead.agent_ports import Links, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure, Outcome
 from sapphirelead.logs import log_event
 from sapphirelead.model_ledger import Ledger
@@ -28,7 +28,7 @@
 from sapphirelead.settings import AgentSettings
 from sapphirelead.wire_messages import (
     BULK_THRESHOLD_BYTES,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
@@ -48,7 +48,7 @@
 class AttemptHistory:
     """Bounded history of completed attempts.
 
-    Answers are cached for a short time, attempt numbers for longer.  While :meth:`complete` is
+    The latest answers are cached; attempt numbers are kept for longer.  While :meth:`complete` is
     false, numbers were evicted early and an unknown attempt may have run.
     """
 
@@ -105,7 +105,7 @@
     _observe: Observer
     draining: bool
     _running: set[Attempt]
-    _cancellation_stored: set[Attempt]
+    _cancelled_attempts: set[Attempt]
     _history: AttemptHistory
     _incarnations: set[str]
     _operation_count: int
@@ -131,7 +131,7 @@
         self._observe = observe
         self.draining = False
         self._running = set()
-        self._cancellation_stored = set()
+        self._cancelled_attempts = set()
         self._history = AttemptHistory()
         self._incarnations = {sender.incarnation}
         self._operation_count = 0
@@ -141,7 +141,7 @@
     def register(self) -> None:
         """Subscribe to the messages about service requests."""
         self._links.on(ServiceRequest, self._on_request)
-        self._links.on(AttemptFate, self._on_fate)
+        self._links.on(AttemptOutcomeQuery, self._on_outcome_query)
         self._links.on(CancelAttempt, self._on_cancel)
 
     def add_incarnation(self) -> None:
@@ -183,7 +183,7 @@
             # The slot has been released by now: the answer must not count it in ``slots_used``.
             self._finish(index, self._from_target(attempt, outcome))
         finally:
-            self._cancellation_stored.discard(attempt)
+            self._cancelled_attempts.discard(attempt)
             self._end_operation()
 
     async def _call(
@@ -220,40 +220,40 @@
         """Suppress the answer of an attempt; the call continues and holds its slot."""
         attempt = (cancel.request_id, cancel.attempt)
         if attempt in self._running:
-            self._cancellation_stored.add(attempt)
+            self._cancelled_attempts.add(attempt)
 
-    def _on_fate(self, index: int, fate: AttemptFate) -> None:
-        attempt = (fate.request_id, fate.attempt)
+    def _on_outcome_query(self, index: int, query: AttemptOutcomeQuery) -> None:
+        attempt = (query.request_id, query.attempt)
         # Answered on the control lane if the size allows, because the entry may have lost the
         # other lanes.
         if self._history.seen(attempt):
-            self._resend(index, attempt, Lane.CONTROL)
+            self._resend(index, attempt, Channel.CONTROL)
         elif attempt not in self._running:
-            never_arrived = fate.sent_to in self._incarnations and self._history.complete(now())
+            never_arrived = query.sent_to in self._incarnations and self._history.complete(now())
             outcome = Outcome.NOT_RUN if never_arrived else Outcome.UNKNOWN
-            self._finish(index, self._answer(attempt, outcome, "never arrived"), Lane.CONTROL)
+            self._finish(index, self._answer(attempt, outcome, "never arrived"), Channel.CONTROL)
 
-    def _finish(self, index: int, answer: ServiceAnswer, lane: Lane = Lane.DATA) -> None:
+    def _finish(self, index: int, answer: ServiceAnswer, channel: Channel = Channel.DATA) -> None:
         attempt = (answer.request_id, answer.attempt)
         if self._history.seen(attempt):
             return
         self._history.add(attempt, answer, now())
-        if attempt not in self._cancellation_stored:
-            self._reply(index, answer, lane)
+        if attempt not in self._cancelled_attempts:
+            self._reply(index, answer, channel)
 
-    def _resend(self, index: int, attempt: Attempt, lane: Lane = Lane.DATA) -> None:
+    def _resend(self, index: int, attempt: Attempt, channel: Channel = Channel.DATA) -> None:
         expired = self._answer(attempt, Outcome.UNKNOWN, "answer no longer kept")
-        self._reply(index, self._history.answer(attempt) or expired, lane)
+        self._reply(index, self._history.answer(attempt) or expired, channel)
 
-    def _reply(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
+    def _reply(self, index: int, answer: ServiceAnswer, channel: Channel) -> None:
         self._begin_operation()
-        self._background.spawn(self._send(index, answer, lane), f"answer-{answer.request_id}")
+        self._background.spawn(self._send(index, answer, channel), f"answer-{answer.request_id}")
 
-    async def _send(self, index: int, answer: ServiceAnswer, lane: Lane) -> None:
-        lane = Lane.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else lane
+    async def _send(self, index: int, answer: ServiceAnswer, channel: Channel) -> None:
+        channel = Channel.BULK if len(answer.body) > BULK_THRESHOLD_BYTES else channel
         try:
             for _ in range(MAX_SEND_ATTEMPTS):
-                if await self._links.send(index, lane, answer):
+                if await self._links.send(index, channel, answer):
                     return
                 await asyncio.sleep(SEND_RETRY_DELAY_S)
             # The entry queries the outcome of the attempt over its next connection.
--- a/sapphirelead/agent_stops.py
+++ b/sapphirelead/agent_stops.py
@@ -13,7 +13,7 @@
 
 from result import Ok, Result
 
-from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskOutcome
+from sapphirelead.agent_task_table import ClaimOutcome, Phase, StopOrder, Task, TaskOutcome
 from sapphirelead.agent_worker import WorkerSession
 from sapphirelead.background import Background
 from sapphirelead.clock import now
@@ -87,21 +87,25 @@
     ) -> TaskOutcome | None:
         """Return the outcome, or ``None`` if the task still runs or its state is unknown."""
         if isinstance(answer, Ok) and answer.ok_value:
-            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=answer.ok_value)
+            return TaskOutcome(
+                ClaimOutcome.STOPPED, reason=order.reason, checkpoint=answer.ok_value
+            )
         viewed = await self._session.view()
         if not isinstance(viewed, Ok):
             return None
         info = find_task(viewed.ok_value.tasks, task)
         if info is None:
-            return TaskOutcome(Fate.STOPPED, reason=LOST)
+            return TaskOutcome(ClaimOutcome.STOPPED, reason=LOST)
         outcome = outcome_of(info)
-        if outcome and outcome.fate is Fate.STOPPED:
-            return TaskOutcome(Fate.STOPPED, reason=order.reason, checkpoint=outcome.checkpoint)
+        if outcome and outcome.claim_outcome is ClaimOutcome.STOPPED:
+            return TaskOutcome(
+                ClaimOutcome.STOPPED, reason=order.reason, checkpoint=outcome.checkpoint
+            )
         return outcome
 
 
 def _lacks_checkpoint(outcome: TaskOutcome) -> bool:
-    return outcome.fate is Fate.STOPPED and not outcome.checkpoint
+    return outcome.claim_outcome is ClaimOutcome.STOPPED and not outcome.checkpoint
 
 
 def find_task(tasks: tuple[TaskInfo, ...], task: Task) -> TaskInfo | None:
@@ -113,10 +117,10 @@
     """Return the outcome that the worker reports, or ``None`` while the task runs."""
     match info.state:
         case TaskState.SUCCEEDED:
-            return TaskOutcome(Fate.COMPLETED, result=info.result)
+            return TaskOutcome(ClaimOutcome.COMPLETED, result=info.result)
         case TaskState.FAILED:
-            return TaskOutcome(Fate.FAILED, result=info.result, reason=info.reason)
+            return TaskOutcome(ClaimOutcome.FAILED, result=info.result, reason=info.reason)
         case TaskState.STOPPED:
-            return TaskOutcome(Fate.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
+            return TaskOutcome(ClaimOutcome.STOPPED, reason=info.reason, checkpoint=info.checkpoint)
         case TaskState.RUNNING:
             return None
--- a/sapphirelead/agent_task_table.py
+++ b/sapphirelead/agent_task_table.py
@@ -25,7 +25,7 @@
     ENDED = "ended"
 
 
-class Fate(StrEnum):
+class ClaimOutcome(StrEnum):
     """Outcome of a claim, as reported to the entries."""
 
     RUNNING = "running"
@@ -40,11 +40,11 @@
 class TaskOutcome:
     """Outcome of an ended task.
 
-    :ivar fate: ``COMPLETED``, ``FAILED`` or ``STOPPED``.
+    :ivar claim_outcome: ``COMPLETED``, ``FAILED`` or ``STOPPED``.
     :ivar checkpoint: object key of the checkpoint, or an empty string.
     """
 
-    fate: Fate
+    claim_outcome: ClaimOutcome
     result: Any = None
     reason: str = ""
     checkpoint: str = ""
@@ -92,9 +92,9 @@
     rule: str = ""
 
     @property
-    def fate(self) -> Fate:
+    def claim_outcome(self) -> ClaimOutcome:
         """The outcome of this task, ``RUNNING`` if it has none yet."""
-        return self.outcome.fate if self.outcome else Fate.RUNNING
+        return self.outcome.claim_outcome if self.outcome else ClaimOutcome.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,21 +154,21 @@
         self.tasks.clear()
         return tasks
 
-    def fate(self, key: str, epoch: int, claimed_here: bool) -> Fate:
+    def claim_outcome(self, key: str, epoch: int, claimed_here: bool) -> ClaimOutcome:
         """Return the outcome of a claim; a claim reported as never started is refused from then on.
 
         :param claimed_here: whether the claim names the current incarnation.
         """
         task = self.get(key, epoch)
         if task:
-            return task.fate
+            return task.claim_outcome
         claim = self._claims.get(key)
         known_started = claim is not None and claim.epoch == epoch and claim.started
         later = claim is not None and claim.epoch > epoch
         if known_started or later or not claimed_here:
-            return Fate.LOST
+            return ClaimOutcome.LOST
         self.refuse(key, epoch)
-        return Fate.NEVER_STARTED
+        return ClaimOutcome.NEVER_STARTED
 
     def _record_claim(self, key: str, claim: _ClaimRecord) -> None:
         self._claims[key] = claim
--- a/sapphirelead/agent_tasks.py
+++ b/sapphirelead/agent_tasks.py
@@ -22,10 +22,10 @@
 from sapphirelead.agent_outcomes import OutcomeReporter
 from sapphirelead.agent_ports import Links
 from sapphirelead.agent_stops import Stopper, find_task
-from sapphirelead.agent_task_table import Fate, Phase, StopOrder, Task, TaskTable
+from sapphirelead.agent_task_table import ClaimOutcome, Phase, StopOrder, Task, TaskTable
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Kind
@@ -35,16 +35,16 @@
     Accepted,
     AnyMessage,
     EndAck,
-    FateAnswer,
     Offer,
+    OutcomeAnswer,
+    OutcomeQuery,
     Refused,
     Start,
     Started,
     Stop,
 )
-from sapphirelead.wire_messages import Fate as FateRequest
 
-START_LEASE_SECONDS: Final = 5.0
+START_LEASE_S: Final = 5.0
 RETRY_INTERVAL_S: Final = 0.2
 EVICTION_TIMEOUT_S: Final = 2.3
 EVICTION_POLL_INTERVAL_S: Final = 0.02
@@ -86,7 +86,7 @@
         self._links.on(Start, self._on_start)
         self._links.on(Stop, self._on_stop)
         self._links.on(EndAck, self._on_end_ack)
-        self._links.on(FateRequest, self._on_fate)
+        self._links.on(OutcomeQuery, self._on_outcome_query)
 
     def adopt(self, info: TaskInfo) -> None:
         """Add a task that the worker has from before this incarnation."""
@@ -110,7 +110,7 @@
         self._background.spawn(self._send_control(index, message), "send-control")
 
     async def _send_control(self, index: int, message: AnyMessage) -> None:
-        await self._links.send(index, Lane.CONTROL, message)
+        await self._links.send(index, Channel.CONTROL, message)
 
     def _refuse(self, index: int, offer: Offer | Start, reason: str) -> None:
         epoch = offer.epoch if isinstance(offer, Start) else 0
@@ -122,8 +122,8 @@
         refused = Refused(offer_id=offer_id, key=key, epoch=epoch, reason=reason, **head)
         self._send(index, refused)
 
-    def _closed(self) -> str:
-        """Return the reason why no task may be started now, or an empty string."""
+    def _unavailable_reason(self) -> str:
+        """Return why no task may be started now, or an empty string."""
         if self._context.draining:
             return "draining"
         if not self._context.ready or not self._context.session.healthy:
@@ -131,9 +131,9 @@
         return "" if self._context.lease.may_act(now()) else "no lease"
 
     def _on_offer(self, index: int, offer: Offer) -> None:
-        closed = self._closed()
-        if closed:
-            self._refuse(index, offer, closed)
+        reason = self._unavailable_reason()
+        if reason:
+            self._refuse(index, offer, reason)
             return
         size = offer.resources.to_resources()
         ledger = self._context.ledger
@@ -200,7 +200,7 @@
             return "stale epoch"
         if _kind(start.kind) is None:
             return "unknown kind"
-        return self._closed() or self._drop_earlier_epoch(start.key)
+        return self._unavailable_reason() or self._drop_earlier_epoch(start.key)
 
     def _drop_earlier_epoch(self, key: str) -> str:
         """Remove the task of an earlier epoch of ``key``; return a reason if that is not possible.
@@ -292,7 +292,7 @@
 
     def _start_lease(self) -> float:
         # Kept short, because a start with an unknown result is resolved only after it expires.
-        deadline = min(self._context.lease.deadline, now() + START_LEASE_SECONDS)
+        deadline = min(self._context.lease.deadline, now() + START_LEASE_S)
         return self._context.session.lease_until(deadline)
 
     def _spec(self, task: Task, lease_until: float) -> TaskSpec:
@@ -332,15 +332,20 @@
         if isinstance(await self._context.session.remove(key), Ok):
             self._unremoved.discard(key)
 
-    def _on_fate(self, index: int, request: FateRequest) -> None:
+    def _on_outcome_query(self, index: int, request: OutcomeQuery) -> None:
         if not self._context.ready:
             # Tasks of an earlier incarnation are not listed yet; the entry will retry.
             return
         claimed_here = request.claimed_by == self._context.sender.incarnation
-        fate = self._task_table.fate(request.key, request.epoch, claimed_here)
+        claim_outcome = self._task_table.claim_outcome(request.key, request.epoch, claimed_here)
         head = self._context.sender.head()
-        self._send(index, FateAnswer(key=request.key, epoch=request.epoch, fate=fate, **head))
-        if fate in (Fate.COMPLETED, Fate.FAILED, Fate.STOPPED):
+        self._send(
+            index,
+            OutcomeAnswer(
+                key=request.key, epoch=request.epoch, claim_outcome=claim_outcome, **head
+            ),
+        )
+        if claim_outcome in (ClaimOutcome.COMPLETED, ClaimOutcome.FAILED, ClaimOutcome.STOPPED):
             self._outcome_reporter.wake()
 
 
--- a/sapphirelead/entry_admin.py
+++ b/sapphirelead/entry_admin.py
@@ -17,10 +17,10 @@
 from result import Err, Ok, Result
 
 from sapphirelead.entry_ports import (
+    Channel,
     ConfigService,
     InstanceView,
     JobService,
-    Lane,
     Links,
     Members,
     Stamp,
@@ -36,8 +36,8 @@
 from sapphirelead.wire_messages import Drain
 
 PREFIX: Final = "/v1/admin"
-MAX_LIST: Final = 1_000
-DEFAULT_LIST: Final = 50
+MAX_PAGE_SIZE: Final = 1_000
+DEFAULT_PAGE_SIZE: Final = 50
 
 STATUS_OF: Final[dict[Code, int]] = {
     Code.BAD_REQUEST: 400,
@@ -114,7 +114,8 @@
         ("GET", "/status", api.status),
     ]
     routes: list[web.AbstractRouteDef] = [
-        web.route(method, PREFIX + path, api.guard(handler)) for method, path, handler in guarded
+        web.route(method, PREFIX + path, api.require_token(handler))
+        for method, path, handler in guarded
     ]
     return [*routes, web.get("/metrics", api.metrics)]
 
@@ -127,7 +128,7 @@
     def __init__(self, ports: AdminPorts) -> None:
         self._ports = ports
 
-    def guard(self, handler: Handler) -> Handler:
+    def require_token(self, handler: Handler) -> Handler:
         """Wrap ``handler`` with the check of the operators' token."""
 
         async def guarded(request: web.Request) -> web.Response:
@@ -236,7 +237,7 @@
             **ports.stamp.head(ports.config.current.version),
             reason=reason,
         )
-        if not await ports.links.send(name, Lane.CONTROL, message):
+        if not await ports.links.send(name, Channel.CONTROL, message):
             hint = "its agent is not connected to this entry; retry, or use another entry"
             return problem(Failure(Code.NO_INSTANCE, f"{name!r} could not be notified", hint))
         log_event("INFO", "drain_requested", instance=name, reason=reason)
@@ -298,9 +299,9 @@
 
 def read_page(request: web.Request) -> Result[tuple[int, str], Failure]:
     """Parse the ``limit`` and ``after`` parameters of a list request."""
-    text = request.query.get("limit", str(DEFAULT_LIST))
-    if not text.isdecimal() or not 1 <= int(text) <= MAX_LIST:
-        return Err(Failure(Code.BAD_REQUEST, f"limit: must be from 1 to {MAX_LIST}"))
+    text = request.query.get("limit", str(DEFAULT_PAGE_SIZE))
+    if not text.isdecimal() or not 1 <= int(text) <= MAX_PAGE_SIZE:
+        return Err(Failure(Code.BAD_REQUEST, f"limit: must be from 1 to {MAX_PAGE_SIZE}"))
     return Ok((int(text), request.query.get("after", "")))
 
 
--- a/sapphirelead/entry_links.py
+++ b/sapphirelead/entry_links.py
@@ -4,7 +4,7 @@
 bounds the number of wake-ups; sending is not delayed.  Data and bulk are read without delay.
 
 Routes are taken from received messages: an agent identifies each of its connections as
-``instance|incarnation|lane|n`` and increments ``n`` when it replaces one.
+``instance|incarnation|channel|n`` and increments ``n`` when it replaces one.
 
 Invariants:
 
@@ -25,20 +25,20 @@
 from result import Err
 from zmq.auth.asyncio import AsyncioAuthenticator
 
-from sapphirelead.entry_ports import Lane, Stamp
+from sapphirelead.entry_ports import Channel, Stamp
 from sapphirelead.keys import Keys, start_authenticator
 from sapphirelead.logs import log_event
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_codec import decode, encode
-from sapphirelead.wire_messages import AnyMessage, LaneHello
+from sapphirelead.wire_messages import AnyMessage, ChannelHello
 from sapphirelead.wire_sockets import bind_router, connect_dealer, make_context, send_frame
 
 POLLIN: Final = int(zmq.POLLIN)
-CONTROL_BATCH_INTERVAL_S: Final = 0.02
+CONTROL_BATCH_DELAY_S: Final = 0.02
 MAX_BATCH_MESSAGES: Final = 512
-MAX_INCARNATIONS: Final = 3
+MAX_ROUTED_INCARNATIONS: Final = 3
 
-LaneListener = Callable[[str, str, Lane], None]
+ChannelListener = Callable[[str, str, Channel], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,22 +46,22 @@
     """The parts of an agent's routing identity.
 
     >>> Identity.parse(b"i1|a7|data|2")
-    Identity(instance='i1', incarnation='a7', lane=<Lane.DATA: 'data'>, number=2)
+    Identity(instance='i1', incarnation='a7', channel=<Channel.DATA: 'data'>, number=2)
     >>> Identity.parse(b"anything else") is None
     True
     """
 
     instance: str
     incarnation: str
-    lane: Lane
+    channel: Channel
     number: int
 
     @classmethod
     def parse(cls, raw: bytes) -> "Identity | None":
         """Parse a routing identity; ``None`` if ``raw`` is not one of an agent."""
         try:
-            instance, incarnation, lane, number = raw.decode().split("|")
-            return cls(instance, incarnation, Lane(lane), int(number))
+            instance, incarnation, channel, number = raw.decode().split("|")
+            return cls(instance, incarnation, Channel(channel), int(number))
         except ValueError:
             return None
 
@@ -160,7 +160,7 @@
     :ivar ports: bound port of each channel, once started.
     """
 
-    ports: dict[Lane, int]
+    ports: dict[Channel, int]
     counters: LinkCounters
     _settings: EntrySettings
     _stamp: Stamp
@@ -168,9 +168,9 @@
     _keys: Keys | None
     _authenticator: AsyncioAuthenticator | None
     _handlers: dict[type[AnyMessage], list[Callable[[Any], None]]]
-    _lane_listeners: list[LaneListener]
-    _routers: dict[Lane, _Router]
-    _routes: dict[str, dict[str, dict[Lane, _Route]]]
+    _channel_listeners: list[ChannelListener]
+    _routers: dict[Channel, _Router]
+    _routes: dict[str, dict[str, dict[Channel, _Route]]]
     _current: dict[str, str]
     _peers: dict[str, tuple[str, zmq.asyncio.Socket]]
     _peer_number: int
@@ -188,7 +188,7 @@
         self._keys = keys
         self._authenticator = None
         self._handlers = {}
-        self._lane_listeners = []
+        self._channel_listeners = []
         self._routers = {}
         self._routes = {}
         self._current = {}
@@ -205,23 +205,23 @@
         return cls(settings, stamp, make_context(), keys)
 
     def use_config_version(self, version: Callable[[], int]) -> None:
-        """Set the source of the configuration version that greetings carry."""
+        """Set the source of the configuration version that hello messages carry."""
         self._config_version = version
 
     async def start(self) -> None:
         """Bind the three routers and start reading them."""
         self._authenticator = start_authenticator(self._ctx, self._keys)
         configured = {
-            Lane.CONTROL: self._settings.control_port,
-            Lane.DATA: self._settings.data_port,
-            Lane.BULK: self._settings.bulk_port,
+            Channel.CONTROL: self._settings.control_port,
+            Channel.DATA: self._settings.data_port,
+            Channel.BULK: self._settings.bulk_port,
         }
-        for lane, port in configured.items():
+        for channel, port in configured.items():
             host = self._settings.bind_host
             sock, bound = bind_router(self._ctx, host, port, self._keys)
-            self._routers[lane] = _Router(sock)
-            self.ports[lane] = bound
-            self._tasks.append(asyncio.create_task(self._read(lane), name=f"links-{lane}"))
+            self._routers[channel] = _Router(sock)
+            self.ports[channel] = bound
+            self._tasks.append(asyncio.create_task(self._read(channel), name=f"links-{channel}"))
 
     async def stop(self) -> None:
         """Close every socket."""
@@ -240,29 +240,29 @@
         """Call ``handler`` with each received message of ``kind``."""
         self._handlers.setdefault(kind, []).append(handler)
 
-    def on_lane_change(self, listener: LaneListener) -> None:
-        """Call ``listener(instance, incarnation, lane)`` when an agent replaces a connection."""
-        self._lane_listeners.append(listener)
+    def on_channel_change(self, listener: ChannelListener) -> None:
+        """Call ``listener(instance, incarnation, channel)`` when an agent replaces a connection."""
+        self._channel_listeners.append(listener)
 
     def set_current(self, instance: str, incarnation: str) -> None:
         """Set the incarnation that :meth:`send` reaches."""
         self._current[instance] = incarnation
 
-    async def send(self, instance: str, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, instance: str, channel: Channel, message: AnyMessage) -> bool:
         """Send to the current incarnation; ``False`` guarantees that nothing was sent."""
-        return self.send_now(instance, lane, message)
+        return self.send_now(instance, channel, message)
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, channel: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         """Send to ``incarnation`` or the current one; ``False`` guarantees nothing was sent."""
         known = self._routes.get(instance, {})
-        lanes = known.get(incarnation or self._current.get(instance, ""), {})
-        route = lanes.get(lane)
-        router = self._routers.get(lane)
+        channels = known.get(incarnation or self._current.get(instance, ""), {})
+        route = channels.get(channel)
+        router = self._routers.get(channel)
         frame = encode(message)
         sent = route is not None and router is not None and router.send(route.identity, frame)
-        self._count_sent(sent, len(frame), lane)
+        self._count_sent(sent, len(frame), channel)
         return sent
 
     async def send_peer(self, entry: str, message: AnyMessage) -> bool:
@@ -270,7 +270,7 @@
         peer = self._peers.get(entry)
         frame = encode(message)
         sent = peer is not None and await send_frame(peer[1], frame)
-        self._count_sent(sent, len(frame), Lane.CONTROL)
+        self._count_sent(sent, len(frame), Channel.CONTROL)
         return sent
 
     def set_peers(self, peers: dict[str, str]) -> None:
@@ -290,79 +290,79 @@
         timeout_s = self._settings.lease.silence_seconds
         return connect_dealer(self._ctx, identity, host, int(port), timeout_s, self._keys)
 
-    def _count_sent(self, sent: bool, size: int, lane: Lane) -> None:
+    def _count_sent(self, sent: bool, size: int, channel: Channel) -> None:
         counters = self.counters
         if not sent:
             counters.unsent += 1
             return
         counters.sent += 1
         counters.bytes_sent += size
-        if lane is Lane.CONTROL:
+        if channel is Channel.CONTROL:
             counters.control_bytes_sent += size
 
-    async def _read(self, lane: Lane) -> None:
-        router = self._routers[lane]
-        delay_s = CONTROL_BATCH_INTERVAL_S if lane is Lane.CONTROL else 0.0
+    async def _read(self, channel: Channel) -> None:
+        router = self._routers[channel]
+        delay_s = CONTROL_BATCH_DELAY_S if channel is Channel.CONTROL else 0.0
         while True:
             for frames in await router.receive():
-                self._handle_message(lane, frames)
+                self._handle_message(channel, frames)
             await asyncio.sleep(delay_s)
 
-    def _handle_message(self, lane: Lane, frames: list[bytes]) -> None:
+    def _handle_message(self, channel: Channel, frames: list[bytes]) -> None:
         if len(frames) != 2:
             self.counters.undecodable += 1
             return
         self.counters.bytes_received += len(frames[1])
-        if lane is Lane.CONTROL:
+        if channel is Channel.CONTROL:
             self.counters.control_bytes_received += len(frames[1])
         match decode(frames[1]):
             case Err(failure):
                 self.counters.undecodable += 1
-                log_event("WARNING", "frame_undecodable", lane=lane, reason=failure.message)
+                log_event("WARNING", "frame_undecodable", lane=channel, reason=failure.message)
             case ok:
-                self._update_route(lane, frames[0])
-                self._dispatch(lane, frames[0], ok.unwrap())
+                self._update_route(channel, frames[0])
+                self._dispatch(channel, frames[0], ok.unwrap())
 
-    def _update_route(self, lane: Lane, raw: bytes) -> None:
-        known = self._find_route(lane, raw)
+    def _update_route(self, channel: Channel, raw: bytes) -> None:
+        known = self._find_route(channel, raw)
         if known is not None and known.identity == raw:
             return
         parsed = Identity.parse(raw)
-        if parsed is None or parsed.lane is not lane:
+        if parsed is None or parsed.channel is not channel:
             return
         incarnations = self._routes.setdefault(parsed.instance, {})
-        lanes = incarnations.setdefault(parsed.incarnation, {})
-        old = lanes.get(lane)
+        channels = incarnations.setdefault(parsed.incarnation, {})
+        old = channels.get(channel)
         if old is not None and old.number >= parsed.number:
             return
-        lanes[lane] = _Route(parsed.number, raw)
+        channels[channel] = _Route(parsed.number, raw)
         self._current.setdefault(parsed.instance, parsed.incarnation)
         self._evict_old_incarnations(parsed.instance)
         if old is not None:
-            for listener in self._lane_listeners:
-                listener(parsed.instance, parsed.incarnation, lane)
+            for listener in self._channel_listeners:
+                listener(parsed.instance, parsed.incarnation, channel)
 
-    def _find_route(self, lane: Lane, raw: bytes) -> _Route | None:
+    def _find_route(self, channel: Channel, raw: bytes) -> _Route | None:
         instance, _, rest = raw.partition(b"|")
         incarnation = rest.partition(b"|")[0]
         try:
-            return self._routes[instance.decode()][incarnation.decode()].get(lane)
+            return self._routes[instance.decode()][incarnation.decode()].get(channel)
         except (KeyError, UnicodeDecodeError):
             return None
 
     def _evict_old_incarnations(self, instance: str) -> None:
         incarnations = self._routes[instance]
         for incarnation in list(incarnations):
-            if len(incarnations) <= MAX_INCARNATIONS:
+            if len(incarnations) <= MAX_ROUTED_INCARNATIONS:
                 return
             if incarnation != self._current.get(instance):
                 del incarnations[incarnation]
 
-    def _dispatch(self, lane: Lane, raw: bytes, message: AnyMessage) -> None:
-        name = type(message).__name__
+    def _dispatch(self, channel: Channel, raw: bytes, message: AnyMessage) -> None:
+        name = str(message.__struct_config__.tag)
         self.counters.received[name] = self.counters.received.get(name, 0) + 1
-        if isinstance(message, LaneHello):
-            self._reply_hello(lane, raw)
+        if isinstance(message, ChannelHello):
+            self._reply_hello(channel, raw)
         for handler in self._handlers.get(type(message), ()):
             # A handler that raises on one message must not stop the channel for all instances.
             try:
@@ -371,10 +371,10 @@
                 self.counters.handler_errors += 1
                 log_event("ERROR", "handler_failed", message=name, error=repr(exc))
 
-    def _reply_hello(self, lane: Lane, raw: bytes) -> None:
-        hello = LaneHello(
+    def _reply_hello(self, channel: Channel, raw: bytes) -> None:
+        hello = ChannelHello(
             **self._stamp.head(self._config_version()),
-            lane=lane.value,
+            channel=channel.value,
         )
         with contextlib.suppress(KeyError):
-            self._routers[lane].send(raw, encode(hello))
+            self._routers[channel].send(raw, encode(hello))
--- a/sapphirelead/entry_main.py
+++ b/sapphirelead/entry_main.py
@@ -4,7 +4,8 @@
 then serve callers.  The entry reports ready once it knows a configuration and a live instance.
 
 Shutdown (SIGTERM): report not ready, refuse new work as not run, finish requests and claims in
-progress, then close the sockets.  Callers of watches and waits are redirected to another entry.
+progress, then close the sockets.  Event streams and waits end early; their callers continue at
+another entry.
 """
 
 import asyncio
@@ -21,10 +22,10 @@
 from sapphirelead.entry_admin import AdminPorts, admin_app_routes
 from sapphirelead.entry_core import EntryCore
 from sapphirelead.entry_http import CallerApi, CallerPorts
-from sapphirelead.entry_interference import FleetInterference
+from sapphirelead.entry_interference import RegionInterference
 from sapphirelead.entry_links import EntryLinks
 from sapphirelead.entry_members import EntryMembers
-from sapphirelead.entry_ports import Lane, Stamp
+from sapphirelead.entry_ports import Channel, Stamp
 from sapphirelead.entry_service import ServiceDispatcher
 from sapphirelead.entry_situation import EntrySituation
 from sapphirelead.errors import Failure
@@ -102,7 +103,7 @@
         """Bind the sockets, start all components and serve callers."""
         self._started_at = now()
         await self.links.start()
-        control = f"{self._settings.bind_host}:{self.links.ports[Lane.CONTROL]}"
+        control = f"{self._settings.bind_host}:{self.links.ports[Channel.CONTROL]}"
         self.core = EntryCore.from_settings(
             self._settings,
             self.stamp,
@@ -125,7 +126,7 @@
             entry=self.stamp.sender,
             incarnation=self.stamp.incarnation,
             http_port=self.api.port,
-            control_port=self.links.ports[Lane.CONTROL],
+            control_port=self.links.ports[Channel.CONTROL],
         )
 
     async def _start_fleet(self) -> None:
@@ -187,12 +188,12 @@
             lambda: len(self.core.scheduler.shards.jobs),
         )
         self.core.scheduler.situation = situation.of_job
-        self.core.scheduler.slowdown = FleetInterference.from_members(
+        self.core.scheduler.slowdown = RegionInterference.from_members(
             self.members, lambda: config.current.document.interference.report_lag_seconds
         ).slowdown
         self.dispatcher.store_up = lambda: self.core.table.up
         self.dispatcher.slowdown = situation.slowdown.of
-        self.links.on_lane_change(self.dispatcher.attempts.on_lane_change)
+        self.links.on_channel_change(self.dispatcher.attempts.on_channel_change)
         ports = CallerPorts(
             self.dispatcher,
             self.core.jobs,
--- a/sapphirelead/entry_members.py
+++ b/sapphirelead/entry_members.py
@@ -10,11 +10,11 @@
 from typing import Any, Final, Protocol
 
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import Channel, InstanceView, Stamp
 from sapphirelead.logs import log_event
 from sapphirelead.model_membership import MembershipTable
 from sapphirelead.settings import EntrySettings
-from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck
+from sapphirelead.wire_messages import Announce, AnyMessage, Heartbeat, HeartbeatAck
 
 CHECKS_PER_TIMEOUT: Final = 10
 
@@ -28,7 +28,7 @@
         """Call ``handler`` with each received message of ``kind``."""
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, channel: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         """Send a message; ``False`` guarantees that nothing was sent."""
 
@@ -56,7 +56,7 @@
         self._notified_live = {}
         self._task = None
         links.on(Announce, self._on_announce)
-        links.on(Beat, self._on_heartbeat)
+        links.on(Heartbeat, self._on_heartbeat)
 
     @classmethod
     def from_settings(
@@ -125,21 +125,21 @@
         self._links.set_current(message.sender, message.incarnation)
         self._after_message(message)
 
-    def _on_heartbeat(self, message: Beat) -> None:
-        verdict = self._table.heartbeat(message, now())
-        if not verdict.known:
+    def _on_heartbeat(self, message: Heartbeat) -> None:
+        reply = self._table.heartbeat(message, now())
+        if not reply.known:
             return
         self._acknowledge(
             message.sender,
             message.incarnation,
             message.counter,
-            verdict.committed,
-            verdict.fenced,
+            reply.committed,
+            reply.fenced,
         )
-        if not verdict.fenced:
+        if not reply.fenced:
             self._after_message(message)
 
-    def _after_message(self, message: Announce | Beat) -> None:
+    def _after_message(self, message: Announce | Heartbeat) -> None:
         view = self._table.get(message.sender)
         if view is not None:
             self._notify(view)
@@ -147,13 +147,13 @@
     def _acknowledge(
         self, instance: str, incarnation: str, counter: int, committed: int, fenced: bool
     ) -> None:
-        ack = BeatAck(
+        ack = HeartbeatAck(
             **self._stamp.head(self._config_version()),
             counter=counter,
             committed=committed,
             fenced=fenced,
         )
-        self._links.send_now(instance, Lane.CONTROL, ack, incarnation)
+        self._links.send_now(instance, Channel.CONTROL, ack, incarnation)
 
     def _notify(self, view: InstanceView) -> None:
         live = self._table.is_live(view, now())
--- a/sapphirelead/entry_placing.py
+++ b/sapphirelead/entry_placing.py
@@ -66,7 +66,7 @@
     async def _queue(self, req: OpenRequest, expires_at: float) -> Result[str, Failure]:
         loop = asyncio.get_running_loop()
         waiter = Waiter(req, loop.create_future())
-        place, displaced = req.service.queue.put(waiter, req.priority, expires_at)
+        position, displaced = req.service.queue.put(waiter, req.priority, expires_at)
         if displaced is not None:
             _resolve(displaced, None)
         timer = loop.call_at(expires_at, _resolve, waiter, None)
@@ -77,7 +77,7 @@
             raise
         finally:
             timer.cancel()
-            req.service.queue.withdraw(place)
+            req.service.queue.withdraw(position)
         return Err(OVERLOADED) if instance is None else Ok(instance)
 
     def _unreserve(self, waiter: Waiter) -> None:
@@ -89,7 +89,7 @@
     def reserve(self, req: OpenRequest) -> str | None:
         """Reserve an instance that has capacity now; ``None`` if there is none."""
         state = req.service
-        if not state.limit.has_room:
+        if not state.limit.has_capacity:
             return None
         then = req.decision.then
         at = now()
@@ -108,7 +108,7 @@
         state.limit.end(None, at)
 
     def dispatch_queued(self, state: ServiceState) -> None:
-        """Assign free capacity to queued requests, then reject those that cannot be met."""
+        """Assign free capacity to queued requests, then refuse those that would be late."""
         if not len(state.queue):
             return
         while len(state.queue) and self._dispatch_some(state):
@@ -118,19 +118,19 @@
         self._shed(state)
 
     def _shed(self, state: ServiceState) -> None:
-        """Reject queued requests that by the current estimates cannot meet their deadline."""
+        """Refuse queued requests that by the current estimates cannot meet their deadline."""
         at = now()
         service_time_s = self.service_time_s(state)
         for late in state.queue.drop_expired(at):
             _resolve(late, None)
         while (last := state.queue.last()) is not None:
-            place, waiter = last
+            position, waiter = last
             if (
                 at + self.wait_s(state, len(state.queue) - 1) + service_time_s
                 <= waiter.request.deadline
             ):
                 break
-            state.queue.withdraw(place)
+            state.queue.withdraw(position)
             _resolve(waiter, None)
 
     def _dispatch_some(self, state: ServiceState) -> bool:
@@ -140,17 +140,17 @@
         """
         removed = False
         soonest_end = now() + self.service_time_s(state)
-        for place, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
+        for position, waiter in state.queue.first(DISPATCH_LOOKAHEAD):
             # The future of a disconnected caller is cancelled before its coroutine leaves the
             # queue; an instance reserved for it in between would never be released.
             if waiter.future.done() or waiter.request.deadline < soonest_end:
-                state.queue.withdraw(place)
+                state.queue.withdraw(position)
                 _resolve(waiter, None)
                 removed = True
                 continue
             instance = self.reserve(waiter.request)
             if instance is not None:
-                state.queue.withdraw(place)
+                state.queue.withdraw(position)
                 _resolve(waiter, instance)
                 removed = True
             elif not waiter.request.decision.then.zones:
@@ -158,8 +158,8 @@
         return removed
 
 
-def reject_waiter(waiter: Waiter) -> None:
-    """Reject a queued request."""
+def refuse_waiter(waiter: Waiter) -> None:
+    """Refuse a queued request."""
     _resolve(waiter, None)
 
 
--- a/sapphirelead/entry_reconcile.py
+++ b/sapphirelead/entry_reconcile.py
@@ -25,13 +25,13 @@
 from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_lease_rows import Registration
 from sapphirelead.entry_moves import JobMoves
-from sapphirelead.entry_ports import Lane, Links, Members
+from sapphirelead.entry_ports import Channel, Links, Members
 from sapphirelead.entry_scheduler import Scheduler
 from sapphirelead.entry_start import ADOPTION_OFFER_ID, JobStarter
 from sapphirelead.errors import Code, Failure
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job, JobState
-from sapphirelead.wire_messages import Fate, FateAnswer, Stop
+from sapphirelead.wire_messages import OutcomeAnswer, OutcomeQuery, Stop
 
 RECONCILE_INTERVAL_S: Final = 0.5
 QUERY_INTERVAL_S: Final = 2.0
@@ -70,7 +70,7 @@
         self._queried_at = {}
         self._refreshed_at = {}
         self._task = None
-        links.on(FateAnswer, self._on_fate_answer)
+        links.on(OutcomeAnswer, self._on_outcome_answer)
 
     def start(self) -> None:
         """Start the periodic checks."""
@@ -137,8 +137,10 @@
             # the agent, which would then refuse the start.
             return
         self._queried_at[key] = now()
-        fate = Fate(**self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation)
-        await self._links.send(holder.instance, Lane.CONTROL, fate)
+        query = OutcomeQuery(
+            **self._starter.head(), key=key, epoch=job.epoch, claimed_by=holder.incarnation
+        )
+        await self._links.send(holder.instance, Channel.CONTROL, query)
 
     def _is_confirmed(self, job: Job, incarnation: str) -> bool:
         at = self._scheduler.runs.confirmed_at(job.spec.key, job.epoch, incarnation)
@@ -152,7 +154,7 @@
             cancel=True,
             reason="cancelled",
         )
-        await self._links.send(instance, Lane.CONTROL, stop)
+        await self._links.send(instance, Channel.CONTROL, stop)
 
     def _mark_lost(self, job: Job, reason: str) -> None:
         epoch = job.epoch
@@ -167,20 +169,20 @@
 
         self._moves.run_once("lose", job.spec.key, epoch, lose())
 
-    def _on_fate_answer(self, answer: FateAnswer) -> None:
+    def _on_outcome_answer(self, answer: OutcomeAnswer) -> None:
         """Handle a task's reported state; task ends arrive as separate messages."""
-        if answer.fate == "running":
+        if answer.claim_outcome == "running":
             self._moves.run_once("adopt", answer.key, answer.epoch, self._handle_running(answer))
-        elif answer.fate == "never_started":
+        elif answer.claim_outcome == "never_started":
             reporter = Holder(answer.sender, answer.incarnation)
             work = self._moves.release_unstarted(
                 answer.key, answer.epoch, reporter, "never started"
             )
             self._moves.run_once("release", answer.key, answer.epoch, work)
-        elif answer.fate == "lost":
+        elif answer.claim_outcome == "lost":
             self._moves.run_once("lose", answer.key, answer.epoch, self._handle_lost(answer))
 
-    async def _handle_running(self, answer: FateAnswer) -> None:
+    async def _handle_running(self, answer: OutcomeAnswer) -> None:
         """Confirm the claim, and move it to the replying incarnation if it has another holder."""
         guard = self._leases.guard(answer.sender, answer.incarnation)
         if guard is None:
@@ -196,9 +198,9 @@
         if held is not None and held.job.holder == holder and held.job.epoch == answer.epoch:
             # An agent renews an adopted task only after this confirmation of the claim.
             confirmation = self._starter.start_message(ADOPTION_OFFER_ID, held.job)
-            await self._links.send(answer.sender, Lane.CONTROL, confirmation)
+            await self._links.send(answer.sender, Channel.CONTROL, confirmation)
 
-    async def _handle_lost(self, answer: FateAnswer) -> None:
+    async def _handle_lost(self, answer: OutcomeAnswer) -> None:
         """Release the claim: the instance's current incarnation does not know the task."""
 
         def transition(job: Job) -> Result[Job, Failure]:
--- a/sapphirelead/entry_scheduler.py
+++ b/sapphirelead/entry_scheduler.py
@@ -66,7 +66,7 @@
     _stamp: Stamp
     _table: EntryTable
     _rows: JobRows
-    _board: JobNotifier
+    _notifier: JobNotifier
     _moves: JobMoves
     _leases: LeaseManager
     _starter: JobStarter
@@ -83,7 +83,7 @@
         stamp: Stamp,
         table: EntryTable,
         rows: JobRows,
-        board: JobNotifier,
+        notifier: JobNotifier,
         moves: JobMoves,
         leases: LeaseManager,
         starter: JobStarter,
@@ -99,7 +99,7 @@
         self._stamp = stamp
         self._table = table
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._moves = moves
         self._leases = leases
         self._starter = starter
@@ -111,7 +111,7 @@
         self._tasks = []
         self._background_tasks = set()
         config.on_change(self._on_config)
-        board.listen(self._on_move)
+        notifier.listen(self._on_move)
         links.on(Started, self._on_started)
         links.on(Nudge, self._on_nudge)
 
@@ -222,12 +222,12 @@
     def _offer(
         self, item: QueuedJob, decision: Decision, views: list[InstanceView], at: float
     ) -> None:
-        wanted = _wanted(item.job, decision.then)
+        request = _placement_request(item.job, decision.then)
         weights = self._config.current.document.weights
         records = self._starter.records
-        view = place(wanted, views, records, self.slowdown, weights, at)
+        view = place(request, views, records, self.slowdown, weights, at)
         if view is None and item.urgent:
-            view = place_by_eviction(wanted, views, records, at)
+            view = place_by_eviction(request, views, records, at)
         stored = self.shards.jobs[item.job.spec.key]
         if view is None:
             self._set_aside_if_impossible(stored, item.since, at)
@@ -248,7 +248,7 @@
             return
         moved = await self._rows.move(stored, updated.ok_value)
         if isinstance(moved, Ok):
-            self._board.publish_committed(moved.ok_value)
+            self._notifier.publish_committed(moved.ok_value)
 
     def _on_config(self, config: Config) -> None:
         self._rules = RuleSet.from_config(config.document)
@@ -299,7 +299,7 @@
         }
 
 
-def _wanted(job: Job, then: Then) -> PlacementRequest:
+def _placement_request(job: Job, then: Then) -> PlacementRequest:
     return PlacementRequest(job, tuple(then.zones), then.spill, frozenset(then.avoid_services))
 
 
--- a/sapphirelead/entry_service.py
+++ b/sapphirelead/entry_service.py
@@ -2,9 +2,10 @@
 
 One coroutine per request applies the rules, places an attempt or queues, and then waits for an
 attempt to end, a hedge or outcome query to fall due, or the deadline.  ``not_run`` is returned only
-if every attempt was unsent or rejected by the incarnation that it was sent to.  An attempt that is
+if every attempt was unsent or refused by the incarnation that it was sent to.  An attempt that is
 open much longer than the estimated latency, or whose connection was replaced, is resolved by an
-``AttemptFate`` query: the agent resends a lost answer or proves that the attempt never arrived.
+``AttemptOutcomeQuery``: the agent resends a lost answer or proves that the attempt never
+arrived.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 
 from sapphirelead.clock import now
 from sapphirelead.entry_attempts import AttemptRegistry, ServiceLinks, ServiceMembers
-from sapphirelead.entry_placing import Placer, reject_waiter
+from sapphirelead.entry_placing import Placer, refuse_waiter
 from sapphirelead.entry_ports import ConfigService, InstanceView, Stamp
 from sapphirelead.entry_service_state import (
     OpenAttempt,
@@ -72,7 +73,7 @@
     _draining: bool
     _idle: asyncio.Event
     _grace_until: float
-    _seen: dict[str, tuple[str, bool]]
+    _last_states: dict[str, tuple[str, bool]]
 
     def __init__(
         self,
@@ -102,7 +103,7 @@
         self._draining = False
         self._idle = asyncio.Event()
         self._idle.set()
-        self._seen = {}
+        self._last_states = {}
         self._grace_until = now() + settings.lease.silence_seconds
         members.on_view(self._on_view)
         config.on_change(self._on_config)
@@ -127,7 +128,7 @@
         return len(self._requests)
 
     async def drain(self) -> None:
-        """Reject new requests and return when all open ones have a reply."""
+        """Refuse new requests and return when all open ones have a reply."""
         self._draining = True
         await self._idle.wait()
 
@@ -277,7 +278,7 @@
 
     def _done(self, req: OpenRequest, answer: ServiceAnswer) -> ServiceReply:
         self.counters.done += 1
-        req.service.pressure.served()
+        req.service.retry_after.served()
         return ServiceReply(
             Outcome.DONE,
             req.decision.rule,
@@ -294,7 +295,7 @@
             self.counters.unknown += 1
         else:
             self.counters.not_run += 1
-        req.service.pressure.refused()
+        req.service.retry_after.refused()
         return ServiceReply(
             outcome,
             req.decision.rule,
@@ -308,14 +309,14 @@
         backlog_s = self._placer.wait_s(service, len(service.queue))
         if failure.code is Code.REFUSED_BY_RULE:
             min_s = req.decision.then.retry_after_ms / 1000
-            return service.pressure.retry_after_s(0.0, min_s)
-        return service.pressure.retry_after_s(backlog_s)
+            return service.retry_after.retry_after_s(0.0, min_s)
+        return service.retry_after.retry_after_s(backlog_s)
 
     def _close(self, req: OpenRequest) -> None:
         """Cancel the attempts that are still open and release the request."""
-        won = not req.open or now() + TIMER_SLACK_S < req.deadline
+        in_time = not req.open or now() + TIMER_SLACK_S < req.deadline
         for attempt in list(req.open.values()):
-            end = AttemptEnd.ABANDONED if won else AttemptEnd.TIMEOUT
+            end = AttemptEnd.ABANDONED if in_time else AttemptEnd.TIMEOUT
             self.attempts.end(attempt, end)
             self.attempts.cancel(attempt)
         self._requests.discard(req)
@@ -374,8 +375,8 @@
     def _on_view(self, view: InstanceView, live: bool) -> None:
         at = now()
         self.router.update(view, live, at)
-        if self._seen.get(view.id) != (view.incarnation, live):
-            self._seen[view.id] = (view.incarnation, live)
+        if self._last_states.get(view.id) != (view.incarnation, live):
+            self._last_states[view.id] = (view.incarnation, live)
             self.attempts.mark_suspect(view, live)
         for service in view.services:
             if (state := self._services.get(service)) is not None:
@@ -388,4 +389,4 @@
         for name, state in self._services.items():
             policy = document.services.get(name, ServicePolicy())
             for waiter in state.configure(policy, document.retries):
-                reject_waiter(waiter)
+                refuse_waiter(waiter)
--- a/sapphirelead/entry_start.py
+++ b/sapphirelead/entry_start.py
@@ -18,7 +18,7 @@
 from sapphirelead.entry_job_rows import JobRows, StoredJob
 from sapphirelead.entry_lease import LeaseManager
 from sapphirelead.entry_moves import JobMoves
-from sapphirelead.entry_ports import ConfigService, Head, InstanceView, Lane, Links, Stamp
+from sapphirelead.entry_ports import Channel, ConfigService, Head, InstanceView, Links, Stamp
 from sapphirelead.errors import Code
 from sapphirelead.logs import log_event
 from sapphirelead.model_job import Holder, Job
@@ -39,7 +39,7 @@
     records: dict[str, InstanceRecord]
     _stamp: Stamp
     _rows: JobRows
-    _board: JobNotifier
+    _notifier: JobNotifier
     _moves: JobMoves
     _leases: LeaseManager
     _links: Links
@@ -51,7 +51,7 @@
         self,
         stamp: Stamp,
         rows: JobRows,
-        board: JobNotifier,
+        notifier: JobNotifier,
         moves: JobMoves,
         leases: LeaseManager,
         links: Links,
@@ -60,7 +60,7 @@
         self.records = {}
         self._stamp = stamp
         self._rows = rows
-        self._board = board
+        self._notifier = notifier
         self._moves = moves
         self._leases = leases
         self._links = links
@@ -143,7 +143,7 @@
         epoch = claimed.job.epoch
         log_event("INFO", "job_placed", job=spec.key, epoch=epoch, instance=view.id, rule=rule)
         start = self.start_message(offer_id, claimed.job)
-        if not await self._links.send(view.id, Lane.CONTROL, start):
+        if not await self._links.send(view.id, Channel.CONTROL, start):
             # The start message was not sent, so the task cannot have started.
             reporter = Holder(view.id, view.incarnation)
             await self._moves.release_unstarted(spec.key, epoch, reporter, "start not sent")
@@ -163,7 +163,7 @@
             urgent=urgent,
         )
         try:
-            if not await self._links.send(view.id, Lane.CONTROL, message):
+            if not await self._links.send(view.id, Channel.CONTROL, message):
                 return False
             async with asyncio.timeout(URGENT_OFFER_TIMEOUT_S if urgent else OFFER_TIMEOUT_S):
                 return await fut
@@ -183,14 +183,14 @@
             return None
         moved = await self._rows.move(stored, updated.ok_value, (guard,))
         if isinstance(moved, Ok):
-            self._board.publish_committed(moved.ok_value)
+            self._notifier.publish_committed(moved.ok_value)
             return moved.ok_value
         log_event("INFO", "claim_failed", job=stored.job.spec.key, reason=moved.err_value)
         if moved.err_value.code is Code.STORE_CONFLICT:
             await self._leases.refresh(view.id)
             found = await self._rows.read(stored.job.spec.key)
             if isinstance(found, Ok) and found.ok_value is not None:
-                self._board.publish(found.ok_value)
+                self._notifier.publish(found.ok_value)
         return None
 
     def _on_accepted(self, message: Accepted) -> None:
--- a/sapphirelead/metrics.py
+++ b/sapphirelead/metrics.py
@@ -1,8 +1,8 @@
 """Metrics of one process, exported as Prometheus text.
 
 Latencies are recorded in HDR histograms and exported as percentiles.  Each series keeps two
-histograms, for the current and the previous window; an export merges both, so it covers the last
-one to two windows rather than the lifetime of the process.
+histograms, for the current and the previous window; an export merges both, so the percentiles cover
+the last one to two windows rather than the lifetime of the process.
 
 The number of series of one metric is bounded, because label values may come from callers.  Beyond
 the bound, new label values share the series ``other``.
@@ -30,8 +30,12 @@
 Labels = tuple[tuple[str, str], ...]
 
 
-class LatencyWindow:
-    """Latencies of one series over the last one to two windows."""
+class LatencySeries:
+    """Latencies of one series.
+
+    :ivar count: number of latencies recorded since the start of the series.
+    :ivar total_ms: their sum in milliseconds.
+    """
 
     count: int
     total_ms: float
@@ -81,7 +85,7 @@
     _clock: Callable[[], float]
     _counters: dict[str, dict[Labels, float]]
     _gauges: dict[str, dict[Labels, Callable[[], float]]]
-    _latencies: dict[str, dict[Labels, LatencyWindow]]
+    _latencies: dict[str, dict[Labels, LatencySeries]]
 
     def __init__(self, clock: Callable[[], float] = now) -> None:
         self._clock = clock
@@ -106,7 +110,7 @@
         key = _bounded_key(series, labels)
         window = series.get(key)
         if window is None:
-            window = series[key] = LatencyWindow(self._clock())
+            window = series[key] = LatencySeries(self._clock())
         window.record(self._clock(), latency_ms)
 
     def value(self, name: str, /, **labels: str) -> float:
@@ -134,7 +138,7 @@
         registry.register(self)
         return generate_latest(registry)
 
-    def _summary(self, name: str, windows: dict[Labels, LatencyWindow]) -> Metric:
+    def _summary(self, name: str, windows: dict[Labels, LatencySeries]) -> Metric:
         family = Metric(PREFIX + name, name, "summary")
         at = self._clock()
         for labels, window in windows.items():
--- a/sapphirelead/node_codec.py
+++ b/sapphirelead/node_codec.py
@@ -29,4 +29,4 @@
 
 def message_kind(message: AnyNodeMessage) -> str:
     """Return the kind of a message as used in logs and metrics."""
-    return message.kind.value if isinstance(message, Call) else type(message).__name__
+    return message.kind.value if isinstance(message, Call) else str(message.__struct_config__.tag)
--- a/sapphirelead/node_election.py
+++ b/sapphirelead/node_election.py
@@ -57,13 +57,13 @@
     store_ok: bool
     seen_version: int
     _leading: bool
-    _heard_at: float
+    _leader_seen_at: float
     _serving: bool
-    _beat_at: float
+    _heartbeat_sent_at: float
     _read_at: float
     _seen: HeadRow | None
     _seen_at: float
-    _offered: int
+    _offered_epoch: int
     _own_epoch: int
     _leaving: bool
 
@@ -76,34 +76,34 @@
         self.store_ok = True
         self.seen_version = 0
         self._leading = False
-        self._heard_at = -1e9
+        self._leader_seen_at = -1e9
         self._serving = False
-        self._beat_at = -1e9
+        self._heartbeat_sent_at = -1e9
         self._read_at = -1e9
         self._seen = None
         self._seen_at = 0.0
-        self._offered = 0
+        self._offered_epoch = 0
         self._own_epoch = 0
         self._leaving = False
 
     def leave(self) -> None:
         """Never take the leadership again, because this process is shutting down."""
         self._leaving = True
-        self._offered = 0
+        self._offered_epoch = 0
 
     def has_live_leader(self, at: float) -> bool:
         """Whether another entry leads, accepts calls and has been heard from recently."""
         if self._leading or not self.leader or not self._serving:
             return False
-        return at - self._heard_at < LEADER_TIMEOUT_S
+        return at - self._leader_seen_at < LEADER_TIMEOUT_S
 
     def next_move(self, at: float) -> Move:
         """Return the action to take at time ``at``."""
         if self._leading:
             return Move.NOTHING
-        if self._offered and not self._leaving:
+        if self._offered_epoch and not self._leaving:
             return Move.TAKE
-        if self.leader and at - self._heard_at < LEADER_TIMEOUT_S:
+        if self.leader and at - self._leader_seen_at < LEADER_TIMEOUT_S:
             return Move.NOTHING
         if self._may_take(at):
             return Move.TAKE
@@ -118,9 +118,9 @@
         Heartbeats also go to a leader that has not responded: a leader sends its own only in
         reply, so a follower whose link was interrupted would otherwise never reconnect.
         """
-        if self._leading or not self.leader or at - self._beat_at < HEARTBEAT_INTERVAL_S:
+        if self._leading or not self.leader or at - self._heartbeat_sent_at < HEARTBEAT_INTERVAL_S:
             return False
-        self._beat_at = at
+        self._heartbeat_sent_at = at
         return True
 
     def _may_take(self, at: float) -> bool:
@@ -142,8 +142,10 @@
             self._seen = head
             self._seen_at = at
             self.seen_version = head.version
-        news = head.epoch > self.epoch or (head.epoch == self.epoch and head.leader != self.leader)
-        if news and head.leader not in (NO_LEADER, self.own):
+        changed = head.epoch > self.epoch or (
+            head.epoch == self.epoch and head.leader != self.leader
+        )
+        if changed and head.leader not in (NO_LEADER, self.own):
             self._follow(head.epoch, head.leader, at, serving=False)
 
     def on_store_failure(self, at: float) -> None:
@@ -174,46 +176,46 @@
         if epoch != self.epoch:
             # The leader that made the offer has been replaced.  Its heartbeats within the same
             # epoch do not withdraw the offer.
-            self._offered = 0
+            self._offered_epoch = 0
         self.epoch = epoch
         self.leader = leader
-        self._heard_at = at
+        self._leader_seen_at = at
         self._serving = serving
 
-    def offered(self, epoch: int) -> None:
+    def on_offer(self, epoch: int) -> None:
         """Record that the leader of ``epoch`` offers the leadership to this entry."""
         if epoch >= self.epoch and not self._leading:
-            self._offered = epoch
+            self._offered_epoch = epoch
 
     async def take(self, table: Table) -> Head | None:
         """Try to take the leadership; ``None`` if the attempt failed."""
-        offered = self._offered
-        self._offered = 0
-        for _ in range(MAX_TAKE_ATTEMPTS if offered else 1):
+        offer_epoch = self._offered_epoch
+        self._offered_epoch = 0
+        for _ in range(MAX_TAKE_ATTEMPTS if offer_epoch else 1):
             epoch = self.epoch
-            head = await self._take_once(table, offered)
+            head = await self._take_once(table, offer_epoch)
             if head is not None:
                 return head
             if self._leaving or not self.store_ok or self.epoch != epoch:
                 break
         return None
 
-    async def _take_once(self, table: Table, offered: int) -> Head | None:
+    async def _take_once(self, table: Table, offer_epoch: int) -> Head | None:
         """Read the head row and try to take it.
 
-        :param offered: epoch of the leader that offered the leadership; 0 for none.
+        :param offer_epoch: epoch of the leader that offered the leadership; 0 for none.
         """
         found = await read_head(table)
         if found.is_err():
             self.on_store_failure(now())
             return None
         seen = found.unwrap()
-        if offered and seen.epoch > offered:
+        if offer_epoch and seen.epoch > offer_epoch:
             # Another entry has taken the leadership since the offer.
             self.on_head_read(seen, now())
             return None
         watched = self._seen
-        if not offered and watched is not None and seen.version != watched.version:
+        if not offer_epoch and watched is not None and seen.version != watched.version:
             # The row has changed since the last read: the leader is alive, or there is a new one.
             self.on_head_read(seen, now())
             return None
@@ -236,4 +238,4 @@
         self._leading = False
         self.leader = ""
         self._seen = None
-        self._heard_at = -1e9
+        self._leader_seen_at = -1e9
--- a/sapphirelead/node_entry.py
+++ b/sapphirelead/node_entry.py
@@ -31,14 +31,14 @@
     Call,
     CallKind,
     EntryAddress,
-    EntryBeat,
+    FollowerHeartbeat,
     Handover,
-    LeaderBeat,
-    Leads,
+    LeaderAnnouncement,
+    LeaderHeartbeat,
+    LeaderQuery,
     Orders,
     Reply,
     ReplyKind,
-    WhoLeads,
 )
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.ports import Table
@@ -186,15 +186,15 @@
 
     async def _register(self) -> None:
         """Write this entry's row and read all rows, retrying until both succeed."""
-        pause = 0.1
+        delay_s = 0.1
         written = False
         while True:
             written = written or await write_entry(self._table, self.node.address)
             found = await read_entries(self._table)
             if written and isinstance(found, Ok):
                 break
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, 1.0)
+            await asyncio.sleep(delay_s)
+            delay_s = min(delay_s * 2, 1.0)
         for address in found.ok_value:
             self._add_entry(address)
         log_event("INFO", "entries_read", entries=len(found.ok_value))
@@ -206,14 +206,14 @@
         self._entries_version += 1
         self._links.set_entries(list(self._entries.values()))
 
-    def _replace_entries(self, beat: LeaderBeat) -> None:
+    def _replace_entries(self, heartbeat: LeaderHeartbeat) -> None:
         """Replace the list of entries by the leader's, if the heartbeat carries one."""
-        if beat.entries is None:
+        if heartbeat.entries is None:
             return
-        self._entries = {entry.name: entry for entry in beat.entries}
+        self._entries = {entry.name: entry for entry in heartbeat.entries}
         self._entries[self.name] = self.node.address
-        self._entries_version = beat.entries_version
-        self._entries_epoch = beat.epoch
+        self._entries_version = heartbeat.entries_version
+        self._entries_epoch = heartbeat.epoch
         self._links.set_entries(list(self._entries.values()))
 
     # Election
@@ -247,7 +247,7 @@
 
     def _send_heartbeat(self) -> None:
         election = self._election
-        beat = EntryBeat(
+        heartbeat = FollowerHeartbeat(
             self.node.address,
             election.epoch,
             election.store_ok,
@@ -256,7 +256,7 @@
             # List versions are comparable only within one leader's epoch.
             self._entries_version if self._entries_epoch == election.epoch else 0,
         )
-        self._links.send(election.leader, beat)
+        self._links.send(election.leader, heartbeat)
 
     async def _read_head(self) -> None:
         found = await read_head(self._table)
@@ -335,7 +335,7 @@
 
     def _announce(self) -> None:
         """Announce the leadership to all known agents and entries."""
-        message = Leads(self._election.epoch, self.name)
+        message = LeaderAnnouncement(self._election.epoch, self.name)
         for identity in self._agents.values():
             self._hub.send(identity, message)
         self._links.send_all(message)
@@ -347,26 +347,26 @@
         match message:
             case AgentReport():
                 self._on_report(identity, message)
-            case WhoLeads():
+            case LeaderQuery():
                 self._agents[message.sender] = identity
                 self._hub.send(identity, self._leads_message())
-            case EntryBeat():
-                self._on_entry_beat(identity, message)
+            case FollowerHeartbeat():
+                self._on_follower_heartbeat(identity, message)
             case Call():
                 self._on_call(identity, message)
-            case Leads():
+            case LeaderAnnouncement():
                 self._on_leads(message)
             case Handover():
                 self._on_handover(message)
             case _:
-                log_event("WARNING", "message_unexpected", kind=type(message).__name__)
+                log_event("WARNING", "message_unexpected", kind=str(message.__struct_config__.tag))
 
-    def _leads_message(self) -> Leads:
+    def _leads_message(self) -> LeaderAnnouncement:
         if self.serving_leader() is not None:
-            return Leads(self._election.epoch, self.name)
+            return LeaderAnnouncement(self._election.epoch, self.name)
         if self._election.has_live_leader(now()):
-            return Leads(self._election.epoch, self._election.leader)
-        return Leads(self._election.epoch, "")
+            return LeaderAnnouncement(self._election.epoch, self._election.leader)
+        return LeaderAnnouncement(self._election.epoch, "")
 
     def _on_report(self, identity: bytes, report: AgentReport) -> None:
         self._agents[report.agent] = identity
@@ -388,16 +388,16 @@
             )
         return self._hub.send(identity, orders)
 
-    def _on_entry_beat(self, identity: bytes, beat: EntryBeat) -> None:
-        self._add_entry(beat.address)
-        self._handover.on_heartbeat(beat)
+    def _on_follower_heartbeat(self, identity: bytes, heartbeat: FollowerHeartbeat) -> None:
+        self._add_entry(heartbeat.address)
+        self._handover.on_heartbeat(heartbeat)
         if self.leader is None:
             self._hub.send(identity, self._leads_message())
             return
-        if beat.config_version > self.config.version:
+        if heartbeat.config_version > self.config.version:
             self.on_newer_config()
-        known = beat.epoch == self.leader.head.epoch and beat.entries_version
-        answer = LeaderBeat(
+        known = heartbeat.epoch == self.leader.head.epoch and heartbeat.entries_version
+        answer = LeaderHeartbeat(
             self.leader.head.epoch,
             self.name,
             self.leader.serving,
@@ -409,7 +409,7 @@
         )
         self._hub.send(identity, answer)
 
-    def _on_leads(self, message: Leads) -> None:
+    def _on_leads(self, message: LeaderAnnouncement) -> None:
         if not message.leader or message.leader == self.name:
             return
         if self._election.on_leader_announced(message.epoch, message.leader, now()):
@@ -426,28 +426,33 @@
             epoch=message.epoch,
             leaving=self._stopping,
         )
-        self._election.offered(message.epoch)
+        self._election.on_offer(message.epoch)
 
     def _on_link(self, name: str, message: AnyNodeMessage) -> None:
         match message:
-            case LeaderBeat():
-                self._on_leader_beat(message)
-            case Leads():
+            case LeaderHeartbeat():
+                self._on_leader_heartbeat(message)
+            case LeaderAnnouncement():
                 self._on_leads(message)
             case Reply():
                 self._on_reply(message)
             case _:
-                log_event("WARNING", "message_unexpected", kind=type(message).__name__, peer=name)
-
-    def _on_leader_beat(self, beat: LeaderBeat) -> None:
+                log_event(
+                    "WARNING",
+                    "message_unexpected",
+                    kind=str(message.__struct_config__.tag),
+                    peer=name,
+                )
+
+    def _on_leader_heartbeat(self, heartbeat: LeaderHeartbeat) -> None:
         if not self._election.on_heartbeat(
-            beat.epoch, beat.leader, beat.serving, now(), beat.strongest
+            heartbeat.epoch, heartbeat.leader, heartbeat.serving, now(), heartbeat.strongest
         ):
             return
-        self._replace_entries(beat)
-        if beat.config_version > self.config.version:
+        self._replace_entries(heartbeat)
+        if heartbeat.config_version > self.config.version:
             self.on_newer_config()
-        if beat.serving:
+        if heartbeat.serving:
             self._calls.changed.set()
 
     # Callers
@@ -473,13 +478,13 @@
             if call.config_version > self.config.version:
                 self.on_newer_config()
             taken = Reply(call.number, ReplyKind.TAKEN, epoch=call.epoch)
-            late = asyncio.get_running_loop().call_later(
+            taken_timer = asyncio.get_running_loop().call_later(
                 TAKEN_REPLY_DELAY_S, self._hub.send, identity, taken
             )
             try:
                 reply = await leader.call(call, now() + forwarded_call_timeout_s(call.kind))
             finally:
-                late.cancel()
+                taken_timer.cancel()
         self._hub.send(identity, msgspec.structs.replace(reply, epoch=call.epoch))
 
     def _on_reply(self, reply: Reply) -> None:
--- a/sapphirelead/node_followers.py
+++ b/sapphirelead/node_followers.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Final
 
-from sapphirelead.node_messages import EntryBeat
+from sapphirelead.node_messages import FollowerHeartbeat
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
 HEARTBEAT_TIMEOUT_S: Final = 2 * HEARTBEAT_INTERVAL_S
@@ -17,20 +17,20 @@
 class Followers:
     """The latest heartbeat of each follower and the number of offers made to it."""
 
-    _heartbeats: dict[str, tuple[float, EntryBeat]]
+    _heartbeats: dict[str, tuple[float, FollowerHeartbeat]]
     _offers: Counter[str]
 
     def __init__(self) -> None:
         self._heartbeats = {}
         self._offers = Counter()
 
-    def on_heartbeat(self, beat: EntryBeat, at: float) -> None:
+    def on_heartbeat(self, heartbeat: FollowerHeartbeat, at: float) -> None:
         """Record a heartbeat."""
-        self._heartbeats[beat.address.name] = (at, beat)
+        self._heartbeats[heartbeat.address.name] = (at, heartbeat)
 
     def since_last_heartbeat_s(self, at: float) -> float:
         """Return the time since the latest heartbeat of any follower; 0 if there was none."""
-        return at - max((heard_at for heard_at, _ in self._heartbeats.values()), default=at)
+        return at - max((heartbeat_at for heartbeat_at, _ in self._heartbeats.values()), default=at)
 
     def next_successor(self, at: float, with_store: bool) -> str:
         """Return the entry to offer the leadership to next; empty for none.
@@ -68,11 +68,11 @@
         Entries that are shutting down are excluded, because they ignore offers.
         """
         return {
-            name: beat.address.cores
-            for name, (heard_at, beat) in self._heartbeats.items()
-            if at - heard_at < HEARTBEAT_TIMEOUT_S
-            and not beat.leaving
-            and (beat.store_ok or not with_store)
+            name: heartbeat.address.cores
+            for name, (heartbeat_at, heartbeat) in self._heartbeats.items()
+            if at - heartbeat_at < HEARTBEAT_TIMEOUT_S
+            and not heartbeat.leaving
+            and (heartbeat.store_ok or not with_store)
         }
 
 
--- a/sapphirelead/node_handover.py
+++ b/sapphirelead/node_handover.py
@@ -12,7 +12,7 @@
 from sapphirelead.logs import log_event
 from sapphirelead.node_followers import Followers
 from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
-from sapphirelead.node_messages import EntryBeat, Handover
+from sapphirelead.node_messages import FollowerHeartbeat, Handover
 
 OFFER_INTERVAL_S: Final = 0.7
 """Minimum time between two offers; leaves the follower time for a read and a write of the head
@@ -51,9 +51,9 @@
         self._offered_at = -1e9
         self._checked_at = -1e9
 
-    def on_heartbeat(self, beat: EntryBeat) -> None:
+    def on_heartbeat(self, heartbeat: FollowerHeartbeat) -> None:
         """Record a follower's heartbeat."""
-        self.followers.on_heartbeat(beat, now())
+        self.followers.on_heartbeat(heartbeat, now())
 
     def check(self, leader: Leader) -> None:
         """Resign if isolated; offer the leadership if the store is unreachable or a peer is better.
@@ -61,9 +61,9 @@
         To be called at regular intervals while this entry leads.
         """
         at = now()
-        late = at - self._checked_at > STALL_THRESHOLD_S
+        stalled = at - self._checked_at > STALL_THRESHOLD_S
         self._checked_at = at
-        if not late and self._cut_off(leader, at):
+        if not stalled and self._isolated(leader, at):
             # The store still confirms this leader and the head row keeps changing, so no other
             # entry would take over.
             log_event("WARNING", "lead_given_up", epoch=leader.head.epoch, reason="cut_off")
@@ -102,7 +102,7 @@
         log_event("WARNING", "lead_handed_over", to=name, reason=reason)
         self._send(name, Handover(leader.head.epoch, leader.head.leader))
 
-    def _cut_off(self, leader: Leader, at: float) -> bool:
+    def _isolated(self, leader: Leader, at: float) -> bool:
         """Whether neither the followers nor most agents have sent anything recently."""
         return self.followers.since_last_heartbeat_s(at) > ISOLATION_TIMEOUT_S and leader.isolated(
             at
--- a/sapphirelead/node_leader.py
+++ b/sapphirelead/node_leader.py
@@ -17,8 +17,8 @@
 from sapphirelead.logs import log_event
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_leader_advice import AdviceDispatcher
-from sapphirelead.node_leader_calls import LeaderCalls, MayCome
-from sapphirelead.node_leader_load import MAX_ROUND_HOLD_S, LoopLoad, Part
+from sapphirelead.node_leader_calls import LeaderCalls, MayArrive
+from sapphirelead.node_leader_load import MAX_ROUND_BLOCKING_S, LoopLoad, Part
 from sapphirelead.node_messages import (
     AgentReport,
     Call,
@@ -52,7 +52,7 @@
 """Maximum time between two rounds and minimum time between two reviews; bounds the delay of
 timers."""
 
-PLAN_BUDGET_S: Final = MAX_ROUND_HOLD_S / 2
+PLAN_BUDGET_S: Final = MAX_ROUND_BLOCKING_S / 2
 """Budget of a round for placement and reviews; the rest is for storing and sending."""
 
 FINAL_COMMIT_TIMEOUT_S: Final = MIN_STORE_TIMEOUT_S
@@ -105,8 +105,8 @@
     _journal: Journal
     _store_timeout: StoreTimeout
     _load: LoopLoad
-    _turn: ScanOrder
-    _decide_due: float
+    _scan_order: ScanOrder
+    _decide_due_at: float
 
     def __init__(
         self,
@@ -116,11 +116,11 @@
         advice: AdviceService,
         send: SendOrders,
         metrics: Metrics | None = None,
-        may_come: MayCome = lambda _: False,
+        may_arrive: MayArrive = lambda _: False,
     ) -> None:
         """Begin a term of leadership.
 
-        :param may_come: whether a submission of a job, sent before other calls for that job, may
+        :param may_arrive: whether a submission of a job, sent before other calls for that job, may
             still arrive.
         """
         self.head = head
@@ -133,7 +133,7 @@
         self._resigned = False
         self._finishing = False
         self._config = QueueConfig()
-        self._calls = LeaderCalls(self, may_come)
+        self._calls = LeaderCalls(self, may_arrive)
         self._advice = AdviceDispatcher(self.sched, advice, self.metrics, self._wake.set)
         self._ended = asyncio.Event()
         self._idle = asyncio.Event()
@@ -143,8 +143,8 @@
         self._journal = Journal()
         self._store_timeout = StoreTimeout()
         self._load = LoopLoad(self.metrics, now())
-        self._turn = ScanOrder()
-        self._decide_due = 0.0
+        self._scan_order = ScanOrder()
+        self._decide_due_at = 0.0
 
     def set_config(self, config: QueueConfig) -> None:
         """Apply ``config`` to all further decisions."""
@@ -250,7 +250,7 @@
         with self._load.measure(Part.UPKEEP):
             self.sched.end_runs_of_lost_agents(at)
             self.sched.evict_ended(wall_ms())
-        if self._turn.behind:
+        if self._scan_order.truncated:
             if not await self._save():
                 return False
             # Let answers go out before planning blocks the loop again.
@@ -260,12 +260,12 @@
             return False
         if not self.sched.has_pending_writes:
             self._idle.set()
-        self._load.round_ended(self.sched, self._turn.waited_s)
+        self._load.round_ended(self.sched, self._scan_order.waited_s)
         return True
 
     def _decide(self, at: float) -> None:
         """Review running work and plan pending work, within the time budget."""
-        if at < self._decide_due:
+        if at < self._decide_due_at:
             self._wake.set()
             return
         budget = Budget(now, at + PLAN_BUDGET_S)
@@ -273,11 +273,11 @@
         self._log_survey(at)
         if not self._finishing:
             with self._load.measure(Part.PLAN):
-                self._turn.budget = budget
-                self._advice.put(plan(self.sched, at, wall_ms(), self._turn))
+                self._scan_order.budget = budget
+                self._advice.put(plan(self.sched, at, wall_ms(), self._scan_order))
         # Planning takes at most half of the loop's time.
-        self._decide_due = 2 * now() - at
-        if self._turn.behind:
+        self._decide_due_at = 2 * now() - at
+        if self._scan_order.truncated:
             self._wake.set()
 
     def _review(self, at: float, budget: Budget) -> None:
@@ -364,10 +364,12 @@
         known = [
             instance
             for instance in self.sched.fleet.instances.values()
-            if instance.heard_at and at - instance.heard_at < KNOWN_AGENT_WINDOW_S
+            if instance.last_report_at and at - instance.last_report_at < KNOWN_AGENT_WINDOW_S
         ]
-        heard = sum(1 for instance in known if at - instance.heard_at < ISOLATION_TIMEOUT_S)
-        return len(known) > 1 and heard * 2 < len(known)
+        responsive = sum(
+            1 for instance in known if at - instance.last_report_at < ISOLATION_TIMEOUT_S
+        )
+        return len(known) > 1 and responsive * 2 < len(known)
 
     async def wait_ended(self) -> None:
         """Wait for the end of this term of leadership."""
@@ -388,15 +390,15 @@
             self._wake.set()
         instance = self.sched.fleet.instance(report.agent)
         if at - instance.answered_at >= MIN_ACK_INTERVAL_S or report.agent in self.sched.outgoing:
-            self._answer(report.agent, at, report.beat)
-        elif instance.beat - instance.answered_beat > MAX_UNANSWERED_REPORTS:
+            self._answer(report.agent, at, report.report_number)
+        elif instance.report_number - instance.answered_report_number > MAX_UNANSWERED_REPORTS:
             self._answer(report.agent, at, 0)
 
-    def _answer(self, agent: str, at: float, beat: int) -> None:
+    def _answer(self, agent: str, at: float, report_number: int) -> None:
         """Send pending orders to ``agent``.
 
-        :param beat: number of the report to acknowledge, which renews the agent's lease; 0 for
-            none.
+        :param report_number: number of the report to acknowledge, which renews the agent's lease; 0
+            for none.
         """
         instance = self.sched.fleet.instance(agent)
         # An unconfirmed leader may have been replaced, and its successor relies on leases not
@@ -408,24 +410,26 @@
             self.head.epoch,
             self.head.leader,
             instance.boot,
-            beat if renews else 0,
-            instance.beat,
+            report_number if renews else 0,
+            instance.report_number,
             instance.worker.worker if instance.worker else "",
             starts,
             stops,
             stored,
             instance.entries_version,
-            press=self.sched.press.pair_weights_on(instance) if beat or starts else [],
+            interference=(
+                self.sched.interference.pair_weights_on(instance) if report_number or starts else []
+            ),
             number=instance.orders_sent,
         )
-        if renews and beat:
+        if renews and report_number:
             instance.renewed_at = at
         if not self._send(agent, orders):
             instance.unsent_at = at
             log_event("INFO", "orders_not_sent", agent=agent, starts=len(starts), stops=len(stops))
             return
-        instance.answered_beat = orders.after_beat
-        if orders.beat:
+        instance.answered_report_number = orders.based_on_report
+        if orders.report_number:
             instance.answered_at = at
         for start in starts:
             log_event("INFO", "start_sent", task=start.task, attempt=start.attempt, agent=agent)
--- a/sapphirelead/node_leader_advice.py
+++ b/sapphirelead/node_leader_advice.py
@@ -1,4 +1,4 @@
-"""Sends the planner's questions to the advice service, in the order of queue priority."""
+"""Sends the planner's requests for tickets to the advice service, by queue priority."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -13,17 +13,17 @@
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_ports import AdviceService
 from sapphirelead.sched_core import Scheduler
-from sapphirelead.sched_planner import AdviceAsk
+from sapphirelead.sched_planner import AdviceRequest
 
-MAX_CONCURRENT_ASKS: Final = 2
+MAX_CONCURRENT_REQUESTS: Final = 2
 """Requests to the service in flight at once; it processes them one at a time."""
 
 RETRY_DELAY_S: Final = 0.1
-"""Delay before the workers of a failed request may be asked about again."""
+"""Delay before tickets for the workers of a failed request may be requested again."""
 
 
 class AdviceDispatcher:
-    """Queues the planner's questions and passes the answers to the scheduler.
+    """Queues the planner's requests and passes the tickets to the scheduler.
 
     :ivar metrics: receives the response times.
     """
@@ -32,7 +32,7 @@
     _sched: Scheduler
     _service: AdviceService
     _wake: Callable[[], None]
-    _asks: "asyncio.PriorityQueue[tuple[float, int, AdviceAsk]]"
+    _requests: "asyncio.PriorityQueue[tuple[float, int, AdviceRequest]]"
     _number: int
     _tasks: list["asyncio.Task[None]"]
 
@@ -41,20 +41,21 @@
     ) -> None:
         """Create a dispatcher.
 
-        :param wake: called when an answer may allow new starts.
+        :param wake: called when new tickets or a failed request may change what can be planned.
         """
         self.metrics = metrics
         self._sched = sched
         self._service = service
         self._wake = wake
-        self._asks = asyncio.PriorityQueue()
+        self._requests = asyncio.PriorityQueue()
         self._number = 0
         self._tasks = []
 
     def start(self) -> None:
         """Start the tasks that send requests."""
         self._tasks = [
-            spawn(self._ask_loop(), f"advice-{number}") for number in range(MAX_CONCURRENT_ASKS)
+            spawn(self._request_loop(), f"advice-{number}")
+            for number in range(MAX_CONCURRENT_REQUESTS)
         ]
 
     def stop(self) -> None:
@@ -62,33 +63,33 @@
         for task in self._tasks:
             task.cancel()
 
-    def put(self, asks: Iterable[AdviceAsk]) -> None:
-        """Enqueue questions."""
-        for ask in asks:
+    def put(self, requests: Iterable[AdviceRequest]) -> None:
+        """Enqueue requests."""
+        for request in requests:
             self._number += 1
-            self._asks.put_nowait((float(ask.policy.priority), self._number, ask))
+            self._requests.put_nowait((float(request.policy.priority), self._number, request))
 
-    async def _ask_loop(self) -> None:
+    async def _request_loop(self) -> None:
         while True:
-            _, _, ask = await self._asks.get()
-            job = self._sched.jobs.get(ask.key[0])
-            policy = ask.policy.advice
+            _, _, request = await self._requests.get()
+            job = self._sched.jobs.get(request.key[0])
+            policy = request.policy.advice
             if job is None or not job.open or policy is None:
                 continue
-            name = f"{ask.key[0]}.{ask.key[1]}.{ask.key[2]}"
+            name = f"{request.key[0]}.{request.key[1]}.{request.key[2]}"
             began = now()
-            found = await self._service.ask(name, ask.workers, policy)
+            found = await self._service.ask(name, request.workers, policy)
             self.metrics.latency("advice_ms", (now() - began) * 1000)
             if isinstance(found, Err):
-                await self._handle_failure(ask, found.err_value)
+                await self._handle_failure(request, found.err_value)
                 continue
             tickets = found.ok_value.tickets
-            log_event("INFO", "advice", step=name, asked=len(ask.workers), good=len(tickets))
-            self._sched.advice.add_tickets(ask.key, tickets, began + policy.valid_ms / 1000)
+            log_event("INFO", "advice", step=name, asked=len(request.workers), good=len(tickets))
+            self._sched.advice.add_tickets(request.key, tickets, began + policy.valid_ms / 1000)
             self._wake()
 
-    async def _handle_failure(self, ask: AdviceAsk, failure: Failure) -> None:
-        log_event("WARNING", "advice_failed", step=ask.key, reason=str(failure))
+    async def _handle_failure(self, request: AdviceRequest, failure: Failure) -> None:
+        log_event("WARNING", "advice_failed", step=request.key, reason=str(failure))
         await asyncio.sleep(RETRY_DELAY_S)
-        self._sched.advice.request_failed(ask.key, ask.workers)
+        self._sched.advice.request_failed(request.key, request.workers)
         self._wake()
--- a/sapphirelead/node_ports.py
+++ b/sapphirelead/node_ports.py
@@ -18,7 +18,7 @@
     """A run as listed by the worker.
 
     :ivar percent: progress; 100 for a long-running task that is working.
-    :ivar figure: tail latency in milliseconds of a latency-critical task, else CPU usage in
+    :ivar measurement: tail latency in milliseconds of a latency-critical task, else CPU usage in
         millicores, over about the last half second; -1 if the worker reports none.
     """
 
@@ -26,7 +26,7 @@
     attempt: int
     saved: str
     percent: int
-    figure: int
+    measurement: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,11 +117,11 @@
     """
 
     async def hold(
-        self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
     ) -> Result[WorkerView, CallFailure]:
         """List runs and ended runs; wait up to ``wait_ms`` for another run to end.
 
-        :param noted: acknowledges ended runs up to this number, which the worker may forget.
+        :param stored_through: acknowledges ended runs up to this number, which may be forgotten.
         :param lease_ms: new lease expiry on the worker's clock; 0 does not extend it.
         """
 
--- a/sapphirelead/platform/ingress.py
+++ b/sapphirelead/platform/ingress.py
@@ -121,7 +121,7 @@
     """Decode and validate a submission; the error is the reason for its rejection."""
     decoded = decode(_DECODER, body)
     if isinstance(decoded, Err):
-        return Err(f"the body is no job: {decoded.err_value}")
+        return Err(f"the body contains no job: {decoded.err_value}")
     wire = decoded.ok_value
     spec = JobSpec(
         job_id=job_id,
@@ -141,12 +141,12 @@
 class Ingress:
     """Serves the callers of one entry."""
 
-    _account: RequestTracker
+    _request_tracker: RequestTracker
     _entry: FleetEntry
     _servers: list[HttpServer]
 
     def __init__(self, entry: FleetEntry) -> None:
-        self._account = RequestTracker(entry, EXPECTED_STATUSES)
+        self._request_tracker = RequestTracker(entry, EXPECTED_STATUSES)
         self._entry = entry
         # The entry answers pending calls within the grace period.  A shorter timeout would cancel
         # them, and callers would see a closed connection.
@@ -156,16 +156,16 @@
     @property
     def in_progress(self) -> int:
         """Number of requests that have been read but not answered."""
-        return self._account.in_progress
+        return self._request_tracker.in_progress
 
     async def start(self, callers: Address, ready: Address) -> None:
         """Listen for callers and for readiness probes."""
         for server, address in zip(self._servers, (callers, ready), strict=True):
             await server.start(address)
 
-    def turn_away(self) -> None:
+    def redirect_callers(self) -> None:
         """Fail the readiness probe and close callers' connections after their next response."""
-        self._account.leaving = True
+        self._request_tracker.leaving = True
 
     async def close(self) -> None:
         """Stop accepting connections, finish the requests in progress, and close."""
@@ -174,17 +174,17 @@
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer the readiness probe."""
-        may_connect = self._entry.ready and not self._account.leaving
+        may_connect = self._entry.ready and not self._request_tracker.leaving
         return web.Response(status=200 if may_connect else 503)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request of a caller."""
-        return await self._account.answer(request, self._answer)
+        return await self._request_tracker.answer(request, self._answer)
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         config = self._entry.config
         if config.version == 0:
-            return _error_response(503, "no configuration yet", 1.0)
+            return _error_response(503, "no configuration is loaded yet", 1.0)
         route = config.match(request.host.partition(":")[0], request.path)
         if route is None:
             return _error_response(404, "no such queue")
@@ -192,7 +192,9 @@
         if not rest and request.method == "GET":
             return await self._count_waiting(request, route)
         if not JOB_ID.fullmatch(rest):
-            return _error_response(400, "the path does not end with the id of a job")
+            return _error_response(
+                400, "the path does not end with a job id of 1 to 64 hexadecimal digits"
+            )
         match request.method:
             case "POST":
                 return await self._submit(request, route, rest, config)
--- a/sapphirelead/policy_budget.py
+++ b/sapphirelead/policy_budget.py
@@ -9,11 +9,11 @@
 
 from sapphirelead.clock import now
 
-BURST_SECONDS: Final = 0.5
+BURST_S: Final = 0.5
 
 
 class TokenBucket:
-    """Limits calls to ``rate`` per second, with bursts of ``BURST_SECONDS`` (at least one call)."""
+    """Limits calls to ``rate`` per second, with bursts of ``BURST_S`` (at least one call)."""
 
     rate: float
     _tokens: float
@@ -28,7 +28,7 @@
         """Set the rate in calls per second."""
         self.rate = max(rate, 0.1)
 
-    def wait_s(self, at: float) -> float:
+    def take_or_wait_s(self, at: float) -> float:
         """Take a token and return 0, or return the seconds until one is available."""
         self._refill(at)
         if self._tokens >= 1.0:
@@ -37,7 +37,7 @@
         return (1.0 - self._tokens) / self.rate
 
     def _burst(self) -> float:
-        return max(1.0, self.rate * BURST_SECONDS)
+        return max(1.0, self.rate * BURST_S)
 
     def _refill(self, at: float) -> None:
         elapsed = max(0.0, at - self._refilled_at)
@@ -47,7 +47,7 @@
 
 async def take(bucket: TokenBucket) -> None:
     """Wait for a token and take it."""
-    delay = bucket.wait_s(now())
+    delay = bucket.take_or_wait_s(now())
     while delay > 0:
         await asyncio.sleep(delay)
-        delay = bucket.wait_s(now())
+        delay = bucket.take_or_wait_s(now())
--- a/sapphirelead/runner_life.py
+++ b/sapphirelead/runner_life.py
@@ -1,5 +1,7 @@
 """Controls the runs of one worker life through calls to the worker.
 
+A worker life is one process of the worker, from its start to its end.
+
 Calls may be lost, answered late, or carried out seconds after they timed out.  Therefore:
 
 - a start call carries a deadline, after which the worker refuses it;
@@ -18,9 +20,9 @@
 from sapphirelead.clock import awake_now, now
 from sapphirelead.logs import log_event
 from sapphirelead.node_messages import (
+    InterferenceEstimate,
     RunEnded,
     RunPhase,
-    ServingPress,
     StartOrder,
     StopOrder,
     WorkerInfo,
@@ -41,12 +43,12 @@
 LIST_WAIT_MS: Final = 450
 """Longest time that a list call waits for a run to end."""
 
-MIN_LIST_PAUSE_S: Final = 0.04
-"""Pause after a list that contains outcomes.  Limits the rate of list calls, because the worker
-answers at once while it holds outcomes that are not stored."""
+MIN_LIST_DELAY_S: Final = 0.04
+"""Minimum delay after a list that contains outcomes.  Limits the rate of list
+calls, because the worker answers at once while it holds outcomes that are not stored."""
 
-MAX_LIST_PAUSE_S: Final = 0.32
-"""Limit up to which that pause doubles while lists contain no new outcome."""
+MAX_LIST_DELAY_S: Final = 0.32
+"""Limit up to which that delay doubles while lists contain no new outcome."""
 
 PROGRESS_REPORT_INTERVAL_S: Final = 0.4
 """Interval between reports of progress without new outcomes; just under :data:`LIST_WAIT_MS`."""
@@ -110,12 +112,12 @@
 class RunnerLife:
     """One worker life: watches its runs and carries out the leader's orders.
 
-    :ivar over: whether this life is known to have ended.
+    :ivar has_ended: whether this life is known to have ended.
     :ivar on_change: called when there is something new to report.
     """
 
     registry: RunRegistry
-    over: bool
+    has_ended: bool
     on_change: Callable[[], None]
     _kill_grace_s: float
     _worker: RunWorker
@@ -127,7 +129,7 @@
     _tasks: set["asyncio.Task[None]"]
     _pending_stops: set["asyncio.Task[None]"]
     _refusals: int
-    _silent: bool
+    _not_responding: bool
     _reported_at: float
     _end_stored: asyncio.Event
 
@@ -141,7 +143,7 @@
         kill_grace_s: float,
     ) -> None:
         self.registry = RunRegistry(info)
-        self.over = False
+        self.has_ended = False
         self.on_change = on_change
         self._kill_grace_s = kill_grace_s
         self._worker = worker
@@ -153,14 +155,14 @@
         self._tasks = set()
         self._pending_stops = set()
         self._refusals = 0
-        self._silent = False
+        self._not_responding = False
         self._reported_at = -1e9
         self._end_stored = asyncio.Event()
 
     @property
-    def silent(self) -> bool:
-        """Whether the worker is unresponsive and all its runs have lapsed."""
-        return self._silent
+    def not_responding(self) -> bool:
+        """Whether the worker is unresponsive and the leases of all its runs have expired."""
+        return self._not_responding
 
     async def adopt(self) -> CallFailure | None:
         """List the worker's runs without renewing its lease; return the failure, if any."""
@@ -174,33 +176,33 @@
         return None
 
     async def watch(self) -> None:
-        """List runs and outcomes and renew the worker's lease until the life is over."""
-        pause = MIN_LIST_PAUSE_S
-        while not self.over:
+        """List runs and outcomes and renew the worker's lease until the life has ended."""
+        delay_s = MIN_LIST_DELAY_S
+        while not self.has_ended:
             self._log_slow_stops()
             sent_at = now()
             found = await self._worker.hold(
                 self._token.value,
                 self.registry.stored_through,
-                self._lease.worker_lease(awake_now()),
+                self._lease.worker_lease_ms(awake_now()),
                 LIST_WAIT_MS,
             )
             if isinstance(found, Ok):
                 has_new_ends = self._apply_view(found.ok_value, sent_at)
-                pause = MIN_LIST_PAUSE_S if has_new_ends else min(2 * pause, MAX_LIST_PAUSE_S)
+                delay_s = MIN_LIST_DELAY_S if has_new_ends else min(2 * delay_s, MAX_LIST_DELAY_S)
                 if found.ok_value.ended:
-                    await self._pause(pause)
+                    await self._wait_for_next_list(delay_s)
                 continue
             self._handle_failure(found.err_value)
-            if not self.over:
+            if not self.has_ended:
                 await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _pause(self, max_s: float) -> None:
-        """Wait until an outcome is stored, between :data:`MIN_LIST_PAUSE_S` and ``max_s``."""
+    async def _wait_for_next_list(self, max_s: float) -> None:
+        """Wait until an outcome is stored, between :data:`MIN_LIST_DELAY_S` and ``max_s``."""
         self._end_stored.clear()
-        await asyncio.sleep(MIN_LIST_PAUSE_S)
+        await asyncio.sleep(MIN_LIST_DELAY_S)
         try:
-            async with asyncio.timeout(max_s - MIN_LIST_PAUSE_S):
+            async with asyncio.timeout(max_s - MIN_LIST_DELAY_S):
                 await self._end_stored.wait()
         except TimeoutError:
             return
@@ -213,8 +215,8 @@
     def _apply_view(self, view: WorkerView, sent_at: float) -> bool:
         """Apply a list from the worker; return whether it contains a new outcome."""
         self._refusals = 0
-        if self._silent:
-            self._silent = False
+        if self._not_responding:
+            self._not_responding = False
             log_event("INFO", "worker_regained", worker=self.registry.info.worker)
             self.on_change()
         self._lease.update_clock(view.clock_ms, awake_now())
@@ -300,19 +302,19 @@
 
     def _handle_no_answer(self) -> None:
         at = awake_now()
-        self._lease.note_unanswered(at)
-        if self._lease.all_expired(at) and not self._silent:
+        self._lease.record_unanswered(at)
+        if self._lease.all_expired(at) and not self._not_responding:
             # The worker may still be running but unreachable; its leases have expired.
-            self._silent = True
+            self._not_responding = True
             info = self.registry.info
             log_event("WARNING", "worker_silent", worker=info.worker, runs=len(self.registry.runs))
             self.on_change()
 
     def end(self, reason: str) -> None:
         """Mark the life and all its runs as ended."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         log_event(
             "WARNING",
             "worker_ended",
@@ -383,7 +385,7 @@
         reason = "no_answer"
         for _ in range(MAX_START_TRIES):
             async with self._calls:
-                if run.phase is not RunPhase.STARTING or self.over:
+                if run.phase is not RunPhase.STARTING or self.has_ended:
                     return
                 if self._lease.unresponsive(awake_now()):
                     # A start may be carried out without an answer, so each call would postpone
@@ -420,7 +422,7 @@
             order.payload,
             order.saved,
             order.ticket,
-            self._lease.start_deadline(awake_now(), START_DEADLINE_S),
+            self._lease.start_deadline_ms(awake_now(), START_DEADLINE_S),
             self._token.value,
         )
 
@@ -445,7 +447,7 @@
     async def _confirm_stop(self, run: RunnerRun) -> None:
         """Retry the stop call until the worker confirms it; the outcome comes with a later list."""
         tries = 0
-        while not self.over and self.registry.runs.get(run.name) is run:
+        while not self.has_ended and self.registry.runs.get(run.name) is run:
             async with self._stops.slot(tries):
                 found = await self._worker.stop(run.task, run.attempt, self._token.value)
             tries += 1
@@ -462,37 +464,37 @@
 
     # Pace
 
-    def learn_interference(self, interference: list[ServingPress]) -> None:
-        """Take the interference estimates that the leader sends for images on this worker."""
+    def learn_interference(self, interference: list[InterferenceEstimate]) -> None:
+        """Store the interference estimates that the leader sends for images on this worker."""
         self._pace.learn(interference)
 
     def _control_pace(self) -> None:
-        """Set the pace of filling runs from the tail latencies of the serving runs."""
+        """Set the pace of best-effort runs from the tail latencies of latency-critical runs."""
         runs = list(self.registry.runs.values())
         tails = [
-            TailLatency(run.task, run.order.image, run.figure, run.order.target_ms)
+            TailLatency(run.task, run.order.image, run.measurement, run.order.target_ms)
             for run in runs
-            if run.order is not None and run.order.target_ms and run.figure >= 0
+            if run.order is not None and run.order.target_ms and run.measurement >= 0
         ]
         self._pace.update(
             tails, self.registry.filling_usage(), now(), self.registry.filling_demand()
         )
         for run in runs:
-            if run.order is None or not run.order.fills or run.phase is not RunPhase.RUNNING:
+            if run.order is None or not run.order.best_effort or run.phase is not RunPhase.RUNNING:
                 continue
             percent = self._pace.percent(run.order.image)
             # Small changes are skipped to save calls, except to a full stop or full speed.
-            last_step = percent in (0, 100) and percent != run.paced
-            if abs(run.paced - percent) >= MIN_PACE_CHANGE_PERCENT or last_step:
+            reaches_limit = percent in (0, 100) and percent != run.pace_percent
+            if abs(run.pace_percent - percent) >= MIN_PACE_CHANGE_PERCENT or reaches_limit:
                 self._record_pace(run, percent)
                 self._spawn(self._set_pace(run, percent))
 
     async def _apply_initial_pace(self, run: RunnerRun, order: StartOrder) -> None:
-        """Slow a new filling run at once, instead of running at full speed until the next list."""
-        if order.fills:
+        """Throttle a new best-effort run at once instead of after the next list."""
+        if order.best_effort:
             self._pace.begin(order.image, self.registry.filling_demand())
         percent = self._pace.percent(order.image)
-        if order.fills and percent < run.paced:
+        if order.best_effort and percent < run.pace_percent:
             self._record_pace(run, percent)
             await self._set_pace(run, percent)
 
@@ -502,15 +504,15 @@
             "pace",
             task=run.task,
             attempt=run.attempt,
-            before=run.paced,
+            before=run.pace_percent,
             percent=percent,
             worst=self._pace.worst,
         )
-        run.paced = percent
+        run.pace_percent = percent
 
     async def _set_pace(self, run: RunnerRun, percent: int) -> None:
         async with self._calls:
             found = await self._worker.pace(run.task, run.attempt, percent, self._token.value)
-        if isinstance(found, Err) and run.paced == percent:
+        if isinstance(found, Err) and run.pace_percent == percent:
             # The call may have taken effect; the next update sets the pace again.
-            run.paced = UNKNOWN_PACE
+            run.pace_percent = UNKNOWN_PACE
--- a/sapphirelead/runner_registry.py
+++ b/sapphirelead/runner_registry.py
@@ -23,10 +23,10 @@
 RunName = tuple[str, int]
 
 MAX_LISTED_ENDS: Final = 500
-"""Most outcomes in one list of the worker.  A run missing from a full list may still have ended."""
+"""Maximum number of outcomes in a list.  A run missing from a full list may still have ended."""
 
 MAX_REPORTED_ENDS: Final = 200
-"""Most outcomes in one report; the rest follow once these are stored."""
+"""Maximum number of outcomes in one report; the rest follow once these are stored."""
 
 
 UNKNOWN_PACE: Final = -1
@@ -52,9 +52,9 @@
     phase: RunPhase
     order: StartOrder | None = None
     percent: int = 0
-    figure: int = -1
+    measurement: int = -1
     saved: str = ""
-    paced: int = 100
+    pace_percent: int = 100
     stop_requested_at: float = 0.0
     stop_pending: bool = False
     stop_confirmed_at: float = 0.0
@@ -98,25 +98,29 @@
         used = NO_RESOURCES
         for run in self.runs.values():
             if run.order is not None:
-                used = used + run.order.room
+                used = used + run.order.resources
         return used
 
     def filling_usage(self) -> dict[str, float]:
-        """Return the share of the worker's processors that each filling image uses."""
+        """Return the share of the worker's processors that each best-effort image uses."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         used: dict[str, float] = {}
         for run in self.runs.values():
-            if run.order is not None and run.order.fills and run.phase is RunPhase.RUNNING:
-                share = max(run.figure, 0) / capacity
+            if run.order is not None and run.order.best_effort and run.phase is RunPhase.RUNNING:
+                share = max(run.measurement, 0) / capacity
                 used[run.order.image] = used.get(run.order.image, 0.0) + share
         return used
 
     def filling_demand(self) -> dict[str, float]:
-        """Return the share that each filling image would use at full pace."""
+        """Return the share that each best-effort image would use at full pace."""
         capacity = max(1, self.info.capacity.cpu_millicores)
         wanted: dict[str, float] = {}
         for run in self.runs.values():
-            if run.order is not None and run.order.fills and run.phase is not RunPhase.STOPPING:
+            if (
+                run.order is not None
+                and run.order.best_effort
+                and run.phase is not RunPhase.STOPPING
+            ):
                 share = CPU_USED_SHARE * run.order.cpu_millicores / capacity
                 wanted[run.order.image] = wanted.get(run.order.image, 0.0) + share
         return wanted
@@ -129,7 +133,7 @@
             if known is not None and known.order is None:
                 known.order = order
             return None
-        if not order.room.fits_in(self.info.capacity - self.used):
+        if not order.resources.fits_in(self.info.capacity - self.used):
             self.refuse(name, "no_room")
             return None
         if self.info.draining:
@@ -165,7 +169,7 @@
                 run = self.runs[name] = self._new_listed_run(name)
             self.started(run)
             run.percent = item.percent
-            run.figure = item.figure
+            run.measurement = item.measurement
             run.saved = item.saved
         new = self._record_listed_ends(view)
         if len(view.ended) < MAX_LISTED_ENDS:
@@ -177,7 +181,7 @@
 
         A run recorded as not started is stopped, because the leader may have restarted its task.
         """
-        run = RunnerRun(*name, RunPhase.RUNNING, paced=UNKNOWN_PACE)
+        run = RunnerRun(*name, RunPhase.RUNNING, pace_percent=UNKNOWN_PACE)
         if self.ends.pop(name, None) is not None:
             self._reported_ends.discard(name)
             run.phase = RunPhase.STOPPING
@@ -237,8 +241,8 @@
                     run.attempt,
                     run.phase,
                     run.percent,
-                    run.figure,
-                    run.paced,
+                    run.measurement,
+                    run.pace_percent,
                     saved,
                     run.order is not None,
                 )
--- a/sapphirelead/runner_service.py
+++ b/sapphirelead/runner_service.py
@@ -23,10 +23,10 @@
 from sapphirelead.node_messages import (
     AgentReport,
     AnyNodeMessage,
-    Leads,
+    LeaderAnnouncement,
+    LeaderQuery,
     Orders,
     RunPhase,
-    WhoLeads,
     WorkerInfo,
 )
 from sapphirelead.node_ports import CallFailure, RunWorker
@@ -80,7 +80,7 @@
     _last_query_at: float
     _last_directory_read_at: float
     _entries_version: int
-    _orders: int
+    _last_orders_number: int
     _life: RunnerLife | None
     _life_task: "asyncio.Task[None] | None"
     _gone_workers: list[str]
@@ -120,7 +120,7 @@
         self._last_query_at = -1e9
         self._last_directory_read_at = -1e9
         self._entries_version = 0
-        self._orders = 0
+        self._last_orders_number = 0
         self._life = None
         self._life_task = None
         self._gone_workers = []
@@ -284,9 +284,9 @@
             if self._leader:
                 self._report()
             reported_at = now()
-            await self._pause(reported_at)
+            await self._wait_for_next_report(reported_at)
 
-    async def _pause(self, reported_at: float) -> None:
+    async def _wait_for_next_report(self, reported_at: float) -> None:
         """Wait until the next report may be sent."""
         while True:
             unprocessed = max(0, self._report_seq - self._processed_seq - 1)
@@ -304,17 +304,17 @@
             except TimeoutError:
                 return
 
-    def _record_processed(self, beat: int) -> None:
+    def _record_processed(self, report_number: int) -> None:
         """Record the newest report that the leader has processed."""
-        if beat > self._processed_seq:
-            self._processed_seq = beat
+        if report_number > self._processed_seq:
+            self._processed_seq = report_number
             self._report_processed.set()
 
     def _find_leader(self, at: float) -> None:
         if at - self._last_query_at < LEADER_QUERY_INTERVAL_S:
             return
         self._last_query_at = at
-        self._links.send_all(WhoLeads(self.name))
+        self._links.send_all(LeaderQuery(self.name))
         reading = self._directory_read is not None and not self._directory_read.done()
         if at - self._last_directory_read_at >= DIRECTORY_READ_INTERVAL_S and not reading:
             self._last_directory_read_at = at
@@ -326,7 +326,7 @@
         if isinstance(found, Err):
             return
         self._links.set_entries(found.ok_value)
-        self._links.send_all(WhoLeads(self.name))
+        self._links.send_all(LeaderQuery(self.name))
 
     def _report(self) -> None:
         life = self._life
@@ -336,7 +336,7 @@
         if full:
             self._last_full_report_at = now()
         worker = life.registry.info if life is not None else None
-        if life is not None and (life.over or life.silent):
+        if life is not None and (life.has_ended or life.not_responding):
             gone.append(life.registry.info.worker)
             worker = None
         report = AgentReport(
@@ -350,7 +350,7 @@
             life.registry.statuses(full) if life is not None and worker is not None else [],
             life.registry.report_ends(full) if life is not None else [],
             tuple(gone),
-            self._orders,
+            self._last_orders_number,
         )
         self._lease.sent(self._report_seq, awake_now())
         if not self._links.send(self._leader, report):
@@ -361,12 +361,17 @@
         match message:
             case Orders():
                 self._on_orders(message)
-            case Leads():
+            case LeaderAnnouncement():
                 self._on_leads(message)
             case _:
-                log_event("WARNING", "message_unexpected", kind=type(message).__name__, peer=name)
-
-    def _on_leads(self, message: Leads) -> None:
+                log_event(
+                    "WARNING",
+                    "message_unexpected",
+                    kind=str(message.__struct_config__.tag),
+                    peer=name,
+                )
+
+    def _on_leads(self, message: LeaderAnnouncement) -> None:
         if not message.leader or message.epoch < self._epoch:
             return
         if (message.epoch, message.leader) != (self._epoch, self._leader):
@@ -379,7 +384,7 @@
             # A new leader needs a full report: it knows only what is stored.
             self._last_full_report_at = -1e9
             # Order numbers are per leader.
-            self._orders = 0
+            self._last_orders_number = 0
             self._record_processed(self._report_seq)
         self._epoch = epoch
         self._leader = leader
@@ -389,17 +394,17 @@
             return
         self._follow(orders.epoch, orders.leader)
         self._last_orders_at = now()
-        self._orders = orders.number
-        self._record_processed(orders.after_beat)
-        if orders.beat:
-            self._lease.acknowledged(orders.beat)
+        self._last_orders_number = orders.number
+        self._record_processed(orders.based_on_report)
+        if orders.report_number:
+            self._lease.acknowledged(orders.report_number)
         if orders.entries is not None:
             self._links.set_entries(orders.entries)
             self._entries_version = orders.entries_version
         life = self._life
         if life is None or life.registry.info.worker != orders.worker:
             return
-        life.learn_interference(orders.press)
+        life.learn_interference(orders.interference)
         for task, attempt in orders.stored:
             life.stored((task, attempt))
         # Stops never become stale: they are final for an attempt, and a rerun is a new attempt.
@@ -411,7 +416,7 @@
             # Shutdown would interrupt the calls; the leader repeats the orders to the next process.
             log_event("INFO", "starts_left", starts=len(orders.starts))
             return
-        if not self._lease.allows_starts(orders.after_beat, awake_now()):
+        if not self._lease.allows_starts(orders.based_on_report, awake_now()):
             self._record_stale_starts(orders)
             return
         for start in orders.starts:
@@ -428,8 +433,8 @@
             "WARNING",
             "orders_stale",
             starts=self._stale_starts,
-            after_beat=orders.after_beat,
-            age_s=self._lease.report_age(orders.after_beat, awake_now()),
+            after_beat=orders.based_on_report,
+            age_s=self._lease.report_age_s(orders.based_on_report, awake_now()),
             lease_left_s=self._lease.remaining_s(awake_now()),
         )
         self._stale_starts = 0
--- a/sapphirelead/sched_baseline_speed.py
+++ b/sapphirelead/sched_baseline_speed.py
@@ -1,7 +1,7 @@
 """Baseline speeds of steps, measured on other workers than the suspected one.
 
-Tells slow workers from wrong estimates: a worker is slow only if other runs of the step are faster
-elsewhere, or if there are none to compare with.
+Distinguishes slow workers from wrong estimates: a worker is slow only if other runs of the step
+are faster elsewhere, or if there are none to compare with.
 """
 
 from sapphirelead.sched_core import Scheduler
@@ -29,7 +29,7 @@
 def _rough_speed(run: Run) -> float | None:
     """Return the speed of a run, ``None`` if it is throttled, stalled or without progress."""
     watch = run.watch
-    paced = run.step.fills and run.paced < 100
+    paced = run.step.fills and run.pace_percent < 100
     if paced or run.stop_wanted or not watch.gained or watch.stalled:
         return None
     return watch.gained / 100 * run.step.estimate_ms / 1000 / watch.watched_s
--- a/sapphirelead/sched_consolidate.py
+++ b/sapphirelead/sched_consolidate.py
@@ -21,13 +21,13 @@
 """Workers with more long-running tasks are not emptied."""
 
 MIN_SHORTAGE_SHARE: Final = 0.15
-"""Least share of the fleet's CPU that best-effort tasks must lack."""
+"""Minimum share of the fleet's CPU that best-effort tasks must lack."""
 
 COOLDOWN_S: Final = 3.0
-"""Least time between emptying two workers."""
+"""Minimum time between emptying two workers."""
 
 MIN_STAY_S: Final = 12.0
-"""Least time between two moves of a task."""
+"""Minimum time between two moves of a task."""
 
 READY_PERCENT: Final = 100
 
@@ -37,12 +37,12 @@
 
     _acted_at: float
     _tried: set[str]
-    _moved: dict[tuple[str, int, int, int], float]
+    _moved_at: dict[tuple[str, int, int, int], float]
 
     def __init__(self) -> None:
         self._acted_at = -1e9
         self._tried = set()
-        self._moved = {}
+        self._moved_at = {}
 
     def review(
         self, sched: Scheduler, wanted_cpu: int, at: float, budget: Budget | None = None
@@ -58,13 +58,13 @@
         if wanted_cpu < MIN_SHORTAGE_SHARE * sum(instance.capacity_cpu for instance in live):
             self._tried.clear()
             return
-        tried = 0
+        checked = 0
         for instance in sorted(live, key=lambda item: item.lasting_cpu / max(1, item.capacity_cpu)):
             if instance.agent in self._tried:
                 continue
-            if tried and budget is not None and budget.spent:
+            if checked and budget is not None and budget.spent:
                 return
-            tried += 1
+            checked += 1
             self._tried.add(instance.agent)
             runs = [run for run in instance.runs.values() if run.step.lasting]
             if not runs or not self._can_evict(sched, instance, runs, at):
@@ -85,7 +85,7 @@
 
     def _evict(self, sched: Scheduler, instance: Instance, runs: list[Run], at: float) -> None:
         for run in runs:
-            self._moved[run.ref] = at
+            self._moved_at[run.ref] = at
             sched.avoid[run.ref] = frozenset({instance.agent})
             sched.stop(run, "consolidate")
 
@@ -101,21 +101,21 @@
         return all(self._may_move(sched, run, at) for run in runs)
 
     def _may_move(self, sched: Scheduler, run: Run, at: float) -> bool:
-        if run.stop_wanted or at - self._moved.get(run.ref, -1e9) < MIN_STAY_S:
+        if run.stop_wanted or at - self._moved_at.get(run.ref, -1e9) < MIN_STAY_S:
             return False
         job = sched.jobs.get(run.ref.job_id)
         if job is None or not job.open:
             return False
         # All tasks of the step have to be ready, so that at most one is away at a time.
         others = job.occurrences[run.ref.occurrence].tasks[run.ref.step]
-        at_work = sum(
+        ready = sum(
             1
             for other in sched.fleet.runs.values()
             if other.ref[:3] == run.ref[:3]
             and other.phase is Phase.RUNNING
             and other.percent >= READY_PERCENT
         )
-        return at_work == len(others)
+        return ready == len(others)
 
 
 def _fits_elsewhere(
--- a/sapphirelead/sched_core.py
+++ b/sapphirelead/sched_core.py
@@ -24,10 +24,10 @@
 )
 from sapphirelead.sched_advice import TicketTable
 from sapphirelead.sched_cancels import CancelLatency
+from sapphirelead.sched_feasibility import InfeasibleCache
 from sapphirelead.sched_fleet import Fleet, Instance, Phase, Run, RunKey
 from sapphirelead.sched_interference_guard import GuardedInterferenceModel
 from sapphirelead.sched_job import EndEffect, EndKind, Job, JobDelta, JobState, TaskRef
-from sapphirelead.sched_room import InfeasibleCache
 from sapphirelead.sched_spec import JobSpec, QueuePolicy, StepSpec
 from sapphirelead.sched_timing import HEAD_LEASE_S, Bounds
 
@@ -72,7 +72,11 @@
     :ivar visible_states: stored states, as reported to callers.
     :ivar effects: callbacks to run once the next batch is stored.
     :ivar unstored_ends: runs whose end has been reported but not stored.
-    :ivar avoid: agents on which a task has failed or did not start.
+    :ivar ready_since: when each ready step became ready.
+    :ivar retry_at: when a best-effort step that found no room is tried again.
+    :ivar avoid: agents on which a task failed, did not start or was slow, or from which it was
+        moved away.
+    :ivar moves: number of times that a slow task was moved or duplicated.
     """
 
     jobs: dict[str, Job]
@@ -93,10 +97,10 @@
     _answers: dict[str, list[Answer]]
     ready_since: dict[tuple[str, int, int], float]
     retry_at: dict[tuple[str, int, int], float]
-    no_room: InfeasibleCache
+    infeasible_cache: InfeasibleCache
     avoid: dict[TaskRef, frozenset[str]]
     moves: dict[TaskRef, int]
-    press: GuardedInterferenceModel
+    interference: GuardedInterferenceModel
     cancel_latency: CancelLatency
 
     def __init__(
@@ -113,10 +117,10 @@
         self.visible_states = {}
         self.ready_since = {}
         self.retry_at = {}
-        self.no_room = InfeasibleCache()
+        self.infeasible_cache = InfeasibleCache()
         self.avoid = {}
         self.moves = {}
-        self.press = GuardedInterferenceModel()
+        self.interference = GuardedInterferenceModel()
         self.cancel_latency = cancel_latency or CancelLatency(Metrics(lambda: at), lambda: at)
         self._dirty = {}
         self._unstored = set()
@@ -240,7 +244,7 @@
     def end_runs_of_lost_agents(self, at: float) -> None:
         """End the runs of agents whose lease has certainly expired."""
         for instance in list(self.fleet.instances.values()):
-            since = max(instance.renewed_at, instance.heard_at)
+            since = max(instance.renewed_at, instance.last_report_at)
             if not instance.runs or at - since <= self.bounds.loss_s:
                 continue
             log_event(
@@ -248,7 +252,7 @@
                 "agent_lost",
                 agent=instance.agent,
                 runs=len(instance.runs),
-                silent_s=at - instance.heard_at,
+                silent_s=at - instance.last_report_at,
                 since_renewal_s=at - instance.renewed_at,
             )
             instance.worker = None
@@ -271,7 +275,7 @@
         return run
 
     def add_tentative_run(self, job: Job, ref: TaskRef, instance: Instance, attempt: int) -> Run:
-        """Reserve resources for a run without a claim, to test whether a gang fits.
+        """Reserve resources for a run without a claim, to test whether several tasks fit together.
 
         The caller must drop the run afterwards.
         """
@@ -398,7 +402,7 @@
         return batch
 
     def evict_ended(self, wall_ms: int) -> None:
-        """Delete jobs whose retention period after their end has expired."""
+        """Delete jobs without claims that ended more than twice the retention period ago."""
         keep_ms = int(self.bounds.keep_ended_s * 1000) * 2
         running = []
         while self._ended and wall_ms - self._ended[0][0] >= keep_ms:
@@ -411,7 +415,7 @@
             self.visible_states.pop(job_id, None)
             self._dirty.pop(job_id, None)
             self._removed.add(job_id)
-            self.press.forget(job_id)
+            self.interference.forget(job_id)
         for ended in running:
             heappush(self._ended, ended)
 
--- a/sapphirelead/sched_fleet.py
+++ b/sapphirelead/sched_fleet.py
@@ -19,11 +19,11 @@
 RunKey = tuple[TaskRef, int]
 
 DEFAULT_LASTING_CPU_SHARE: Final = 0.6
-"""Assumed CPU utilization of a lasting task until its load is known.  An underestimate only slows
-filling tasks."""
+"""Assumed CPU utilization of a long-running task until its load is known.  An underestimate only
+slows best-effort tasks."""
 
 MIN_COUNTED_PACE_PERCENT: Final = 70
-"""Minimum pace assumed for the CPU use of a filling task, since its pace can rise again."""
+"""Minimum pace assumed for the CPU use of a best-effort task, since its pace can rise again."""
 
 
 class Phase(StrEnum):
@@ -48,11 +48,11 @@
     :ivar percent: latest progress; -1 before the first report.
     :ivar watch: observed progress.
     :ivar reviewed_at: time of the report by which its speed was last reviewed.
-    :ivar figure: reported tail latency of a serving task in milliseconds, or CPU use of another
-        task in millicores; -1 if unknown.
-    :ivar paced: pace in percent; -1 if unknown.
+    :ivar measurement: reported tail latency of a latency-critical task in milliseconds, or CPU use
+        of another task in millicores; -1 if unknown.
+    :ivar pace_percent: pace in percent; -1 if unknown.
     :ivar stop_wanted: a stop has been requested; sent again until the run has ended.
-    :ivar load: estimated CPU utilization of a lasting task, from its latest tail latency.
+    :ivar load: estimated CPU utilization of a long-running task, from its latest tail latency.
     """
 
     ref: TaskRef
@@ -70,8 +70,8 @@
     percent: int = -1
     watch: RunWatch = field(default_factory=RunWatch)
     reviewed_at: float = 0.0
-    figure: int = -1
-    paced: int = 100
+    measurement: int = -1
+    pace_percent: int = 100
     stop_wanted: bool = False
     stop_reason: str = ""
     slow_noted: bool = False
@@ -84,8 +84,8 @@
 
     @property
     def has_tail_latency(self) -> bool:
-        """Whether it is a running serving task whose tail latency has been reported."""
-        return self.step.target_ms > 0 and self.figure >= 0 and self.phase is Phase.RUNNING
+        """Whether it is a running latency-critical task whose tail latency has been reported."""
+        return self.step.target_ms > 0 and self.measurement >= 0 and self.phase is Phase.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
     """Report of a previous agent process, received while the current one is unresponsive."""
 
     boot: str
-    beat: int
+    report_number: int
     at: float
 
 
@@ -103,36 +103,36 @@
 
     :ivar boot: id of the agent process.
     :ivar worker: ``None`` while no worker is known to be alive.
-    :ivar heard_at: when its last report arrived.
+    :ivar last_report_at: when its last report arrived.
     :ivar unsent_at: when sending orders to it last failed for lack of a connection.
     :ivar renewed_at: when its lease was last renewed; after a leader change the latest time, which
         may be in the future, at which the previous leader can have renewed it.
     :ivar answered_at: when this leader last acknowledged a report.
-    :ivar answered_beat: number of the last report covered by orders sent to it.
+    :ivar answered_report_number: number of the last report covered by orders sent to it.
     :ivar listed_at: when its last full report arrived.
-    :ivar beat: number of its last report.
+    :ivar report_number: number of its last report.
     :ivar orders_sent: number of the last orders message sent to it.
     :ivar leaves_at: earliest time at which a draining worker leaves; 0 if it is not draining.
     :ivar changes: version of the runs and the last report, for caching derived values.
     :ivar old_boots: ids of previous agent processes.
     :ivar returning_boot: set while a previous agent process may still be alive.
     :ivar used: resources occupied by its runs.
-    :ivar fill_cpu: CPU requested by filling tasks, in millicores.
+    :ivar fill_cpu: CPU requested by best-effort tasks, in millicores.
     :ivar serving: number of runs with a latency target.
-    :ivar lasting: number of runs of lasting tasks.
-    :ivar lasting_cpu: CPU requested by lasting tasks, in millicores.
+    :ivar lasting: number of runs of long-running tasks.
+    :ivar lasting_cpu: CPU requested by long-running tasks, in millicores.
     """
 
     agent: str
     boot: str = ""
     worker: WorkerInfo | None = None
-    heard_at: float = 0.0
+    last_report_at: float = 0.0
     unsent_at: float = -1e9
     renewed_at: float = 0.0
     answered_at: float = -1e9
-    answered_beat: int = 0
+    answered_report_number: int = 0
     listed_at: float = 0.0
-    beat: int = 0
+    report_number: int = 0
     orders_sent: int = 0
     entries_version: int = 0
     leaves_at: float = 0.0
@@ -152,7 +152,7 @@
     @property
     def reachable(self) -> bool:
         """Whether it has reported since sending orders to it last failed."""
-        return self.unsent_at < self.heard_at
+        return self.unsent_at < self.last_report_at
 
     @property
     def rack(self) -> str:
@@ -182,14 +182,14 @@
 
     @property
     def spare_cpu(self) -> int:
-        """Estimated CPU available to another filling task, in millicores."""
+        """Estimated CPU available to another best-effort task, in millicores."""
         if self._unused_version != self.changes:
             self._unused_version = self.changes
             self._unused_cpu = self._unused_lasting_cpu() - self._used_fill_cpu()
         return self.free_cpu + self._unused_cpu
 
     def _unused_lasting_cpu(self) -> int:
-        """Return the CPU that lasting tasks requested but are estimated not to use."""
+        """Return the CPU that long-running tasks requested but are estimated not to use."""
         return sum(
             int(run.step.cpu_millicores * (1 - run.load))
             for run in self.runs.values()
@@ -197,20 +197,20 @@
         )
 
     def _used_fill_cpu(self) -> int:
-        """Return the estimated CPU use of filling tasks at their current pace."""
+        """Return the estimated CPU use of best-effort tasks at their current pace."""
         return sum(
-            run.step.cpu_millicores * max(run.paced, MIN_COUNTED_PACE_PERCENT) // 100
+            run.step.cpu_millicores * max(run.pace_percent, MIN_COUNTED_PACE_PERCENT) // 100
             for run in self.runs.values()
             if run.step.fills
         )
 
     @property
     def unseen_fill_cpu(self) -> int:
-        """CPU requested by filling tasks that no report has measured yet, in millicores."""
+        """CPU requested by best-effort tasks that no report has measured yet, in millicores."""
         return sum(
             run.step.cpu_millicores
             for run in self.runs.values()
-            if run.step.fills and run.figure <= 0
+            if run.step.fills and run.measurement <= 0
         )
 
     def add(self, run: Run) -> None:
