--- a/sapphirelead/sched_interference_guard.py
+++ b/sapphirelead/sched_interference_guard.py
@@ -8,7 +8,7 @@
 from typing import Final, TypeVar
 
 from sapphirelead.logs import log_event
-from sapphirelead.node_messages import ServingPress
+from sapphirelead.node_messages import InterferenceEstimate
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_interference import InterferenceModel
 
@@ -30,16 +30,16 @@
         self.model = InterferenceModel()
 
     def learn(self, instance: Instance, at: float) -> None:
-        """Learn from the tail latencies of an instance's newest report."""
+        """Update the estimates from the tail latencies of an instance's newest report."""
         self._guard("learn", lambda: self.model.learn(instance, at), None)
 
     def knows(self, filling: str) -> bool:
         """Return whether the interference of a best-effort image is known for any image."""
         return self._guard("knows", lambda: self.model.knows(filling), False)
 
-    def pair_weights_on(self, instance: Instance) -> list[ServingPress]:
+    def pair_weights_on(self, instance: Instance) -> list[InterferenceEstimate]:
         """Return the weights of the pairs of images on an instance."""
-        nothing: list[ServingPress] = []
+        nothing: list[InterferenceEstimate] = []
         return self._guard("press_on", lambda: self.model.pair_weights_on(instance), nothing)
 
     def pace_beside(self, instance: Instance, image: str, cpu_millicores: int) -> float:
@@ -62,10 +62,10 @@
         """Drop the readings of a job."""
         self._guard("forget", lambda: self.model.forget(job_id), None)
 
-    def _guard(self, what: str, ask: Callable[[], R], otherwise: R) -> R:
+    def _guard(self, operation: str, call: Callable[[], R], default: R) -> R:
         try:
-            return ask()
+            return call()
         except Exception as exc:
-            log_event("ERROR", "press_model_reset", doing=what, reason=repr(exc))
+            log_event("ERROR", "press_model_reset", doing=operation, reason=repr(exc))
             self.model = InterferenceModel()
-            return otherwise
+            return default
--- a/sapphirelead/sched_place.py
+++ b/sapphirelead/sched_place.py
@@ -28,7 +28,7 @@
 """Time after a failure before a starving job may use an unsound worker."""
 
 MIN_PACE: Final = 0.8
-"""Least expected pace at which a best-effort task is placed beside latency-critical tasks."""
+"""Minimum expected pace at which a best-effort task is placed beside latency-critical tasks."""
 
 LOW_INTERFERENCE_PACE: Final = 0.9
 """Expected pace from which on a best-effort task is preferably placed beside latency-critical
@@ -55,7 +55,7 @@
     :ivar tickets: tickets by worker, or ``None`` if the queue needs no advice.
     :ivar starving: the job has had nothing running for a while; best-effort tasks then need no
         spare CPU.
-    :ivar press: interference model, or ``None`` to ignore interference.
+    :ivar interference: interference model, or ``None`` to ignore interference.
     :ivar tasks: number of tasks of the step to place.
     """
 
@@ -63,28 +63,28 @@
     service: str
     tickets: dict[str, str] | None = None
     starving: bool = False
-    press: GuardedInterferenceModel | None = None
+    interference: GuardedInterferenceModel | None = None
     tasks: int = 1
 
     def pace(self, instance: Instance) -> float:
         """Return the expected pace of one more task on ``instance``, from 0 to 1."""
-        if self.press is None or not instance.serving:
+        if self.interference is None or not instance.serving:
             return 1.0
-        return self.press.pace_beside(instance, self.step.image, self.step.cpu_millicores)
+        return self.interference.pace_beside(instance, self.step.image, self.step.cpu_millicores)
 
     def gets_pace(self, instance: Instance, min_pace: float) -> bool:
         """Return whether the expected pace of one more task is at least ``min_pace``."""
-        if self.press is None or not instance.serving:
+        if self.interference is None or not instance.serving:
             return True
         step = self.step
-        return self.press.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
+        return self.interference.gives_pace(instance, step.image, step.cpu_millicores, min_pace)
 
 
 def accepts_work(instance: Instance, starving: bool, at: float) -> bool:
     """Return whether ``instance`` accepts tasks, by its reports and its failure record."""
     if instance.worker is None or instance.worker.draining:
         return False
-    if at - instance.heard_at > REPORT_TIMEOUT_S or not instance.reachable:
+    if at - instance.last_report_at > REPORT_TIMEOUT_S or not instance.reachable:
         return False
     if starving:
         # The job has to run somewhere even if every worker is unsound.
@@ -93,7 +93,7 @@
         return False
     # A worker on trial gets one run at a time.
     track = instance.track
-    return not (track.on_trial and instance.newest_claim_at >= track.paused_until)
+    return not (track.on_trial and instance.newest_claim_at >= track.cooldown_until)
 
 
 def is_eligible(instance: Instance, request: PlacementRequest, at: float) -> bool:
@@ -175,8 +175,8 @@
     pace = min(request.pace(instance), LOW_INTERFERENCE_PACE)
     light = (
         pace >= LOW_INTERFERENCE_PACE
-        and request.press is not None
-        and request.press.knows(request.step.image)
+        and request.interference is not None
+        and request.interference.knows(request.step.image)
     )
     return 2.0 if light else pace
 
--- a/sapphirelead/sched_planner.py
+++ b/sapphirelead/sched_planner.py
@@ -1,9 +1,8 @@
 """Selects the tasks to start, their order and their workers.
 
-Ready steps are placed by queue priority, then by the slack left against the job's objective.  Each
-pass tries every ready step once, so a wide step that does not fit does not block smaller ones.
-A pass that exceeds its time budget continues in later calls
-(:mod:`sapphirelead.sched_scan_order`).
+Ready steps are placed by queue priority, then by the slack to the job's objective.  Each pass tries
+every ready step once, so a wide step that does not fit does not block smaller ones.  A pass that
+exceeds its time budget continues in later calls (:mod:`sapphirelead.sched_scan_order`).
 
 Best-effort tasks are those of steps with ``fills``, long-running tasks those of steps with
 ``lasting``.
@@ -18,10 +17,10 @@
 from sapphirelead.sched_advice import StepKey
 from sapphirelead.sched_choice import PlacementHeap
 from sapphirelead.sched_core import Scheduler
+from sapphirelead.sched_feasibility import FeasibleWorkers, Kind
 from sapphirelead.sched_fleet import Instance
 from sapphirelead.sched_job import Job, Occurrence, TaskRef
 from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
-from sapphirelead.sched_room import FeasibleWorkers, Kind
 from sapphirelead.sched_scan_order import Budget, ScanOrder
 from sapphirelead.sched_spec import QueuePolicy, StepSpec, chain_ms
 
@@ -71,11 +70,11 @@
 
     @property
     def remaining_core_s(self) -> float:
-        """Estimated work left in the occurrence, in core-seconds."""
+        """Estimated remaining work of the occurrence, in core-seconds."""
         steps = self.job.spec.steps
         return sum(
-            left * step.cpu_millicores * step.estimate_ms / 1e6
-            for left, step in zip(self.occurrence.left, steps, strict=True)
+            unfinished * step.cpu_millicores * step.estimate_ms / 1e6
+            for unfinished, step in zip(self.occurrence.unfinished, steps, strict=True)
         )
 
     @property
@@ -109,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceAsk:
+class AdviceRequest:
     """A request to the advice service for tickets of a step."""
 
     key: StepKey
@@ -117,15 +116,17 @@
     policy: QueuePolicy
 
 
-def slack_s(job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall: int) -> float:
+def slack_s(
+    job: Job, occurrence: Occurrence, number: int, policy: QueuePolicy, wall_ms: int
+) -> float:
     """Return how long the step can wait without missing its job's objective, in seconds."""
     spec = job.spec
     begin_ms = spec.accepted_ms
     if spec.occurrences:
         begin_ms = spec.first_due_ms + occurrence.number * spec.interval_ms
-    rest = chain_ms(spec.steps)
-    objective_ms = policy.stretch * max(rest) + policy.slack_ms
-    return (begin_ms + objective_ms - wall - rest[number]) / 1000
+    remaining_ms = chain_ms(spec.steps)
+    objective_ms = policy.stretch * max(remaining_ms) + policy.slack_ms
+    return (begin_ms + objective_ms - wall_ms - remaining_ms[number]) / 1000
 
 
 def ready_steps(sched: Scheduler, at: float, wall_ms: int) -> list[ReadyStep]:
@@ -144,7 +145,7 @@
             if occurrence.done:
                 continue
             for number, step in enumerate(job.spec.steps):
-                if occurrence.left[number] == 0 or not occurrence.step_ready(step):
+                if occurrence.unfinished[number] == 0 or not occurrence.step_ready(step):
                     continue
                 key = (job.spec.job_id, occurrence.number, number)
                 if at < sched.retry_at.get(key, 0.0):
@@ -183,27 +184,27 @@
 
 def plan(
     sched: Scheduler, at: float, wall_ms: int, scan_order: ScanOrder | None = None
-) -> list[AdviceAsk]:
+) -> list[AdviceRequest]:
     """Claim workers for the tasks that can start; return requests for the advice service.
 
     :param scan_order: holds the time budget; without it every step is scanned.
     """
     scan_order = scan_order or ScanOrder()
     add_due_occurrences(sched, wall_ms)
-    questions: list[AdviceAsk] = []
+    requests: list[AdviceRequest] = []
     candidates = _candidates(sched, at, wall_ms)
     live = list(sched.fleet.live())
     if candidates:
-        sched.no_room.begin(live, at)
+        sched.infeasible_cache.begin(live, at)
     plain = ((item.kind, item.ready.step) for item in candidates if item.tickets is None)
-    feasible = FeasibleWorkers(sched.no_room, plain, sched.press, at)
+    feasible = FeasibleWorkers(sched.infeasible_cache, plain, sched.interference, at)
     for item in scan_order.order(
         candidates, sched.ready_since, at, partial(_has_new_room, feasible)
     ):
         ready = item.ready
         scan_order.mark_scanned(ready.key, at)
         if ready.policy.advice is not None:
-            questions.extend(_advice_request(sched, ready, at))
+            requests.extend(_advice_request(sched, ready, at))
         places = _places(sched, item, feasible) if item.tickets is None else live
         if not places:
             if ready.step.fills:
@@ -214,7 +215,7 @@
             ready.policy.service,
             item.tickets,
             item.starving,
-            sched.press,
+            sched.interference,
             len(ready.tasks),
         )
         if ready.step.gang:
@@ -223,8 +224,8 @@
             eligible = _eligible(places, request, at)
             all_placed = _place_tasks(sched, ready, eligible, request, at, scan_order.budget)
             if not all_placed and item.tickets is None:
-                sched.no_room.record_infeasible(item.kind, ready.step)
-    return questions
+                sched.infeasible_cache.record_infeasible(item.kind, ready.step)
+    return requests
 
 
 def _candidates(sched: Scheduler, at: float, wall_ms: int) -> list[Candidate]:
@@ -263,7 +264,7 @@
         # A step of the same job was placed earlier in this pass, which ended the starvation.
         # ``feasible`` was computed without this step among those of its new kind.
         item.starving = False
-        return sched.no_room.places(item.kind, item.ready.step)
+        return sched.infeasible_cache.places(item.kind, item.ready.step)
     return feasible.places(item.kind, item.ready.step)
 
 
@@ -298,14 +299,14 @@
     """Return the CPU that best-effort tasks lack, waiting or throttled, in millicores."""
     waiting = sum(step.cpu_millicores * tasks for step, tasks in waiting_tasks(sched) if step.fills)
     paced = sum(
-        run.step.cpu_millicores * (100 - max(0, run.paced)) // 100
+        run.step.cpu_millicores * (100 - max(0, run.pace_percent)) // 100
         for run in sched.fleet.runs.values()
         if run.step.fills
     )
     return waiting + paced
 
 
-def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceAsk]:
+def _advice_request(sched: Scheduler, ready: ReadyStep, at: float) -> list[AdviceRequest]:
     workers = [
         instance.worker.worker
         for instance in sched.fleet.live()
@@ -314,7 +315,7 @@
         and not instance.worker.draining
     ]
     wanted = sched.advice.start_request(ready.key, workers, at)
-    return [AdviceAsk(ready.key, wanted, ready.policy)] if wanted else []
+    return [AdviceRequest(ready.key, wanted, ready.policy)] if wanted else []
 
 
 def _place_tasks(
--- a/sapphirelead/sched_scan_order.py
+++ b/sapphirelead/sched_scan_order.py
@@ -14,7 +14,7 @@
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S
 
 RESCAN_INTERVAL_S: Final = HEARTBEAT_INTERVAL_S
-"""Least time between two scans of a step in rank order while passes are truncated."""
+"""Minimum time between two scans of a step in rank order while passes are truncated."""
 
 
 class Ranked(Protocol):
@@ -77,7 +77,7 @@
         self._scanned = set()
 
     @property
-    def behind(self) -> bool:
+    def truncated(self) -> bool:
         """Whether the last call was truncated before it had scanned every step."""
         return bool(self._scanned_at)
 
@@ -97,9 +97,9 @@
         :param has_new_room: whether a step may fit on a worker that it has not been tried on.
         """
         self._scanned = set()
-        urgent = self.budget.half()
+        rank_budget = self.budget.half()
         for step in steps:
-            if self._scanned and urgent.spent:
+            if self._scanned and rank_budget.spent:
                 break
             scanned_at = self._scanned_at.get(step.key, -math.inf)
             if at - scanned_at >= RESCAN_INTERVAL_S or has_new_room(step):
@@ -110,7 +110,7 @@
         for step in rest:
             if len(self._scanned) > by_rank and self.budget.spent:
                 self.waited_s = at - self._waits_since(step, since)
-                self._forget_others(since)
+                self._forget_removed(since)
                 return
             yield step
         self.waited_s = 0.0
@@ -119,7 +119,7 @@
     def _waits_since(self, step: Ranked, since: Mapping[StepKey, float]) -> float:
         return self._scanned_at.get(step.key, since[step.key])
 
-    def _forget_others(self, since: Mapping[StepKey, float]) -> None:
+    def _forget_removed(self, since: Mapping[StepKey, float]) -> None:
         for key in [key for key in self._scanned_at if key not in since]:
             del self._scanned_at[key]
 
--- a/sapphirelead/sched_stragglers.py
+++ b/sapphirelead/sched_stragglers.py
@@ -11,29 +11,29 @@
 from sapphirelead.logs import log_event
 from sapphirelead.sched_baseline_speed import baseline_speeds
 from sapphirelead.sched_core import Scheduler
+from sapphirelead.sched_feasibility import Kind
 from sapphirelead.sched_fleet import Instance, Phase, Run
 from sapphirelead.sched_place import PlacementRequest, has_room, is_eligible
-from sapphirelead.sched_room import Kind
 from sapphirelead.sched_scan_order import Budget
 
 SLOW_SPEED_SHARE: Final = 0.4
 """A run is slow below this share of its expected speed."""
 MIN_OBSERVATION_S: Final = 0.9
-"""Least time for which a run is observed before its speed is judged."""
+"""Minimum time for which a run is observed before its speed is judged."""
 MIN_OBSERVATION_SHARE: Final = 0.25
-"""Least share of its estimate for which a run is observed."""
+"""Minimum share of its estimate for which a run is observed."""
 MIN_MOVE_GAIN: Final = 1.4
 """Factor by which a move must shorten the remaining time."""
 MAX_MOVES: Final = 3
-"""Most moves of one slow task."""
+"""Maximum number of moves of one slow task."""
 RESTART_DELAY_S: Final = 0.5
 """Typical time from the decision to the start on another worker."""
 LOW_PACE_PERCENT: Final = 70
 """A best-effort run that saves progress counts as throttled below this pace."""
-STALLED_PACE_PERCENT: Final = 25
-"""A best-effort run between this pace and full pace is not judged by its speed."""
+MAX_JUDGED_PACE_PERCENT: Final = 25
+"""A throttled best-effort run above this pace is not judged by its speed."""
 MAX_THROTTLED_MOVES: Final = 6
-"""Most moves of one throttled task."""
+"""Maximum number of moves of one throttled task."""
 MIN_SPEED: Final = 0.03
 """Lower bound of the speed in divisions."""
 
@@ -58,10 +58,12 @@
     :param baseline: speed of the step's runs on sound workers.
     """
     estimate_s = run.step.estimate_ms / 1000
-    left = (100 - run.percent) / 100
-    here_s = left * estimate_s / max(speed, MIN_SPEED)
+    remaining_share = (100 - run.percent) / 100
+    here_s = remaining_share * estimate_s / max(speed, MIN_SPEED)
     work_s = estimate_s / max(baseline, MIN_SPEED)
-    elsewhere_s = RESTART_DELAY_S + (left * work_s + restore_s if run.step.saves else work_s)
+    elsewhere_s = RESTART_DELAY_S + (
+        remaining_share * work_s + restore_s if run.step.saves else work_s
+    )
     return here_s > MIN_MOVE_GAIN * elsewhere_s
 
 
@@ -85,7 +87,7 @@
             run.reviewed_at = listed_at
     slow = _worth_moving(sched, suspects, at)
     if slow:
-        sched.no_room.begin(sched.fleet.live(), at)
+        sched.infeasible_cache.begin(sched.fleet.live(), at)
     slow.sort(key=lambda item: item[0].reviewed_at)
     for number, (run, speed) in enumerate(slow):
         if number and budget is not None and budget.spent:
@@ -115,12 +117,12 @@
 def _slow_speed(run: Run, listed_at: float, restore_s: float) -> float | None:
     """Return the speed of a run if it is slow, else ``None``."""
     if _throttled(run):
-        return run.paced / 100 if listed_at - run.running_at >= MIN_OBSERVATION_S else None
+        return run.pace_percent / 100 if listed_at - run.running_at >= MIN_OBSERVATION_S else None
     stalled = run.watch.stalled
-    if run.step.fills and run.paced < 0 and not stalled:
+    if run.step.fills and run.pace_percent < 0 and not stalled:
         # The pace is unknown after an agent's restart or a missing answer: it may be throttled.
         return None
-    if run.step.fills and STALLED_PACE_PERCENT < run.paced < 100:
+    if run.step.fills and MAX_JUDGED_PACE_PERCENT < run.pace_percent < 100:
         # Mildly throttled: the agent restores the pace when tail latencies allow it.
         return None
     speed = speed_of(run, restore_s)
@@ -137,7 +139,7 @@
     """
     running = run.phase is Phase.RUNNING and run.percent >= 0
     movable = run.step.fills and run.step.saves
-    return movable and running and 0 <= run.paced < LOW_PACE_PERCENT
+    return movable and running and 0 <= run.pace_percent < LOW_PACE_PERCENT
 
 
 def _mitigate(sched: Scheduler, run: Run, speed: float, at: float) -> None:
@@ -176,7 +178,7 @@
         agent=run.agent,
         speed=speed,
         percent=run.percent,
-        paced=run.paced,
+        paced=run.pace_percent,
         action=action,
         to=place.agent,
     )
@@ -186,7 +188,7 @@
     """Return whether the worker is at fault, not throttling or contention of best-effort tasks."""
     if not run.step.fills:
         return True
-    return run.paced >= 100 and instance.spare_cpu >= 0
+    return run.pace_percent >= 100 and instance.spare_cpu >= 0
 
 
 def _find_other_worker(sched: Scheduler, run: Run, at: float) -> Instance | None:
@@ -199,8 +201,10 @@
     if policy.advice is not None:
         tickets = sched.advice.valid(run.ref[:3], at)
     kind = Kind.of(run.step, policy.service)
-    places = sched.no_room.places(kind, run.step) if tickets is None else sched.fleet.live()
-    request = PlacementRequest(run.step, policy.service, tickets, press=sched.press)
+    places = (
+        sched.infeasible_cache.places(kind, run.step) if tickets is None else sched.fleet.live()
+    )
+    request = PlacementRequest(run.step, policy.service, tickets, interference=sched.interference)
     avoid = sched.avoid.get(run.ref, frozenset())
     best: Instance | None = None
     any_room = False
@@ -213,5 +217,5 @@
         if best is None or instance.spare_cpu > best.spare_cpu:
             best = instance
     if tickets is None and not any_room:
-        sched.no_room.record_infeasible(kind, run.step)
+        sched.infeasible_cache.record_infeasible(kind, run.step)
     return best
--- a/sapphirelead/sched_survey.py
+++ b/sapphirelead/sched_survey.py
@@ -1,6 +1,6 @@
 """Periodic summary of waiting and running tasks, for the log.
 
-Shows why jobs end late: no room, unsound workers, best-effort tasks throttled beside
+Shows why jobs end late: lack of room, unsound workers, best-effort tasks throttled beside
 latency-critical ones, or tail latencies over their targets.
 """
 
@@ -29,7 +29,7 @@
     :ivar used_cores: cores that they used by the newest reports.
     :ivar paced: mean pace that their agents allow them, in percent.
     :ivar over_target: latency-critical tasks whose tail latency is over its target.
-    :ivar tails: mean tail latency of these tasks as a share of its target, in percent.
+    :ivar tails: mean of all reported tail latencies as a share of their targets, in percent.
     """
 
     workers: int
@@ -50,7 +50,7 @@
     live = list(sched.fleet.live())
     running = [run for run in sched.fleet.runs.values() if run.phase is Phase.RUNNING]
     fills = [run for run in running if run.step.fills]
-    tails = [run.figure / run.step.target_ms for run in running if run.has_tail_latency]
+    tails = [run.measurement / run.step.target_ms for run in running if run.has_tail_latency]
     waiting = list(waiting_tasks(sched))
     return Survey(
         workers=len(live),
@@ -60,8 +60,8 @@
         others_waiting=sum(tasks for step, tasks in waiting if not step.fills),
         fills_running=len(fills),
         fill_cores=sum(run.step.cpu_millicores for run in fills) // 1000,
-        used_cores=sum(max(0, run.figure) for run in fills) // 1000,
-        paced=_mean([float(run.paced) for run in fills], 100),
+        used_cores=sum(max(0, run.measurement) for run in fills) // 1000,
+        paced=_mean([float(run.pace_percent) for run in fills], 100),
         over_target=sum(1 for tail in tails if tail > 1),
         tails=_mean([tail * 100 for tail in tails], 0),
     )
--- a/sapphirelead/wire_messages.py
+++ b/sapphirelead/wire_messages.py
@@ -4,7 +4,7 @@
 configuration version.  A receiver with an older version fetches the newer one before it makes
 decisions.
 
-Messages use three channels (lanes), each on its own connection, so that large answers do not delay
+Messages use three channels, each on its own connection, so that large answers do not delay
 heartbeats or small answers: ``control`` (all but requests and answers), ``data`` (service requests,
 and answers up to ``BULK_THRESHOLD_BYTES``) and ``bulk`` (larger answers).  An agent connects to all
 entries in its settings; an entry connects to the control channel of its peers.
@@ -20,7 +20,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, kw_only=True):
-    """Fields of every message."""
+    """Fields of every message; the tag on the wire is the class name unless ``tag`` is set."""
 
     sender: str
     incarnation: str
@@ -78,7 +78,7 @@
     throttled: int = 0
 
 
-class Beat(Message, frozen=True, kw_only=True):
+class Heartbeat(Message, frozen=True, kw_only=True, tag="Beat"):
     """Heartbeat, lease renewal request and load report.
 
     :ivar counter: increases with every heartbeat of this incarnation; committing it renews the
@@ -152,23 +152,23 @@
     event: Any
 
 
-class FateAnswer(Message, frozen=True, kw_only=True):
+class OutcomeAnswer(Message, frozen=True, kw_only=True, tag="FateAnswer"):
     """Outcome of a claim, as known to the agent.
 
-    :ivar fate: ``running``, ``completed`` or ``failed`` (a :class:`Completed` follows), ``stopped``
-        (a :class:`Checkpointed` follows), ``never_started`` (a delayed start will be rejected) or
-        ``lost``.
+    :ivar claim_outcome: ``running``, ``completed`` or ``failed`` (a :class:`Completed` follows),
+        ``stopped`` (a :class:`Checkpointed` follows), ``never_started`` (a delayed start will be
+        rejected) or ``lost``.
     """
 
     key: str
     epoch: int
-    fate: str
+    claim_outcome: str
 
 
 # Entry to agent, control channel.
 
 
-class BeatAck(Message, frozen=True, kw_only=True):
+class HeartbeatAck(Message, frozen=True, kw_only=True, tag="BeatAck"):
     """Acknowledges a heartbeat.
 
     :ivar committed: highest counter of this incarnation that is committed in the table; only this
@@ -233,7 +233,7 @@
     epoch: int
 
 
-class Fate(Message, frozen=True, kw_only=True):
+class OutcomeQuery(Message, frozen=True, kw_only=True, tag="Fate"):
     """Requests the outcome of a claim.
 
     :ivar claimed_by: incarnation in the claim.  Only that incarnation can know that the claim was
@@ -306,7 +306,7 @@
     slots: int = 0
 
 
-class AttemptFate(Message, frozen=True, kw_only=True):
+class AttemptOutcomeQuery(Message, frozen=True, kw_only=True, tag="AttemptFate"):
     """Requests the outcome of an attempt whose answer may have been lost with its connection.
 
     :ivar sent_to: incarnation to which the attempt was sent.  Only that one can know that the
@@ -325,34 +325,34 @@
     attempt: int
 
 
-class LaneHello(Message, frozen=True, kw_only=True):
+class ChannelHello(Message, frozen=True, kw_only=True, tag="LaneHello"):
     """First message and heartbeat of a data or bulk channel; the receiver replies with one."""
 
-    lane: str
+    channel: str
 
 
 AnyMessage = (
     Announce
-    | Beat
+    | Heartbeat
     | Accepted
     | Refused
     | Started
     | Completed
     | Checkpointed
     | WatchEvent
-    | FateAnswer
-    | BeatAck
+    | OutcomeAnswer
+    | HeartbeatAck
     | Offer
     | Start
     | Stop
     | EndAck
-    | Fate
+    | OutcomeQuery
     | Drain
     | ConfigPush
     | Nudge
     | ServiceRequest
     | ServiceAnswer
-    | AttemptFate
+    | AttemptOutcomeQuery
     | CancelAttempt
-    | LaneHello
+    | ChannelHello
 )
--- a/tests/process/test_node_links.py
+++ b/tests/process/test_node_links.py
@@ -8,8 +8,8 @@
     Call,
     CallKind,
     EntryAddress,
-    Leads,
-    WhoLeads,
+    LeaderAnnouncement,
+    LeaderQuery,
 )
 from sapphirelead.wire_sockets import make_context
 
@@ -30,20 +30,20 @@
         asked += 1
         if isinstance(message, Call):
             submits.append(message)
-        assert hub.send(identity, Leads(asked, "e1"))
+        assert hub.send(identity, LeaderAnnouncement(asked, "e1"))
 
     def on_link(name: str, message: AnyNodeMessage) -> None:
         nonlocal answered
         answered += 1
         if answered % 3 == 0:
-            links.send(name, WhoLeads("extra"))
+            links.send(name, LeaderQuery("extra"))
 
     hub = Hub(ctx, "127.0.0.1", 0, on_hub)
     hub.start()
     links = Links(ctx, "agent", "agent/1", on_link)
     links.set_entries([EntryAddress("e1", "127.0.0.1", hub.port)])
     async with asyncio.timeout(20):
-        while not links.send("e1", WhoLeads("agent")):
+        while not links.send("e1", LeaderQuery("agent")):
             await asyncio.sleep(0.01)
         for round_number in range(ROUNDS):
             for number in range(round_number * BURST, (round_number + 1) * BURST):
--- a/tests/sched/agent_leader.py
+++ b/tests/sched/agent_leader.py
@@ -37,7 +37,7 @@
             self.reports.append(message)
             self.reported_at.append(now())
             if self.acknowledges:
-                self.order(message.beat, beat=message.beat)
+                self.order(message.report_number, report_number=message.report_number)
         return True
 
     def send_all(self, message: AnyNodeMessage) -> None:
@@ -51,20 +51,20 @@
 
     def order(
         self,
-        after_beat: int,
-        beat: int = 0,
+        based_on_report: int,
+        report_number: int = 0,
         starts: Iterable[StartOrder] = (),
         stops: Iterable[StopOrder] = (),
     ) -> None:
-        """Send orders that are based on the report ``after_beat``."""
+        """Send orders that are based on the report ``based_on_report``."""
         boot = self.runner._boot
         self.order_count += 1
         orders = Orders(
             self.epoch,
             "e",
             boot,
-            beat,
-            after_beat,
+            report_number,
+            based_on_report,
             "w1",
             list(starts),
             list(stops),
--- a/tests/sched/test_followers.py
+++ b/tests/sched/test_followers.py
@@ -1,14 +1,14 @@
 """The follower that a leader selects for a handover."""
 
 from sapphirelead.node_followers import HEARTBEAT_TIMEOUT_S, Followers
-from sapphirelead.node_messages import EntryAddress, EntryBeat
+from sapphirelead.node_messages import EntryAddress, FollowerHeartbeat
 
 
 def heartbeat(
     name: str, store_ok: bool = True, leaving: bool = False, cores: float = 0.0
-) -> EntryBeat:
+) -> FollowerHeartbeat:
     """Return a follower's heartbeat."""
-    return EntryBeat(EntryAddress(name, "h", 1, cores), 1, store_ok, 1, leaving)
+    return FollowerHeartbeat(EntryAddress(name, "h", 1, cores), 1, store_ok, 1, leaving)
 
 
 def test_a_leaving_or_unresponsive_entry_is_no_successor() -> None:
--- a/tests/sched/test_handover.py
+++ b/tests/sched/test_handover.py
@@ -10,7 +10,7 @@
 from sapphirelead.clock import now
 from sapphirelead.node_handover import OFFER_INTERVAL_S, STALL_THRESHOLD_S, HandoverController
 from sapphirelead.node_leader import ISOLATION_TIMEOUT_S, Leader
-from sapphirelead.node_messages import EntryAddress, EntryBeat, Handover
+from sapphirelead.node_messages import EntryAddress, FollowerHeartbeat, Handover
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, Bounds
 from tests.sched.fakes import NoAdvice
@@ -31,7 +31,7 @@
 async def send_heartbeats(controller: HandoverController) -> None:
     """Send the heartbeats of one follower."""
     while True:
-        controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+        controller.on_heartbeat(FollowerHeartbeat(EntryAddress("e2", "h", 1), 1, True, 1))
         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
@@ -75,12 +75,12 @@
     leader = await leading(MemoryTable())
     leader.isolated = lambda at: True  # type: ignore[method-assign]
     controller = HandoverController(recording_sender([]))
-    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    controller.on_heartbeat(FollowerHeartbeat(EntryAddress("e2", "h", 1), 1, True, 1))
     controller.check(leader)
     await asyncio.sleep(ISOLATION_TIMEOUT_S + STALL_THRESHOLD_S)
     controller.check(leader)
     assert leader.serving
-    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1), 1, True, 1))
+    controller.on_heartbeat(FollowerHeartbeat(EntryAddress("e2", "h", 1), 1, True, 1))
     for _ in range(int((ISOLATION_TIMEOUT_S + 0.5) / 0.1)):
         await asyncio.sleep(0.1)
         controller.check(leader)
@@ -98,7 +98,7 @@
 
     controller = HandoverController(send, cores=0.5)
     for name, cores in (("weak", 0.5), ("strong", 2.0)):
-        controller.on_heartbeat(EntryBeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
+        controller.on_heartbeat(FollowerHeartbeat(EntryAddress(name, "h", 1, cores), 1, True, 1))
     controller.check(leader)
     assert offered == ["strong"]
     # It leads until the offer is taken, and does not repeat the offer at each check.
@@ -111,7 +111,7 @@
     leader = await leading(MemoryTable())
     offers: list[float] = []
     controller = HandoverController(recording_sender(offers), cores=2.0)
-    controller.on_heartbeat(EntryBeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
+    controller.on_heartbeat(FollowerHeartbeat(EntryAddress("e2", "h", 1, 2.2), 1, True, 1))
     controller.check(leader)
     assert not offers
 
--- a/tests/sched/test_intake.py
+++ b/tests/sched/test_intake.py
@@ -20,9 +20,9 @@
     Call,
     CallKind,
     EntryAddress,
-    EntryBeat,
+    FollowerHeartbeat,
+    LeaderQuery,
     RunEnded,
-    WhoLeads,
 )
 from sapphirelead.sched_timing import HEARTBEAT_INTERVAL_S, LEADER_TIMEOUT_S, MAX_ORDER_AGE_S
 from tests.sched.busy_loop import Arrival, Transport, run_busy, spend
@@ -43,11 +43,13 @@
 BUSY_REPORTS_PER_S = 30.0
 
 
-def report(agent: bytes, beat: int, at: float) -> AgentReport:
+def report(agent: bytes, report_number: int, at: float) -> AgentReport:
     """Return a report with one ended run, whose reason carries the time."""
-    end = RunEnded(beat, f"j.0.{beat}.1", 1, "done", "", f"{at}")
+    end = RunEnded(report_number, f"j.0.{report_number}.1", 1, "done", "", f"{at}")
     name = agent.decode()
-    return AgentReport(name, "b", beat, 1, 1, worker_info(f"w-{name}"), beat % 4 == 0, [], [end])
+    return AgentReport(
+        name, "b", report_number, 1, 1, worker_info(f"w-{name}"), report_number % 4 == 0, [], [end]
+    )
 
 
 def times(per_s: float, offset: float = 0.0) -> Iterator[tuple[int, float]]:
@@ -67,16 +69,16 @@
     """Return the arriving messages at ``share`` times the base rate; a call's job is its time."""
     found: list[Arrival] = []
     for number, agent in enumerate(AGENTS):
-        for beat, at in times(share * REPORTS_PER_S, number / 1000):
-            found.append((at, agent, report(agent, beat, at)))
-    for beat, at in times(share * BUSY_REPORTS_PER_S):
-        found.append((at, BUSIEST, report(BUSIEST, beat, at)))
+        for report_number, at in times(share * REPORTS_PER_S, number / 1000):
+            found.append((at, agent, report(agent, report_number, at)))
+    for report_number, at in times(share * BUSY_REPORTS_PER_S):
+        found.append((at, BUSIEST, report(BUSIEST, report_number, at)))
     for number, name in enumerate(FOLLOWERS):
         address = EntryAddress(name.decode(), "h", 1)
         for count, at in times(share * CALLS_PER_S, number / 1000):
             found.append((at, name, Call(count, call_kind(count), "q", f"{at}", 1)))
         for count, at in times(1 / HEARTBEAT_INTERVAL_S, number / 1000):
-            found.append((at, name, EntryBeat(address, count, True, 1)))
+            found.append((at, name, FollowerHeartbeat(address, count, True, 1)))
     return deque(sorted(found, key=lambda arrival: arrival[0]))
 
 
@@ -100,7 +102,7 @@
                 self.record(f"{who}_renewal", max(float(end.reason) for end in message.ends))
                 for end in message.ends:
                     self.record(f"{who}_end", float(end.reason))
-            case EntryBeat():
+            case FollowerHeartbeat():
                 offset = FOLLOWERS.index(identity) / 1000
                 self.record("beat", offset + message.epoch * HEARTBEAT_INTERVAL_S)
             case Call():
@@ -196,7 +198,7 @@
     gaps = []
 
     async def go() -> None:
-        message = WhoLeads("g")
+        message = LeaderQuery("g")
         arrivals: deque[Arrival] = deque((0.0, f"{n}".encode(), message) for n in range(3_000))
         intake = Intake(
             Transport(arrivals, READ_S).receive, lambda *_: spend(WORK_S), HOLD_TIMEOUT_S, Metrics()
--- a/tests/sched/test_links.py
+++ b/tests/sched/test_links.py
@@ -7,7 +7,7 @@
 
 from sapphirelead.metrics import Metrics
 from sapphirelead.node_intake import Intake
-from sapphirelead.node_messages import AnyNodeMessage, WhoLeads
+from sapphirelead.node_messages import AnyNodeMessage, LeaderQuery
 
 BACKLOG = 500
 
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.left = BACKLOG
-        self.frame = msgspec.msgpack.encode(WhoLeads("agent"))
+        self.frame = msgspec.msgpack.encode(LeaderQuery("agent"))
 
     async def recv_multipart(self) -> list[bytes]:
         if not self.left:
--- a/tests/sched/test_no_room.py
+++ b/tests/sched/test_no_room.py
@@ -6,18 +6,18 @@
 from msgspec.structs import replace
 
 from sapphirelead.model_resources import Resources
-from sapphirelead.sched_fleet import Instance, Run
-from sapphirelead.sched_interference_guard import GuardedInterferenceModel
-from sapphirelead.sched_job import TaskRef
-from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
-from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
-from sapphirelead.sched_room import (
+from sapphirelead.sched_feasibility import (
     MAX_KINDS,
     MAX_SIZES_PER_KIND,
     FeasibleWorkers,
     InfeasibleCache,
     Kind,
 )
+from sapphirelead.sched_fleet import Instance, Run
+from sapphirelead.sched_interference_guard import GuardedInterferenceModel
+from sapphirelead.sched_job import TaskRef
+from sapphirelead.sched_place import PlacementRequest, choose, is_eligible
+from sapphirelead.sched_planner import STARVATION_THRESHOLD_S, plan
 from sapphirelead.sched_spec import StepSpec
 from tests.sched.fakes import Agents, job, scheduler, store, worker_info
 
@@ -56,7 +56,7 @@
 def change(rng: random.Random, places: list[Instance], at: float) -> None:
     """Apply random changes to some of the workers."""
     for place in places:
-        place.heard_at = at if rng.random() < 0.97 else place.heard_at
+        place.last_report_at = at if rng.random() < 0.97 else place.last_report_at
         if place.runs and rng.random() < 0.2:
             place.drop(rng.choice(list(place.runs.values())))
         if rng.random() < 0.05:
@@ -69,20 +69,24 @@
 def test_cache_finds_the_same_worker_as_a_full_scan(seed: int) -> None:
     rng = random.Random(seed)
     fleet = random_fleet(rng)
-    no_room, press = InfeasibleCache(), GuardedInterferenceModel()
+    infeasible_cache, interference = InfeasibleCache(), GuardedInterferenceModel()
     at, number, missed = 0.0, 0, 0
     for _ in range(60):
         at += rng.choice((0.05, 0.3, 1.0))
         change(rng, fleet, at)
         live = rng.sample(fleet, 12) if rng.random() < 0.1 else fleet
-        no_room.begin(live, at)
+        infeasible_cache.begin(live, at)
         steps = [random_step(rng) for _ in range(6)]
         kinds = [Kind.of(step, "svc", rng.random() < 0.2) for step in steps]
-        feasible = FeasibleWorkers(no_room, zip(kinds, steps, strict=True), press, at)
+        feasible = FeasibleWorkers(
+            infeasible_cache, zip(kinds, steps, strict=True), interference, at
+        )
         for kind, step in zip(kinds, steps, strict=True):
             number += 1
             ref = TaskRef(f"j{number}", 0, 0, 0)
-            request = PlacementRequest(step, "svc", starving=kind.starving, press=press)
+            request = PlacementRequest(
+                step, "svc", starving=kind.starving, interference=interference
+            )
             expected = choose(
                 [item for item in live if is_eligible(item, request, at)], request, ref
             )
@@ -92,7 +96,7 @@
             )
             assert found is expected
             if found is None:
-                no_room.record_infeasible(kind, step)
+                infeasible_cache.record_infeasible(kind, step)
                 missed += 1
             else:
                 found.add(Run(ref, 1, found.agent, "w", step, claimed_at=at))
@@ -105,38 +109,38 @@
 
 
 def test_oldest_kind_is_evicted_from_a_full_cache() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
-    no_room.begin(fleet, 0.0)
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache.begin(fleet, 0.0)
     steps = [StepSpec(image=f"i{number}", fills=True) for number in range(MAX_KINDS + 1)]
     for step in steps:
-        no_room.record_infeasible(Kind.of(step, "svc"), step)
-    tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
+        infeasible_cache.record_infeasible(Kind.of(step, "svc"), step)
+    tried = [step for step in steps if infeasible_cache.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_oldest_size_is_evicted_from_a_full_cache() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
-    no_room.begin(fleet, 0.0)
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache.begin(fleet, 0.0)
     steps = [
         StepSpec(cpu_millicores=100 + number, memory_mb=100 - number)
         for number in range(MAX_SIZES_PER_KIND + 1)
     ]
     for step in steps:
-        no_room.record_infeasible(Kind.of(step, "svc"), step)
-    tried = [step for step in steps if no_room.places(Kind.of(step, "svc"), step)]
+        infeasible_cache.record_infeasible(Kind.of(step, "svc"), step)
+    tried = [step for step in steps if infeasible_cache.places(Kind.of(step, "svc"), step)]
     assert tried == steps[:1]
 
 
 def test_removed_worker_is_not_kept() -> None:
-    no_room, fleet = InfeasibleCache(), one_worker()
+    infeasible_cache, fleet = InfeasibleCache(), one_worker()
     step = StepSpec()
     kind = Kind.of(step, "svc")
-    no_room.begin(fleet, 0.0)
-    assert no_room.places(kind, step) == fleet
-    no_room.record_infeasible(kind, step)
-    no_room.begin([], 0.1)
-    no_room.begin(fleet, 0.2)
-    assert no_room.places(kind, step) == fleet
+    infeasible_cache.begin(fleet, 0.0)
+    assert infeasible_cache.places(kind, step) == fleet
+    infeasible_cache.record_infeasible(kind, step)
+    infeasible_cache.begin([], 0.1)
+    infeasible_cache.begin(fleet, 0.2)
+    assert infeasible_cache.places(kind, step) == fleet
 
 
 def test_step_that_stops_starving_in_a_pass_uses_free_workers() -> None:
@@ -161,7 +165,7 @@
         large = StepSpec(cpu_millicores=2500, memory_mb=1, estimate_ms=20_000)
         sched.submit(job(f"large{number}", large), lambda *_: None)
     for cpu in sizes:
-        sched.fleet.instance(f"g{cpu}").heard_at = at
+        sched.fleet.instance(f"g{cpu}").last_report_at = at
     plan(sched, at, 0)
     plan(sched, at + 0.05, 0)
     assert [instance.free_cpu for instance in sched.fleet.live()] == [0, 0, 0]
--- a/tests/sched/test_report_acks.py
+++ b/tests/sched/test_report_acks.py
@@ -15,7 +15,13 @@
 from sapphirelead.clock import now
 from sapphirelead.node_inbox import Inbox
 from sapphirelead.node_leader import MIN_ACK_INTERVAL_S, Leader
-from sapphirelead.node_messages import AgentReport, AnyNodeMessage, EntryAddress, Leads, Orders
+from sapphirelead.node_messages import (
+    AgentReport,
+    AnyNodeMessage,
+    EntryAddress,
+    LeaderAnnouncement,
+    Orders,
+)
 from sapphirelead.runner_service import MIN_REPORT_INTERVAL_S, Runner
 from sapphirelead.sched_head import Head, read_head
 from sapphirelead.sched_timing import MAX_ORDER_AGE_S, Bounds
@@ -96,7 +102,7 @@
     tasks = [asyncio.create_task(leader.run()), asyncio.create_task(channel.take(leader))]
     channel.runner.start()
     await channel.runner.worker_heartbeat(worker_info(), "x", 1)
-    channel.runner._on_message("e1", Leads(head.epoch, "e1"))
+    channel.runner._on_message("e1", LeaderAnnouncement(head.epoch, "e1"))
     await asyncio.sleep(1)
     try:
         yield channel
--- a/tests/sched/test_runner.py
+++ b/tests/sched/test_runner.py
@@ -35,10 +35,10 @@
         "payload": "p",
         "saved": "",
         "ticket": "",
-        "room": Resources(1000, 100),
+        "resources": Resources(1000, 100),
         "image": "",
         "target_ms": 0,
-        "fills": False,
+        "best_effort": False,
         **changes,
     }
     return StartOrder(**fields)  # type: ignore[arg-type]
@@ -60,9 +60,9 @@
         await life.close()
 
 
-def silent(life: RunnerLife) -> bool:
-    """Return the current value of ``life.silent``, which mypy does not narrow in a call."""
-    return life.silent
+def not_responding(life: RunnerLife) -> bool:
+    """Return the current value of ``life.not_responding``, which mypy does not narrow in a call."""
+    return life.not_responding
 
 
 def kinds(life: RunnerLife) -> dict[str, str]:
@@ -76,7 +76,7 @@
     worker.runs[("a.0.0.0", 1)] = FakeRun("a.0.0.0", 1, now() + 30)
     async with life_of(worker) as (life, _):
         assert [status.order_known for status in life.registry.statuses(True)] == [False]
-        life.start(order(image="f", fills=True))
+        life.start(order(image="f", best_effort=True))
         await asyncio.sleep(1)
         assert [status.order_known for status in life.registry.statuses(True)] == [True]
         assert worker.paces == [("a.0.0.0", 100)]
@@ -131,7 +131,7 @@
         assert worker.runs == {}
 
 
-async def test_a_run_lapses_when_the_leader_no_longer_acknowledges() -> None:
+async def test_runs_end_when_the_leader_no_longer_acknowledges() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
@@ -157,22 +157,22 @@
         await asyncio.sleep(1)
         worker.refuses = True
         await asyncio.sleep(1.5)
-        assert life.over
+        assert life.has_ended
 
 
-async def test_a_silent_worker_counts_as_lost_only_after_its_lease() -> None:
+async def test_an_unresponsive_worker_counts_as_lost_only_after_its_lease() -> None:
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, lease):
         life.start(order())
         await asyncio.sleep(1)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(lease.expiry_bound - now() - 0.5)
-        assert not silent(life)
+        assert not not_responding(life)
         await asyncio.sleep(3)
-        assert silent(life)
-        worker.silent = False
+        assert not_responding(life)
+        worker.not_responding = False
         await asyncio.sleep(2)
-        assert not silent(life)
+        assert not not_responding(life)
         assert kinds(life) == {"a.0.0.0": "lapsed"}
 
 
@@ -200,7 +200,7 @@
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         life.start(order("s.0.0.0", target_ms=100))
-        life.start(order("f.0.0.0", fills=True))
+        life.start(order("f.0.0.0", best_effort=True))
         await asyncio.sleep(1)
         worker.figures["s.0.0.0"] = 300
         await asyncio.sleep(2.5)
@@ -252,7 +252,7 @@
         assert len(life.registry.report_ends(full=True)) == 3
         life.start(order("a.0.0.0"))
         assert ends == 4, "an order for an ended run is answered with its outcome"
-        assert worker.holds <= 10 / runner_life.MAX_LIST_PAUSE_S + 12
+        assert worker.holds <= 10 / runner_life.MAX_LIST_DELAY_S + 12
 
 
 async def test_polling_resumes_once_an_outcome_is_stored() -> None:
--- a/tests/sched/test_runner_reports.py
+++ b/tests/sched/test_runner_reports.py
@@ -14,7 +14,7 @@
 from sapphirelead.model_resources import Resources
 from sapphirelead.node_leader import MIN_ACK_INTERVAL_S
 from sapphirelead.node_messages import (
-    Leads,
+    LeaderAnnouncement,
 )
 from sapphirelead.ports import Row
 from sapphirelead.runner_lease import UNRESPONSIVE_TIMEOUT_S, RunnerLease
@@ -46,8 +46,8 @@
     """Guards against lapsed runs and refused starts while reports are frequent."""
     lease = RunnerLease(9.5, 0.0)
     count = int(MAX_ORDER_AGE_S / runner_service.MIN_REPORT_INTERVAL_S)
-    for beat in range(1, count + 1):
-        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    for report_number in range(1, count + 1):
+        lease.sent(report_number, report_number * runner_service.MIN_REPORT_INTERVAL_S)
     at = count * runner_service.MIN_REPORT_INTERVAL_S
     assert lease.allows_starts(1, at)
     lease.acknowledged(1)
@@ -57,8 +57,8 @@
 def test_send_times_of_reports_are_dropped_after_a_lease() -> None:
     """Guards against unbounded growth of the recorded send times."""
     lease = RunnerLease(9.5, 0.0)
-    for beat in range(1, 10_000):
-        lease.sent(beat, beat * runner_service.MIN_REPORT_INTERVAL_S)
+    for report_number in range(1, 10_000):
+        lease.sent(report_number, report_number * runner_service.MIN_REPORT_INTERVAL_S)
     assert lease.report_count <= 9.5 / runner_service.MIN_REPORT_INTERVAL_S + 2
     lease.acknowledged(1)
     assert lease.until == 0.0
@@ -81,29 +81,29 @@
     """Guards against runs of a hanging worker that stay claimed and are never restarted."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s - 1)
         assert reported_worker(leader) == "w1"
         await asyncio.sleep(3)
         assert reported_worker(leader) == ""
-        assert leader.reports[-1].gone == ("w1",)
+        assert leader.reports[-1].ended_workers == ("w1",)
 
 
 async def test_an_unresponsive_worker_is_reported_gone_despite_start_orders() -> None:
     """Guards against runs of a hanging worker that stay claimed while start orders continue."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         silent_at = now()
         number = 0
         while reported_worker(leader) and now() - silent_at < 60:
             number += 1
-            small = order(f"b{number}.0.0.0", room=Resources(1, 1))
-            leader.order(leader.reports[-1].beat, starts=[small])
+            small = order(f"b{number}.0.0.0", resources=Resources(1, 1))
+            leader.order(leader.reports[-1].report_number, starts=[small])
             await asyncio.sleep(1)
         assert now() - silent_at < UNRESPONSIVE_TIMEOUT_S + Bounds().loss_s + 3
 
@@ -113,13 +113,13 @@
     worker = FakeWorker(work_s=60)
     async with life_of(worker) as (life, _):
         await asyncio.sleep(1)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(UNRESPONSIVE_TIMEOUT_S + 1.5)
         life.start(order())
         await asyncio.sleep(0.1)
         assert worker.starts == 0
         assert kinds(life) == {TASK: "not_started"}
-        worker.silent = False
+        worker.not_responding = False
         await asyncio.sleep(1.5)
         life.start(order(attempt=2))
         await asyncio.sleep(0.1)
@@ -130,11 +130,11 @@
     """Guards against runs that lapse because a few calls got no answer."""
     worker = FakeWorker(work_s=600)
     async with run_agent(worker) as leader:
-        leader.order(leader.reports[-1].beat, starts=[order()])
+        leader.order(leader.reports[-1].report_number, starts=[order()])
         await asyncio.sleep(5)
-        worker.silent = True
+        worker.not_responding = True
         await asyncio.sleep(7)
-        worker.silent = False
+        worker.not_responding = False
         await asyncio.sleep(10)
         assert list(worker.runs) == [(TASK, 1)]
 
@@ -143,11 +143,11 @@
     """Guards against a leader that treats starts as lost after reading an old report late."""
     async with run_agent(FakeWorker(work_s=60)) as leader:
         leader.acknowledges = False
-        leader.order(leader.reports[-1].beat)
+        leader.order(leader.reports[-1].report_number)
         await asyncio.sleep(2 * runner_service.MAX_REPORT_INTERVAL_S)
         assert leader.reports[-1].orders == leader.order_count
         leader.epoch = 2
-        leader.runner._on_message("e", Leads(2, "e"))
+        leader.runner._on_message("e", LeaderAnnouncement(2, "e"))
         await asyncio.sleep(2 * runner_service.MIN_REPORT_INTERVAL_S)
         assert leader.reports[-1].orders == 0
 
@@ -169,11 +169,11 @@
             await asyncio.sleep(self.spacing_s)
             if len(self.taken_at) == len(self.reports):
                 continue
-            beat = self.reports[len(self.taken_at)].beat
+            report_number = self.reports[len(self.taken_at)].report_number
             self.taken_at.append(now())
             if now() - answered_at >= MIN_ACK_INTERVAL_S:
                 answered_at = now()
-                self.order(beat, beat=beat)
+                self.order(report_number, report_number=report_number)
 
 
 @pytest.mark.parametrize("reports_per_s", [2.5, 5, 20])
--- a/tests/sched/test_survey.py
+++ b/tests/sched/test_survey.py
@@ -17,7 +17,7 @@
     plan(sched, 0.8, 0)
     filling = [run for run in sched.fleet.runs.values() if run.step.fills]
     for run in filling:
-        run.paced = 10
+        run.pace_percent = 10
     seen = survey(sched, 0.8)
     assert (seen.workers, seen.serving, seen.unsound) == (2, 2, 0)
     assert seen.fills_running == len(filling) > 0
--- a/tests/sched/world.py
+++ b/tests/sched/world.py
@@ -10,7 +10,13 @@
 from typing import Any, cast
 
 from sapphirelead.clock import now
-from sapphirelead.node_messages import AgentReport, AnyNodeMessage, Leads, Orders, WhoLeads
+from sapphirelead.node_messages import (
+    AgentReport,
+    AnyNodeMessage,
+    LeaderAnnouncement,
+    LeaderQuery,
+    Orders,
+)
 from sapphirelead.node_ports import StartAnswer, StartCall
 from sapphirelead.ports import Row
 from sapphirelead.runner_service import Runner
@@ -51,11 +57,13 @@
             self.simulation.done.add(run.task)
         super().end(run, kind)
 
-    async def hold(self, fencing_token: int, noted: int, lease_ms: int, wait_ms: int) -> Any:
+    async def hold(
+        self, fencing_token: int, stored_through: int, lease_ms: int, wait_ms: int
+    ) -> Any:
         for end in self.ended:
-            if end.number <= noted and end.kind == EndKind.DONE:
+            if end.number <= stored_through and end.kind == EndKind.DONE:
                 self.simulation.acknowledged_done.add(end.task)
-        return await super().hold(fencing_token, noted, lease_ms, wait_ms)
+        return await super().hold(fencing_token, stored_through, lease_ms, wait_ms)
 
     def crash(self) -> None:
         self.dead = True
@@ -174,27 +182,35 @@
         if self.sched is None or slot.runner is None:
             return
         runner = slot.runner
-        if isinstance(message, WhoLeads):
-            leads = Leads(self.epoch, LEADER)
+        if isinstance(message, LeaderQuery):
+            leads = LeaderAnnouncement(self.epoch, LEADER)
             self.deliver_later(lambda: runner._on_message(LEADER, leads))
         elif (
             isinstance(message, AgentReport)
             and message.epoch <= self.epoch
             and apply_report(self.sched, message, self.epoch, now())
         ):
-            self.answer(slot, message.beat)
+            self.answer(slot, message.report_number)
 
-    def answer(self, slot: Slot, beat: int) -> None:
+    def answer(self, slot: Slot, report_number: int) -> None:
         sched, runner = self.sched, slot.runner
         if sched is None or runner is None:
             return
         instance = sched.fleet.instance(slot.name)
         starts, stops, stored = sched.orders_for(slot.name, now())
         worker = instance.worker.worker if instance.worker else ""
-        if beat:
+        if report_number:
             instance.renewed_at = now()
         orders = Orders(
-            self.epoch, LEADER, instance.boot, beat, instance.beat, worker, starts, stops, stored
+            self.epoch,
+            LEADER,
+            instance.boot,
+            report_number,
+            instance.report_number,
+            worker,
+            starts,
+            stops,
+            stored,
         )
         if not slot.partitioned:
             self.deliver_later(lambda: runner._on_message(LEADER, orders))
@@ -253,9 +269,9 @@
         runner._links = cast(Any, FaultyLinks(self, slot))
         slot.runner = runner
         runner.start()
-        await self.beat(slot)
+        await self.send_heartbeat(slot)
 
-    async def beat(self, slot: Slot) -> None:
+    async def send_heartbeat(self, slot: Slot) -> None:
         """Send a heartbeat from a worker to its agent."""
         if slot.runner is not None and not slot.worker.dead:
             seq = int(now() * 100)
@@ -266,7 +282,7 @@
         while True:
             for slot in self.slots:
                 slot.worker.advance()
-                await self.beat(slot)
+                await self.send_heartbeat(slot)
             await asyncio.sleep(0.3)
 
     async def inject_faults(self) -> None:
@@ -281,9 +297,9 @@
                     slot.generation += 1
                     slot.worker = CheckedWorker(self)
                 case 1:
-                    slot.worker.silent = True
+                    slot.worker.not_responding = True
                     await asyncio.sleep(self.rng.uniform(0.5, 4))
-                    slot.worker.silent = False
+                    slot.worker.not_responding = False
                 case 2 if slot.runner is not None:
                     runner, slot.runner = slot.runner, None
                     await runner.stop()
--- a/tests/unit/agent_fakes.py
+++ b/tests/unit/agent_fakes.py
@@ -11,7 +11,7 @@
 from sapphirelead.agent_ports import Handler, Sender
 from sapphirelead.background import Background
 from sapphirelead.clock import now
-from sapphirelead.entry_ports import Lane
+from sapphirelead.entry_ports import Channel
 from sapphirelead.errors import Code, Failure
 from sapphirelead.model_resources import Resources
 from sapphirelead.ports import (
@@ -22,7 +22,7 @@
     WorkerView,
 )
 from sapphirelead.settings import AgentSettings, LeaseSettings
-from sapphirelead.wire_messages import Amount, AnyMessage, Beat, BeatAck, Offer, Start
+from sapphirelead.wire_messages import Amount, AnyMessage, Heartbeat, HeartbeatAck, Offer, Start
 
 M = TypeVar("M")
 
@@ -100,10 +100,10 @@
         self.tasks[key].info = replace(self.tasks[key].info, **changes)
 
     def running(self) -> set[str]:
-        self._lapse()
+        self._expire_leases()
         return {k for k, t in self.tasks.items() if t.info.state is TaskState.RUNNING}
 
-    def _lapse(self) -> None:
+    def _expire_leases(self) -> None:
         for task in self.tasks.values():
             if task.info.state is TaskState.RUNNING and task.lease_until <= self.clock():
                 task.info = replace(task.info, state=TaskState.STOPPED, reason="lease")
@@ -115,7 +115,7 @@
         await asyncio.sleep(self.delay_s)
         if self.down:
             return unavailable
-        self._lapse()
+        self._expire_leases()
         answer = effect()
         if self.lose.get(name, 0):
             self.lose[name] -= 1
@@ -230,7 +230,7 @@
 
     def __init__(self, sender: Sender) -> None:
         self.sender = sender
-        self.sent: list[tuple[Lane, AnyMessage]] = []
+        self.sent: list[tuple[Channel, AnyMessage]] = []
         self.committing = True
         self.fencing = False
         self.connected = True
@@ -262,20 +262,20 @@
     def reconnect_unresponsive(self) -> None:
         pass
 
-    async def send(self, index: int, lane: Lane, message: AnyMessage) -> bool:
+    async def send(self, index: int, channel: Channel, message: AnyMessage) -> bool:
         if not self.connected:
             return False
-        self.sent.append((lane, message))
-        if isinstance(message, Beat):
+        self.sent.append((channel, message))
+        if isinstance(message, Heartbeat):
             self._committed = message.counter if self.committing else self._committed
-            ack = BeatAck(
+            ack = HeartbeatAck(
                 counter=message.counter, committed=self._committed, fenced=self.fencing, **ENTRY
             )
             asyncio.get_running_loop().call_soon(self.deliver, ack)
         return True
 
     async def broadcast(self, message: AnyMessage) -> None:
-        await self.send(0, Lane.CONTROL, message)
+        await self.send(0, Channel.CONTROL, message)
 
     async def close(self) -> None:
         pass
--- a/tests/unit/test_entry_core.py
+++ b/tests/unit/test_entry_core.py
@@ -17,9 +17,9 @@
     AnyMessage,
     Checkpointed,
     Completed,
-    Fate,
-    FateAnswer,
     Offer,
+    OutcomeAnswer,
+    OutcomeQuery,
     Refused,
     Start,
     Started,
@@ -195,13 +195,23 @@
             1,
         ),
         (
-            FateAnswer(**head("a"), key="j", epoch=1, fate="never_started"),
+            OutcomeAnswer(**head("a"), key="j", epoch=1, claim_outcome="never_started"),
             False,
             JobState.CLAIMED,
             2,
         ),
-        (FateAnswer(**head("a"), key="j", epoch=1, fate="lost"), False, JobState.UNKNOWN, 1),
-        (FateAnswer(**head("a"), key="j", epoch=1, fate="lost"), True, JobState.CLAIMED, 2),
+        (
+            OutcomeAnswer(**head("a"), key="j", epoch=1, claim_outcome="lost"),
+            False,
+            JobState.UNKNOWN,
+            1,
+        ),
+        (
+            OutcomeAnswer(**head("a"), key="j", epoch=1, claim_outcome="lost"),
+            True,
+            JobState.CLAIMED,
+            2,
+        ),
     ],
 )
 @in_world
@@ -275,9 +285,12 @@
     net = world.net
 
     def restarted(instance: str, message: AnyMessage) -> list[AnyMessage]:
-        if isinstance(message, Fate):
-            answer = FateAnswer(
-                **head(instance, "i2"), key=message.key, epoch=message.epoch, fate="running"
+        if isinstance(message, OutcomeQuery):
+            answer = OutcomeAnswer(
+                **head(instance, "i2"),
+                key=message.key,
+                epoch=message.epoch,
+                claim_outcome="running",
             )
             return [answer]
         return []
--- a/tests/unit/test_entry_members.py
+++ b/tests/unit/test_entry_members.py
@@ -10,12 +10,12 @@
 
 from bench.bench_decision import make_view
 from sapphirelead.entry_members import EntryMembers
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import Channel, InstanceView, Stamp
 from sapphirelead.entry_situation import EntrySituation, SlowdownEstimate, sum_batch
 from sapphirelead.model_job import JobSpec, Kind
 from sapphirelead.model_resources import Resources
 from sapphirelead.settings import EntrySettings
-from sapphirelead.wire_messages import Announce, AnyMessage, Beat, BeatAck, ServiceSample
+from sapphirelead.wire_messages import Announce, AnyMessage, Heartbeat, HeartbeatAck, ServiceSample
 from tests.unit.test_membership import ANNOUNCE, HEARTBEAT
 
 pytestmark = pytest.mark.looptime
@@ -40,13 +40,13 @@
         self.current[instance] = incarnation
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, channel: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
-        assert isinstance(message, BeatAck) and lane is Lane.CONTROL
+        assert isinstance(message, HeartbeatAck) and channel is Channel.CONTROL
         self.acks.append((incarnation, message.counter, message.committed, message.fenced))
         return True
 
-    def receive(self, message: Announce | Beat, **changes: Any) -> None:
+    def receive(self, message: Announce | Heartbeat, **changes: Any) -> None:
         self.handlers[type(message)](msgspec.structs.replace(message, **changes))
 
 
--- a/tests/unit/test_entry_service.py
+++ b/tests/unit/test_entry_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bench.bench_decision import make_view
-from sapphirelead.entry_ports import InstanceView, Lane, Stamp
+from sapphirelead.entry_ports import Channel, InstanceView, Stamp
 from sapphirelead.entry_service import ServiceDispatcher
 from sapphirelead.entry_service_state import ServiceCall, ServiceReply
 from sapphirelead.errors import Code, Outcome
@@ -18,7 +18,7 @@
 from sapphirelead.settings import EntrySettings
 from sapphirelead.wire_messages import (
     AnyMessage,
-    AttemptFate,
+    AttemptOutcomeQuery,
     CancelAttempt,
     ServiceAnswer,
     ServiceRequest,
@@ -38,7 +38,7 @@
     def __init__(self, script: Script, count: int = 2, **document: Any) -> None:
         self.current = Config(1, ConfigDocument.model_validate(document))
         self.script = script
-        self.sent: list[tuple[str, Lane, AnyMessage]] = []
+        self.sent: list[tuple[str, Channel, AnyMessage]] = []
         self.unreachable: set[str] = set()
         self.outcome_reply: dict[str, Any] | None = None
         self.views = {f"i{n}": replace(make_view(n, 0), zone="z0") for n in range(count)}
@@ -68,21 +68,21 @@
             listener(view, live)
 
     def send_now(
-        self, instance: str, lane: Lane, message: AnyMessage, incarnation: str = ""
+        self, instance: str, channel: Channel, message: AnyMessage, incarnation: str = ""
     ) -> bool:
         if instance in self.unreachable:
             return False
-        self.sent.append((instance, lane, message))
+        self.sent.append((instance, channel, message))
         if isinstance(message, ServiceRequest):
             self.script(self, instance, message)
-        if isinstance(message, AttemptFate) and self.outcome_reply is not None:
+        if isinstance(message, AttemptOutcomeQuery) and self.outcome_reply is not None:
             self.answer(instance, message, **self.outcome_reply)
         return True
 
     def answer(
         self,
         instance: str,
-        req: ServiceRequest | AttemptFate,
+        req: ServiceRequest | AttemptOutcomeQuery,
         ran: str,
         delay_s: float = 0.01,
         **fields: Any,
@@ -260,10 +260,10 @@
     """
     cluster = FakeCluster(scripted(None))
     calling = asyncio.create_task(cluster.call(5.0, idempotent=False))
-    while not (queries := cluster.all_sent(AttemptFate)):
+    while not (queries := cluster.all_sent(AttemptOutcomeQuery)):
         await asyncio.sleep(0.05)
     assert asyncio.get_running_loop().time() < 1.0
-    assert cluster.sent[-1][1] is Lane.CONTROL and queries[0].sent_to == "a"
+    assert cluster.sent[-1][1] is Channel.CONTROL and queries[0].sent_to == "a"
     instance, _, req = cluster.sent[0]
     assert isinstance(req, ServiceRequest)
     cluster.answer(instance, req, "done")
--- a/tests/unit/test_fleet_http.py
+++ b/tests/unit/test_fleet_http.py
@@ -180,7 +180,7 @@
         "submit", Reply(1, ReplyKind.UNKNOWN, retry_after_s=2), (504, "SL-402", "unknown"),
     ),
     "other content": (
-        "submit", Reply(1, ReplyKind.OK, "running", other=True), (422, "SL-105", "not_run"),
+        "submit", Reply(1, ReplyKind.OK, "running", conflicting=True), (422, "SL-105", "not_run"),
     ),
     "no such job": ("ask", Reply(1, ReplyKind.ABSENT), (404, "SL-103", "unknown")),
     "state unknown": (
@@ -248,7 +248,7 @@
         held = asyncio.create_task(send_request(http, "POST", JOB, **steps(STEP)))
         while not harness.fleet.calls:
             await asyncio.sleep(0.01)
-        harness.routes.turn_away()
+        harness.routes.redirect_callers()
         draining = asyncio.create_task(harness.api.drain(5.0))
         closing = asyncio.create_task(_close_later(harness.routes))
         assert harness.routes.in_progress == 1
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -69,7 +69,7 @@
 def run_limit(limit: ConcurrencyLimit, latency_s: float, windows: int, at: float) -> float:
     """Use ``limit`` fully for some windows with attempts of ``latency_s``."""
     for _ in range(windows * 12):
-        while limit.has_room:
+        while limit.has_capacity:
             limit.begin()
         at += 0.05
         limit.end(latency_s, at)
@@ -125,7 +125,7 @@
     """Guards against serving requests past their deadline under overload with retries."""
     figures = run("by deadline", 2.0, seed=5, seconds=2.0)
     assert figures.goodput > 0.9
-    assert figures.unknown < 0.02 * figures.asked
+    assert figures.unknown < 0.02 * figures.requests
     assert percentile_ms(figures.refused_s, 0.99) < 50
 
 
--- a/tests/unit/test_operator.py
+++ b/tests/unit/test_operator.py
@@ -89,7 +89,7 @@
 class FakeLinks:
     sent: list[tuple[str, AnyMessage]] = field(default_factory=list)
 
-    async def send(self, instance: str, lane: str, message: AnyMessage) -> bool:
+    async def send(self, instance: str, channel: str, message: AnyMessage) -> bool:
         self.sent.append((instance, message))
         return True
 
--- a/tests/unit/test_platform_standin_worker.py
+++ b/tests/unit/test_platform_standin_worker.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from bench.platform_standin_run import Life, Run, Script
+from bench.platform_standin_run import Run, Script, WorkerState
 from bench.platform_standin_worker import Behaviour, StandInWorker, WorkerSettings
 from sapphirelead.node_ports import CallFailure, StartAnswer, StartCall
 from sapphirelead.platform.worker import PlatformWorker
@@ -23,7 +23,7 @@
         settings = WorkerSettings("127.0.0.1", 0, "", "")
         self.standin = StandInWorker(History.open("w"), settings)
         self.port = await self.standin.start("127.0.0.1", 0)
-        self.client = PlatformWorker.connect(self.standin.life_id, f"127.0.0.1:{self.port}")
+        self.client = PlatformWorker.connect(self.standin.instance_id, f"127.0.0.1:{self.port}")
 
     def call(
         self, task: str, spec: str = WORK, attempt: int = 1, within_ms: int = 900
@@ -76,7 +76,7 @@
 
 
 def test_runs_due_during_a_pause_end_in_order_at_their_due_times() -> None:
-    life = Life(stop_s=1.0, lease_until=13.0)
+    life = WorkerState(stop_s=1.0, lease_until=13.0)
     for task, work_ms in (("a", 5_000), ("b", 1_000), ("c", 2_000)):
         life.start(Run(task, 1, Script(work_ms), 10.0))
     ends = life.advance(100.0)
@@ -88,7 +88,7 @@
 
 
 def test_a_run_resumes_from_its_own_saved_progress_only() -> None:
-    life = Life(stop_s=1.0, lease_until=99.0)
+    life = WorkerState(stop_s=1.0, lease_until=99.0)
     life.start(Run("a", 2, Script(5_000, saves=True), 10.0, saved="3000:a"))
     life.start(Run("b", 2, Script(5_000, saves=True), 10.0, saved="3000:a"))
     assert [(end.task, end.at) for end in life.advance(50.0)] == [("a", 12.0), ("b", 15.0)]
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -165,8 +165,8 @@
 
 @pytest.mark.parametrize("name", LIMITS)
 def test_router_meets_limits_that_random_choice_exceeds(name: str) -> None:
-    scenario, bad_share, to_first_share = LIMITS[name]
-    figures = Run("router", SCENARIOS[scenario], seed=7, seconds=6.0).go()
-    random_figures = Run("random", SCENARIOS[scenario], seed=7, seconds=6.0).go()
-    assert figures.bad_share <= bad_share <= random_figures.bad_share
-    assert figures.to_first <= to_first_share * len(figures.latencies_s)
+    scenario, unsuccessful_share, to_first_share = LIMITS[name]
+    figures = Run("router", SCENARIOS[scenario], seed=7, seconds=6.0).execute()
+    random_figures = Run("random", SCENARIOS[scenario], seed=7, seconds=6.0).execute()
+    assert figures.unsuccessful_share <= unsuccessful_share <= random_figures.unsuccessful_share
+    assert figures.sent_to_first <= to_first_share * len(figures.latencies_s)
