--- a/bench/fleet_simulation.py
+++ b/bench/fleet_simulation.py
@@ -136,7 +136,7 @@
         """Return the true weight."""
         return self._ground_truth.weights.get((serving, filling), 0.0)
 
-    def _user_load(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
+    def _expected_load(self, key: tuple[str, int, int], image: str, instance: Instance) -> float:
         return max(
             self._ground_truth.load(key[0], self._clock() + ahead) for ahead in (0.0, 1.0, 2.0)
         )
